--- a/crates/etcd-standin/src/lib.rs
+++ b/crates/etcd-standin/src/lib.rs
@@ -316,6 +316,16 @@
         self.shared.store().transactions
     }
 
+    /// Keys under a prefix with their values, in their order.
+    pub fn entries(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
+        self.shared.store().entries_under(prefix)
+    }
+
+    /// Puts a key that goes with no lease.
+    pub fn put(&self, key: &str, value: Vec<u8>) {
+        self.shared.store().put_entry(key, value);
+    }
+
     /// Keys under a prefix.
     pub fn keys(&self, prefix: &str) -> usize {
         self.shared.store().keys_under(prefix)
--- a/crates/etcd-standin/src/store.rs
+++ b/crates/etcd-standin/src/store.rs
@@ -205,6 +205,20 @@
         }
     }
 
+    /// Keys under a prefix with their values, for tests.
+    pub fn entries_under(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
+        let under = self.keys.iter().filter(|(key, _)| key.starts_with(prefix.as_bytes()));
+        under.map(|(key, kv)| (String::from_utf8_lossy(key).into_owned(), kv.value.clone())).collect()
+    }
+
+    /// Puts a key that goes with no lease, for tests.
+    pub fn put_entry(&mut self, key: &str, value: Vec<u8>) {
+        self.revision += 1;
+        let (key, revision) = (key.as_bytes().to_vec(), self.revision);
+        // A key without a lease is always taken.
+        let _ = self.put(&PutRequest { key, value, lease: 0 }, revision);
+    }
+
     /// Keys that there are, for tests.
     pub fn keys_under(&self, prefix: &str) -> usize {
         self.keys.keys().filter(|k| k.starts_with(prefix.as_bytes())).count()
--- a/crates/xds-grpc/src/convert.rs
+++ b/crates/xds-grpc/src/convert.rs
@@ -28,6 +28,7 @@
     error.map(|message| Status { code: INVALID_ARGUMENT, message, details: Vec::new() })
 }
 
+/// How a process of this project names itself.
 pub fn node(id: &str, cluster: &str) -> Node {
     Node {
         id: id.to_owned(),
--- a/crates/xds-grpc/src/lib.rs
+++ b/crates/xds-grpc/src/lib.rs
@@ -10,6 +10,7 @@
 mod tls;
 
 pub use client::{run, ClientOptions, Notice};
+pub use convert::{node, telling};
 pub use envoy_types::pb::envoy::config::core::v3::Node;
 pub use hub::{Hub, ServerLimits, Subscriber, Word};
 pub use server::serve;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -29,7 +29,7 @@
 pub mod local;
 mod names;
 mod nodes;
-mod policy;
+pub mod policy;
 pub mod policy_source;
 mod pools;
 mod reading;
