--- a/crates/etcd/tests/shared.rs
+++ b/crates/adapters/etcd/tests/shared.rs
@@ -1,8 +1,8 @@
 //! Leases and state in etcd, against the stand-in.
 
+use rushquay_endpoints::{Member, NodeState, Stated};
 use rushquay_etcd::{EtcdShared, Prefix};
 use rushquay_etcd_standin::Etcd;
-use rushquay_nodes::{Member, NodeState, Stated};
 use rushquay_overrides::{Book, Effect, Event, EventKind, Override, Policy, Scope};
 use rushquay_state::{BookChange, Campaign, Change, Held, RecordChange, SharedError, SharedState};
 use std::sync::Arc;
--- a/crates/state/src/record.rs
+++ b/crates/adapters/state/src/record.rs
@@ -1,6 +1,6 @@
 //! The form of a record: two bytes of form, four of checksum (CRC-32 of the rest), and JSON. No I/O.
 
-use rushquay_nodes::{Member, NodeState, Stated};
+use rushquay_endpoints::{Member, NodeState, Stated};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/state/src/store.rs
+++ b/crates/adapters/state/src/store.rs
@@ -6,7 +6,7 @@
     Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata, StorageBackend,
     StorageError, TableDefinition,
 };
-use rushquay_nodes::Stated;
+use rushquay_endpoints::Stated;
 use rushquay_overrides::{Book, Event, Override, Policy};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/state/src/text.rs
+++ b/crates/adapters/state/src/text.rs
@@ -2,7 +2,7 @@
 
 use crate::record::Kept;
 use crate::{BookChange, Change, Saved};
-use rushquay_nodes::Stated;
+use rushquay_endpoints::Stated;
 use rushquay_overrides::Book;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/state/tests/crashes.rs
+++ b/crates/adapters/state/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! Killed at every write: a storage that loses what was not synced, in part, torn and out of order.
 
 use redb::StorageBackend;
-use rushquay_nodes::{Member, NodeState, Stated};
+use rushquay_endpoints::{Member, NodeState, Stated};
 use rushquay_overrides::{Ask, Book, Effect, Policy, Scope};
 use rushquay_state::{dump, restore, BookChange, Change, RecordChange, Saved, StateError, StateStore};
 use serde_json::json;
--- a/crates/operate/src/causes.rs
+++ b/crates/core/admin/src/causes.rs
@@ -1,6 +1,6 @@
 //! Why requests were tried again, refused or failed, and why connections to nodes ended.
 
-use rushquay_guard::labels;
+use rushquay_invariants::labels;
 
 labels! {
     /// What preceded a retry, a refusal or a failure.
--- a/crates/operate/src/figures.rs
+++ b/crates/core/admin/src/figures.rs
@@ -1,7 +1,7 @@
 //! The figures as text. Each line is `name value` or `name{lane="class"} value`.
 
 use crate::{End, Ledger, Tally};
-use rushquay_guard::Label;
+use rushquay_invariants::Label;
 use std::fmt::Write as _;
 
 /// All figures, a line each, and the line that ends them.
--- a/crates/operate/src/ledger.rs
+++ b/crates/core/admin/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The account that each request passes through exactly once at its end, and each attempt when it has been written whole.
 
 use crate::{Cause, NodeCloseCause, Tally, TurnedAway};
-use rushquay_guard::{CloseCause, SendDenied, Violation};
+use rushquay_invariants::{CloseCause, SendDenied, Violation};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
--- a/crates/operate/src/tally.rs
+++ b/crates/core/admin/src/tally.rs
@@ -1,7 +1,7 @@
 //! Figures that are counted by label.
 
 use crate::Count;
-use rushquay_guard::Label;
+use rushquay_invariants::Label;
 use std::fmt;
 use std::marker::PhantomData;
 
--- a/crates/operate/tests/operate.rs
+++ b/crates/core/admin/tests/operate.rs
@@ -1,10 +1,10 @@
 //! Calls in every shape, and the ledger's one law under any order of events.
 
 use proptest::prelude::*;
-use rushquay_guard::{CloseCause, Violation};
-use rushquay_operate::{
+use rushquay_admin::{
     figures, Call, Cause, End, Entry, Ledger, Line, NotACall, Places, Standing, TurnedAway, LINE_MOST,
 };
+use rushquay_invariants::{CloseCause, Violation};
 
 fn names(names: &[&str]) -> Vec<String> {
     names.iter().map(|n| (*n).to_owned()).collect()
--- a/crates/generation/tests/generation.rs
+++ b/crates/core/config-version/tests/generation.rs
@@ -1,6 +1,6 @@
 //! What a generation may say, its name, and what it makes of a proxy's own settings.
 
-use rushquay_generation::{Assignment, AssignmentError, Generation};
+use rushquay_config_version::{Assignment, AssignmentError, Generation};
 use serde_json::{json, Value};
 
 fn fault(document: Value) -> (String, String) {
--- a/crates/control/src/state.rs
+++ b/crates/core/control-state/src/state.rs
@@ -1,7 +1,7 @@
 //! The declared state: from the node list to clusters of nodes.
 
 use crate::ControlConfig;
-use rushquay_nodes::{Changes, Member, Members, Merge, MergeLimits, Nanos, NodeState, Source, Stated};
+use rushquay_endpoints::{Changes, Member, Members, Merge, MergeLimits, Nanos, NodeState, Source, Stated};
 use rushquay_overrides::{decide, Fleet, Imposed, Node, Override, SECOND};
 use std::collections::BTreeMap;
 
--- a/crates/control/tests/churn.rs
+++ b/crates/core/control-state/tests/churn.rs
@@ -1,8 +1,8 @@
 //! Overrides through random changes of the list, against a plain model: what is declared of each node, and what is listed.
 
 use proptest::prelude::*;
-use rushquay_control::{Control, ControlConfig, Origin};
-use rushquay_nodes::{Members, NodeState};
+use rushquay_control_state::{Control, ControlConfig, Origin};
+use rushquay_endpoints::{Members, NodeState};
 use rushquay_overrides::{Ask, Book, Effect, Override, Policy, Scope, SECOND};
 use std::collections::BTreeMap;
 
--- a/crates/nodes/tests/fleet.rs
+++ b/crates/core/endpoints/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Three hundred proxies follow one discovery that is short of room, on one virtual clock.
 
-use rushquay_nodes::{Failure, Follow, Manner, Nanos, TOLD};
+use rushquay_endpoints::{Failure, Follow, Manner, Nanos, TOLD};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/nodes/tests/follow.rs
+++ b/crates/core/endpoints/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use rushquay_nodes::{Failure, Follow, Manner, Nanos, Step, TOLD};
+use rushquay_endpoints::{Failure, Follow, Manner, Nanos, Step, TOLD};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
--- a/crates/nodes/tests/merge.rs
+++ b/crates/core/endpoints/tests/merge.rs
@@ -1,7 +1,7 @@
 //! Which of several sources wins, node by node, through restarts, old lists and losses.
 
 use proptest::prelude::*;
-use rushquay_nodes::*;
+use rushquay_endpoints::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
@@ -267,7 +267,7 @@
 /// What an operator imposes is obeyed and ends by the clock alone, whatever the list says, and undoes no drain.
 #[test]
 fn what_is_imposed_ends_by_itself_and_only_restricts() {
-    use rushquay_nodes::Imposed;
+    use rushquay_endpoints::Imposed;
     const S: u64 = 1_000_000_000;
     let mut merge = Merge::new(MergeLimits::default());
     let list = |state: &str| -> Members {
@@ -290,8 +290,9 @@
         ..Imposed::default()
     };
     let changes = merge.control("one", News::Whole(vec![stated(imposed)]), 2 * S);
-    let seen =
-        |changes: &rushquay_nodes::Changes| changes.upserts.first().map(|m| (m.state, m.weight, m.started));
+    let seen = |changes: &rushquay_endpoints::Changes| {
+        changes.upserts.first().map(|m| (m.state, m.weight, m.started))
+    };
     assert_eq!(seen(&changes), Some((NodeState::Draining, 1.0, 0)));
     // Cut off from here on.
     merge.lost(Source::Control);
--- a/crates/nodes/tests/starts.rs
+++ b/crates/core/endpoints/tests/starts.rs
@@ -1,6 +1,6 @@
 //! Starts of nodes, told to a process whose wall clock was stepped when it started.
 
-use rushquay_nodes::{Member, Members, Nanos, Starts};
+use rushquay_endpoints::{Member, Members, Nanos, Starts};
 
 const SECOND: Nanos = 1_000_000_000;
 const HOUR: i64 = 3600 * SECOND as i64;
--- a/crates/envoy/src/catalogue/batch.rs
+++ b/crates/core/envoy/src/catalogue/batch.rs
@@ -1,8 +1,8 @@
 //! Changes that wait for whoever takes them, joined: however many come, it holds each cluster and endpoint once.
 
 use super::{Change, Spec, Split};
-use rushquay_pools::{Node, NodeChange, Overload};
-use rushquay_routes::Table;
+use rushquay_load_assignment::{Node, NodeChange, Overload};
+use rushquay_routing::Table;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/crates/envoy/src/catalogue/settle.rs
+++ b/crates/core/envoy/src/catalogue/settle.rs
@@ -4,8 +4,8 @@
 use super::{Catalogue, Change, Held, Spec, Warmth, ROUTES_WAIT};
 use crate::cluster::Members;
 use crate::listener::Routes;
-use rushquay_pools::{aggregate, Nanos, Node, NodeChange};
-use rushquay_routes::Table;
+use rushquay_load_assignment::{aggregate, Nanos, Node, NodeChange};
+use rushquay_routing::Table;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/envoy/src/cluster.rs
+++ b/crates/core/envoy/src/cluster.rs
@@ -22,9 +22,9 @@
 };
 use crate::wire::{any_name, Refused};
 use prost::Message as _;
-use rushquay_pools::dns::{Lookups, Rates};
-use rushquay_pools::effective::Sharing;
-use rushquay_pools::{Assignment, Budget, ClusterRules, Nanos, Thresholds};
+use rushquay_load_assignment::dns::{Lookups, Rates};
+use rushquay_load_assignment::effective::Sharing;
+use rushquay_load_assignment::{Assignment, Budget, ClusterRules, Nanos, Thresholds};
 use std::sync::Arc;
 
 const SECOND: Nanos = 1_000_000_000;
--- a/crates/envoy/src/common.rs
+++ b/crates/core/envoy/src/common.rs
@@ -6,7 +6,7 @@
 };
 use crate::wire::Refused;
 use envoy_types::pb::google::protobuf::{value, Duration, Value};
-use rushquay_pools::Nanos;
+use rushquay_load_assignment::Nanos;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
--- a/crates/envoy/src/endpoints.rs
+++ b/crates/core/envoy/src/endpoints.rs
@@ -8,8 +8,10 @@
 };
 use crate::pb::envoy::r#type::v3::{fractional_percent::DenominatorType, FractionalPercent};
 use crate::wire::Refused;
-use rushquay_pools::dns::{Named, NamedLocality};
-use rushquay_pools::{Assignment, Endpoint, Health, Locality, LocalityName, Overload, Place, Rules};
+use rushquay_load_assignment::dns::{Named, NamedLocality};
+use rushquay_load_assignment::{
+    Assignment, Endpoint, Health, Locality, LocalityName, Overload, Place, Rules,
+};
 use std::num::NonZeroU32;
 use std::sync::Arc;
 
--- a/crates/envoy/src/listener.rs
+++ b/crates/core/envoy/src/listener.rs
@@ -10,7 +10,7 @@
 use crate::wire::{any_name, Refused};
 use envoy_types::pb::google::protobuf::Any;
 use prost::Message as _;
-use rushquay_routes::Table;
+use rushquay_routing::Table;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/envoy/src/resource.rs
+++ b/crates/core/envoy/src/resource.rs
@@ -12,8 +12,8 @@
 use crate::text::{encode, parse};
 use crate::wire::{any_name, check, Notes, Refused};
 use prost::Message;
-use rushquay_pools::Assignment;
-use rushquay_routes::Table;
+use rushquay_load_assignment::Assignment;
+use rushquay_routing::Table;
 use rushquay_xds::Kind;
 use std::sync::Arc;
 
--- a/crates/envoy/src/route.rs
+++ b/crates/core/envoy/src/route.rs
@@ -21,8 +21,8 @@
 };
 use crate::wire::Refused;
 use regex::Regex;
-use rushquay_routes::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
-use rushquay_routes::{
+use rushquay_routing::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
+use rushquay_routing::{
     Action, Append, Change, Clusters, Direct, Host, Importance, Matcher, Mutations, PathMatch, Retries,
     Rewrite, Route, Table, Weighted,
 };
--- a/crates/envoy/tests/catalogue.rs
+++ b/crates/core/envoy/tests/catalogue.rs
@@ -6,7 +6,7 @@
 use rushquay_envoy::resource::{decode, message_of, Resource};
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::{bootstrap, Notes, Source};
-use rushquay_pools::{NodeChange, Standing};
+use rushquay_load_assignment::{NodeChange, Standing};
 use rushquay_xds::Kind;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/envoy/tests/reading.rs
+++ b/crates/core/envoy/tests/reading.rs
@@ -5,10 +5,10 @@
 use rushquay_envoy::resource::{decode, file, message_of, Item};
 use rushquay_envoy::text::{encode, parse, show};
 use rushquay_envoy::{bootstrap, fields, wire, Members, Notes, Source, BOOTSTRAP};
-use rushquay_pools::Health;
+use rushquay_load_assignment::Health;
 use rushquay_xds::Kind;
 
-const EXAMPLE: &str = include_str!("../../../examples/envoy/bootstrap.yaml");
+const EXAMPLE: &str = include_str!("../../../../examples/envoy/bootstrap.yaml");
 
 fn encoded(kind: Kind, yaml: &str) -> Result<Vec<u8>, String> {
     let told = parse(yaml).map_err(|e| e.to_string())?;
@@ -313,7 +313,7 @@
 
 #[test]
 fn the_page_for_operators_has_every_field() {
-    let page = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/envoy-fields.md"))
+    let page = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../../docs/envoy-fields.md"))
         .expect("the page");
     let table = page.split_once("\n### ").map(|(_, rest)| format!("\n### {rest}")).unwrap_or_default();
     assert!(table == fields::page(), "make it anew: cargo run --release -- check --fields");
--- a/crates/fleet/tests/keep.rs
+++ b/crates/core/fleet-budget/tests/keep.rs
@@ -1,7 +1,7 @@
 //! A hundred proxies and sixty nodes with scarce room for connections, in steps of virtual time.
 
 use proptest::prelude::*;
-use rushquay_fleet::{Keep, Nanos};
+use rushquay_fleet_budget::{Keep, Nanos};
 
 const MS: Nanos = 1_000_000;
 const LONGEST: Nanos = 11_000 * MS;
--- a/crates/account/tests/sum.rs
+++ b/crates/core/fleet-stats/tests/sum.rs
@@ -1,7 +1,7 @@
 //! What proxies write comes back in the sum, whatever else stands in their logs.
 
 use proptest::prelude::*;
-use rushquay_account::{Account, Kind, Sum};
+use rushquay_fleet_stats::{Account, Kind, Sum};
 
 fn accounts() -> impl Strategy<Value = Vec<(u64, Vec<(usize, u64)>)>> {
     let counts = prop::collection::vec((0..Kind::ALL.len(), 0u64..1000), 0..12);
--- a/crates/handover/src/form.rs
+++ b/crates/core/handover/src/form.rs
@@ -1,7 +1,7 @@
 //! What old and new process say, as JSON behind its length in four bytes, most significant first.
 
 use crate::Share;
-use rushquay_nodes::Members;
+use rushquay_endpoints::Members;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/guard/tests/rules.rs
+++ b/crates/core/invariants/tests/rules.rs
@@ -1,6 +1,6 @@
 //! The guards, walked through all that callers can state.
 
-use rushquay_guard::*;
+use rushquay_invariants::*;
 
 const NOW: Nanos = 10_000 * MILLISECOND;
 
--- a/crates/pools/tests/pool.rs
+++ b/crates/core/load-assignment/tests/pool.rs
@@ -1,8 +1,8 @@
 //! A pool over time: endpoints that come, move, go and return, weights that change without end, lists that grow old.
 
-use rushquay_pools::dns::{Lookups, Named, NamedLocality, Rates};
-use rushquay_pools::repeats::{may_repeat, Tried};
-use rushquay_pools::*;
+use rushquay_load_assignment::dns::{Lookups, Named, NamedLocality, Rates};
+use rushquay_load_assignment::repeats::{may_repeat, Tried};
+use rushquay_load_assignment::*;
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
 
@@ -316,14 +316,14 @@
 
 #[test]
 fn an_aggregate_spills_along_the_row_of_its_clusters() {
-    let level = |hosts: u64, healthy: u64| rushquay_pools::levels::Level {
+    let level = |hosts: u64, healthy: u64| rushquay_load_assignment::levels::Level {
         hosts,
         open: hosts,
         healthy,
-        availability: rushquay_pools::levels::availability(140, healthy, hosts),
+        availability: rushquay_load_assignment::levels::availability(140, healthy, hosts),
         ..Default::default()
     };
-    let split = |c: &[Vec<rushquay_pools::levels::Level>]| aggregate::split(c, 50.0);
+    let split = |c: &[Vec<rushquay_load_assignment::levels::Level>]| aggregate::split(c, 50.0);
     assert_eq!(split(&[vec![level(10, 10)], vec![level(10, 10)]]), [100, 0]);
     assert_eq!(split(&[vec![level(10, 5), level(10, 1)], vec![level(10, 10)]]), [84, 16]);
     assert_eq!(split(&[vec![], vec![level(10, 10)]]), [0, 100]);
--- a/crates/pools/tests/shares.rs
+++ b/crates/core/load-assignment/tests/shares.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_pools::effective::{effective, Sharing};
-use rushquay_pools::*;
+use rushquay_load_assignment::effective::{effective, Sharing};
+use rushquay_load_assignment::*;
 use std::num::NonZeroU32;
 
 const STATES: [Health; 4] = [Health::Healthy, Health::Degraded, Health::Unhealthy, Health::Draining];
--- a/crates/roster/src/report.rs
+++ b/crates/core/membership/src/report.rs
@@ -1,7 +1,7 @@
 //! What a proxy says of itself, once a second or so.
 
 use crate::Figures;
-use rushquay_generation::{Digest, FORM};
+use rushquay_config_version::{Digest, FORM};
 use serde::{Deserialize, Serialize};
 
 /// A report is at most this long, in bytes.
--- a/crates/roster/src/roster.rs
+++ b/crates/core/membership/src/roster.rs
@@ -1,7 +1,7 @@
 //! The instances, and how each stands.
 
 use crate::{Figures, Nanos, Refused, Report, SECOND};
-use rushquay_generation::Digest;
+use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/roster/tests/roster.rs
+++ b/crates/core/membership/tests/roster.rs
@@ -1,8 +1,8 @@
 //! How instances are told apart and how each stands, by evidence and time.
 
 use proptest::prelude::*;
-use rushquay_generation::{Digest, FORM};
-use rushquay_roster::{
+use rushquay_config_version::{Digest, FORM};
+use rushquay_membership::{
     bucket, upper, Figures, Heard, Report, ReportError, Roster, Standing, Terms, BUCKETS, SECOND,
 };
 
--- a/crates/overrides/src/decide.rs
+++ b/crates/core/overrides/src/decide.rs
@@ -1,7 +1,7 @@
 //! What overrides come to on one node.
 
 use crate::{Effect, Nanos, Node, Override};
-use rushquay_nodes::{Imposed, Pin};
+use rushquay_endpoints::{Imposed, Pin};
 
 /// How an override stands on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/overrides/src/lib.rs
+++ b/crates/core/overrides/src/lib.rs
@@ -25,5 +25,5 @@
 pub use book::{Ask, Book, Event, EventKind, Refusal};
 pub use decide::{decide, masked_pins, Standing};
 pub use guard::{Arithmetic, Fleet};
-pub use rushquay_nodes::Imposed;
+pub use rushquay_endpoints::Imposed;
 pub use types::{Effect, Nanos, Node, Override, Policy, Scope, SECOND};
--- a/crates/policy/src/body.rs
+++ b/crates/core/policy/src/body.rs
@@ -1,6 +1,6 @@
 //! What a policy says: settings that are laid over each proxy's own, and the floor for who has no leave.
 
-use rushquay_generation::{Fault, Generation};
+use rushquay_config_version::{Fault, Generation};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/crates/policy/src/imposed.rs
+++ b/crates/core/policy/src/imposed.rs
@@ -5,7 +5,7 @@
 use crate::member::Acting;
 use crate::record::Number;
 use crate::word::Told;
-use rushquay_generation::Fault;
+use rushquay_config_version::Fault;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/policy/tests/words.rs
+++ b/crates/core/policy/tests/words.rs
@@ -1,6 +1,6 @@
 //! Words between versions: what an older or a newer program makes of them.
 
-use rushquay_generation::Generation;
+use rushquay_config_version::Generation;
 use rushquay_policy::{
     Ask, Boot, Floor, Grant, Holding, HoldingError, Number, Policy, Revision, Told, WordError,
 };
--- a/crates/rollout/examples/sim/mod.rs
+++ b/crates/core/rollout/examples/sim/mod.rs
@@ -4,9 +4,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Poisson};
 use rand_pcg::Pcg64Mcg;
-use rushquay_generation::{Digest, FORM};
+use rushquay_config_version::{Digest, FORM};
+use rushquay_membership::{ClassFigures, Figures, Report, Roster, Standing, Terms};
 use rushquay_rollout::{Ask, Board, Bounds, Evidence, Hold, Phase, PlanText, Reason, Seen, Verdict, SECOND};
-use rushquay_roster::{ClassFigures, Figures, Report, Roster, Standing, Terms};
 use serde_json::json;
 
 /// A class of requests: how many a second at each proxy, the part that ends badly, and the median time in milliseconds.
--- a/crates/rollout/src/board.rs
+++ b/crates/core/rollout/src/board.rs
@@ -3,7 +3,7 @@
 use crate::change::{Change, Phase, Reason, Seen, Verdict};
 use crate::plan::{Plan, PlanFault, PlanText};
 use crate::Nanos;
-use rushquay_generation::{Digest, Fault, Generation};
+use rushquay_config_version::{Digest, Fault, Generation};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/rollout/src/change.rs
+++ b/crates/core/rollout/src/change.rs
@@ -5,8 +5,8 @@
 use crate::order;
 use crate::plan::Plan;
 use crate::{Nanos, SECOND};
-use rushquay_generation::Digest;
-use rushquay_roster::Standing;
+use rushquay_config_version::Digest;
+use rushquay_membership::Standing;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/core/rollout/src/evidence.rs
@@ -7,8 +7,8 @@
 use crate::sides::{slow, total, Bursts, Side, BURST};
 use crate::test::{allowed, passes, Odds};
 use crate::{Nanos, SECOND};
-use rushquay_generation::Digest;
-use rushquay_roster::{ClassFigures, Figures, Instance};
+use rushquay_config_version::Digest;
+use rushquay_membership::{ClassFigures, Figures, Instance};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/rollout/src/preview.rs
+++ b/crates/core/rollout/src/preview.rs
@@ -3,8 +3,8 @@
 use crate::change::{Change, Phase, Seen, Verdict};
 use crate::plan::Plan;
 use crate::{Nanos, SECOND};
-use rushquay_generation::Digest;
-use rushquay_roster::Standing;
+use rushquay_config_version::Digest;
+use rushquay_membership::Standing;
 use serde::Serialize;
 
 /// A stage as it would be made.
--- a/crates/rollout/src/pulse.rs
+++ b/crates/core/rollout/src/pulse.rs
@@ -1,7 +1,7 @@
 //! How the whole fleet does, against how it did before the change: a trouble of all holds a change and is not blamed on it.
 
 use crate::test::allowed;
-use rushquay_roster::Figures;
+use rushquay_membership::Figures;
 use std::collections::VecDeque;
 
 /// So many looks are remembered of how the fleet did before a change, and so many of the last make up "now".
--- a/crates/rollout/src/sides.rs
+++ b/crates/core/rollout/src/sides.rs
@@ -1,7 +1,7 @@
 //! What old and new did in a look, in one data centre, and how bad ends come together.
 
 use crate::{Nanos, SECOND};
-use rushquay_roster::{ClassFigures, Figures};
+use rushquay_membership::{ClassFigures, Figures};
 use std::collections::BTreeMap;
 
 /// Answers of which it is told what is slow.
--- a/crates/rollout/tests/board.rs
+++ b/crates/core/rollout/tests/board.rs
@@ -1,10 +1,10 @@
 //! What operators may ask of the board, and what is kept of it.
 
-use rushquay_generation::Generation;
+use rushquay_config_version::Generation;
+use rushquay_membership::Standing;
 use rushquay_rollout::{
     Ask, Board, BoardRefusal, Change, Phase, PlanText, Reason, Record, Seen, Verdict, SECOND,
 };
-use rushquay_roster::Standing;
 use serde_json::{json, Value};
 
 fn ask(settings: Value) -> Ask {
--- a/crates/rollout/tests/evidence.rs
+++ b/crates/core/rollout/tests/evidence.rs
@@ -1,8 +1,8 @@
 //! What passes a stage, what stops it and what holds it, where data centres differ: three of them with three proxies each.
 
-use rushquay_generation::{Digest, Generation, FORM};
+use rushquay_config_version::{Digest, Generation, FORM};
+use rushquay_membership::{Figures, Report, Roster, Standing, Terms};
 use rushquay_rollout::{Bounds, Evidence, Finding, Measure, Verdict, SECOND};
-use rushquay_roster::{Figures, Report, Roster, Standing, Terms};
 use serde_json::json;
 use std::collections::BTreeSet;
 
--- a/crates/rollout/tests/explore.rs
+++ b/crates/core/rollout/tests/explore.rs
@@ -1,9 +1,9 @@
 //! Every order of steps, faults and words at a small size: three proxies in two data centres and two leaders on one store. What
 //! must never be is looked for in each state; and from each state, once faults end, the change must end.
 
-use rushquay_generation::Digest;
+use rushquay_config_version::Digest;
+use rushquay_membership::Standing;
 use rushquay_rollout::{Change, Finding, Measure, Phase, Plan, PlanText, Seen, StageText, Verdict, SECOND};
-use rushquay_roster::Standing;
 use std::collections::{HashSet, VecDeque};
 
 const ZONES: [&str; 3] = ["a", "a", "b"];
--- a/crates/routes/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_routes::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
-use rushquay_routes::*;
+use rushquay_routing::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
+use rushquay_routing::*;
 
 #[derive(Clone, Default)]
 struct Asked {
--- a/crates/transfer/tests/transfer.rs
+++ b/crates/core/stream-progress/tests/transfer.rs
@@ -1,7 +1,7 @@
 //! Slow and stopped peers, and bodies that can and can't be sent again.
 
 use proptest::prelude::*;
-use rushquay_transfer::{Pace, Patience, Replay, SECOND};
+use rushquay_stream_progress::{Pace, Patience, Replay, SECOND};
 
 const BODY: Patience = Patience { silent: 3 * SECOND, start: 4 * SECOND, rate: 16_000 };
 
--- a/crates/host/src/machine.rs
+++ b/crates/core/supervisor/src/machine.rs
@@ -4,7 +4,7 @@
 use crate::record::{Failed, Record, Target};
 use crate::report::{HostReport, WHY_MOST};
 use crate::{Nanos, Terms, SECOND};
-use rushquay_generation::{Assignment, Digest};
+use rushquay_config_version::{Assignment, Digest};
 
 /// What is to be done. Starting and signalling are the adapter's; it tells what came of each start before it looks again.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/host/src/process.rs
+++ b/crates/core/supervisor/src/process.rs
@@ -1,7 +1,7 @@
 //! A process as its host knows it.
 
 use crate::{Nanos, SECOND};
-use rushquay_generation::Digest;
+use rushquay_config_version::Digest;
 
 /// One process. A number that the machine gives out again is told from the first by its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/host/src/record.rs
+++ b/crates/core/supervisor/src/record.rs
@@ -1,6 +1,6 @@
 //! What a host keeps on its disk.
 
-use rushquay_generation::Digest;
+use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 
 /// The form of the record.
--- a/crates/host/tests/walk.rs
+++ b/crates/core/supervisor/tests/walk.rs
@@ -3,8 +3,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_generation::{Assignment, Digest, Generation};
-use rushquay_host::{Act, Found, Host, ProcId, Record, Target, Terms, SECOND};
+use rushquay_config_version::{Assignment, Digest, Generation};
+use rushquay_supervisor::{Act, Found, Host, ProcId, Record, Target, Terms, SECOND};
 
 const STEP: u64 = SECOND / 5;
 
--- a/crates/resources/src/decode.rs
+++ b/crates/core/xds-resources/src/decode.rs
@@ -10,8 +10,8 @@
 };
 use envoy_types::pb::google::protobuf::{value, Value};
 use prost::Message;
-use rushquay_generation::Assignment;
-use rushquay_nodes::{Imposed, Member, NodeState, Stated};
+use rushquay_config_version::Assignment;
+use rushquay_endpoints::{Imposed, Member, NodeState, Stated};
 use rushquay_xds::client::Came;
 use rushquay_xds::Kind;
 use std::collections::HashMap;
--- a/crates/resources/src/encode.rs
+++ b/crates/core/xds-resources/src/encode.rs
@@ -23,7 +23,7 @@
 };
 use envoy_types::pb::google::protobuf::{value, Any, Duration, Struct, UInt32Value, UInt64Value, Value};
 use prost::{Message, Name};
-use rushquay_nodes::{Imposed, NodeState, Stated};
+use rushquay_endpoints::{Imposed, NodeState, Stated};
 use rushquay_xds::{version_of, Declared, Kind, Nanos, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/resources/src/follow.rs
+++ b/crates/core/xds-resources/src/follow.rs
@@ -2,9 +2,9 @@
 
 use crate::decode::{decode, Item, PolicyText};
 use crate::names::{assignment_name, leave_name, settings_name, POLICY};
-use rushquay_generation::Assignment;
+use rushquay_config_version::Assignment;
+use rushquay_endpoints::{News, Stated};
 use rushquay_lease::{Epoch, Fence};
-use rushquay_nodes::{News, Stated};
 use rushquay_xds::client::{Ask, Backoff, Client, Ended, Retry, ServerAnswer, Session, Taken, Topic, Update};
 use rushquay_xds::server::{DeltaRequest, Variant};
 use rushquay_xds::{Kind, Nanos, Pattern};
--- a/crates/resources/src/settings.rs
+++ b/crates/core/xds-resources/src/settings.rs
@@ -6,7 +6,7 @@
 use envoy_types::pb::envoy::config::core::v3::TypedExtensionConfig;
 use envoy_types::pb::google::protobuf::Any;
 use prost::Message;
-use rushquay_generation::Assignment;
+use rushquay_config_version::Assignment;
 use rushquay_xds::{version_of, Declared, Kind, Nanos, Store};
 
 /// Declares a text under a name; false if it stands so already.
--- a/crates/resources/tests/follow.rs
+++ b/crates/core/xds-resources/tests/follow.rs
@@ -3,14 +3,14 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_control::{Change, Control, ControlConfig, Origin, Taken};
-use rushquay_nodes::{Member, Members, Merge, MergeLimits, News, NodeState};
-use rushquay_resources::{
-    assignment_name, collection_name, declare, declare_changed, Follow, FollowConfig, Shape,
-};
+use rushquay_control_state::{Change, Control, ControlConfig, Origin, Taken};
+use rushquay_endpoints::{Member, Members, Merge, MergeLimits, News, NodeState};
 use rushquay_xds::client::{Ask, Came, Ended, ServerAnswer, Session, Topic};
 use rushquay_xds::server::{Answer, DeltaRequest, Limits, SotwRequest, Stream, Variant};
 use rushquay_xds::{Kind, Store};
+use rushquay_xds_resources::{
+    assignment_name, collection_name, declare, declare_changed, Follow, FollowConfig, Shape,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 fn follow(collections: bool) -> Follow {
--- a/crates/control-service/src/admin.rs
+++ b/crates/services/control-service/src/admin.rs
@@ -103,7 +103,7 @@
         (store.incarnation().to_string(), store.seq(), store.is_open())
     };
     let now = shared.hub.now();
-    let node = |n: rushquay_control::NodeView| {
+    let node = |n: rushquay_control_state::NodeView| {
         let mut shown = json!(n.stated.member);
         shown["cluster"] = json!(n.cluster);
         shown["listed"] = json!(n.stated.listed);
--- a/crates/control-service/src/discovery.rs
+++ b/crates/services/control-service/src/discovery.rs
@@ -7,7 +7,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use rushquay_nodes::{Answer, Cursor, Members};
+use rushquay_endpoints::{Answer, Cursor, Members};
 use rushquay_sockets::{connect, RetryStream};
 use rushquay_xds::client::Backoff;
 use std::net::SocketAddr;
--- a/crates/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -1,7 +1,7 @@
 //! Follows the list in a file: read again when it changes on disk, and when asked to.
 
 use crate::shared::Told;
-use rushquay_nodes::{check_list, Members};
+use rushquay_endpoints::{check_list, Members};
 use std::os::unix::fs::MetadataExt as _;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/control-service/src/keeper.rs
+++ b/crates/services/control-service/src/keeper.rs
@@ -1,7 +1,7 @@
 //! Keeps what the service knows in a file, on a thread of its own: a disk that is slow or full holds nobody up.
 
 use crate::reopening::Reopening;
-use rushquay_nodes::Stated;
+use rushquay_endpoints::Stated;
 use rushquay_overrides::{Book, Policy};
 use rushquay_state::{
     BookChange, Change, Held, RecordChange, Saved, SharedError, SharedState, StateError, StateStore,
--- a/crates/control-service/src/policy.rs
+++ b/crates/services/control-service/src/policy.rs
@@ -6,10 +6,10 @@
 use rushquay_policy::{
     Ask, Boot, Coordinator, Floor, Holding, Number, Policy, Record, Refusal, Revision, Shelf, Told,
 };
-use rushquay_resources::{declare_text, forget_text, leave_name, POLICY};
 use rushquay_state::RecordChange;
 use rushquay_xds::client::{Outage, Topic};
 use rushquay_xds_grpc::Word;
+use rushquay_xds_resources::{declare_text, forget_text, leave_name, POLICY};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-service/src/rollout.rs
+++ b/crates/services/control-service/src/rollout.rs
@@ -2,16 +2,16 @@
 
 use crate::keeper::{KeepError, KeepFailure, Records};
 use crate::shared::{Denied, Shared};
-use rushquay_generation::{Assignment, Digest};
-use rushquay_host::HostReport;
-use rushquay_resources::{declare_settings, forget_settings};
+use rushquay_config_version::{Assignment, Digest};
+use rushquay_membership::{Heard, Instance, Report, Roster, Standing, Terms, Told, SECOND};
 use rushquay_rollout::{
     preview, Ask, Board, BoardRefusal, Bounds, Course, Evidence, Hold, Phase, Record, Seen, Verdict,
 };
-use rushquay_roster::{Heard, Instance, Report, Roster, Standing, Terms, Told, SECOND};
 use rushquay_state::RecordChange;
+use rushquay_supervisor::HostReport;
 use rushquay_xds::client::{Outage, Topic};
 use rushquay_xds_grpc::Word;
+use rushquay_xds_resources::{declare_settings, forget_settings};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -1,8 +1,8 @@
 //! The fleet and its changes as people and scrapers see them.
 
 use super::{lock, Rollout};
+use rushquay_membership::{Instance, Standing};
 use rushquay_rollout::{Change, Course};
-use rushquay_roster::{Instance, Standing};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/crates/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::policy::PolicySettings;
 use crate::rollout::RolloutSettings;
 use crate::time::{boot, Clocks};
-use rushquay_control::{ControlConfig, Fault};
+use rushquay_control_state::{ControlConfig, Fault};
 use rushquay_etcd::{EtcdShared, Prefix};
 use rushquay_lease::{Terms, TermsError};
 use rushquay_overrides::{Policy, SECOND};
--- a/crates/fault/tests/common/mod.rs
+++ b/crates/testing/fault-injection/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A machine between two played ends, in virtual time: reads are cut as the caller says.
 #![allow(dead_code)]
 
-use rushquay_fault::{
+use rushquay_fault_injection::{
     Connection, Cut, Lane, Nanos, Performed, Plan, RuleSet, Script, Trace, Transmit, MILLI,
 };
 
--- a/crates/fault/tests/machine.rs
+++ b/crates/testing/fault-injection/tests/machine.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use rushquay_fault::{Connection, Cut, Deed, Lane, Opening, Transmit, HELD_MOST, MILLI};
+use rushquay_fault_injection::{Connection, Cut, Deed, Lane, Opening, Transmit, HELD_MOST, MILLI};
 
 fn message(body: &[u8], chunked: bool) -> Vec<u8> {
     let mut m = b"HTTP/1.1 200 OK\r\n".to_vec();
@@ -166,7 +166,7 @@
     assert_eq!((cut, rules.acted("r")), (3, Some(3)));
 }
 
-fn fresh_cut(rules: &rushquay_fault::RuleSet, n: u64) -> bool {
+fn fresh_cut(rules: &rushquay_fault_injection::RuleSet, n: u64) -> bool {
     whole(fresh(rules, n), b"a", b"").cut.is_some()
 }
 
@@ -263,7 +263,7 @@
     for ordinal in [2, 1] {
         performed.extend(whole(fresh(&rules, ordinal), b"abc", b"").performed);
     }
-    let plan = rushquay_fault::Plan::new(performed);
+    let plan = rushquay_fault_injection::Plan::new(performed);
     let mut first = Connection::replay("l", 1, &plan, true, 0);
     let mut second = Connection::replay("l", 2, &plan, true, 0);
     first.offer(Lane::Up, b"abc", 0);
--- a/crates/fault/tests/places.rs
+++ b/crates/testing/fault-injection/tests/places.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use rushquay_fault::Cut;
+use rushquay_fault_injection::Cut;
 
 const ASKED: &str = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nPUT /b HTTP/1.1\r\nContent-Length:  5\r\n\r\nvalueGET /c HTTP/1.1\r\n\r\n";
 const ANSWERED: &str = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\
--- a/crates/fault/tests/script.rs
+++ b/crates/testing/fault-injection/tests/script.rs
@@ -1,6 +1,6 @@
 //! What a script may say, and how it is told what it may not.
 
-use rushquay_fault::{Flow, Lane, Plan, RuleSet, Script, Trace, TraceError, MILLI};
+use rushquay_fault_injection::{Flow, Lane, Plan, RuleSet, Script, Trace, TraceError, MILLI};
 
 fn fault(rule: &str) -> (usize, String, String) {
     let listeners = "[[listener]]\nname = 'a'\nlisten = '127.0.0.1:0'\ntarget = '127.0.0.1:1'\n\
--- a/crates/fault-relay/src/admin.rs
+++ b/crates/testing/fault-relay/src/admin.rs
@@ -67,7 +67,7 @@
 }
 
 async fn rules(State(control): State<Control>) -> Json<Value> {
-    let row = |r: rushquay_fault::Rule| {
+    let row = |r: rushquay_fault_injection::Rule| {
         json!({"name": r.name, "listeners": r.listeners, "lane": r.lane, "chance": r.chance, "most": r.most,
                "at": format!("{:?}", r.at), "do": format!("{:?}", r.act)})
     };
--- a/crates/fault-relay/src/connection.rs
+++ b/crates/testing/fault-relay/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::{Command, Joined, Shared};
 use crate::tap::Passage;
-use rushquay_fault::{Connection, Cut, Lane, Opening, Transmit};
+use rushquay_fault_injection::{Connection, Cut, Lane, Opening, Transmit};
 use socket2::SockRef;
 use std::io;
 use std::net::{Shutdown, SocketAddr};
--- a/crates/fault-relay/src/lib.rs
+++ b/crates/testing/fault-relay/src/lib.rs
@@ -21,11 +21,11 @@
 mod tap;
 mod udp;
 
-pub use rushquay_fault::{Cut, Deed, Lane, ListenerState, Performed, Script, Trace};
+pub use rushquay_fault_injection::{Cut, Deed, Lane, ListenerState, Performed, Script, Trace};
 pub use shared::Live;
 pub use tap::{Passage, Tap};
 
-use rushquay_fault::{Act, At, Plan, RuleSet, ScriptError, Transport, MILLI};
+use rushquay_fault_injection::{Act, At, Plan, RuleSet, ScriptError, Transport, MILLI};
 use shared::Shared;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -247,7 +247,7 @@
         let listeners: Vec<_> = self
             .listeners
             .iter()
-            .map(|(name, l)| rushquay_fault::Listener {
+            .map(|(name, l)| rushquay_fault_injection::Listener {
                 name: name.clone(),
                 transport: l.transport,
                 listen: l.addr,
@@ -267,7 +267,7 @@
     }
 
     /// The rules in force.
-    pub fn rules(&self) -> Vec<rushquay_fault::Rule> {
+    pub fn rules(&self) -> Vec<rushquay_fault_injection::Rule> {
         self.shared.rules().rules().cloned().collect()
     }
 
--- a/crates/fault-relay/src/listener.rs
+++ b/crates/testing/fault-relay/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::connection;
 use crate::shared::Shared;
-use rushquay_fault::ListenerState;
+use rushquay_fault_injection::ListenerState;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/fault-relay/src/shared.rs
+++ b/crates/testing/fault-relay/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::Ledger;
 use crate::{Options, RelayError, Tap};
-use rushquay_fault::{Connection, Cut, Flow, Lane, Nanos, Performed, Plan, RuleSet, Trace};
+use rushquay_fault_injection::{Connection, Cut, Flow, Lane, Nanos, Performed, Plan, RuleSet, Trace};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
--- a/crates/fault-relay/src/tap.rs
+++ b/crates/testing/fault-relay/src/tap.rs
@@ -1,6 +1,6 @@
 //! A look at what comes in and goes out.
 
-use rushquay_fault::Lane;
+use rushquay_fault_injection::Lane;
 use std::time::Instant;
 
 /// Where and when something came in.
--- a/crates/fault-relay/src/udp.rs
+++ b/crates/testing/fault-relay/src/udp.rs
@@ -1,7 +1,7 @@
 //! A relay of datagrams: each sender is a connection, with a socket of its own towards the target.
 
 use crate::shared::Shared;
-use rushquay_fault::{Flow, Lane, ListenerState};
+use rushquay_fault_injection::{Flow, Lane, ListenerState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/fault-relay/tests/sockets/faults.rs
+++ b/crates/testing/fault-relay/tests/sockets/faults.rs
@@ -161,7 +161,7 @@
     }
     let live = relay.control().connections();
     let (came, went) = live[0].up;
-    assert!(came - went <= rushquay_fault::HELD_MOST as u64, "{came} came and {went} went");
+    assert!(came - went <= rushquay_fault_injection::HELD_MOST as u64, "{came} came and {went} went");
     assert!(went > 0);
     drop(far);
 }
@@ -195,13 +195,13 @@
     assert!(all.len() == COUNT);
     // The order of accepts is that of connects, since these were made one after another.
     let script = rushquay_fault_relay::Script::parse(rules).expect("a script");
-    let set = rushquay_fault::RuleSet::new(21, script.rules);
+    let set = rushquay_fault_injection::RuleSet::new(21, script.rules);
     let mut cut = 0;
     for (i, near) in all.iter_mut().enumerate() {
-        let mut pure = rushquay_fault::Connection::new("l", i as u64 + 1, &set, 0);
+        let mut pure = rushquay_fault_injection::Connection::new("l", i as u64 + 1, &set, 0);
         pure.offer(Lane::Down, b"answer", 0);
         let mut due = Vec::new();
-        while let rushquay_fault::Transmit::Write(bytes) = pure.transmit(Lane::Down, 0) {
+        while let rushquay_fault_injection::Transmit::Write(bytes) = pure.transmit(Lane::Down, 0) {
             let n = bytes.len();
             due.extend_from_slice(bytes);
             pure.sent(Lane::Down, n, 0);
--- a/crates/harness/src/clients.rs
+++ b/crates/testing/fleet-harness/src/clients.rs
@@ -7,7 +7,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_books::{Answer, Books, Effect, Entry, MILLI};
+use rushquay_history::{Answer, Books, Effect, Entry, MILLI};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
--- a/crates/harness/src/shim.rs
+++ b/crates/testing/fleet-harness/src/shim.rs
@@ -48,7 +48,7 @@
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
-        let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/shim/faults.c");
+        let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../tests/shim/faults.c");
         let test = std::env::current_exe().expect("this test's own file");
         let folder = test.parent().expect("its folder");
         let library = folder.join("librushquay_faults.so");
--- a/crates/books/tests/audit.rs
+++ b/crates/testing/history/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The checker is itself checked: books without a fault show none, and each seeded breach is found, with its request.
 
 use proptest::prelude::*;
-use rushquay_books::{Answer, Books, Breach, Effect, Entry, Nanos, Tolerance, MILLI};
+use rushquay_history::{Answer, Books, Breach, Effect, Entry, Nanos, Tolerance, MILLI};
 
 const TOLERANCE: Tolerance = Tolerance { late: 50 * MILLI, drain: 550 * MILLI, crossing: 5 * MILLI };
 const WITHIN: Nanos = 400 * MILLI;
--- a/crates/emulator/tests/node.rs
+++ b/crates/testing/node-model/tests/node.rs
@@ -1,7 +1,7 @@
 //! What a node does when things go wrong.
 
 use rand::SeedableRng;
-use rushquay_emulator::{Answer, Chance, Fault, Job, Nanos, Node, NodeSettings, Out, Say, MILLI, SECOND};
+use rushquay_node_model::{Answer, Chance, Fault, Job, Nanos, Node, NodeSettings, Out, Say, MILLI, SECOND};
 
 const SETTINGS: &str = "
 cores = 2
--- a/crates/emulator/tests/queues.rs
+++ b/crates/testing/node-model/tests/queues.rs
@@ -2,7 +2,7 @@
 
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1};
-use rushquay_emulator::{Chance, Job, Mode, Nanos, Node, NodeSettings, Out, Say, Timeline, Work, MILLI};
+use rushquay_node_model::{Chance, Job, Mode, Nanos, Node, NodeSettings, Out, Say, Timeline, Work, MILLI};
 use std::collections::HashMap;
 
 fn settings(cores: usize, work: Work) -> NodeSettings {
--- a/crates/rehearse/examples/side_by_side.rs
+++ b/crates/testing/scenario-runner/examples/side_by_side.rs
@@ -1,7 +1,7 @@
 //! What two versions that do not agree on where keys live cost the origin and cold nodes, by the share of the new one:
-//! `cargo run --release --locked -p rushquay-rehearse --example side_by_side -- crates/rehearse/scenarios/old-beside-new.toml`.
+//! `cargo run --release --locked -p rushquay-rehearse --example side_by_side -- crates/testing/scenario-runner/scenarios/old-beside-new.toml`.
 
-use rushquay_rehearse::{play, Figures, Scenario, What};
+use rushquay_scenario_runner::{play, Figures, Scenario, What};
 
 /// Requests at the origin in a second, on the mean and at the most, from second to second.
 fn origin(figures: &Figures, from: usize, to: usize) -> (f64, u64) {
--- a/crates/rehearse/src/figures.rs
+++ b/crates/testing/scenario-runner/src/figures.rs
@@ -1,7 +1,7 @@
 //! What came of a rehearsal.
 
 use hdrhistogram::Histogram;
-use rushquay_books::Breach;
+use rushquay_history::Breach;
 use serde::Serialize;
 
 /// Outcomes of one class.
--- a/crates/rehearse/src/main.rs
+++ b/crates/testing/scenario-runner/src/main.rs
@@ -1,7 +1,7 @@
 //! `rushquay-emulate`: plays scenarios in virtual time.
 
 use clap::{Parser, Subcommand};
-use rushquay_rehearse::{play, Scenario};
+use rushquay_scenario_runner::{play, Scenario};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/crates/rehearse/src/scenario.rs
+++ b/crates/testing/scenario-runner/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario (TOML), checked.
 
-use rushquay_emulator::{Cold, Fall, NodeSettings};
+use rushquay_node_model::{Cold, Fall, NodeSettings};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -207,7 +207,7 @@
         need(!self.fleet.is_empty(), "fleet", "one at least")?;
         need(!self.class.is_empty(), "class", "one at least")?;
         let node = |field: &str, settings: &NodeSettings| {
-            let named = |e: rushquay_emulator::SettingsError| ScenarioError::Field {
+            let named = |e: rushquay_node_model::SettingsError| ScenarioError::Field {
                 field: format!("{field}.{}", e.field),
                 expected: e.expected.into(),
             };
--- a/crates/rehearse/src/traffic.rs
+++ b/crates/testing/scenario-runner/src/traffic.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Scenario;
 use rand::RngExt as _;
 use rand_distr::{Distribution, Exp1, Zipf};
-use rushquay_emulator::{Chance, Nanos};
+use rushquay_node_model::{Chance, Nanos};
 
 /// What is asked for.
 pub struct Traffic {
--- a/crates/rehearse/src/world.rs
+++ b/crates/testing/scenario-runner/src/world.rs
@@ -7,8 +7,8 @@
 use hdrhistogram::Histogram;
 use rand::SeedableRng as _;
 use rushquay::api::{self, Action, Event, ListKind, Settings, State, Status};
-use rushquay_books::{Books, Entry, Tolerance};
-use rushquay_emulator::{Answer, Chance, Fault, Job, Nanos, Node, Out, Say, Timeline, MILLI, SECOND};
+use rushquay_history::{Books, Entry, Tolerance};
+use rushquay_node_model::{Answer, Chance, Fault, Job, Nanos, Node, Out, Say, Timeline, MILLI, SECOND};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -394,9 +394,9 @@
         figures.asked += 1;
         figures.repeats += u64::from(tries > 0);
         let effect = match told.effect {
-            Effect::Safe => rushquay_books::Effect::Safe,
-            Effect::Keyed => rushquay_books::Effect::Keyed,
-            Effect::Unsafe => rushquay_books::Effect::Unsafe,
+            Effect::Safe => rushquay_history::Effect::Safe,
+            Effect::Keyed => rushquay_history::Effect::Keyed,
+            Effect::Unsafe => rushquay_history::Effect::Unsafe,
         };
         self.books.enter(self.now, Entry::Asked { id: id.to_string(), effect, within: patience });
         let asked = Asked {
@@ -430,11 +430,11 @@
     fn answer(
         &mut self,
         request: u64,
-        answer: rushquay_books::Answer,
+        answer: rushquay_history::Answer,
         by: Option<usize>,
         retry_after: Nanos,
     ) {
-        use rushquay_books::Answer::{Failed, Refused, Served};
+        use rushquay_history::Answer::{Failed, Refused, Served};
         let now = self.now;
         let Some(asked) = self.asked.get_mut(&request).filter(|a| !a.answered) else { return };
         asked.answered = true;
@@ -469,7 +469,7 @@
     fn overdue(&mut self, request: u64) {
         let Some(asked) = self.asked.get(&request).filter(|a| !a.answered) else { return };
         let proxy = asked.proxy;
-        self.answer(request, rushquay_books::Answer::Failed, None, 0);
+        self.answer(request, rushquay_history::Answer::Failed, None, 0);
         self.feed(proxy, Event::Expired(request));
         self.call_off_all(request);
         self.forget(request);
@@ -496,11 +496,11 @@
                 self.forget(id);
             }
             Action::Refuse { id, retry_after } => {
-                self.answer(id, rushquay_books::Answer::Refused, None, retry_after);
+                self.answer(id, rushquay_history::Answer::Refused, None, retry_after);
                 self.over(id);
             }
             Action::Fail { id } => {
-                self.answer(id, rushquay_books::Answer::Failed, None, 0);
+                self.answer(id, rushquay_history::Answer::Failed, None, 0);
                 self.over(id);
             }
             Action::Timer { token, delay } => {
@@ -563,7 +563,7 @@
         let Some(proxy) = self.asked.get(&id).map(|a| a.proxy) else { return };
         let by = self.dropped.remove(&attempt).unwrap_or(node);
         if status == Status::Ok {
-            self.answer(id, rushquay_books::Answer::Served, Some(by), 0);
+            self.answer(id, rushquay_history::Answer::Served, Some(by), 0);
         }
         let last = self.asked.get(&id).is_none_or(|a| a.answered);
         self.feed(proxy, Event::Outcome { id, attempt: number, server, status, elapsed, last, hit });
--- a/crates/rehearse/tests/shipped.rs
+++ b/crates/testing/scenario-runner/tests/shipped.rs
@@ -1,6 +1,6 @@
 //! The shipped scenarios, and what is expected of any rehearsal.
 
-use rushquay_rehearse::{play, Figures, Scenario};
+use rushquay_scenario_runner::{play, Figures, Scenario};
 
 fn shipped(name: &str) -> Scenario {
     let path = format!("{}/scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"));
@@ -29,8 +29,9 @@
 }
 
 fn served(figures: &Figures) -> f64 {
-    let sum =
-        |of: fn(&rushquay_rehearse::ClassFigures) -> u64| figures.classes.iter().map(of).sum::<u64>() as f64;
+    let sum = |of: fn(&rushquay_scenario_runner::ClassFigures) -> u64| {
+        figures.classes.iter().map(of).sum::<u64>() as f64
+    };
     sum(|c| c.served) / (sum(|c| c.asked) - sum(|c| c.repeats))
 }
 
--- a/examples/bare_cost.rs
+++ b/examples/bare_cost.rs
@@ -3,7 +3,7 @@
 //! subscription to a control service alone, and once more with leave to act by a policy on top.
 
 use rushquay_control_service::{start, Clocks, Options, PolicySettings, Settings, SourceOption};
-use rushquay_standins::{entry, proxy_config, Discovery, Load, Node};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Load, Node};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
--- a/examples/control_figures.rs
+++ b/examples/control_figures.rs
@@ -14,9 +14,9 @@
 use prost::Message;
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start, Options, Settings, SourceOption};
-use rushquay_resources::collection_name;
-use rushquay_standins::{entry, proxy_config, Discovery, Load, Node};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Load, Node};
 use rushquay_xds::Kind;
+use rushquay_xds_resources::collection_name;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, ExitCode, Stdio};
--- a/examples/envoy_figures.rs
+++ b/examples/envoy_figures.rs
@@ -8,9 +8,9 @@
 use rushquay_envoy::resource::{decode, message_of, Item, Resource};
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::{bootstrap, Notes, Source};
-use rushquay_pools::{ClusterRules, Pool};
-use rushquay_routes::Head;
-use rushquay_standins::{proxy_config, Node};
+use rushquay_load_assignment::{ClusterRules, Pool};
+use rushquay_routing::Head;
+use rushquay_test_servers::{proxy_config, Node};
 use rushquay_xds::{version_of, Declared, Kind, Store};
 use rushquay_xds_grpc::{serve, Hub, ServerLimits};
 use serde_json::json;
@@ -329,8 +329,8 @@
     println!("| what | a second | p50 ms | p99 ms | most ms | not 200 |\n| --- | ---: | ---: | ---: | ---: | ---: |");
     // The proxy without Envoy's form, on the same nodes.
     let listed: Vec<_> =
-        nodes.iter().map(|n| rushquay_standins::entry(n, "rajkot", "std-1c", "ready", 1000)).collect();
-    let discovery = rushquay_standins::Discovery::start(1, &listed).await;
+        nodes.iter().map(|n| rushquay_test_servers::entry(n, "rajkot", "std-1c", "ready", 1000)).collect();
+    let discovery = rushquay_test_servers::Discovery::start(1, &listed).await;
     let mut config = proxy_config("bare", discovery.addr, &[], &listed);
     config["limits"] = json!({"memory_mb": 192, "sockets": 1024});
     let bare = LocalProxy::start(&config.to_string()).expect("a proxy");
--- a/examples/envoy_nodes.rs
+++ b/examples/envoy_nodes.rs
@@ -1,7 +1,7 @@
 //! Stand-in nodes for trying `examples/envoy/bootstrap.yaml`: each answers with its own name, on ports 19101 to 19106 of
 //! loopback. Ctrl-C ends it.
 
-use rushquay_standins::Node;
+use rushquay_test_servers::Node;
 use std::time::Duration;
 
 #[tokio::main(flavor = "current_thread")]
--- a/examples/state_figures.rs
+++ b/examples/state_figures.rs
@@ -8,10 +8,10 @@
 //!   pins cost a request.
 
 use rushquay::net::local::LocalProxy;
-use rushquay_nodes::{Imposed, Member, Merge, MergeLimits, News, NodeState, Pin, Pins, Source, Stated};
+use rushquay_endpoints::{Imposed, Member, Merge, MergeLimits, News, NodeState, Pin, Pins, Source, Stated};
 use rushquay_overrides::{Ask, Book, Effect, Fleet, Policy, Scope, SECOND};
-use rushquay_standins::{entry, proxy_config, Discovery, Node};
 use rushquay_state::{BookChange, StateStore};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -7,10 +7,10 @@
 use rushquay::net::rollout_source::RolloutSource;
 use rushquay::net::subscription::ControlSource;
 use rushquay_control_service::read_settings;
+use rushquay_endpoints::check_list;
 use rushquay_envoy::{Bootstrap, Members, Routes, Source};
-use rushquay_nodes::check_list;
-use rushquay_pools::effective::effective;
-use rushquay_routes::{Action, Clusters, PathMatch, Table};
+use rushquay_load_assignment::effective::effective;
+use rushquay_routing::{Action, Clusters, PathMatch, Table};
 use serde_json::Value;
 use std::path::Path;
 
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -2,7 +2,7 @@
 
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options, Settings, SourceOption};
-use rushquay_standins::{entry, proxy_config, Discovery, Load, Node, Outcomes};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Load, Node, Outcomes};
 use std::future::Future;
 use std::time::{Duration, Instant};
 
--- a/src/host/files.rs
+++ b/src/host/files.rs
@@ -2,8 +2,8 @@
 
 use super::HostSettings;
 use ring::digest::{Context, SHA256};
-use rushquay_generation::Digest;
-use rushquay_host::{Record, RecordError};
+use rushquay_config_version::Digest;
+use rushquay_supervisor::{Record, RecordError};
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File};
 use std::io::{self, Read, Write as _};
--- a/src/host/follow.rs
+++ b/src/host/follow.rs
@@ -3,11 +3,11 @@
 
 use super::say;
 use crate::net::subscription::ControlSource;
-use rushquay_generation::Assignment;
+use rushquay_config_version::Assignment;
 use rushquay_lease::Epoch;
-use rushquay_resources::{Follow, FollowConfig, Said};
 use rushquay_xds::client::Outage;
 use rushquay_xds_grpc::{run, ClientOptions, Notice, Tls, TlsFiles};
+use rushquay_xds_resources::{Follow, FollowConfig, Said};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, Notify};
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! `rushquay host`: the hand on a machine. It carries out what [`rushquay_host::Host`] decides: starts the proxy, replaces it by
+//! `rushquay host`: the hand on a machine. It carries out what [`rushquay_supervisor::Host`] decides: starts the proxy, replaces it by
 //! hand-over, watches it, and goes back by itself; and it is told by a control service what is to run.
 
 mod files;
@@ -11,8 +11,8 @@
 pub use settings::HostSettings;
 
 use processes::Processes;
-use rushquay_generation::{Assignment, Digest, Generation};
-use rushquay_host::{Act, Host, Pulse, Record, Target};
+use rushquay_config_version::{Assignment, Digest, Generation};
+use rushquay_supervisor::{Act, Host, Pulse, Record, Target};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io::Write as _;
--- a/src/host/processes.rs
+++ b/src/host/processes.rs
@@ -2,9 +2,9 @@
 
 use super::{Files, HostSettings};
 use crate::net::hosted::{GIVEN, HOST, OWN_PROGRAM, PROGRAM};
-use rushquay_generation::Digest;
-use rushquay_host::{Found, ProcId, Target};
+use rushquay_config_version::Digest;
 use rushquay_sockets::patiently;
+use rushquay_supervisor::{Found, ProcId, Target};
 use rustix::io::Errno;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of a host, checked.
 
 use crate::net::subscription::ControlSource;
-use rushquay_generation::Digest;
-use rushquay_host::Terms;
+use rushquay_config_version::Digest;
+use rushquay_supervisor::Terms;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/src/net/accepting.rs
+++ b/src/net/accepting.rs
@@ -5,7 +5,7 @@
 use super::descriptors::Permit;
 use super::server::Server;
 use rushquay_admission::{giving_way, Evidence, Want};
-use rushquay_guard::CloseCause;
+use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept;
 use std::convert::Infallible;
 use std::io;
--- a/src/net/account.rs
+++ b/src/net/account.rs
@@ -3,8 +3,8 @@
 
 use super::answer::Answer;
 use crate::api::Status;
-pub use rushquay_account::Kind;
-use rushquay_account::{Account, Sum};
+pub use rushquay_fleet_stats::Kind;
+use rushquay_fleet_stats::{Account, Sum};
 use std::cell::RefCell;
 use std::io::Write as _;
 use std::path::PathBuf;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
 //! Answers operators on a thread of its own: one line to a connection. It reads the ledger and nothing else of the proxy.
 
-use rushquay_operate::{figures, Call, Ledger, Line, Places, Standing, Ticket, LINE_MOST};
+use rushquay_admin::{figures, Call, Ledger, Line, Places, Standing, Ticket, LINE_MOST};
 use rushquay_sockets::{accept as accept_one, patiently, RetryStream};
 use rushquay_xds::client::Outage;
 use std::cell::RefCell;
--- a/src/net/answer.rs
+++ b/src/net/answer.rs
@@ -2,7 +2,7 @@
 
 use super::Body;
 use hyper::Response;
-use rushquay_operate::End;
+use rushquay_admin::End;
 use std::time::Duration;
 
 /// The final answer of a request.
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as HttpBody, Bytes, Frame, Incoming, SizeHint};
-use rushquay_transfer::{Nanos, Pace, Patience, Replay, SECOND};
+use rushquay_stream_progress::{Nanos, Pace, Patience, Replay, SECOND};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -6,7 +6,7 @@
 use super::socket::Socket;
 use crate::api;
 use rushquay_admission::Evidence;
-use rushquay_guard::{CloseCause, ConnectionFacts};
+use rushquay_invariants::{CloseCause, ConnectionFacts};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -10,7 +10,7 @@
 use super::subscription::ControlSource;
 use crate::api::{Nanos, Settings};
 use rushquay_control_service::Clocks;
-use rushquay_nodes::Members;
+use rushquay_endpoints::Members;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -10,7 +10,7 @@
 use hyper::header::{DATE, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use rushquay_nodes::{Answer, Cursor, Failure, Follow, Manner, Members, Step};
+use rushquay_endpoints::{Answer, Cursor, Failure, Follow, Manner, Members, Step};
 use rushquay_sockets::connect;
 use rushquay_xds::client::Outage;
 use std::fmt;
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -11,8 +11,8 @@
 use super::upstream::Upstreams;
 use crate::api::*;
 use crate::Balancer;
-use rushquay_nodes::{Member, Pins};
-use rushquay_operate::Cause;
+use rushquay_admin::Cause;
+use rushquay_endpoints::{Member, Pins};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -345,7 +345,7 @@
             }
             Action::Close(server) => self.upstreams.close_idle(server),
             // Danger: where lists are pushed the module asks for nothing, and would keep the list that it was started with.
-            // Here the list is followed from the start, by a clock of its own (rushquay_nodes::Follow).
+            // Here the list is followed from the start, by a clock of its own (rushquay_endpoints::Follow).
             Action::Subscribe => {}
         }
     }
--- a/src/net/envoy/admin.rs
+++ b/src/net/envoy/admin.rs
@@ -12,7 +12,7 @@
 use rushquay_envoy::catalogue::{Kept, Warmth};
 use rushquay_envoy::resource::message_of;
 use rushquay_envoy::text::show;
-use rushquay_pools::{Health, Standing};
+use rushquay_load_assignment::{Health, Standing};
 use rushquay_xds::Kind;
 use serde_json::{json, Value};
 use std::collections::HashMap;
--- a/src/net/envoy/mod.rs
+++ b/src/net/envoy/mod.rs
@@ -132,8 +132,8 @@
     use crate::api::Settings;
     use crate::net::descriptors::Descriptors;
     use crate::net::names::Names;
+    use rushquay_admin::Ledger;
     use rushquay_control_service::Clocks;
-    use rushquay_operate::Ledger;
     use std::net::IpAddr;
     use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/src/net/hosted.rs
+++ b/src/net/hosted.rs
@@ -1,8 +1,8 @@
 //! A proxy that a host has started: it gives the host signs of life, and knows which program it is.
 
 use super::log;
-use rushquay_generation::{Digest, Generation};
-use rushquay_host::Pulse;
+use rushquay_config_version::{Digest, Generation};
+use rushquay_supervisor::Pulse;
 use std::os::unix::net::UnixDatagram;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/src/net/job.rs
+++ b/src/net/job.rs
@@ -8,7 +8,7 @@
 use hyper::body::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, Response, Uri};
-use rushquay_guard::RequestState;
+use rushquay_invariants::RequestState;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/layers.rs
+++ b/src/net/layers.rs
@@ -3,7 +3,7 @@
 use super::acting::Acting;
 use super::engine::Engine;
 use super::settings::settings_of;
-use rushquay_generation::Generation;
+use rushquay_config_version::Generation;
 use rushquay_policy::{impose, Acting as Leave, Floor, Imposed, Number, Policy, Stop, Told};
 use serde_json::Value;
 use std::cell::RefCell;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -53,8 +53,8 @@
 mod upstream;
 
 use body::{Body, BODY_MOST};
-use rushquay_guard::{Label as _, Violation};
-use rushquay_operate::Ledger;
+use rushquay_admin::Ledger;
+use rushquay_invariants::{Label as _, Violation};
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU32, Ordering};
 
--- a/src/net/names.rs
+++ b/src/net/names.rs
@@ -1,7 +1,7 @@
 //! The names that stand on the sockets for what the module knows by number.
 
 use crate::api::{server_id, Entry, State};
-use rushquay_nodes::{Member, NodeState};
+use rushquay_endpoints::{Member, NodeState};
 use std::net::SocketAddr;
 
 /// The names that stand on the sockets for what the module knows by number.
--- a/src/net/nodes.rs
+++ b/src/net/nodes.rs
@@ -3,10 +3,10 @@
 use super::engine::Engine;
 use crate::api::{server_id, ListKind, ServerId};
 use rushquay_control_service::steady;
-use rushquay_lease::{Nanos, Skew, SECOND};
-use rushquay_nodes::{
+use rushquay_endpoints::{
     Changes, Member, Members, Merge, MergeLimits, News, NodeState, Pin, Pins, Roll, Source, Starts,
 };
+use rushquay_lease::{Nanos, Skew, SECOND};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -8,7 +8,7 @@
 use rushquay_policy::{
     Acting, Boot, Floor, Grant, Holding, HoldingError, Member, Number, Policy as Body, Revision, Told,
 };
-use rushquay_resources::PolicyText;
+use rushquay_xds_resources::PolicyText;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/net/pools.rs
+++ b/src/net/pools.rs
@@ -8,11 +8,11 @@
 use super::names::Names;
 use super::upstream::{idle_most, Bounds, Upstreams};
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
+use rushquay_admin::Ledger;
+use rushquay_endpoints::{Member, NodeState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
-use rushquay_nodes::{Member, NodeState};
-use rushquay_operate::Ledger;
-use rushquay_pools::{Breakers, Node, Overload, Standing};
-use rushquay_routes::Table;
+use rushquay_load_assignment::{Breakers, Node, Overload, Standing};
+use rushquay_routing::Table;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -158,7 +158,7 @@
             return clusters.get(name).cloned().map(Some);
         };
         let parts: Vec<u32> = split.iter().map(|(_, part)| *part).collect();
-        let picked = rushquay_pools::aggregate::pick(&parts, at);
+        let picked = rushquay_load_assignment::aggregate::pick(&parts, at);
         Some(picked.and_then(|i| clusters.get(&split[i].0).cloned()))
     }
 
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -11,8 +11,8 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri};
-use rushquay_pools::{Hold, Importance, Trip};
-use rushquay_routes::{self as routes, Action, Append, Clusters, Head, Mutations};
+use rushquay_load_assignment::{Hold, Importance, Trip};
+use rushquay_routing::{self as routes, Action, Append, Clusters, Head, Mutations};
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -2,8 +2,8 @@
 //! shortages of the system's buffers end here.
 
 use super::descriptors::Permit;
-use rushquay_guard::{check_sent, may_send, SendDenied, SendFacts, Sent, Violation};
-use rushquay_operate::Ledger;
+use rushquay_admin::Ledger;
+use rushquay_invariants::{check_sent, may_send, SendDenied, SendFacts, Sent, Violation};
 use rushquay_sockets::{classify, ErrorClass};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
--- a/src/net/tally.rs
+++ b/src/net/tally.rs
@@ -1,8 +1,8 @@
 //! What this proxy counts for the comparison of old and new: how requests ended, by class, and how long that took.
 
 use super::acting::Acting;
-use rushquay_operate::End;
-use rushquay_roster::ClassFigures;
+use rushquay_admin::End;
+use rushquay_membership::ClassFigures;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/net/terms.rs
+++ b/src/net/terms.rs
@@ -1,9 +1,9 @@
 //! What a request's cluster and route say of its attempts, beside the decision module: they can only forbid.
 
 use crate::api::{Nanos, Status};
-use rushquay_pools::repeats::{may_repeat, Tried};
-use rushquay_pools::{Breakers, Hold, Importance, Trip};
-use rushquay_routes::{Ended, Retries};
+use rushquay_load_assignment::repeats::{may_repeat, Tried};
+use rushquay_load_assignment::{Breakers, Hold, Importance, Trip};
+use rushquay_routing::{Ended, Retries};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -119,7 +119,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use rushquay_pools::Thresholds;
+    use rushquay_load_assignment::Thresholds;
 
     fn terms(retries: Option<Retries>, limits: Option<Thresholds>) -> Terms {
         let breakers = limits.map(|l| Breakers::new([l, l]));
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -2,8 +2,8 @@
 //! `PROXY_TRACE` is set; while it is off an event costs a look at a flag.
 
 use crate::api::{ServerId, Status};
-use rushquay_guard::{CloseCause, Label, SendDenied};
-use rushquay_operate::{Cause, TurnedAway};
+use rushquay_admin::{Cause, TurnedAway};
+use rushquay_invariants::{CloseCause, Label, SendDenied};
 use std::cell::Cell;
 use std::fmt;
 use std::io::Write as _;
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 use rig::*;
-use rushquay_harness::Faults;
+use rushquay_fleet_harness::Faults;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/tests/compatibility/admin_pages.rs
+++ b/tests/compatibility/admin_pages.rs
@@ -2,9 +2,9 @@
 
 use crate::golden::assert_same;
 use crate::rig::{config, get_as, member, Peer, Server};
-use rushquay_guard::{Label, Violation};
-use rushquay_harness::{call, start, Fleet, Shape};
-use rushquay_operate::{Cause, NodeCloseCause, TurnedAway};
+use rushquay_admin::{Cause, NodeCloseCause, TurnedAway};
+use rushquay_fleet_harness::{call, start, Fleet, Shape};
+use rushquay_invariants::{Label, Violation};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -265,7 +265,7 @@
     text += &labels::<TurnedAway>("reason");
     text += &labels::<NodeCloseCause>("node_closes cause");
     text += &labels::<Violation>("rule");
-    text += &labels::<rushquay_guard::SendDenied>("attempts_denied cause");
-    text += &labels::<rushquay_guard::CloseCause>("client_closes cause");
+    text += &labels::<rushquay_invariants::SendDenied>("attempts_denied cause");
+    text += &labels::<rushquay_invariants::CloseCause>("client_closes cause");
     assert_same("pages/proxy.txt", &text);
 }
--- a/tests/compatibility/messages.rs
+++ b/tests/compatibility/messages.rs
@@ -3,12 +3,12 @@
 
 use crate::golden::read;
 use rushquay::net::policy::Handed;
-use rushquay_generation::Assignment;
+use rushquay_config_version::Assignment;
 use rushquay_handover::{ToNew, ToOld};
-use rushquay_host::{HostReport, Pulse, Record as HostRecord};
+use rushquay_membership::Report;
 use rushquay_policy::{Ask, Grant, Holding, Record as PolicyRecord};
 use rushquay_rollout::Record as RolloutRecord;
-use rushquay_roster::Report;
+use rushquay_supervisor::{HostReport, Pulse, Record as HostRecord};
 
 /// Each line of a file is an example.
 fn each_line_comes_back(name: &str, again: impl Fn(&str) -> String) {
--- a/tests/compatibility/xds_resources.rs
+++ b/tests/compatibility/xds_resources.rs
@@ -6,10 +6,10 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, Resource};
 use prost::Message as _;
-use rushquay_generation::Assignment;
-use rushquay_nodes::{Imposed, Members, Pin, Stated};
-use rushquay_resources::{declare_changed, declare_settings, leave_name, settings_name, Nodes, POLICY};
+use rushquay_config_version::Assignment;
+use rushquay_endpoints::{Imposed, Members, Pin, Stated};
 use rushquay_xds::{Kind, Store};
+use rushquay_xds_resources::{declare_changed, declare_settings, leave_name, settings_name, Nodes, POLICY};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
 use std::process::Stdio;
@@ -110,7 +110,7 @@
         let mut store = Store::new("golden", 10);
         let nodes: Nodes = [(node.member.id.clone(), node.clone())].into();
         declare_changed(&mut store, "cache-nodes", &nodes, &[node], &[], 0);
-        let name = rushquay_resources::endpoint_name("cache-nodes", "rajkot", "a");
+        let name = rushquay_xds_resources::endpoint_name("cache-nodes", "rajkot", "a");
         text += &stored(&store, Kind::Endpoint, &name);
         text += &stored(&store, Kind::Endpoints, "cache-nodes");
     }
--- a/tests/control/catching_up.rs
+++ b/tests/control/catching_up.rs
@@ -2,7 +2,7 @@
 
 use super::link::Link;
 use super::*;
-use rushquay_standins::Load;
+use rushquay_test_servers::Load;
 
 /// Missed: a node drained, one drained, removed and back under its id with a new start, one removed for good, and one
 /// that is new.
--- a/tests/control/failing_disk.rs
+++ b/tests/control/failing_disk.rs
@@ -3,7 +3,7 @@
 use super::overrides::say_to;
 use super::program::Running;
 use super::*;
-use rushquay_harness::Faults;
+use rushquay_fleet_harness::Faults;
 use std::path::{Path, PathBuf};
 
 const SEED: u64 = 37;
@@ -168,7 +168,7 @@
 
 async fn post(service: &Running, path: &str, ask: &Value) -> (u16, Value) {
     let asked =
-        rushquay_harness::call(service.admin, hyper::Method::POST, path, Some("*"), Some(ask.clone()));
+        rushquay_fleet_harness::call(service.admin, hyper::Method::POST, path, Some("*"), Some(ask.clone()));
     asked.await.expect("an answer")
 }
 
--- a/tests/control/fleet.rs
+++ b/tests/control/fleet.rs
@@ -2,7 +2,7 @@
 //! checked that they do, and that nothing is lost.
 
 use super::*;
-use rushquay_standins::Load;
+use rushquay_test_servers::Load;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forty_proxies_leave_a_node_that_only_the_control_service_knows_to_drain() {
--- a/tests/control/interrupted.rs
+++ b/tests/control/interrupted.rs
@@ -2,7 +2,7 @@
 
 use super::program::Running;
 use super::*;
-use rushquay_harness::Faults;
+use rushquay_fleet_harness::Faults;
 
 const SEED: u64 = 43;
 const INTERRUPTIONS: &str = "recv:EINTR=0.1;send:EINTR=0.1;recv:short=0.2;send:short=0.2;poll:EINTR=0.05;\
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -13,8 +13,8 @@
 
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options, Settings, SourceOption};
-use rushquay_nodes::Members;
-use rushquay_standins::{entry, proxy_config, Discovery, Node};
+use rushquay_endpoints::Members;
+use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/tests/control/overrides.rs
+++ b/tests/control/overrides.rs
@@ -105,7 +105,7 @@
     assert_eq!(served(&proxy).await, ["a", "c", "d"]);
     assert!(set.elapsed() < Duration::from_secs(8), "too slow to tell anything");
     let before = fleet[1].count();
-    let load = rushquay_standins::Load::start(proxy.addr, "load", 4, Duration::from_millis(2));
+    let load = rushquay_test_servers::Load::start(proxy.addr, "load", 4, Duration::from_millis(2));
     until("it is sent to again", || fleet[1].count() > before).await;
     let after = set.elapsed();
     assert!(after >= Duration::from_millis(7900), "sent to after {after:?}");
--- a/tests/control/program.rs
+++ b/tests/control/program.rs
@@ -165,7 +165,7 @@
     let folder = Folder::new("unopened");
     let file = folder.write("nodes.json", &list(1, "ready"));
     let switch = std::env::temp_dir().join(format!("rushquay-unopened-{}", std::process::id()));
-    let faults = rushquay_harness::Faults::new(39, "open:ENFILE=1").while_exists(&switch);
+    let faults = rushquay_fleet_harness::Faults::new(39, "open:ENFILE=1").while_exists(&switch);
     let running = Running::with(&["--nodes", file.to_str().expect("a path")], &faults.variables());
     let both = |state: &str| vec![("a".to_owned(), "ready".to_owned()), ("b".to_owned(), state.to_owned())];
     until("the file counts", || running.states() == both("ready")).await;
--- a/tests/control/restarts.rs
+++ b/tests/control/restarts.rs
@@ -36,7 +36,7 @@
     let store = hub.store();
     // Changes: the first declaration, then the drain.
     store.is_open() && hub.counters.answers.load(std::sync::atomic::Ordering::Relaxed) > 0 && {
-        let name = rushquay_resources::endpoint_name("cache-nodes", "rajkot", "b");
+        let name = rushquay_xds_resources::endpoint_name("cache-nodes", "rajkot", "b");
         let resource = store.get(rushquay_xds::Kind::Endpoint, &name).cloned();
         resource.is_some_and(|r| {
             let came = rushquay_xds::client::Came {
@@ -46,9 +46,9 @@
                 ..Default::default()
             };
             let item =
-                rushquay_resources::decode(rushquay_xds::Kind::Endpoint, &came).expect("an endpoint").1;
-            matches!(item, rushquay_resources::Item::Endpoint(s)
-                if s.member.state == rushquay_nodes::NodeState::Draining)
+                rushquay_xds_resources::decode(rushquay_xds::Kind::Endpoint, &came).expect("an endpoint").1;
+            matches!(item, rushquay_xds_resources::Item::Endpoint(s)
+                if s.member.state == rushquay_endpoints::NodeState::Draining)
         })
     }
 }
@@ -156,7 +156,7 @@
     let proxy = proxy("p", discovery.addr, &[link.addr], &[]);
     all_taken(&service, 1).await;
     assert_eq!(served_by(&proxy, 150).await.len(), 3);
-    let load = rushquay_standins::Load::start(proxy.addr, "load", 4, Duration::from_millis(1));
+    let load = rushquay_test_servers::Load::start(proxy.addr, "load", 4, Duration::from_millis(1));
     link.cut();
     service.stop().await;
     assert_eq!(served_by(&proxy, 150).await.len(), 3);
--- a/tests/control/standby.rs
+++ b/tests/control/standby.rs
@@ -290,7 +290,7 @@
     let second = instance("second", discovery.addr, &Place::File(&file.0)).await;
     let admin = second.admin.expect("admin");
     let asked = async || {
-        let said = rushquay_harness::call(admin, hyper::Method::GET, "/status", None, None).await;
+        let said = rushquay_fleet_harness::call(admin, hyper::Method::GET, "/status", None, None).await;
         said.expect("an answer").1["standby"].clone()
     };
     until("it follows the list", || state(&second).leader.as_deref() == Some("first")).await;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -172,7 +172,7 @@
     let (node, discovery) = (Server::new(), Server::new());
     let switch = std::env::temp_dir().join(format!("rushquay-stepped-start-{}", std::process::id()));
     std::fs::write(&switch, "").expect("written");
-    let faults = rushquay_harness::Faults::new(39, "jump=3600").while_exists(&switch);
+    let faults = rushquay_fleet_harness::Faults::new(39, "jump=3600").while_exists(&switch);
     let variables = faults.variables();
     let variables: Vec<(&str, &str)> = variables.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
     let servers = [member("c1", node.addr, "std", "ready")];
--- a/tests/envoy/churn.rs
+++ b/tests/envoy/churn.rs
@@ -1,7 +1,7 @@
 //! Servers that break off, refuse, come back with something else, and change without end under load.
 
 use super::*;
-use rushquay_standins::Load;
+use rushquay_test_servers::Load;
 use rushquay_xds::server::Variant;
 use rushquay_xds::Kind;
 
--- a/tests/envoy/files.rs
+++ b/tests/envoy/files.rs
@@ -12,7 +12,8 @@
     let any = |kind: rushquay_xds::Kind, yaml: &str| {
         format!("resources: [{{'@type': {}, {}", kind.type_url(), &yaml[1..]) + "]"
     };
-    let eds = |nodes: &[rushquay_standins::Node]| any(rushquay_xds::Kind::Endpoints, &of_nodes("c", nodes).2);
+    let eds =
+        |nodes: &[rushquay_test_servers::Node]| any(rushquay_xds::Kind::Endpoints, &of_nodes("c", nodes).2);
     let table = |step| any(rushquay_xds::Kind::Route, &routes(step, &[&all_to("c")]).2);
     folder.put("eds.yaml", &eds(&nodes[..1]));
     folder.put("rds.yaml", &table(1));
--- a/tests/envoy/routing.rs
+++ b/tests/envoy/routing.rs
@@ -6,8 +6,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rushquay_envoy::resource::{decode, Item};
 use rushquay_envoy::Notes;
-use rushquay_pools::effective::{effective, Sharing};
-use rushquay_pools::Health;
+use rushquay_load_assignment::effective::{effective, Sharing};
+use rushquay_load_assignment::Health;
 use rushquay_xds::server::Variant;
 use rushquay_xds::Kind;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 type Step = Vec<Option<(u8, u8, usize, u32)>>;
 const HEALTH: [&str; 6] = ["UNKNOWN", "HEALTHY", "DEGRADED", "UNHEALTHY", "DRAINING", "TIMEOUT"];
 
-fn declared(nodes: &[rushquay_standins::Node], step: &Step) -> String {
+fn declared(nodes: &[rushquay_test_servers::Node], step: &Step) -> String {
     let mut places: BTreeMap<(u8, u8), Vec<String>> = BTreeMap::new();
     for (node, told) in nodes.iter().zip(step) {
         if let Some((zone, priority, health, weight)) = told {
--- a/tests/envoy/rules.rs
+++ b/tests/envoy/rules.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-async fn rig(nodes: &[rushquay_standins::Node], more: &str) -> (Management, Proxy) {
+async fn rig(nodes: &[rushquay_test_servers::Node], more: &str) -> (Management, Proxy) {
     let management = Management::start().await;
     let proxy = Proxy::start(&bootstrap(management.addr, Variant::Delta));
     management.declare(&[cluster("c", more), of_nodes("c", nodes), listener(), routes(1, &[&all_to("c")])]);
@@ -183,7 +183,7 @@
         client.get(&format!("/read/{}", key())).await;
     }
     assert!(nodes.iter().all(|n| n.count() > 0));
-    let named = |node: &rushquay_standins::Node, id: &str| {
+    let named = |node: &rushquay_test_servers::Node, id: &str| {
         endpoint(node.addr, "").replace("started_ns: '1000'", &format!("started_ns: '1000', id: {id}"))
     };
     for step in 2..12u64 {
@@ -349,7 +349,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_a_node_lacks_and_all_writes_go_to_the_origin_behind_its_cluster() {
     let lacking =
-        rushquay_standins::Node::start_lacking("n", Duration::ZERO, |path| path.contains("/read/lack")).await;
+        rushquay_test_servers::Node::start_lacking("n", Duration::ZERO, |path| path.contains("/read/lack"))
+            .await;
     let plant = nodes(1, Duration::ZERO).await;
     let management = Management::start().await;
     let proxy = Proxy::start(&bootstrap(management.addr, Variant::Delta));
@@ -370,7 +371,7 @@
     assert_eq!(client.ask("PUT", "/set/1", &[("idempotency-key", "k")]).await.status, 200);
     assert_eq!((lacking.count(), plant[0].count()), (2, 2));
     // The origin is replaced by another.
-    let other = rushquay_standins::Node::start("other", Duration::ZERO).await;
+    let other = rushquay_test_servers::Node::start("other", Duration::ZERO).await;
     management.declare(&[of_nodes("plant", [&other]), routes(2, &[policy])]);
     proxy.reached(2).await;
     assert_eq!(client.get("/read/lack").await.body, "other");
--- a/tests/faults/rig.rs
+++ b/tests/faults/rig.rs
@@ -5,14 +5,14 @@
 use super::wire::{Wire, WITHIN};
 use super::LONG;
 use rushquay::net::local::LocalProxy;
-use rushquay_books::{Books, Breach, Entry, Nanos, Tolerance};
 use rushquay_control_service::{start, ControlService, Options as ControlOptions, Settings, SourceOption};
+use rushquay_endpoints::NodeState;
 use rushquay_fault_relay::{Cut, Lane, Options, Relay, Script};
-use rushquay_nodes::NodeState;
-use rushquay_resources::{decode, endpoint_name, Item};
-use rushquay_standins::{entry, proxy_config, Discovery, Node};
+use rushquay_history::{Books, Breach, Entry, Nanos, Tolerance};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use rushquay_xds::client::Came;
 use rushquay_xds::Kind;
+use rushquay_xds_resources::{decode, endpoint_name, Item};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 const TOLERANCE: Tolerance = Tolerance { late: 1_000 * MS, drain: 700 * MS, crossing: 300 * MS };
 /// What is sent after this would be a breach. Danger: requests that all come within the grace show nothing.
 const BEYOND_GRACE: Duration = Duration::from_millis(800);
-const MS: Nanos = rushquay_books::MILLI;
+const MS: Nanos = rushquay_history::MILLI;
 
 /// What came of a cell.
 pub struct Outcome {
--- a/tests/faults/wire.rs
+++ b/tests/faults/wire.rs
@@ -1,8 +1,8 @@
 //! Taps on the legs of a proxy, which enter in the books what came from it and what reached it.
 
-use rushquay_books::{Answer, Effect, Entry, Nanos};
+use rushquay_endpoints::{Members, NodeState};
 use rushquay_fault_relay::{Lane, Passage, Tap};
-use rushquay_nodes::{Members, NodeState};
+use rushquay_history::{Answer, Effect, Entry, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/tests/hosts/bad.rs
+++ b/tests/hosts/bad.rs
@@ -115,7 +115,7 @@
         // Its host may be just writing it: then it is a file for a moment.
         let (begin, place) = (Instant::now(), fleet.host_dir(&proxy.name).join("record.new"));
         while let Err(e) = std::fs::create_dir(&place) {
-            assert!(begin.elapsed() < rushquay_harness::LONG, "{}: {e}", place.display());
+            assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{}: {e}", place.display());
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
--- a/tests/hosts/good.rs
+++ b/tests/hosts/good.rs
@@ -58,7 +58,7 @@
     fleet.kill_hosted(rajkot, pid);
     let begin = Instant::now();
     while acts(&fleet) == before {
-        assert!(begin.elapsed() < rushquay_harness::LONG, "{}", fleet.history.last(60));
+        assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{}", fleet.history.last(60));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     all_run(&fleet, &new).await;
--- a/tests/hosts/killed.rs
+++ b/tests/hosts/killed.rs
@@ -6,7 +6,7 @@
 async fn line(fleet: &Fleet, who: &str, what: &str, times: usize) {
     let begin = Instant::now();
     while fleet.history.with(what).iter().filter(|l| l.who == who).count() < times {
-        assert!(begin.elapsed() < rushquay_harness::LONG, "{what}\n{}", fleet.history.last(60));
+        assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{what}\n{}", fleet.history.last(60));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -184,7 +184,7 @@
         if let Some(name) = tried(fleet, program).first() {
             return name.clone();
         }
-        assert!(begin.elapsed() < rushquay_harness::LONG, "{}", fleet.history.last(60));
+        assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{}", fleet.history.last(60));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -194,7 +194,7 @@
     let begin = Instant::now();
     let n = fleet.proxies.iter().position(|p| p.name == name).expect("one of them");
     while fleet.running(n).len() != 1 || fleet.running(n)[0].1 != program {
-        assert!(begin.elapsed() < rushquay_harness::LONG, "{}", fleet.history.last(60));
+        assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{}", fleet.history.last(60));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     n
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -7,7 +7,7 @@
 mod killed;
 mod shortage;
 
-use rushquay_harness::{in_order, phase, start, words, Fleet, Shape};
+use rushquay_fleet_harness::{in_order, phase, start, words, Fleet, Shape};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -58,7 +58,7 @@
         if running.iter().all(|r| r.len() == 1 && r[0].1 == program) {
             return;
         }
-        assert!(begin.elapsed() < rushquay_harness::LONG, "{running:?}\n{}", fleet.history.last(60));
+        assert!(begin.elapsed() < rushquay_fleet_harness::LONG, "{running:?}\n{}", fleet.history.last(60));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/tests/hosts/shortage.rs
+++ b/tests/hosts/shortage.rs
@@ -1,7 +1,7 @@
 //! A host on a machine that is short of descriptors: what it can't look up has neither ended nor failed to start.
 
 use super::*;
-use rushquay_harness::Faults;
+use rushquay_fleet_harness::Faults;
 
 /// Spans that a busy machine keeps, with a short pause before what ended is started again.
 const PROMPT: &str =
--- a/tests/leave.rs
+++ b/tests/leave.rs
@@ -6,7 +6,7 @@
 use hyper_util::rt::TokioIo;
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start_by, Clocks, Options, PolicySettings, Settings, SourceOption};
-use rushquay_standins::{entry, proxy_config, Discovery, Node};
+use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::json;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/tests/policy/clocks.rs
+++ b/tests/policy/clocks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use rushquay_etcd_standin::Etcd;
-use rushquay_harness::skewed;
+use rushquay_fleet_harness::skewed;
 
 /// Proxies' clocks 1% fast and slow, control services' too, and their wall clocks an hour apart: within the bound, and all holds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/tests/policy/down.rs
+++ b/tests/policy/down.rs
@@ -90,7 +90,7 @@
     while play.fleet.get("/v1/policy").await["last"]["policy"] != number {
         play.process(loops).kill();
         play.fleet.start_proxy(loops);
-        assert!(start.elapsed() < rushquay_harness::LONG, "{}", play.fleet.history.last(80));
+        assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{}", play.fleet.history.last(80));
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     play.committed(number).await;
--- a/tests/policy/good.rs
+++ b/tests/policy/good.rs
@@ -99,7 +99,7 @@
                 break said;
             }
             assert!(said["error"].as_str().is_some_and(|e| e.contains("stricter than the floor")), "{said}");
-            assert!(start.elapsed() < rushquay_harness::LONG, "{said}");
+            assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{said}");
             tokio::time::sleep(Duration::from_millis(200)).await;
         };
         let forbids = ZONES.into_iter().chain([SPARE]).filter(|zone| !allowed.contains(zone)).collect();
--- a/tests/policy/leaders.rs
+++ b/tests/policy/leaders.rs
@@ -139,7 +139,7 @@
         }
         // Until nobody can act by what is lost.
         assert!(said["error"].as_str().is_some_and(|e| e.contains("may still act")), "{code} {said}");
-        assert!(start.elapsed() < rushquay_harness::LONG, "{}", play.fleet.history.last(80));
+        assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{}", play.fleet.history.last(80));
         tokio::time::sleep(Duration::from_millis(300)).await;
     };
     play.held.push(Held { from, by: Duration::MAX, forbids: vec![FORBIDDEN[2]] });
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,6 +1,6 @@
 //! Changes of policy over a fleet of real processes with a relay on every leg: ten proxies in four data centres, three control services
 //! on one store, nodes, discovery, and clients that ask all the while. Whether one policy was obeyed by all is told from what requests
-//! got alone: each policy forbids one data centre to a class, and the next one another (`rushquay_harness::two_at_once`).
+//! got alone: each policy forbids one data centre to a class, and the next one another (`rushquay_fleet_harness::two_at_once`).
 
 mod clocks;
 mod cuts;
@@ -11,7 +11,7 @@
 mod refused;
 mod storm;
 
-use rushquay_harness::{in_order, two_at_once, Fleet, Held, Shape, SPARE, ZONES};
+use rushquay_fleet_harness::{in_order, two_at_once, Fleet, Held, Shape, SPARE, ZONES};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
@@ -87,7 +87,7 @@
                     return said["policy"].as_u64().expect("a number");
                 }
                 // The leader may just have changed.
-                0 | 503 | 507 if start.elapsed() < rushquay_harness::LONG => {
+                0 | 503 | 507 if start.elapsed() < rushquay_fleet_harness::LONG => {
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
                 _ => panic!("{status} {said}\n{}", self.fleet.history.last(60)),
@@ -129,7 +129,7 @@
                 return status;
             }
             assert!(
-                start.elapsed() < rushquay_harness::LONG,
+                start.elapsed() < rushquay_fleet_harness::LONG,
                 "it never came that {what}: {status:#}\n{}",
                 self.fleet.history.last(80)
             );
@@ -145,7 +145,7 @@
         };
         let (from, start) = (all(), Instant::now());
         while all() < from + more {
-            assert!(start.elapsed() < rushquay_harness::LONG, "{}", self.fleet.history.last(80));
+            assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{}", self.fleet.history.last(80));
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -156,7 +156,7 @@
             || -> u64 { self.fleet.counts(&self.fleet.proxies[proxy].name).values().map(|c| c.served).sum() };
         let (from, start) = (all(), Instant::now());
         while all() < from + more {
-            assert!(start.elapsed() < rushquay_harness::LONG, "{}", self.fleet.history.last(80));
+            assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{}", self.fleet.history.last(80));
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -165,11 +165,11 @@
         self.fleet.proxies.iter().position(|p| p.name == name).expect("a proxy")
     }
 
-    fn process(&mut self, proxy: usize) -> &mut rushquay_harness::Process {
+    fn process(&mut self, proxy: usize) -> &mut rushquay_fleet_harness::Process {
         self.fleet.proxies[proxy].process.as_mut().expect("it runs")
     }
 
-    fn control(&mut self, n: usize) -> &mut rushquay_harness::Process {
+    fn control(&mut self, n: usize) -> &mut rushquay_fleet_harness::Process {
         self.fleet.controls[n].process.as_mut().expect("it runs")
     }
 
@@ -186,7 +186,7 @@
         let start = Instant::now();
         while self.acted(name).last().map(String::as_str) != Some(words) {
             assert!(
-                start.elapsed() < rushquay_harness::LONG,
+                start.elapsed() < rushquay_fleet_harness::LONG,
                 "{name} never acted by {words}: {:?}\n{}",
                 self.acted(name),
                 self.fleet.history.last(80)
--- a/tests/policy/refused.rs
+++ b/tests/policy/refused.rs
@@ -90,7 +90,7 @@
         if code == 201 {
             break;
         }
-        assert!(start.elapsed() < rushquay_harness::LONG, "{code} {said}");
+        assert!(start.elapsed() < rushquay_fleet_harness::LONG, "{code} {said}");
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     refused(&play, ask(settings(2), floor()), 409, "runs in stages").await;
--- a/tests/policy/storm.rs
+++ b/tests/policy/storm.rs
@@ -3,7 +3,7 @@
 use super::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_harness::{told, Broken, Part};
+use rushquay_fleet_harness::{told, Broken, Part};
 
 /// What may break, each as often as it stands here.
 const PARTS: [Part; 7] =
--- a/tests/rollout/bad.rs
+++ b/tests/rollout/bad.rs
@@ -17,7 +17,7 @@
 /// One answer in five of one class fails.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_change_that_fails_a_class_is_stopped_at_its_first_proxy() {
-    let spoil = |f: &Fleet| f.nodes_of(rushquay_harness::SPARE).for_each(|n| n.failing(400, "/read"));
+    let spoil = |f: &Fleet| f.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.failing(400, "/read"));
     let (fleet, end) = stopped(21, "read", spoil).await;
     assert!(words(&end).contains("read: ") && words(&end).contains("new 0."), "{}", words(&end));
     // The clients saw it too, at that one proxy and at no other.
@@ -31,8 +31,9 @@
 /// Everything is served, but the smallest class takes longer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_change_that_slows_the_smallest_class_is_stopped_at_its_first_proxy() {
-    let spoil =
-        |f: &Fleet| f.nodes_of(rushquay_harness::SPARE).for_each(|n| n.slower(Duration::from_millis(60)));
+    let spoil = |f: &Fleet| {
+        f.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.slower(Duration::from_millis(60)))
+    };
     let (fleet, end) = stopped(22, "plan", spoil).await;
     assert!(words(&end).contains("plan: slower than"), "{}", words(&end));
     in_order(fleet).await;
@@ -46,7 +47,7 @@
     start(&fleet, to_spare("read"), long).await;
     fleet.until("the first soaks", |s| phase(s) == "soaking").await;
     until_usual(&fleet).await;
-    fleet.nodes_of(rushquay_harness::SPARE).for_each(|n| n.failing(400, "/read"));
+    fleet.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.failing(400, "/read"));
     let end = fleet.until("it has gone back", |s| phase(s) == "gone-back" && settled(s)).await;
     assert!(words(&end).contains("read: "), "{}", words(&end));
     assert_eq!(took(&fleet, &end["change"]["to"]).len(), 1);
--- a/tests/rollout/clocks.rs
+++ b/tests/rollout/clocks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use rushquay_etcd_standin::Etcd;
-use rushquay_harness::skewed;
+use rushquay_fleet_harness::skewed;
 
 /// Control services whose wall clocks are two hours apart and whose steady clocks run 1% fast and slow take over from one another in the
 /// midst of a change, and a proxy comes back with a clock that was set back by a day, so that its new process bears a lower number than
--- a/tests/rollout/main.rs
+++ b/tests/rollout/main.rs
@@ -10,7 +10,7 @@
 mod storm;
 mod upgrade;
 
-use rushquay_harness::{in_order, phase, start, words, Fleet, Shape};
+use rushquay_fleet_harness::{in_order, phase, start, words, Fleet, Shape};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -69,7 +69,8 @@
 async fn logged(fleet: &Fleet, generation: &Value, times: usize) -> BTreeMap<String, usize> {
     let start = std::time::Instant::now();
     // Without asking anybody: all control services may be away.
-    while took(fleet, generation).values().sum::<usize>() < times && start.elapsed() < rushquay_harness::LONG
+    while took(fleet, generation).values().sum::<usize>() < times
+        && start.elapsed() < rushquay_fleet_harness::LONG
     {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/tests/rollout/storm.rs
+++ b/tests/rollout/storm.rs
@@ -4,7 +4,7 @@
 use super::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_harness::{told, Broken, Part};
+use rushquay_fleet_harness::{told, Broken, Part};
 
 /// What may break, each as often as it stands here.
 const PARTS: [Part; 6] =
@@ -17,7 +17,7 @@
     let (seed, steps) = (told("RUSHQUAY_SEED", 61), told("RUSHQUAY_STORM", 8));
     let mut fleet = loaded(seed).await;
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    fleet.nodes_of(rushquay_harness::SPARE).for_each(|n| n.failing(1000, "/read"));
+    fleet.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.failing(1000, "/read"));
     let mut short = plan();
     (short["soak_s"], short["confirm_s"], short["patience_s"]) = (json!(1.0), json!(4.0), json!(20.0));
     let (mut bad, mut begun) = (Vec::new(), 0u64);
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -1,7 +1,7 @@
 //! The invariants.
 
-use rushquay_books::{Books, Effect, Entry, Tolerance, MILLI};
-use rushquay_harness::{call, Asked, Fleet, Process, StrictClients};
+use rushquay_fleet_harness::{call, Asked, Fleet, Process, StrictClients};
+use rushquay_history::{Books, Effect, Entry, Tolerance, MILLI};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -63,10 +63,10 @@
 
 /// What was noted of a proxy and of troubles round a moment.
 fn around(fleet: &Fleet, proxy: &str, at: Duration) -> String {
-    let near = |l: &&rushquay_harness::Line| {
+    let near = |l: &&rushquay_fleet_harness::Line| {
         l.at + Duration::from_secs(3) > at && l.at < at + Duration::from_millis(500)
     };
-    let of = |l: &&rushquay_harness::Line| l.who == proxy || l.who == "soak" || l.who == "test";
+    let of = |l: &&rushquay_fleet_harness::Line| l.who == proxy || l.who == "soak" || l.who == "test";
     fleet.history.lines().iter().filter(near).filter(of).map(|l| format!("    {l}\n")).collect()
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// The books of effects and drains. Answers are the strict clients' to judge.
-fn books(fleet: &Fleet, asked: &BTreeMap<String, Asked>, drains: &[Drain]) -> Vec<rushquay_books::Breach> {
+fn books(fleet: &Fleet, asked: &BTreeMap<String, Asked>, drains: &[Drain]) -> Vec<rushquay_history::Breach> {
     let mut books = Books::default();
     let begin = fleet.history.begin();
     let at = |at: Instant| at.saturating_duration_since(begin).as_nanos() as u64;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -11,7 +11,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_harness::{told, Fleet, Shape, StrictClients};
+use rushquay_fleet_harness::{told, Fleet, Shape, StrictClients};
 use std::time::Duration;
 use troubles::Troubles;
 
--- a/tests/soak/troubles.rs
+++ b/tests/soak/troubles.rs
@@ -3,7 +3,7 @@
 use crate::judge::Drain;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
-use rushquay_harness::{Faults, Fleet, StrictClients};
+use rushquay_fleet_harness::{Faults, Fleet, StrictClients};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
