--- a/crates/adapters/etcd/src/shared.rs
+++ b/crates/adapters/etcd/src/shared.rs
@@ -2,8 +2,11 @@
 
 use crate::client::Client;
 use crate::messages::*;
-use rushquay_overrides::{Book, Event as BookEvent, Override, Policy};
-use rushquay_state::{sealed, unsealed, BookChange, Campaign, Change, Held, Kept, RecordChange, Saved};
+use rushquay_overrides::{Override, OverrideEvent as BookEvent, OverrideLimits, OverrideSet};
+use rushquay_state::{
+    sealed, unsealed, Campaign, EndpointWrite, HeldLease, OverrideWrite, RecordWrite, StoredEndpoint,
+    StoredState,
+};
 use rushquay_state::{SharedError, SharedState, StateError};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use serde_json::Value;
@@ -144,7 +147,7 @@
     }
 
     /// Carries steps out while the lease is held, in as many transactions as etcd wants.
-    fn commit(&self, held: Held, steps: Vec<Step>) -> Result<(), SharedError> {
+    fn commit(&self, held: HeldLease, steps: Vec<Step>) -> Result<(), SharedError> {
         let leads = Compare {
             result: CompareResult::Equal as i32,
             target: CompareTarget::Create as i32,
@@ -195,7 +198,7 @@
         });
         let found = found.ok_or_else(|| Status::internal("the leader's key is not where it was put"))?;
         Ok(match found.lease == lease {
-            true => Campaign::Won(Held { epoch: found.create_revision as u64, lease }),
+            true => Campaign::Won(HeldLease { epoch: found.create_revision as u64, lease }),
             false => Campaign::Taken { by: String::from_utf8_lossy(&found.value).into_owned() },
         })
     }
@@ -229,7 +232,7 @@
         self.wait_for(self.campaigning(me, ttl))
     }
 
-    fn renew(&self, held: Held) -> Result<(), SharedError> {
+    fn renew(&self, held: HeldLease) -> Result<(), SharedError> {
         match self.wait_for(self.alive(held.lease))? {
             0 => Err(SharedError::Fenced(held.epoch)),
             // The lease may live while somebody has deleted the key.
@@ -240,7 +243,7 @@
         }
     }
 
-    fn resign(&self, held: Held) -> Result<(), SharedError> {
+    fn resign(&self, held: HeldLease) -> Result<(), SharedError> {
         self.lease.store(0, Ordering::Relaxed);
         let ask = LeaseRevokeRequest { id: held.lease };
         self.wait_for(self.client.call::<_, LeaseRevokeResponse>(path::LEASE_REVOKE, ask)).map(drop)
@@ -280,13 +283,13 @@
         }
     }
 
-    fn load(&self, policy: Policy) -> Result<(Saved, Book), SharedError> {
-        let mut saved = Saved::default();
+    fn load(&self, policy: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError> {
+        let mut saved = StoredState::default();
         if let Some(kv) = self.wait_for(self.range(self.prefix.key("version"), Vec::new()))?.first() {
             saved.version = Some(self.read(kv)?);
         }
         for kv in self.wait_for(self.under("nodes/"))? {
-            let kept = Kept::read(&kv.value).map_err(|f| self.fault(&kv.key, f))?;
+            let kept = StoredEndpoint::read(&kv.value).map_err(|f| self.fault(&kv.key, f))?;
             saved.nodes.push(kept.into());
         }
         let (mut live, mut events) = (Vec::<Override>::new(), Vec::<BookEvent>::new());
@@ -300,10 +303,10 @@
             Some(kv) => self.read(kv)?,
             None => Numbers { next: 1, revision: 0 },
         };
-        Ok((saved, Book::restore(policy, live, events, numbers.next, numbers.revision)))
+        Ok((saved, OverrideSet::restore(policy, live, events, numbers.next, numbers.revision)))
     }
 
-    fn keep(&self, held: Held, change: &Change) -> Result<(), SharedError> {
+    fn keep(&self, held: HeldLease, change: &EndpointWrite) -> Result<(), SharedError> {
         let node = |id: &str| self.prefix.key(&format!("nodes/{id}"));
         let mut steps = Vec::new();
         if change.whole {
@@ -312,7 +315,7 @@
             steps.push(Step::Delete(DeleteRangeRequest { key: all, range_end }));
         }
         for stated in &change.set {
-            let (key, value) = (node(&stated.member.id), Kept::from(stated).record());
+            let (key, value) = (node(&stated.member.id), StoredEndpoint::from(stated).record());
             steps.push(Step::Put(PutRequest { key, value, lease: 0 }));
         }
         let gone = change.gone.iter().map(|id| DeleteRangeRequest { key: node(id), range_end: Vec::new() });
@@ -325,7 +328,7 @@
         self.commit(held, steps)
     }
 
-    fn keep_book(&self, held: Held, change: &BookChange) -> Result<(), SharedError> {
+    fn keep_book(&self, held: HeldLease, change: &OverrideWrite) -> Result<(), SharedError> {
         // Keys of what is no longer live; etcd refuses two steps on one key in a transaction.
         let live: std::collections::BTreeMap<Vec<u8>, &Override> =
             change.live.iter().map(|o| (self.prefix.numbered("overrides", o.id), o)).collect();
@@ -369,7 +372,7 @@
         found.iter().map(|kv| Ok((name(kv), self.read(kv)?))).collect()
     }
 
-    fn keep_records(&self, held: Held, change: &RecordChange) -> Result<(), SharedError> {
+    fn keep_records(&self, held: HeldLease, change: &RecordWrite) -> Result<(), SharedError> {
         let key = |name: &str| self.prefix.key(&format!("records/{name}"));
         let put = |(name, content): (&String, &Value)| {
             Step::Put(PutRequest { key: key(name), value: sealed(content), lease: 0 })
--- a/crates/adapters/etcd/tests/shared.rs
+++ b/crates/adapters/etcd/tests/shared.rs
@@ -1,10 +1,12 @@
 //! Leases and state in etcd, against the stand-in.
 
-use rushquay_endpoints::{Member, NodeState, Stated};
+use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
 use rushquay_etcd::{EtcdShared, Prefix};
 use rushquay_etcd_standin::Etcd;
-use rushquay_overrides::{Book, Effect, Event, EventKind, Override, Policy, Scope};
-use rushquay_state::{BookChange, Campaign, Change, Held, RecordChange, SharedError, SharedState};
+use rushquay_overrides::{Effect, EventKind, Override, OverrideEvent, OverrideLimits, OverrideSet, Scope};
+use rushquay_state::{
+    Campaign, EndpointWrite, HeldLease, OverrideWrite, RecordWrite, SharedError, SharedState,
+};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -24,7 +26,7 @@
     tokio::task::spawn_blocking(move || does(&shared)).await.expect("it ended")
 }
 
-async fn won(shared: &Arc<EtcdShared>, me: &'static str) -> Held {
+async fn won(shared: &Arc<EtcdShared>, me: &'static str) -> HeldLease {
     let start = Instant::now();
     loop {
         match on(shared, move |s| s.campaign(me, TTL)).await {
@@ -35,18 +37,18 @@
     }
 }
 
-fn stated(i: usize) -> Stated {
-    let member = Member {
+fn stated(i: usize) -> SourcedEndpoint {
+    let member = Endpoint {
         id: format!("cache-{i:04}"),
         addr: None,
         zone: "rajkot".into(),
         kind: "k".into(),
         cell: 0,
-        state: NodeState::Draining,
+        state: EndpointState::Draining,
         weight: 1.0,
         started: 7,
     };
-    Stated { member, listed: 41, shared: true, imposed: Default::default() }
+    SourcedEndpoint { member, listed: 41, shared: true, imposed: Default::default() }
 }
 
 fn one(id: u64) -> Override {
@@ -54,13 +56,14 @@
     Override { id, scope: Scope::Node("a".into()), effect: Effect::Out, since: 1, until: 2, author, reason }
 }
 
-fn change(live: Vec<Override>, events: std::ops::RangeInclusive<u64>, history: usize) -> BookChange {
-    let event = |number| Event { number, at: 1, kind: EventKind::Set, by: "asha".into(), what: one(number) };
+fn change(live: Vec<Override>, events: std::ops::RangeInclusive<u64>, history: usize) -> OverrideWrite {
+    let event =
+        |number| OverrideEvent { number, at: 1, kind: EventKind::Set, by: "asha".into(), what: one(number) };
     let next = *events.end() + 1;
-    BookChange { live, events: events.map(event).collect(), next, revision: next, history }
+    OverrideWrite { live, events: events.map(event).collect(), next, revision: next, history }
 }
 
-fn ids(book: &Book) -> Vec<u64> {
+fn ids(book: &OverrideSet) -> Vec<u64> {
     book.live().map(|o| o.id).collect()
 }
 
@@ -71,15 +74,17 @@
     let old = won(&a, "a").await;
     let taken = on(&b, |s| s.campaign("b", TTL)).await.expect("an answer");
     assert_eq!(taken, Campaign::Taken { by: "a".into() });
-    on(&a, move |s| s.keep(old, &Change { version: Some(41), ..Change::default() })).await.expect("kept");
+    on(&a, move |s| s.keep(old, &EndpointWrite { version: Some(41), ..EndpointWrite::default() }))
+        .await
+        .expect("kept");
     // The old leader is paused: nobody renews.
     let new = won(&b, "b").await;
     assert!(new.epoch > old.epoch, "{new:?} after {old:?}");
-    let change = Change { version: Some(42), ..Change::default() };
+    let change = EndpointWrite { version: Some(42), ..EndpointWrite::default() };
     let late = on(&a, move |s| s.keep(old, &change)).await;
     assert!(matches!(late, Err(SharedError::Fenced(_))), "{late:?}");
     assert!(matches!(on(&a, move |s| s.renew(old)).await, Err(SharedError::Fenced(_))));
-    let (saved, _) = on(&b, |s| s.load(Policy::default())).await.expect("read");
+    let (saved, _) = on(&b, |s| s.load(OverrideLimits::default())).await.expect("read");
     assert_eq!(saved.version, Some(41));
 }
 
@@ -110,13 +115,14 @@
     etcd.lose_answers(1);
     // The stand-in's own clock, which ticks meanwhile, is no call.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let lost = on(&a, move |s| s.keep(held, &Change { version: Some(7), ..Change::default() })).await;
+    let lost =
+        on(&a, move |s| s.keep(held, &EndpointWrite { version: Some(7), ..EndpointWrite::default() })).await;
     assert!(matches!(lost, Err(SharedError::Unreachable(_))), "{lost:?}");
     // Asked again under the same lease it is the leader still, in the same epoch.
     let again = on(&a, |s| s.campaign("a", TTL)).await.expect("an answer");
     assert_eq!(again, Campaign::Won(held));
     // What was not acknowledged is whole.
-    let (saved, _) = on(&a, |s| s.load(Policy::default())).await.expect("read");
+    let (saved, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
     assert_eq!(saved.version, Some(7));
     etcd.away(true);
     assert!(matches!(on(&a, move |s| s.renew(held)).await, Err(SharedError::Unreachable(_))));
@@ -127,17 +133,17 @@
     let etcd = Etcd::start().await;
     let a = instance(&etcd);
     let held = won(&a, "a").await;
-    let set: Vec<Stated> = (0..2300).map(stated).collect();
+    let set: Vec<SourcedEndpoint> = (0..2300).map(stated).collect();
     let expected = set.clone();
     let before = etcd.transactions();
-    on(&a, move |s| s.keep(held, &Change { version: Some(41), set, ..Change::default() }))
+    on(&a, move |s| s.keep(held, &EndpointWrite { version: Some(41), set, ..EndpointWrite::default() }))
         .await
         .expect("kept");
     assert_eq!(etcd.transactions() - before, 24);
-    let (saved, _) = on(&a, |s| s.load(Policy::default())).await.expect("read");
+    let (saved, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
     assert_eq!((saved.version, saved.nodes.len()), (Some(41), 2300));
     assert!(saved.nodes == expected);
-    let gone = Change { gone: vec!["cache-0003".into()], ..Change::default() };
+    let gone = EndpointWrite { gone: vec!["cache-0003".into()], ..EndpointWrite::default() };
     on(&a, move |s| s.keep(held, &gone)).await.expect("kept");
     assert_eq!(etcd.keys("/rushquay/nodes/"), 2299);
 }
@@ -153,7 +159,7 @@
         let kept = change(vec![one(2), one(number)], number..=number, 5);
         on(&a, move |s| s.keep_book(held, &kept)).await.expect("kept");
     }
-    let (_, book) = on(&a, |s| s.load(Policy::default())).await.expect("read");
+    let (_, book) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
     assert_eq!((ids(&book), book.revision(), book.next_id()), (vec![2, 20], 21, 21));
     assert_eq!(book.history().map(|e| e.number).collect::<Vec<_>>(), [20, 19, 18, 17, 16]);
     assert_eq!(etcd.keys("/rushquay/history/"), 5);
@@ -168,9 +174,9 @@
     let old = won(&a, "a").await;
     let name = |n: usize| format!("roster/p{n}");
     let set = (0..250).map(|n| (name(n), serde_json::json!({"boot": n}))).collect();
-    on(&a, move |s| s.keep_records(old, &RecordChange { set, gone: Vec::new() })).await.expect("kept");
+    on(&a, move |s| s.keep_records(old, &RecordWrite { set, gone: Vec::new() })).await.expect("kept");
     let gone = vec![name(7)];
-    on(&a, move |s| s.keep_records(old, &RecordChange { gone, ..RecordChange::default() }))
+    on(&a, move |s| s.keep_records(old, &RecordWrite { gone, ..RecordWrite::default() }))
         .await
         .expect("kept");
     on(&a, move |s| s.resign(old)).await.expect("given back");
@@ -178,7 +184,7 @@
     let read = on(&b, |s| s.load_records()).await.expect("read");
     assert_eq!(read.len(), 249);
     assert_eq!((read.get(&name(8)), read.get(&name(7))), (Some(&serde_json::json!({"boot": 8})), None));
-    let late = RecordChange { set: [(name(8), serde_json::Value::Null)].into(), gone: Vec::new() };
+    let late = RecordWrite { set: [(name(8), serde_json::Value::Null)].into(), gone: Vec::new() };
     let refused = on(&a, move |s| s.keep_records(old, &late)).await;
     assert!(matches!(refused, Err(SharedError::Fenced(_))), "{refused:?}");
     assert_eq!(on(&b, |s| s.load_records()).await.expect("read"), read);
--- a/crates/adapters/state/src/text.rs
+++ b/crates/adapters/state/src/dump.rs
@@ -1,9 +1,9 @@
 //! State as text, for backups: a line of JSON each. First what follows, then nodes, overrides, events and records of other parts.
 
-use crate::record::Kept;
-use crate::{BookChange, Change, Saved};
-use rushquay_endpoints::Stated;
-use rushquay_overrides::Book;
+use crate::record::StoredEndpoint;
+use crate::{EndpointWrite, OverrideWrite, StoredState};
+use rushquay_endpoints::SourcedEndpoint;
+use rushquay_overrides::OverrideSet;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -38,11 +38,11 @@
 
 /// What a dump holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dumped {
+pub struct Dump {
     /// Nodes.
-    pub nodes: Change,
+    pub nodes: EndpointWrite,
     /// The book of overrides.
-    pub book: BookChange,
+    pub book: OverrideWrite,
     /// Records of other parts: changes in stages, policies.
     pub records: Records,
 }
@@ -50,9 +50,9 @@
 type Records = BTreeMap<String, Value>;
 
 /// All that is kept, as text.
-pub fn dump(saved: &Saved, book: &Book, records: &Records) -> String {
+pub fn dump(saved: &StoredState, book: &OverrideSet, records: &Records) -> String {
     let head = Head {
-        rushquay_state: crate::FORM,
+        rushquay_state: crate::FORMAT_VERSION,
         version: saved.version,
         nodes: saved.nodes.len(),
         overrides: book.live().count(),
@@ -63,7 +63,7 @@
     };
     let mut events: Vec<_> = book.history().map(line).collect();
     events.reverse();
-    let nodes = saved.nodes.iter().map(|n| line(&Kept::from(n)));
+    let nodes = saved.nodes.iter().map(|n| line(&StoredEndpoint::from(n)));
     let records =
         records.iter().map(|(name, record)| line(&Named { name: name.clone(), record: record.clone() }));
     let head = std::iter::once(line(&head));
@@ -79,16 +79,16 @@
 ///
 /// # Errors
 /// The line that can't be read, or that lines are missing.
-pub fn restore(text: &str) -> Result<Dumped, String> {
+pub fn restore(text: &str) -> Result<Dump, String> {
     let mut lines = text.lines().enumerate();
     let first = lines.next().map_or("", |(_, l)| l);
     let head: Head =
         serde_json::from_str(first).map_err(|e| format!("line 1: not a dump's first line: {e}"))?;
-    if !(2..=crate::FORM).contains(&head.rushquay_state) {
+    if !(2..=crate::FORMAT_VERSION).contains(&head.rushquay_state) {
         let form = head.rushquay_state;
         return Err(format!(
             "line 1: a dump of form {form}, expected 2 to {}: use the version that wrote it",
-            crate::FORM
+            crate::FORMAT_VERSION
         ));
     }
     let found = text.lines().count() - 1;
@@ -98,9 +98,9 @@
     if found != announced {
         return Err(format!("{announced} records announced and {found} found: the dump is cut off"));
     }
-    let nodes = read::<Kept>(&mut lines, head.nodes)?;
-    let set: Vec<Stated> = nodes.into_iter().map(Stated::from).collect();
-    let book = BookChange {
+    let nodes = read::<StoredEndpoint>(&mut lines, head.nodes)?;
+    let set: Vec<SourcedEndpoint> = nodes.into_iter().map(SourcedEndpoint::from).collect();
+    let book = OverrideWrite {
         live: read(&mut lines, head.overrides)?,
         events: read(&mut lines, head.events)?,
         next: head.next,
@@ -109,8 +109,8 @@
     };
     let records = read::<Named>(&mut lines, head.records)?;
     let records = records.into_iter().map(|n| (n.name, n.record)).collect();
-    let nodes = Change { whole: true, version: head.version, set, gone: Vec::new() };
-    Ok(Dumped { nodes, book, records })
+    let nodes = EndpointWrite { whole: true, version: head.version, set, gone: Vec::new() };
+    Ok(Dump { nodes, book, records })
 }
 
 fn read<'a, T: DeserializeOwned>(
--- a/crates/adapters/state/src/lib.rs
+++ b/crates/adapters/state/src/lib.rs
@@ -2,14 +2,16 @@
 //! the list that it comes from. Records carry their form and a checksum; a transaction is there whole or not at all.
 #![forbid(unsafe_code)]
 
+mod dump;
 mod record;
 mod shared;
 mod store;
 mod succession;
-mod text;
 
-pub use record::{Kept, RecordError, FORM};
-pub use shared::{Campaign, Held, SharedError, SharedFile, SharedState};
-pub use store::{sealed, unsealed, BookChange, Change, RecordChange, Saved, StateError, StateStore};
+pub use dump::{dump, restore, Dump};
+pub use record::{RecordError, StoredEndpoint, FORMAT_VERSION};
+pub use shared::{Campaign, HeldLease, SharedError, SharedFile, SharedState};
+pub use store::{
+    sealed, unsealed, EndpointWrite, OverrideWrite, RecordWrite, StateError, StateStore, StoredState,
+};
 pub use succession::newest_file;
-pub use text::{dump, restore, Dumped};
--- a/crates/adapters/state/src/record.rs
+++ b/crates/adapters/state/src/record.rs
@@ -1,6 +1,6 @@
 //! The form of a record: two bytes of form, four of checksum (CRC-32 of the rest), and JSON. No I/O.
 
-use rushquay_endpoints::{Member, NodeState, Stated};
+use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 /// - 1: `started` in milliseconds, as discovery tells it.
 /// - 2: `started_ns`, in nanoseconds.
 /// - 3: overrides may be pins. Danger: a version that knows none would take such a record for damaged.
-pub const FORM: u16 = 3;
+pub const FORMAT_VERSION: u16 = 3;
 const HEADER: usize = 6;
 
 /// Why a record can't be used.
@@ -19,7 +19,7 @@
     #[error("damaged: its checksum does not match")]
     Damaged,
     /// It was written by a later version.
-    #[error("of form {0}, and this version knows forms to {FORM}: use the version that wrote it")]
+    #[error("of form {0}, and this version knows forms to {FORMAT_VERSION}: use the version that wrote it")]
     Newer(u16),
     /// It is whole and says something else than a record.
     #[error("not a record: {0}")]
@@ -51,7 +51,7 @@
     }
     match form {
         0 => Err(RecordError::Damaged),
-        form if form > FORM => Err(RecordError::Newer(form)),
+        form if form > FORMAT_VERSION => Err(RecordError::Newer(form)),
         form => Ok((form, content)),
     }
 }
@@ -59,7 +59,7 @@
 /// A node as it is kept, in the present form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kept {
+pub struct StoredEndpoint {
     /// Its id.
     pub id: String,
     /// Where to connect.
@@ -97,10 +97,10 @@
     shared: bool,
 }
 
-impl From<&Stated> for Kept {
-    fn from(stated: &Stated) -> Self {
+impl From<&SourcedEndpoint> for StoredEndpoint {
+    fn from(stated: &SourcedEndpoint) -> Self {
         let m = &stated.member;
-        Kept {
+        StoredEndpoint {
             id: m.id.clone(),
             addr: m.addr,
             zone: m.zone.clone(),
@@ -115,35 +115,35 @@
     }
 }
 
-impl From<Kept> for Stated {
-    fn from(kept: Kept) -> Self {
-        let member = Member {
+impl From<StoredEndpoint> for SourcedEndpoint {
+    fn from(kept: StoredEndpoint) -> Self {
+        let member = Endpoint {
             id: kept.id,
             addr: kept.addr,
             zone: kept.zone,
             kind: kept.kind,
             cell: kept.cell,
-            state: NodeState::from_word(&kept.state),
+            state: EndpointState::from_word(&kept.state),
             weight: kept.weight,
             started: kept.started_ns,
         };
         // Overrides are kept in tables of their own.
-        Stated { member, listed: kept.listed, shared: kept.shared, imposed: Default::default() }
+        SourcedEndpoint { member, listed: kept.listed, shared: kept.shared, imposed: Default::default() }
     }
 }
 
-impl Kept {
+impl StoredEndpoint {
     /// As a record of the present form.
     pub fn record(&self) -> Vec<u8> {
         // Plain fields always have a JSON form.
-        seal(FORM, &serde_json::to_vec(self).unwrap_or_default())
+        seal(FORMAT_VERSION, &serde_json::to_vec(self).unwrap_or_default())
     }
 
     /// Reads a record, brought up from an earlier form where it is of one.
     ///
     /// # Errors
     /// Damage, a later form, or other content.
-    pub fn read(record: &[u8]) -> Result<Kept, RecordError> {
+    pub fn read(record: &[u8]) -> Result<StoredEndpoint, RecordError> {
         let (form, content) = open(record)?;
         let fault = |e: serde_json::Error| RecordError::Content(e.to_string());
         if form >= 2 {
@@ -152,7 +152,7 @@
         let old: Kept1 = serde_json::from_slice(content).map_err(fault)?;
         let Kept1 { id, addr, zone, kind, cell, state, weight, started, listed, shared } = old;
         let started_ns = started.saturating_mul(1_000_000);
-        Ok(Kept { id, addr, zone, kind, cell, state, weight, started_ns, listed, shared })
+        Ok(StoredEndpoint { id, addr, zone, kind, cell, state, weight, started_ns, listed, shared })
     }
 }
 
@@ -163,14 +163,14 @@
     #[test]
     fn a_record_of_the_first_form_is_brought_up() {
         let old = br#"{"id":"a","addr":null,"zone":"z","kind":"k","cell":1,"state":"draining","weight":2.0,"started":7,"listed":3,"shared":true}"#;
-        let kept = Kept::read(&seal(1, old)).expect("read");
+        let kept = StoredEndpoint::read(&seal(1, old)).expect("read");
         assert_eq!((kept.started_ns, kept.listed, kept.state.as_str()), (7_000_000, 3, "draining"));
-        assert_eq!(Kept::read(&kept.record()), Ok(kept));
+        assert_eq!(StoredEndpoint::read(&kept.record()), Ok(kept));
     }
 
     #[test]
     fn damage_in_any_byte_is_seen_and_later_forms_are_named() {
-        let record = seal(FORM, b"{}");
+        let record = seal(FORMAT_VERSION, b"{}");
         for at in 0..record.len() {
             let mut damaged = record.clone();
             damaged[at] ^= 0x10;
--- a/crates/adapters/state/src/shared.rs
+++ b/crates/adapters/state/src/shared.rs
@@ -2,8 +2,8 @@
 
 use crate::store::LeaseRecord;
 use crate::succession::Succession;
-use crate::{BookChange, Change, RecordChange, Saved, StateError, StateStore};
-use rushquay_overrides::{Book, Policy};
+use crate::{EndpointWrite, OverrideWrite, RecordWrite, StateError, StateStore, StoredState};
+use rushquay_overrides::{OverrideLimits, OverrideSet};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,7 +11,7 @@
 
 /// A lease that was won.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     /// Its epoch, higher than those of all leases before it.
     pub epoch: u64,
     /// The store's own name for it.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Campaign {
     /// It is this instance's.
-    Won(Held),
+    Won(HeldLease),
     /// Another has it.
     Taken {
         /// Who, as it calls itself.
@@ -61,29 +61,29 @@
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn renew(&self, held: Held) -> Result<(), SharedError>;
+    fn renew(&self, held: HeldLease) -> Result<(), SharedError>;
     /// Gives the lease back, so that another need not wait for its end.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn resign(&self, held: Held) -> Result<(), SharedError>;
+    fn resign(&self, held: HeldLease) -> Result<(), SharedError>;
     /// Waits until the lease may be free, or so long.
     fn wait(&self, most: Duration);
     /// Reads all that is kept.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn load(&self, policy: Policy) -> Result<(Saved, Book), SharedError>;
+    fn load(&self, policy: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError>;
     /// Keeps a change of node knowledge.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep(&self, held: Held, change: &Change) -> Result<(), SharedError>;
+    fn keep(&self, held: HeldLease, change: &EndpointWrite) -> Result<(), SharedError>;
     /// Keeps the book of overrides.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep_book(&self, held: Held, change: &BookChange) -> Result<(), SharedError>;
+    fn keep_book(&self, held: HeldLease, change: &OverrideWrite) -> Result<(), SharedError>;
     /// Reads the records of other parts.
     ///
     /// # Errors
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep_records(&self, held: Held, change: &RecordChange) -> Result<(), SharedError>;
+    fn keep_records(&self, held: HeldLease, change: &RecordWrite) -> Result<(), SharedError>;
 }
 
 /// Another instance holds the file for as long as one of its calls takes. One that holds it for longer stands still.
@@ -180,7 +180,7 @@
     /// Does something while the lease is held, and nobody else can take it.
     fn under<T>(
         &self,
-        held: Held,
+        held: HeldLease,
         does: impl FnOnce(&StateStore, LeaseRecord) -> Result<T, StateError>,
     ) -> Result<T, SharedError> {
         let opened = self.open()?;
@@ -235,16 +235,16 @@
         let until = (self.clock)().saturating_add(ttl);
         store.set_lease(&LeaseRecord { holder: me.to_owned(), epoch, until, boot: self.boot.clone() })?;
         opened.counts()?;
-        Ok(Campaign::Won(Held { epoch, lease: 0 }))
+        Ok(Campaign::Won(HeldLease { epoch, lease: 0 }))
     }
 
-    fn renew(&self, held: Held) -> Result<(), SharedError> {
+    fn renew(&self, held: HeldLease) -> Result<(), SharedError> {
         let ttl = self.ttl.load(std::sync::atomic::Ordering::Relaxed);
         let until = (self.clock)().saturating_add(ttl);
         self.under(held, |store, record| store.set_lease(&LeaseRecord { until, ..record }))
     }
 
-    fn resign(&self, held: Held) -> Result<(), SharedError> {
+    fn resign(&self, held: HeldLease) -> Result<(), SharedError> {
         // The epoch stays: the next is higher.
         self.under(held, |store, record| store.set_lease(&LeaseRecord { until: 0, ..record }))
     }
@@ -260,16 +260,16 @@
         }
     }
 
-    fn load(&self, policy: Policy) -> Result<(Saved, Book), SharedError> {
+    fn load(&self, policy: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError> {
         let opened = self.open()?;
         Ok((opened.store.read()?, opened.store.read_book(policy)?))
     }
 
-    fn keep(&self, held: Held, change: &Change) -> Result<(), SharedError> {
+    fn keep(&self, held: HeldLease, change: &EndpointWrite) -> Result<(), SharedError> {
         self.under(held, |store, _| store.keep(change))
     }
 
-    fn keep_book(&self, held: Held, change: &BookChange) -> Result<(), SharedError> {
+    fn keep_book(&self, held: HeldLease, change: &OverrideWrite) -> Result<(), SharedError> {
         self.under(held, |store, _| store.keep_book(change))
     }
 
@@ -277,7 +277,7 @@
         Ok(self.open()?.store.read_records()?)
     }
 
-    fn keep_records(&self, held: Held, change: &RecordChange) -> Result<(), SharedError> {
+    fn keep_records(&self, held: HeldLease, change: &RecordWrite) -> Result<(), SharedError> {
         self.under(held, |store, _| store.keep_records(change))
     }
 }
--- a/crates/adapters/state/src/store.rs
+++ b/crates/adapters/state/src/store.rs
@@ -1,13 +1,13 @@
 //! The embedded store.
 
-use crate::record::{open, seal, Kept, RecordError, FORM};
-use crate::text::Dumped;
+use crate::dump::Dump;
+use crate::record::{open, seal, RecordError, StoredEndpoint, FORMAT_VERSION};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata, StorageBackend,
     StorageError, TableDefinition,
 };
-use rushquay_endpoints::Stated;
-use rushquay_overrides::{Book, Event, Override, Policy};
+use rushquay_endpoints::SourcedEndpoint;
+use rushquay_overrides::{Override, OverrideEvent, OverrideLimits, OverrideSet};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -62,11 +62,11 @@
 
 /// What was kept.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
+pub struct StoredState {
     /// Version of the list last taken; `None`: none was.
     pub version: Option<u64>,
     /// The nodes, by id.
-    pub nodes: Vec<Stated>,
+    pub nodes: Vec<SourcedEndpoint>,
 }
 
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
@@ -90,11 +90,11 @@
 
 /// What is to be kept of a book of overrides, in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BookChange {
+pub struct OverrideWrite {
     /// All that are live.
     pub live: Vec<Override>,
     /// What happened since the last change was kept.
-    pub events: Vec<Event>,
+    pub events: Vec<OverrideEvent>,
     /// The number of the next override.
     pub next: u64,
     /// The book's revision.
@@ -105,20 +105,20 @@
 
 /// What is to be kept, in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Change {
+pub struct EndpointWrite {
     /// Everything else is dropped first.
     pub whole: bool,
     /// Version of the list last taken.
     pub version: Option<u64>,
     /// New or changed nodes.
-    pub set: Vec<Stated>,
+    pub set: Vec<SourcedEndpoint>,
     /// Ids of nodes that are gone.
     pub gone: Vec<String>,
 }
 
 /// What is to be kept of other parts of the service, in one transaction: records by name, each of which is one part's own.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RecordChange {
+pub struct RecordWrite {
     /// New or changed ones.
     pub set: BTreeMap<String, Value>,
     /// Those that are gone.
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     /// The first record that can't be used.
-    pub fn read(&self) -> Result<Saved, StateError> {
+    pub fn read(&self) -> Result<StoredState, StateError> {
         let fault = |table, key: &str, fault| StateError::Record {
             path: self.path.clone(),
             table,
@@ -209,7 +209,7 @@
         let txn = self.db.begin_read().map_err(|e| self.failed(e.into()))?;
         let nodes = txn.open_table(NODES).map_err(|e| self.failed(e.into()))?;
         let meta = txn.open_table(META).map_err(|e| self.failed(e.into()))?;
-        let mut saved = Saved::default();
+        let mut saved = StoredState::default();
         if let Some(record) = meta.get(VERSION).map_err(|e| self.failed(e.into()))? {
             let (_, content) = open(record.value()).map_err(|f| fault("meta", VERSION, f))?;
             let version = serde_json::from_slice(content);
@@ -218,7 +218,7 @@
         }
         for row in nodes.iter().map_err(|e| self.failed(e.into()))? {
             let (key, record) = row.map_err(|e| self.failed(e.into()))?;
-            let kept = Kept::read(record.value()).map_err(|f| fault("nodes", key.value(), f))?;
+            let kept = StoredEndpoint::read(record.value()).map_err(|f| fault("nodes", key.value(), f))?;
             saved.nodes.push(kept.into());
         }
         Ok(saved)
@@ -228,20 +228,20 @@
     ///
     /// # Errors
     /// See [`StateError`]; what was kept before stands.
-    pub fn keep(&self, change: &Change) -> Result<(), StateError> {
+    pub fn keep(&self, change: &EndpointWrite) -> Result<(), StateError> {
         self.write(|nodes, meta| {
             if change.whole {
                 nodes.retain(|_, _| false)?;
             }
             for stated in &change.set {
-                let record = Kept::from(stated).record();
+                let record = StoredEndpoint::from(stated).record();
                 nodes.insert(stated.member.id.as_str(), record.as_slice())?;
             }
             for id in &change.gone {
                 nodes.remove(id.as_str())?;
             }
             if let Some(version) = change.version {
-                let record = seal(FORM, version.to_string().as_bytes());
+                let record = seal(FORMAT_VERSION, version.to_string().as_bytes());
                 meta.insert(VERSION, record.as_slice())?;
             }
             Ok(())
@@ -252,7 +252,7 @@
     ///
     /// # Errors
     /// See [`StateError`]; what was kept before stands.
-    pub fn keep_book(&self, change: &BookChange) -> Result<(), StateError> {
+    pub fn keep_book(&self, change: &OverrideWrite) -> Result<(), StateError> {
         self.book(change, false)
     }
 
@@ -260,14 +260,14 @@
     ///
     /// # Errors
     /// See [`StateError`]. Where the second of the two fails the first stands: restore again.
-    pub fn replace(&self, dumped: &Dumped) -> Result<(), StateError> {
+    pub fn replace(&self, dumped: &Dump) -> Result<(), StateError> {
         self.keep(&dumped.nodes)?;
         self.book(&dumped.book, true)?;
         let gone = self.read_records()?.into_keys().filter(|n| !dumped.records.contains_key(n)).collect();
-        self.keep_records(&RecordChange { set: dumped.records.clone(), gone })
+        self.keep_records(&RecordWrite { set: dumped.records.clone(), gone })
     }
 
-    fn book(&self, change: &BookChange, whole: bool) -> Result<(), StateError> {
+    fn book(&self, change: &OverrideWrite, whole: bool) -> Result<(), StateError> {
         let done = || -> Result<(), redb::Error> {
             let txn = self.db.begin_write()?;
             {
@@ -299,10 +299,10 @@
     ///
     /// # Errors
     /// The first record that can't be used.
-    pub fn read_book(&self, policy: Policy) -> Result<Book, StateError> {
+    pub fn read_book(&self, policy: OverrideLimits) -> Result<OverrideSet, StateError> {
         let fault =
             |table, key: String, fault| StateError::Record { path: self.path.clone(), table, key, fault };
-        let read = || -> Result<Result<Book, StateError>, redb::Error> {
+        let read = || -> Result<Result<OverrideSet, StateError>, redb::Error> {
             let txn = self.db.begin_read()?;
             let (mut live, mut events) = (Vec::new(), Vec::new());
             for row in txn.open_table(OVERRIDES)?.iter()? {
@@ -314,7 +314,7 @@
             }
             for row in txn.open_table(HISTORY)?.iter()? {
                 let (key, record) = row?;
-                match unsealed::<Event>(record.value()) {
+                match unsealed::<OverrideEvent>(record.value()) {
                     Ok(one) => events.push(one),
                     Err(f) => return Ok(Err(fault("history", key.value().to_string(), f))),
                 }
@@ -326,7 +326,7 @@
                     Err(f) => return Ok(Err(fault("meta", BOOK.into(), f))),
                 },
             };
-            Ok(Ok(Book::restore(policy, live, events, numbers.next, numbers.revision)))
+            Ok(Ok(OverrideSet::restore(policy, live, events, numbers.next, numbers.revision)))
         };
         read().map_err(|e| self.failed(e))?
     }
@@ -335,7 +335,7 @@
     ///
     /// # Errors
     /// See [`StateError`]; what was kept before stands.
-    pub fn keep_records(&self, change: &RecordChange) -> Result<(), StateError> {
+    pub fn keep_records(&self, change: &RecordWrite) -> Result<(), StateError> {
         let done = || -> Result<(), redb::Error> {
             let txn = self.db.begin_write()?;
             {
@@ -422,7 +422,7 @@
 /// Puts anything that has a JSON form into a record of the present form.
 pub fn sealed(of: &impl Serialize) -> Vec<u8> {
     // Plain fields always have a JSON form.
-    seal(FORM, &serde_json::to_vec(of).unwrap_or_default())
+    seal(FORMAT_VERSION, &serde_json::to_vec(of).unwrap_or_default())
 }
 
 /// Reads such a record.
--- a/crates/adapters/state/tests/crashes.rs
+++ b/crates/adapters/state/tests/crashes.rs
@@ -1,9 +1,11 @@
 //! Killed at every write: a storage that loses what was not synced, in part, torn and out of order.
 
 use redb::StorageBackend;
-use rushquay_endpoints::{Member, NodeState, Stated};
-use rushquay_overrides::{Ask, Book, Effect, Policy, Scope};
-use rushquay_state::{dump, restore, BookChange, Change, RecordChange, Saved, StateError, StateStore};
+use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
+use rushquay_overrides::{Effect, OverrideLimits, OverrideRequest, OverrideSet, Scope};
+use rushquay_state::{
+    dump, restore, EndpointWrite, OverrideWrite, RecordWrite, StateError, StateStore, StoredState,
+};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io;
@@ -120,31 +122,31 @@
     }
 }
 
-fn node(id: usize, listed: u64) -> Stated {
-    let member = Member {
+fn node(id: usize, listed: u64) -> SourcedEndpoint {
+    let member = Endpoint {
         id: format!("cache-{id:02}"),
         addr: "127.0.0.1:9001".parse().ok(),
         zone: "vadodara".into(),
         kind: "std-1c".into(),
         cell: 1,
-        state: if listed.is_multiple_of(3) { NodeState::Draining } else { NodeState::Ready },
+        state: if listed.is_multiple_of(3) { EndpointState::Draining } else { EndpointState::Ready },
         weight: 1.5,
         started: 1_700_000_000_123_456_789,
     };
-    Stated { member, listed, shared: true, imposed: Default::default() }
+    SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
 }
 
 /// The changes of a run: nodes come, change, drain and go.
-fn change(number: u64) -> Change {
+fn change(number: u64) -> EndpointWrite {
     let n = number as usize;
     let set = (0..1 + n % 4).map(|i| node((n * 7 + i * 3) % 20, number)).collect();
     let gone = if n % 5 == 4 { vec![format!("cache-{:02}", n % 20)] } else { Vec::new() };
-    Change { whole: n % 11 == 10, version: Some(number), set, gone }
+    EndpointWrite { whole: n % 11 == 10, version: Some(number), set, gone }
 }
 
 /// What is to be there after so many changes.
-fn model(changes: u64) -> Saved {
-    let mut nodes: BTreeMap<String, Stated> = BTreeMap::new();
+fn model(changes: u64) -> StoredState {
+    let mut nodes: BTreeMap<String, SourcedEndpoint> = BTreeMap::new();
     for number in 1..=changes {
         let change = change(number);
         if change.whole {
@@ -153,7 +155,7 @@
         nodes.extend(change.set.into_iter().map(|s| (s.member.id.clone(), s)));
         change.gone.iter().for_each(|id| drop(nodes.remove(id)));
     }
-    Saved { version: (changes > 0).then_some(changes), nodes: nodes.into_values().collect() }
+    StoredState { version: (changes > 0).then_some(changes), nodes: nodes.into_values().collect() }
 }
 
 const CHANGES: u64 = 30;
@@ -242,7 +244,7 @@
     // Killed while it was begun: what is left beside the place does no harm.
     let other = folder.join("other.redb");
     std::fs::write(folder.join("other.redb.new"), vec![0; 4096]).expect("written");
-    assert_eq!(StateStore::open(&other).expect("a store").read().expect("read"), Saved::default());
+    assert_eq!(StateStore::open(&other).expect("a store").read().expect("read"), StoredState::default());
     std::fs::write(&path, vec![7; 8192]).expect("written");
     let spoilt = StateStore::open(&path).map(drop).expect_err("no store");
     assert!(matches!(spoilt, StateError::Corrupt(..)), "{spoilt}");
@@ -257,9 +259,9 @@
     let store = StateStore::open_backend(Disk::default()).expect("a store");
     (1..=9).for_each(|n| store.keep(&change(n)).expect("kept"));
     let saved = store.read().expect("read");
-    let mut book = Book::new(Policy::default());
+    let mut book = OverrideSet::new(OverrideLimits::default());
     let (author, reason) = ("asha".to_owned(), "boiler".to_owned());
-    let ask = Ask {
+    let ask = OverrideRequest {
         scope: Scope::All,
         effect: Effect::Weight(0.5),
         until: 1_000_000_000_000,
@@ -277,11 +279,11 @@
     let other = StateStore::open_backend(Disk::default()).expect("a store");
     other.keep(&change(3)).expect("kept");
     let stale = BTreeMap::from([("rollout/board".to_owned(), json!(1))]);
-    other.keep_records(&RecordChange { set: stale, gone: Vec::new() }).expect("kept");
+    other.keep_records(&RecordWrite { set: stale, gone: Vec::new() }).expect("kept");
     other.replace(&restore(&text).expect("a dump")).expect("kept");
     assert_eq!(other.read_records().expect("read"), records);
     assert_eq!(other.read().expect("read"), saved);
-    let read = other.read_book(Policy::default()).expect("read");
+    let read = other.read_book(OverrideLimits::default()).expect("read");
     assert!(read.live().eq(book.live()) && read.history().eq(book.history()));
     assert_eq!((read.next_id(), read.revision()), (book.next_id(), book.revision()));
     assert_eq!(dump(&saved, &read, &records), text);
@@ -302,10 +304,10 @@
 /// The book of overrides at each write: what was acknowledged is there, with its history and its numbers.
 #[test]
 fn killed_at_every_write_of_an_override() {
-    let policy = Policy { history: 5, ..Policy::default() };
+    let policy = OverrideLimits { history: 5, ..OverrideLimits::default() };
     // Sets and lifts in turn; the book after each, and the change that keeps it.
-    let mut book = Book::new(policy);
-    let (mut books, mut changes) = (vec![Book::new(policy)], Vec::new());
+    let mut book = OverrideSet::new(policy);
+    let (mut books, mut changes) = (vec![OverrideSet::new(policy)], Vec::new());
     let mut kept = 0;
     for step in 0..10u64 {
         if step.is_multiple_of(3) && step > 0 {
@@ -314,7 +316,8 @@
         } else {
             let (author, reason) = ("asha".to_owned(), "boiler room".to_owned());
             let (scope, effect) = (Scope::Zone("surat".into()), Effect::Weight(0.5));
-            let ask = Ask { scope, effect, until: 1_000_000_000_000, author, reason, force: true };
+            let ask =
+                OverrideRequest { scope, effect, until: 1_000_000_000_000, author, reason, force: true };
             book.set(ask, &[], step, None).expect("set");
         }
         let mut events: Vec<_> = book.history().take_while(|e| e.number > kept).cloned().collect();
@@ -322,11 +325,11 @@
         kept = events.last().map_or(kept, |e| e.number);
         let live: Vec<_> = book.live().cloned().collect();
         let (next, revision) = (book.next_id(), book.revision());
-        let change = BookChange { live: live.clone(), events, next, revision, history: policy.history };
+        let change = OverrideWrite { live: live.clone(), events, next, revision, history: policy.history };
         changes.push(change);
         let mut history: Vec<_> = book.history().cloned().collect();
         history.reverse();
-        books.push(Book::restore(policy, live, history, next, revision));
+        books.push(OverrideSet::restore(policy, live, history, next, revision));
     }
     let run = |disk: &Disk| {
         let Ok(store) = StateStore::open_backend(disk.clone()) else { return 0 };
@@ -361,7 +364,7 @@
         state.extend(set.clone());
         gone.iter().for_each(|name| drop(state.remove(name)));
         states.push(state);
-        changes.push(RecordChange { set, gone });
+        changes.push(RecordWrite { set, gone });
     }
     let run = |disk: &Disk| {
         let Ok(store) = StateStore::open_backend(disk.clone()) else { return 0 };
--- a/crates/adapters/state/tests/shared.rs
+++ b/crates/adapters/state/tests/shared.rs
@@ -1,8 +1,8 @@
 //! A file that instances on one machine share: who leads, and that nobody else writes.
 
-use rushquay_overrides::Policy;
+use rushquay_overrides::OverrideLimits;
 use rushquay_state::{
-    Campaign, Change, Held, RecordChange, SharedError, SharedFile, SharedState, StateStore,
+    Campaign, EndpointWrite, HeldLease, RecordWrite, SharedError, SharedFile, SharedState, StateStore,
 };
 use serde_json::json;
 use std::path::PathBuf;
@@ -51,15 +51,15 @@
     }
 }
 
-fn won(campaign: Result<Campaign, SharedError>) -> Held {
+fn won(campaign: Result<Campaign, SharedError>) -> HeldLease {
     match campaign.expect("an answer") {
         Campaign::Won(held) => held,
         Campaign::Taken { by } => panic!("taken by {by}"),
     }
 }
 
-fn version(number: u64) -> Change {
-    Change { version: Some(number), ..Change::default() }
+fn version(number: u64) -> EndpointWrite {
+    EndpointWrite { version: Some(number), ..EndpointWrite::default() }
 }
 
 #[test]
@@ -78,7 +78,7 @@
     assert!(matches!(a.keep(old, &version(43)), Err(SharedError::Fenced(1))));
     assert!(matches!(a.renew(old), Err(SharedError::Fenced(1))));
     assert!(matches!(a.resign(old), Err(SharedError::Fenced(1))));
-    let (saved, _) = a.load(Policy::default()).expect("read");
+    let (saved, _) = a.load(OverrideLimits::default()).expect("read");
     assert_eq!(saved.version, Some(50));
 }
 
@@ -126,7 +126,7 @@
     let (a, b) = (rig.instance("boot"), rig.instance("boot"));
     let old = won(a.campaign("a", TTL));
     let record =
-        |n: u64| RecordChange { set: [("board".into(), json!({"revision": n}))].into(), gone: Vec::new() };
+        |n: u64| RecordWrite { set: [("board".into(), json!({"revision": n}))].into(), gone: Vec::new() };
     assert_eq!(a.load_records().expect("read").len(), 0);
     a.keep_records(old, &record(1)).expect("kept");
     rig.pass(TTL + TTL);
@@ -135,8 +135,7 @@
     assert!(matches!(a.keep_records(old, &record(2)), Err(SharedError::Fenced(_))));
     b.keep_records(new, &record(3)).expect("kept");
     assert_eq!(a.load_records().expect("read")["board"], json!({"revision": 3}));
-    b.keep_records(new, &RecordChange { gone: vec!["board".into()], ..RecordChange::default() })
-        .expect("kept");
+    b.keep_records(new, &RecordWrite { gone: vec!["board".into()], ..RecordWrite::default() }).expect("kept");
     assert_eq!(b.load_records().expect("read").len(), 0);
 }
 
@@ -148,7 +147,7 @@
     let (a, b) = (rig.instance("boot"), rig.instance("boot"));
     let old = won(a.campaign("a", TTL));
     a.keep(old, &version(41)).expect("kept");
-    let record = |n: u64| RecordChange { set: [("change".to_owned(), json!(n))].into(), gone: Vec::new() };
+    let record = |n: u64| RecordWrite { set: [("change".to_owned(), json!(n))].into(), gone: Vec::new() };
     a.keep_records(old, &record(1)).expect("kept");
     // What a stopped process holds: the open file, in the middle of a call.
     let held = StateStore::open(&rig.path).expect("opened");
@@ -161,7 +160,7 @@
         }
     };
     assert!(new.epoch > old.epoch);
-    assert_eq!(b.load(Policy::default()).expect("loaded").0.version, Some(41));
+    assert_eq!(b.load(OverrideLimits::default()).expect("loaded").0.version, Some(41));
     b.keep_records(new, &record(2)).expect("kept");
     // It wakes up: what it was doing comes to nothing.
     held.keep_records(&record(3)).expect("written to what nobody reads");
@@ -191,7 +190,7 @@
             .collect();
         threads.into_iter().map(|t| t.join().expect("done")).collect()
     });
-    let winners: Vec<Held> = outcomes
+    let winners: Vec<HeldLease> = outcomes
         .iter()
         .filter_map(|c| match c {
             Campaign::Won(held) => Some(*held),
@@ -202,5 +201,5 @@
     assert!(winners[0].epoch > old.epoch);
     drop(held);
     let next = rig.instance("boot");
-    assert_eq!(next.load(Policy::default()).expect("loaded").0.version, Some(41));
+    assert_eq!(next.load(OverrideLimits::default()).expect("loaded").0.version, Some(41));
 }
--- a/crates/adapters/xds-grpc/src/client.rs
+++ b/crates/adapters/xds-grpc/src/client.rs
@@ -5,7 +5,7 @@
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use rushquay_grpc_transport::Dial;
-use rushquay_xds::client::{Ask, Ended, Session, Topic};
+use rushquay_xds::client::{ClientRequest, Ended, Session, Topic};
 use rushquay_xds::server::Variant;
 use rushquay_xds::Nanos;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 
 /// What happens on the client's side.
 #[derive(Debug)]
-pub enum Notice<N> {
+pub enum ClientEvent<N> {
     /// A stream is open at this address.
     Connected(SocketAddr),
     /// An answer that says something.
@@ -71,7 +71,7 @@
     session: &mut S,
     mut random: impl FnMut() -> f64,
     now: impl Fn() -> Nanos,
-    mut notice: impl FnMut(&S, Notice<S::News>),
+    mut notice: impl FnMut(&S, ClientEvent<S::News>),
 ) {
     loop {
         let addr = options.addresses[session.address() % options.addresses.len()];
@@ -84,7 +84,7 @@
         };
         let why = format!("{:?}: {}", status.code(), status.message());
         let retry = session.ended(how, random());
-        notice(session, Notice::Lost(addr, why));
+        notice(session, ClientEvent::Lost(addr, why));
         tokio::time::sleep(Duration::from_nanos(retry.wait)).await;
     }
 }
@@ -112,7 +112,7 @@
     addr: SocketAddr,
     session: &mut S,
     now: &impl Fn() -> Nanos,
-    notice: &mut impl FnMut(&S, Notice<S::News>),
+    notice: &mut impl FnMut(&S, ClientEvent<S::News>),
 ) -> Result<std::convert::Infallible, Status> {
     let channel = connect(options, addr).await?;
     let mut client =
@@ -124,15 +124,17 @@
     let (delta, delta_asks) = mpsc::channel(16);
     let (sotw, sotw_asks) = mpsc::channel(16);
     let gone = |_| Status::unavailable("the stream has ended");
-    let mut send = async |ask: Ask, told: Vec<(Topic, String)>| {
+    let mut send = async |ask: ClientRequest, told: Vec<(Topic, String)>| {
         // It comes again where there is something to tell of it.
         let named = std::mem::take(&mut first) || !told.is_empty();
-        let node = named.then(|| convert::telling(node.clone(), told));
+        let node = named.then(|| convert::with_metadata(node.clone(), told));
         match ask {
-            Ask::Delta(r) => {
+            ClientRequest::Delta(r) => {
                 delta.send(convert::to_delta_request(r, node)).await.map_err(|_| ()).map_err(gone)
             }
-            Ask::Sotw(r) => sotw.send(convert::to_sotw_request(r, node)).await.map_err(|_| ()).map_err(gone),
+            ClientRequest::Sotw(r) => {
+                sotw.send(convert::to_sotw_request(r, node)).await.map_err(|_| ()).map_err(gone)
+            }
         }
     };
     // Danger: a server may answer the call only once something was asked. There is room for an ask of each kind.
@@ -156,9 +158,9 @@
     let opened = tokio::time::timeout(CONNECT * 5, opening).await;
     let (clock, mut reading) =
         opened.map_err(|_| Status::deadline_exceeded("the stream did not open in time"))??;
-    notice(session, Notice::Connected(addr));
+    notice(session, ClientEvent::Connected(addr));
     if let Some((ahead, error)) = clock {
-        notice(session, Notice::Ahead(ahead, error));
+        notice(session, ClientEvent::Ahead(ahead, error));
     }
     let mut looks = tokio::time::interval_at(tokio::time::Instant::now() + LOOK, LOOK);
     loop {
@@ -185,7 +187,7 @@
             // A server that told no time is not asked for it.
             _ = looks.tick(), if clock.is_some() => {
                 if let Some((ahead, error)) = look(&mut clocks, now).await {
-                    notice(session, Notice::Ahead(ahead, error));
+                    notice(session, ClientEvent::Ahead(ahead, error));
                 }
                 continue;
             }
@@ -194,10 +196,10 @@
         let taken = session.answer(answer);
         // What was told counts before it is acknowledged.
         if let Some(news) = taken.news {
-            notice(session, Notice::News(news));
+            notice(session, ClientEvent::News(news));
         }
         if let Some(why) = taken.refused {
-            notice(session, Notice::Refused(why));
+            notice(session, ClientEvent::Refused(why));
         }
         for ask in taken.asks {
             send(ask, session.tells()).await?;
--- a/crates/adapters/xds-grpc/src/convert.rs
+++ b/crates/adapters/xds-grpc/src/convert.rs
@@ -6,14 +6,14 @@
 };
 use envoy_types::pb::google::protobuf::{value, Any, Value};
 use envoy_types::pb::google::rpc::Status;
-use rushquay_xds::client::{Came, ServerAnswer, Topic};
+use rushquay_xds::client::{ReceivedResource, ServerAnswer, Topic};
 use rushquay_xds::server::{Answer, DeltaRequest, SotwRequest};
 
 /// The field of a node's metadata under which a process tells of itself.
 fn field(topic: Topic) -> &'static str {
     match topic {
         Topic::Report => "rushquay.report",
-        Topic::Leave => "rushquay.leave",
+        Topic::PolicyLease => "rushquay.leave",
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Puts what a process tells of itself into its node.
-pub fn telling(mut node: Node, told: Vec<(Topic, String)>) -> Node {
+pub fn with_metadata(mut node: Node, told: Vec<(Topic, String)>) -> Node {
     for (topic, told) in told {
         let value = Value { kind: Some(value::Kind::StringValue(told)) };
         let metadata = node.metadata.get_or_insert_default();
@@ -52,7 +52,7 @@
 }
 
 /// What a process tells of itself, where it does.
-pub fn told(node: &mut Node, topic: Topic) -> Option<String> {
+pub fn take_metadata(node: &mut Node, topic: Topic) -> Option<String> {
     match node.metadata.as_mut()?.fields.remove(field(topic))?.kind? {
         value::Kind::StringValue(told) => Some(told),
         _ => None,
@@ -147,7 +147,7 @@
 pub fn from_delta_response(m: DeltaDiscoveryResponse) -> ServerAnswer {
     let came = |r: Resource| {
         let any = r.resource.unwrap_or_default();
-        Came { name: Some(r.name), version: r.version, type_url: any.type_url, body: any.value }
+        ReceivedResource { name: Some(r.name), version: r.version, type_url: any.type_url, body: any.value }
     };
     ServerAnswer {
         type_url: m.type_url,
@@ -160,8 +160,12 @@
 }
 
 pub fn from_sotw_response(m: DiscoveryResponse) -> ServerAnswer {
-    let came =
-        |any: Any| Came { name: None, version: String::new(), type_url: any.type_url, body: any.value };
+    let came = |any: Any| ReceivedResource {
+        name: None,
+        version: String::new(),
+        type_url: any.type_url,
+        body: any.value,
+    };
     ServerAnswer {
         type_url: m.type_url,
         version: m.version_info,
--- a/crates/adapters/xds-grpc/src/hub.rs
+++ b/crates/adapters/xds-grpc/src/hub.rs
@@ -100,13 +100,13 @@
 }
 
 /// Who hears what subscribers tell of themselves.
-type Ear = Box<dyn Fn(&str, Word) + Send + Sync>;
+type Ear = Box<dyn Fn(&str, StreamEvent) + Send + Sync>;
 
 /// What a stream says of its subscriber. Streams are numbered in the order in which they opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum StreamEvent {
     /// What it tells of itself.
-    Told(u64, Topic, String),
+    Metadata(u64, Topic, String),
     /// Its stream has ended.
     Ended(u64),
 }
@@ -145,18 +145,18 @@
 
     /// Has this called for what subscribers tell of themselves, from now on; the first who asks hears. It is called on the
     /// stream's own task and must not wait.
-    pub fn hear(&self, ear: impl Fn(&str, Word) + Send + Sync + 'static) {
+    pub fn on_stream_event(&self, ear: impl Fn(&str, StreamEvent) + Send + Sync + 'static) {
         let _ = self.ear.set(Box::new(ear));
     }
 
-    fn say(&self, node: &str, word: Word) {
+    fn say(&self, node: &str, word: StreamEvent) {
         if let Some(ear) = self.ear.get().filter(|_| !node.is_empty()) {
             ear(node, word);
         }
     }
 
     /// Stands by: streams end, and new ones are refused until [`Hub::serve`].
-    pub fn stand_by(&self) {
+    pub fn suspend(&self) {
         self.served.store(0, Ordering::SeqCst);
         self.changed.send_modify(|_| {});
     }
@@ -164,7 +164,7 @@
     /// Hands out what stands in another store. Streams that were told from the one before end.
     pub fn serve(&self, store: Store) {
         // No stream may read the new store for the old one.
-        self.stand_by();
+        self.suspend();
         *self.store.write().unwrap_or_else(PoisonError::into_inner) = store;
         self.served.store(self.stores.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
     }
@@ -259,7 +259,7 @@
 
     /// The subscriber tells of itself.
     pub fn told(&self, topic: Topic, told: String) {
-        self.hub.say(&self.node(), Word::Told(self.number, topic, told));
+        self.hub.say(&self.node(), StreamEvent::Metadata(self.number, topic, told));
     }
 
     /// Who it is.
@@ -273,7 +273,7 @@
     fn drop(&mut self) {
         let entry = self.hub.entries.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.number);
         if let Some(entry) = entry {
-            self.hub.say(&entry.node, Word::Ended(self.number));
+            self.hub.say(&entry.node, StreamEvent::Ended(self.number));
         }
     }
 }
--- a/crates/adapters/xds-grpc/src/lib.rs
+++ b/crates/adapters/xds-grpc/src/lib.rs
@@ -9,9 +9,9 @@
 mod server;
 mod tls;
 
-pub use client::{run, ClientOptions, Notice};
-pub use convert::{node, telling};
+pub use client::{run, ClientEvent, ClientOptions};
+pub use convert::{node, with_metadata};
 pub use envoy_types::pb::envoy::config::core::v3::Node;
-pub use hub::{Hub, ServerLimits, Subscriber, Word};
+pub use hub::{Hub, ServerLimits, StreamEvent, Subscriber};
 pub use server::serve;
 pub use tls::{require_tls_beyond_loopback, Tls, TlsError, TlsFiles};
--- a/crates/adapters/xds-grpc/src/server.rs
+++ b/crates/adapters/xds-grpc/src/server.rs
@@ -163,7 +163,7 @@
                 if let Some(mut node) = W::node(&mut request) {
                     place.name(&node.id);
                     for topic in Topic::ALL {
-                        if let Some(told) = convert::told(&mut node, topic) {
+                        if let Some(told) = convert::take_metadata(&mut node, topic) {
                             place.told(topic, told);
                         }
                     }
--- a/crates/core/config-version/src/assignment.rs
+++ b/crates/core/config-version/src/assignment.rs
@@ -1,6 +1,6 @@
 //! What a control service tells one proxy: the generation that it is to act by.
 
-use crate::{Digest, Fault, Generation};
+use crate::{ConfigVersion, Digest, FieldError};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -9,11 +9,11 @@
 
 /// The generation that a proxy is to act by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Assignment {
+pub struct ConfigAssignment {
     /// The change that it belongs to; 0: none has been made.
     pub change: u64,
     /// The generation.
-    pub generation: Generation,
+    pub generation: ConfigVersion,
 }
 
 /// Why an assignment can't be taken. The proxy goes on as it does.
@@ -27,7 +27,7 @@
     Form(u32),
     /// A field of the settings.
     #[error(transparent)]
-    Field(#[from] Fault),
+    Field(#[from] FieldError),
     /// What came is not what its name says.
     #[error("settings of generation {told:?} have the digest {found:?}: spoilt on the way")]
     Spoilt {
@@ -46,7 +46,7 @@
     settings: Value,
 }
 
-impl Assignment {
+impl ConfigAssignment {
     /// As it travels.
     pub fn text(&self) -> String {
         let (generation, settings) = (self.generation.digest(), self.generation.document());
@@ -67,9 +67,9 @@
             return Err(AssignmentError::Form(form as u32));
         }
         let written: Written = serde_json::from_value(value).map_err(malformed)?;
-        let generation = Generation::read(&written.settings)?;
+        let generation = ConfigVersion::read(&written.settings)?;
         match generation.digest() == written.generation {
-            true => Ok(Assignment { change: written.change, generation }),
+            true => Ok(ConfigAssignment { change: written.change, generation }),
             false => Err(AssignmentError::Spoilt { told: written.generation, found: generation.digest() }),
         }
     }
--- a/crates/core/config-version/src/check.rs
+++ b/crates/core/config-version/src/check.rs
@@ -8,16 +8,16 @@
 /// A field that can't be obeyed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("settings{}{path}: expected {expected}", if path.is_empty() { "" } else { "." })]
-pub struct Fault {
+pub struct FieldError {
     /// Where.
     pub path: String,
     /// What was expected there.
     pub expected: String,
 }
 
-impl Fault {
+impl FieldError {
     pub(crate) fn at(path: impl Into<String>, expected: impl Into<String>) -> Self {
-        Fault { path: path.into(), expected: expected.into() }
+        FieldError { path: path.into(), expected: expected.into() }
     }
 }
 
@@ -89,7 +89,7 @@
     ),
 ];
 
-pub fn check(settings: &Map<String, Value>) -> Result<(), Fault> {
+pub fn check(settings: &Map<String, Value>) -> Result<(), FieldError> {
     fields("", settings, SETTINGS)
 }
 
@@ -101,12 +101,12 @@
     }
 }
 
-fn fields(path: &str, told: &Map<String, Value>, known: &[(&str, Form)]) -> Result<(), Fault> {
+fn fields(path: &str, told: &Map<String, Value>, known: &[(&str, Form)]) -> Result<(), FieldError> {
     for (name, value) in told {
         let path = below(path, name);
         let Some((_, form)) = known.iter().find(|(n, _)| n == name) else {
             let all: Vec<&str> = known.iter().map(|(n, _)| *n).collect();
-            return Err(Fault::at(
+            return Err(FieldError::at(
                 path,
                 format!("one of {}; nothing else changes while it runs", all.join(", ")),
             ));
@@ -116,8 +116,9 @@
     Ok(())
 }
 
-fn field(path: &str, value: &Value, form: &Form) -> Result<(), Fault> {
-    let need = |holds: bool, expected: String| if holds { Ok(()) } else { Err(Fault::at(path, expected)) };
+fn field(path: &str, value: &Value, form: &Form) -> Result<(), FieldError> {
+    let need =
+        |holds: bool, expected: String| if holds { Ok(()) } else { Err(FieldError::at(path, expected)) };
     match form {
         Form::Whole(from, to) => {
             let within = value.as_u64().is_some_and(|n| (*from..=*to).contains(&n));
@@ -158,11 +159,12 @@
             let mut seen = BTreeSet::new();
             for (i, one) in list.iter().enumerate() {
                 let path = format!("{path}[{i}]");
-                let told = one.as_object().ok_or_else(|| Fault::at(&path, "an object"))?;
+                let told = one.as_object().ok_or_else(|| FieldError::at(&path, "an object"))?;
                 fields(&path, told, known)?;
-                let name = one["name"].as_str().ok_or_else(|| Fault::at(below(&path, "name"), "a name"))?;
+                let name =
+                    one["name"].as_str().ok_or_else(|| FieldError::at(below(&path, "name"), "a name"))?;
                 if !seen.insert(name) {
-                    return Err(Fault::at(
+                    return Err(FieldError::at(
                         below(&path, "name"),
                         format!("each name once, not {name:?} again"),
                     ));
@@ -170,7 +172,7 @@
                 let span = |name: &str| one[name].as_u64();
                 if let (Some(promise), Some(deadline)) = (span("promise_ns"), span("deadline_ns")) {
                     if promise > deadline {
-                        return Err(Fault::at(below(&path, "promise_ns"), "deadline_ns at most"));
+                        return Err(FieldError::at(below(&path, "promise_ns"), "deadline_ns at most"));
                     }
                 }
             }
--- a/crates/core/config-version/src/digest.rs
+++ b/crates/core/config-version/src/digest.rs
@@ -15,7 +15,7 @@
 /// A text that is no digest.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no digest: expected 32 hex digits")]
-pub struct NotADigest(String);
+pub struct ParseDigestError(String);
 
 impl Digest {
     /// The digest of these bytes.
@@ -49,17 +49,17 @@
 }
 
 impl FromStr for Digest {
-    type Err = NotADigest;
-    fn from_str(text: &str) -> Result<Self, NotADigest> {
+    type Err = ParseDigestError;
+    fn from_str(text: &str) -> Result<Self, ParseDigestError> {
         let plain = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let read = plain.then(|| u128::from_str_radix(text, 16).ok()).flatten();
-        read.map(Digest).ok_or_else(|| NotADigest(text.chars().take(64).collect()))
+        read.map(Digest).ok_or_else(|| ParseDigestError(text.chars().take(64).collect()))
     }
 }
 
 impl TryFrom<String> for Digest {
-    type Error = NotADigest;
-    fn try_from(text: String) -> Result<Self, NotADigest> {
+    type Error = ParseDigestError;
+    fn try_from(text: String) -> Result<Self, ParseDigestError> {
         text.parse()
     }
 }
--- a/crates/core/config-version/src/lib.rs
+++ b/crates/core/config-version/src/lib.rs
@@ -13,9 +13,9 @@
 mod check;
 mod digest;
 
-pub use assignment::{Assignment, AssignmentError, FORM};
-pub use check::Fault;
-pub use digest::{Digest, NotADigest};
+pub use assignment::{AssignmentError, ConfigAssignment, FORM};
+pub use check::FieldError;
+pub use digest::{Digest, ParseDigestError};
 
 use serde_json::{Map, Value};
 
@@ -27,12 +27,12 @@
 
 /// Settings to lay over a proxy's own; checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Generation {
+pub struct ConfigVersion {
     digest: Digest,
     document: Map<String, Value>,
 }
 
-impl Generation {
+impl ConfigVersion {
     /// The one that says nothing: each proxy acts by its own file.
     pub fn base() -> Self {
         Self::of(Map::new())
@@ -40,19 +40,19 @@
 
     fn of(document: Map<String, Value>) -> Self {
         let digest = Digest::of(canonical(&Value::Object(document.clone())).as_bytes());
-        Generation { digest, document }
+        ConfigVersion { digest, document }
     }
 
     /// Checks a document.
     ///
     /// # Errors
     /// The path of the first field that is at fault, and what was expected there.
-    pub fn read(document: &Value) -> Result<Self, Fault> {
+    pub fn read(document: &Value) -> Result<Self, FieldError> {
         let length = document.to_string().len();
         if length > MOST {
-            return Err(Fault::at("", format!("{MOST} bytes at most, not {length}")));
+            return Err(FieldError::at("", format!("{MOST} bytes at most, not {length}")));
         }
-        let object = document.as_object().ok_or_else(|| Fault::at("", "an object of settings"))?;
+        let object = document.as_object().ok_or_else(|| FieldError::at("", "an object of settings"))?;
         check::check(object)?;
         Ok(Self::of(object.clone()))
     }
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// What this proxy can't obey, with its path: a class that it doesn't have.
-    pub fn over(&self, own: &Value) -> Result<Value, Fault> {
+    pub fn over(&self, own: &Value) -> Result<Value, FieldError> {
         let mut result = own.clone();
         for (name, told) in &self.document {
             match name.as_str() {
@@ -106,13 +106,13 @@
     }
 }
 
-fn classes(own: &mut Value, told: &Value) -> Result<(), Fault> {
+fn classes(own: &mut Value, told: &Value) -> Result<(), FieldError> {
     for (i, class) in told.as_array().into_iter().flatten().enumerate() {
         let name = &class["name"];
         let found = own.as_array_mut().and_then(|own| own.iter_mut().find(|c| c["name"] == *name));
         let found = found.ok_or_else(|| {
             let path = format!("categories[{i}].name");
-            Fault::at(
+            FieldError::at(
                 path,
                 format!("a class that this proxy has, not {name}; classes come with a restart alone"),
             )
--- a/crates/core/config-version/tests/generation.rs
+++ b/crates/core/config-version/tests/generation.rs
@@ -1,10 +1,10 @@
 //! What a generation may say, its name, and what it makes of a proxy's own settings.
 
-use rushquay_config_version::{Assignment, AssignmentError, Generation};
+use rushquay_config_version::{AssignmentError, ConfigAssignment, ConfigVersion};
 use serde_json::{json, Value};
 
 fn fault(document: Value) -> (String, String) {
-    let fault = Generation::read(&document).expect_err("refused");
+    let fault = ConfigVersion::read(&document).expect_err("refused");
     (fault.path, fault.expected)
 }
 
@@ -16,9 +16,9 @@
     let other: Value =
         serde_json::from_str(r#"{"caps":{"second_copies":false,"attempts_cap":2},"over_share_worth":0.5}"#)
             .expect("JSON");
-    let (one, other) = (Generation::read(&one).expect("good"), Generation::read(&other).expect("good"));
+    let (one, other) = (ConfigVersion::read(&one).expect("good"), ConfigVersion::read(&other).expect("good"));
     assert_eq!(one.digest(), other.digest());
-    assert_ne!(one.digest(), Generation::base().digest());
+    assert_ne!(one.digest(), ConfigVersion::base().digest());
     assert_eq!(one.digest().to_string().parse(), Ok(one.digest()));
 }
 
@@ -61,7 +61,7 @@
     });
     let told = json!({"categories": [{"name": "set", "deadline_ns": 8}], "customers": [{"name": "c", "quota_rps": 4}],
                       "caps": {"attempts_cap": 2}});
-    let over = Generation::read(&told).expect("good").over(&own).expect("obeyed");
+    let over = ConfigVersion::read(&told).expect("good").over(&own).expect("obeyed");
     assert_eq!(
         over,
         json!({
@@ -69,28 +69,28 @@
             "customers": [{"name": "c", "quota_rps": 4}], "caps": {"attempts_cap": 2, "cancelling": true},
         })
     );
-    assert_eq!(Generation::base().over(&own), Ok(own.clone()));
-    let unknown = Generation::read(&json!({"categories": [{"name": "sett"}]})).expect("good by itself");
+    assert_eq!(ConfigVersion::base().over(&own), Ok(own.clone()));
+    let unknown = ConfigVersion::read(&json!({"categories": [{"name": "sett"}]})).expect("good by itself");
     assert_eq!(unknown.over(&own).expect_err("refused").path, "categories[0].name");
 }
 
 #[test]
 fn an_assignment_comes_whole_or_not_at_all() {
-    let generation = Generation::read(&json!({"over_share_worth": 0.25})).expect("good");
-    let sent = Assignment { change: 7, generation };
-    assert_eq!(Assignment::read(&sent.text()), Ok(sent.clone()));
+    let generation = ConfigVersion::read(&json!({"over_share_worth": 0.25})).expect("good");
+    let sent = ConfigAssignment { change: 7, generation };
+    assert_eq!(ConfigAssignment::read(&sent.text()), Ok(sent.clone()));
     // A later program may add what this one doesn't need.
     let more = sent.text().replacen('{', "{\"by\":\"later\",", 1);
-    assert_eq!(Assignment::read(&more), Ok(sent.clone()));
+    assert_eq!(ConfigAssignment::read(&more), Ok(sent.clone()));
     assert!(matches!(
-        Assignment::read(&sent.text().replace("0.25", "0.5")),
+        ConfigAssignment::read(&sent.text().replace("0.25", "0.5")),
         Err(AssignmentError::Spoilt { .. })
     ));
     assert_eq!(
-        Assignment::read(&sent.text().replace("\"form\":1", "\"form\":2")),
+        ConfigAssignment::read(&sent.text().replace("\"form\":1", "\"form\":2")),
         Err(AssignmentError::Form(2))
     );
-    assert!(matches!(Assignment::read("{\"form\":1}"), Err(AssignmentError::Malformed(_))));
+    assert!(matches!(ConfigAssignment::read("{\"form\":1}"), Err(AssignmentError::Malformed(_))));
     let field = sent.text().replace("over_share_worth", "zone");
-    assert!(matches!(Assignment::read(&field), Err(AssignmentError::Field(_))));
+    assert!(matches!(ConfigAssignment::read(&field), Err(AssignmentError::Field(_))));
 }
--- a/crates/core/control-state/src/config.rs
+++ b/crates/core/control-state/src/config.rs
@@ -6,7 +6,7 @@
 /// A fault in a settings file: the field, and what was expected there.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
-pub struct Fault {
+pub struct ConfigError {
     /// The field's path.
     pub field: String,
     /// What was expected.
@@ -49,10 +49,10 @@
     ///
     /// # Errors
     /// The first field that is out of its range.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         let need = |holds: bool, field: &str, expected: &str| match holds {
             true => Ok(()),
-            false => Err(Fault { field: field.to_owned(), expected: expected.to_owned() }),
+            false => Err(ConfigError { field: field.to_owned(), expected: expected.to_owned() }),
         };
         need(!self.cluster.is_empty(), "control.cluster", "a name")?;
         need(!self.origin_cluster.is_empty(), "control.origin_cluster", "a name")?;
--- a/crates/core/control-state/src/lib.rs
+++ b/crates/core/control-state/src/lib.rs
@@ -5,5 +5,5 @@
 mod config;
 mod state;
 
-pub use config::{ControlConfig, Fault};
-pub use state::{Change, Control, NodeView, Origin, Taken};
+pub use config::{ConfigError, ControlConfig};
+pub use state::{ControlState, EndpointChange, ListOutcome, NodeView, Origin};
--- a/crates/core/control-state/src/state.rs
+++ b/crates/core/control-state/src/state.rs
@@ -1,8 +1,11 @@
 //! The declared state: from the node list to clusters of nodes.
 
 use crate::ControlConfig;
-use rushquay_endpoints::{Changes, Member, Members, Merge, MergeLimits, Nanos, NodeState, Source, Stated};
-use rushquay_overrides::{decide, Fleet, Imposed, Node, Override, SECOND};
+use rushquay_endpoints::{
+    Changes, Endpoint, EndpointList, EndpointMerger, EndpointState, MergeLimits, Nanos, Source,
+    SourcedEndpoint,
+};
+use rushquay_overrides::{effective_overrides, FleetCapacity, Imposed, Node, Override, SECOND};
 use std::collections::BTreeMap;
 
 /// Where the list comes from.
@@ -16,14 +19,14 @@
 
 /// What has to be declared anew.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Change {
+pub struct EndpointChange {
     /// By cluster (cache nodes, origin): what is new or changed.
-    pub changed: [Vec<Stated>; 2],
+    pub changed: [Vec<SourcedEndpoint>; 2],
     /// What is gone, as it was.
-    pub gone: [Vec<Stated>; 2],
+    pub gone: [Vec<SourcedEndpoint>; 2],
 }
 
-impl Change {
+impl EndpointChange {
     /// Whether there is nothing.
     pub fn is_empty(&self) -> bool {
         self.changed.iter().chain(&self.gone).all(Vec::is_empty)
@@ -32,11 +35,11 @@
 
 /// What came of a list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
+pub enum ListOutcome {
     /// The first list: all has to be declared, and can be handed out from now on.
     First,
     /// What changed, perhaps nothing.
-    Changed(Change),
+    Changed(EndpointChange),
     /// A whole list without a node, where there were some. It isn't obeyed.
     EmptyRefused,
 }
@@ -47,17 +50,17 @@
     /// The cluster that it stands in.
     pub cluster: String,
     /// The node, with the weight handed out.
-    pub stated: Stated,
+    pub stated: SourcedEndpoint,
     /// When its state or start last changed here; on the caller's clock.
     pub since: Nanos,
 }
 
 /// The control service's state.
-pub struct Control {
+pub struct ControlState {
     config: ControlConfig,
     origin: Origin,
-    merge: Merge,
-    clusters: [BTreeMap<String, Stated>; 2],
+    merge: EndpointMerger,
+    clusters: [BTreeMap<String, SourcedEndpoint>; 2],
     since: BTreeMap<String, Nanos>,
     version: Option<u64>,
     overrides: Vec<Override>,
@@ -70,12 +73,12 @@
 /// well.
 const RETURNED: Nanos = 600 * SECOND;
 
-impl Control {
+impl ControlState {
     /// Knows nothing yet, and declares nothing until the first list has come.
     pub fn new(config: ControlConfig, origin: Origin) -> Self {
         let hold = config.hold_s.saturating_mul(1_000_000_000);
-        let merge = Merge::new(MergeLimits { hold, remembered: config.removals });
-        Control {
+        let merge = EndpointMerger::new(MergeLimits { hold, remembered: config.removals });
+        ControlState {
             config,
             origin,
             merge,
@@ -99,7 +102,7 @@
     }
 
     /// The nodes by cluster: cache nodes, origin.
-    pub fn clusters(&self) -> [&BTreeMap<String, Stated>; 2] {
+    pub fn clusters(&self) -> [&BTreeMap<String, SourcedEndpoint>; 2] {
         [&self.clusters[0], &self.clusters[1]]
     }
 
@@ -110,45 +113,49 @@
 
     /// All nodes for the admin page.
     pub fn nodes(&self) -> Vec<NodeView> {
-        let view = |(cluster, nodes): (&str, &BTreeMap<String, Stated>)| {
-            let since = |s: &Stated| self.since.get(&s.member.id).copied().unwrap_or(0);
-            let view = |s: &Stated| NodeView { cluster: cluster.into(), stated: s.clone(), since: since(s) };
+        let view = |(cluster, nodes): (&str, &BTreeMap<String, SourcedEndpoint>)| {
+            let since = |s: &SourcedEndpoint| self.since.get(&s.member.id).copied().unwrap_or(0);
+            let view = |s: &SourcedEndpoint| NodeView {
+                cluster: cluster.into(),
+                stated: s.clone(),
+                since: since(s),
+            };
             nodes.values().map(view).collect::<Vec<_>>()
         };
         self.names().into_iter().zip(self.clusters()).flat_map(view).collect()
     }
 
     /// Takes a list, the whole or what changed.
-    pub fn list(&mut self, list: &Members, now: Nanos) -> Taken {
-        let live = |m: &&Member| m.state != NodeState::Gone;
+    pub fn list(&mut self, list: &EndpointList, now: Nanos) -> ListOutcome {
+        let live = |m: &&Endpoint| m.state != EndpointState::Gone;
         let nodes_before = self.clusters.iter().map(BTreeMap::len).sum::<usize>();
         // Danger: a discovery that has just started may answer before it knows anything, and would take every node
         // from every proxy with one word.
         if list.full && nodes_before > 0 && list.servers.iter().filter(live).count() == 0 {
-            return Taken::EmptyRefused;
+            return ListOutcome::EmptyRefused;
         }
         let first = self.version.is_none();
         if first && !list.full {
             // What changed says nothing without the whole.
-            return Taken::Changed(Change::default());
+            return ListOutcome::Changed(EndpointChange::default());
         }
         let changes = self.merge.list(Source::Discovery, list, now);
         self.version = Some(list.version);
         let change = self.apply(changes, list.version, now);
         match first {
-            true => Taken::First,
-            false => Taken::Changed(change),
+            true => ListOutcome::First,
+            false => ListOutcome::Changed(change),
         }
     }
 
     /// The overrides that are live at this Unix time, all of them; and from how long an outage a node comes back cold.
-    pub fn impose(&mut self, overrides: Vec<Override>, wall: Nanos, cold_after: Nanos) -> Change {
+    pub fn impose(&mut self, overrides: Vec<Override>, wall: Nanos, cold_after: Nanos) -> EndpointChange {
         (self.overrides, self.wall, self.cold_after) = (overrides, wall, cold_after);
-        let mut change = Change::default();
+        let mut change = EndpointChange::default();
         for at in 0..self.clusters.len() {
-            let anew: Vec<Stated> = self.clusters[at]
+            let anew: Vec<SourcedEndpoint> = self.clusters[at]
                 .values()
-                .map(|s| Stated { imposed: self.imposed(&s.member, Some(&s.imposed)), ..s.clone() })
+                .map(|s| SourcedEndpoint { imposed: self.imposed(&s.member, Some(&s.imposed)), ..s.clone() })
                 .collect();
             for stated in anew {
                 let id = stated.member.id.clone();
@@ -162,9 +169,9 @@
     }
 
     /// What the overrides come to on a node; `before` is what they came to until now.
-    fn imposed(&self, member: &Member, before: Option<&Imposed>) -> Imposed {
+    fn imposed(&self, member: &Endpoint, before: Option<&Imposed>) -> Imposed {
         let node = Node { id: &member.id, kind: &member.kind, zone: &member.zone };
-        let (mut imposed, _) = decide(self.overrides.iter(), &node, self.wall);
+        let (mut imposed, _) = effective_overrides(self.overrides.iter(), &node, self.wall);
         if imposed.out == (0, 0) {
             if let Some((since, until)) = before.map(|b| b.out).filter(|out| *out != (0, 0)) {
                 // Over, or lifted.
@@ -182,20 +189,20 @@
     }
 
     /// The cache nodes as guard rails see them.
-    pub fn fleet(&self) -> Vec<Fleet> {
-        let one = |s: &Stated| Fleet {
+    pub fn fleet(&self) -> Vec<FleetCapacity> {
+        let one = |s: &SourcedEndpoint| FleetCapacity {
             id: s.member.id.clone(),
             kind: s.member.kind.clone(),
             zone: s.member.zone.clone(),
             weight: s.member.weight,
-            ready: s.member.state == NodeState::Ready,
+            ready: s.member.state == EndpointState::Ready,
         };
         self.clusters[0].values().map(one).collect()
     }
 
     /// Goes on from what was kept before a restart. Danger: told anew by the newest list, every entry would pass for
     /// changed, and the whole would go to every subscriber again; and a drain that discovery forgot as well would be over.
-    pub fn restore(&mut self, version: u64, nodes: Vec<Stated>, now: Nanos) {
+    pub fn restore(&mut self, version: u64, nodes: Vec<SourcedEndpoint>, now: Nanos) {
         let listed: BTreeMap<String, (u64, bool)> =
             nodes.iter().map(|s| (s.member.id.clone(), (s.listed, s.shared))).collect();
         let changes = self.merge.restore(Source::Discovery, version, nodes, now);
@@ -209,32 +216,32 @@
     }
 
     /// The nodes as a restart needs them: with the weights that the list tells.
-    pub fn kept(&self) -> Vec<Stated> {
-        let stated = |member: &Member| {
+    pub fn kept(&self) -> Vec<SourcedEndpoint> {
+        let stated = |member: &Endpoint| {
             let at = usize::from(member.kind == self.config.origin_kind);
             let now = self.clusters[at].get(&member.id)?;
-            Some(Stated { member: member.clone(), ..now.clone() })
+            Some(SourcedEndpoint { member: member.clone(), ..now.clone() })
         };
-        let mut all: Vec<Stated> = self.merge.nodes().filter_map(|v| stated(v.member)).collect();
+        let mut all: Vec<SourcedEndpoint> = self.merge.nodes().filter_map(|v| stated(v.member)).collect();
         all.sort_by(|a, b| a.member.id.cmp(&b.member.id));
         all
     }
 
     /// The list as it stands, for another that goes on from it; `None`: none was taken.
-    pub fn followed(&self) -> Option<Members> {
+    pub fn followed(&self) -> Option<EndpointList> {
         let servers = self.kept().into_iter().map(|s| s.member).collect();
-        Some(Members { version: self.version?, full: true, servers })
+        Some(EndpointList { version: self.version?, full: true, servers })
     }
 
     /// Lets what has been held for long enough go.
-    pub fn tick(&mut self, now: Nanos) -> Change {
+    pub fn tick(&mut self, now: Nanos) -> EndpointChange {
         let changes = self.merge.tick(now);
         let version = self.version.unwrap_or(0);
         self.apply(changes, version, now)
     }
 
-    fn apply(&mut self, changes: Changes, version: u64, now: Nanos) -> Change {
-        let mut change = Change::default();
+    fn apply(&mut self, changes: Changes, version: u64, now: Nanos) -> EndpointChange {
+        let mut change = EndpointChange::default();
         for gone in changes.gone {
             for (nodes, gone_here) in self.clusters.iter_mut().zip(&mut change.gone) {
                 gone_here.extend(nodes.remove(&gone.id));
@@ -249,8 +256,8 @@
             let at = usize::from(member.kind == self.config.origin_kind);
             let before = self.clusters.iter().find_map(|nodes| nodes.get(&member.id)).map(|s| &s.imposed);
             let imposed = self.imposed(&member, before);
-            let stated = Stated {
-                member: Member { weight, ..member },
+            let stated = SourcedEndpoint {
+                member: Endpoint { weight, ..member },
                 listed: version,
                 shared: self.origin == Origin::Discovery,
                 imposed,
@@ -258,7 +265,7 @@
             let id = stated.member.id.clone();
             let moved = self.clusters[1 - at].remove(&id);
             change.gone[1 - at].extend(moved);
-            let state = |s: &Stated| (s.member.state, s.member.started);
+            let state = |s: &SourcedEndpoint| (s.member.state, s.member.started);
             let before = self.clusters[at].insert(id.clone(), stated.clone());
             if before.as_ref().map(state) != Some(state(&stated)) {
                 self.since.insert(id, now);
@@ -275,7 +282,7 @@
 mod tests {
     use super::*;
 
-    fn list(version: u64, full: bool, nodes: &str) -> Members {
+    fn list(version: u64, full: bool, nodes: &str) -> EndpointList {
         let text = format!(r#"{{"version":{version},"full":{full},"servers":[{nodes}]}}"#);
         serde_json::from_str(&text).expect("a list")
     }
@@ -284,24 +291,27 @@
         format!(r#"{{"id":"{id}","addr":"127.0.0.1:1","zone":"z","kind":"k","state":"{state}"{more}}}"#)
     }
 
-    fn control() -> Control {
+    fn control() -> ControlState {
         let weights = [("slow".to_owned(), 0.5)].into();
-        Control::new(ControlConfig { weights, ..ControlConfig::default() }, Origin::Discovery)
+        ControlState::new(ControlConfig { weights, ..ControlConfig::default() }, Origin::Discovery)
     }
 
     #[test]
     fn nothing_is_declared_before_the_first_whole_list() {
         let mut c = control();
-        assert_eq!(c.list(&list(4, false, &node("a", "gone", "")), 0), Taken::Changed(Change::default()));
+        assert_eq!(
+            c.list(&list(4, false, &node("a", "gone", "")), 0),
+            ListOutcome::Changed(EndpointChange::default())
+        );
         assert_eq!(c.version(), None);
-        assert_eq!(c.list(&list(5, true, &node("a", "ready", "")), 0), Taken::First);
+        assert_eq!(c.list(&list(5, true, &node("a", "ready", "")), 0), ListOutcome::First);
     }
 
     #[test]
     fn an_empty_list_does_not_take_every_node_away() {
         let mut c = control();
         c.list(&list(5, true, &node("a", "ready", "")), 0);
-        assert_eq!(c.list(&list(6, true, ""), 1), Taken::EmptyRefused);
+        assert_eq!(c.list(&list(6, true, ""), 1), ListOutcome::EmptyRefused);
         assert_eq!(c.clusters()[0].len(), 1);
     }
 
@@ -311,9 +321,9 @@
         c.list(&list(5, true, &node("a", "ready", "")), 0);
         c.list(&list(6, false, &node("a", "draining", "")), 1);
         c.list(&list(3, true, &node("a", "ready", "")), 2);
-        assert_eq!(c.clusters()[0]["a"].member.state, NodeState::Draining);
+        assert_eq!(c.clusters()[0]["a"].member.state, EndpointState::Draining);
         c.list(&list(7, true, &node("a", "ready", "")), 3);
-        assert_eq!(c.clusters()[0]["a"].member.state, NodeState::Ready);
+        assert_eq!(c.clusters()[0]["a"].member.state, EndpointState::Ready);
     }
 
     #[test]
@@ -335,11 +345,14 @@
                 node("c", "ready", r#","weight":2"#)
             )
         };
-        assert_eq!(after.list(&list(7, true, &all("draining")), 10), Taken::Changed(Change::default()));
+        assert_eq!(
+            after.list(&list(7, true, &all("draining")), 10),
+            ListOutcome::Changed(EndpointChange::default())
+        );
         after.list(&list(5, true, &all("ready")), 11);
-        assert_eq!(after.clusters()[0]["b"].member.state, NodeState::Draining);
+        assert_eq!(after.clusters()[0]["b"].member.state, EndpointState::Draining);
         after.list(&list(8, true, &all("ready")), 12);
-        assert_eq!(after.clusters()[0]["b"].member.state, NodeState::Ready);
+        assert_eq!(after.clusters()[0]["b"].member.state, EndpointState::Ready);
     }
 
     #[test]
@@ -352,7 +365,7 @@
         assert_eq!(c.clusters()[1].keys().collect::<Vec<_>>(), ["o"]);
         // One that turns out to be of another kind leaves the cluster that it stood in.
         let now = slow.replace("slow", "origin");
-        let Taken::Changed(change) = c.list(&list(6, false, &now), 1) else { panic!("not the first") };
+        let ListOutcome::Changed(change) = c.list(&list(6, false, &now), 1) else { panic!("not the first") };
         assert_eq!((change.gone[0].len(), change.changed[1].len(), c.clusters()[0].len()), (1, 1, 0));
     }
 }
--- a/crates/core/control-state/tests/churn.rs
+++ b/crates/core/control-state/tests/churn.rs
@@ -1,9 +1,9 @@
 //! Overrides through random changes of the list, against a plain model: what is declared of each node, and what is listed.
 
 use proptest::prelude::*;
-use rushquay_control_state::{Control, ControlConfig, Origin};
-use rushquay_endpoints::{Members, NodeState};
-use rushquay_overrides::{Ask, Book, Effect, Override, Policy, Scope, SECOND};
+use rushquay_control_state::{ControlConfig, ControlState, Origin};
+use rushquay_endpoints::{EndpointList, EndpointState};
+use rushquay_overrides::{Effect, Override, OverrideLimits, OverrideRequest, OverrideSet, Scope, SECOND};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -80,8 +80,8 @@
 
     #[test]
     fn what_is_declared_is_what_stands_whatever_the_list_does(steps in prop::collection::vec(step(), 1..60)) {
-        let mut control = Control::new(ControlConfig::default(), Origin::Discovery);
-        let mut book = Book::new(Policy { stay: 0.0, ..Policy::default() });
+        let mut control = ControlState::new(ControlConfig::default(), Origin::Discovery);
+        let mut book = OverrideSet::new(OverrideLimits { stay: 0.0, ..OverrideLimits::default() });
         let mut list: BTreeMap<usize, (bool, u64)> = [(9, (true, 0))].into();
         let (mut version, mut now) = (1, 1000 * SECOND);
         let member = |n: usize, ready: bool, start: u64| {
@@ -89,7 +89,7 @@
             serde_json::json!({"id": id(n), "addr": "127.0.0.1:9", "zone": zone(n), "kind": "k", "state": state,
                                "started_ms": start * 1000})
         };
-        let members = |version: u64, full: bool, servers: Vec<serde_json::Value>| -> Members {
+        let members = |version: u64, full: bool, servers: Vec<serde_json::Value>| -> EndpointList {
             let told = serde_json::json!({"version": version, "full": full, "servers": servers});
             serde_json::from_value(told).expect("a list")
         };
@@ -117,7 +117,7 @@
                 }
                 Step::Set(of, tenths, span) => {
                     let effect = if tenths == 0 { Effect::Out } else { Effect::Weight(tenths as f64 / 10.0) };
-                    let ask = Ask { scope: scope(of), effect, until: now + span * SECOND, author: "a".into(),
+                    let ask = OverrideRequest { scope: scope(of), effect, until: now + span * SECOND, author: "a".into(),
                                     reason: "r".into(), force: true };
                     model.push(book.set(ask, &control.fleet(), now, None).expect("set"));
                 }
@@ -147,7 +147,7 @@
                 prop_assert_eq!(told.imposed.is_out(now), out, "{} out", id(*n));
                 prop_assert!((told.imposed.factor(now) - factor).abs() < 1e-9, "{} factor", id(*n));
                 // An override undoes no drain.
-                let state = if *ready { NodeState::Ready } else { NodeState::Draining };
+                let state = if *ready { EndpointState::Ready } else { EndpointState::Draining };
                 prop_assert_eq!(told.member.state, state);
             }
         }
--- a/crates/core/endpoints/src/cursor.rs
+++ b/crates/core/endpoints/src/cursor.rs
@@ -1,10 +1,10 @@
 //! What to ask discovery for next, and which of its answers count.
 
-use crate::Members;
+use crate::EndpointList;
 
 /// Where a list at discovery has been followed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cursor {
+pub struct ListCursor {
     version: Option<u64>,
     /// The version of the list that is held, also while the whole list is asked for.
     held: Option<u64>,
@@ -14,17 +14,17 @@
 
 /// What becomes of an answer of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CursorUpdate {
     /// It counts.
     Taken,
     /// It is no sequel to what is held, which stays; the whole list is to be asked for.
     Doubted,
 }
 
-impl Cursor {
+impl ListCursor {
     /// At a version; `None`: there is no list yet.
     pub fn at(version: Option<u64>) -> Self {
-        Cursor { version, held: version, doubted: false }
+        ListCursor { version, held: version, doubted: false }
     }
 
     /// The version to ask from; `None`: the whole list.
@@ -45,15 +45,15 @@
     /// of discovery that lags behind brings nodes back that are gone, and one that has just started knows none. A doubted
     /// answer is asked for once more as a whole; what comes then counts: discovery may have begun anew, and the nodes may
     /// all be gone.
-    pub fn saw(&mut self, list: &Members) -> Answer {
+    pub fn saw(&mut self, list: &EndpointList) -> CursorUpdate {
         let older = self.held.is_some_and(|held| list.version < held);
         let emptied = list.full && list.servers.is_empty() && self.held.is_some();
         if (older || emptied) && !self.doubted {
             (self.version, self.doubted) = (None, true);
-            return Answer::Doubted;
+            return CursorUpdate::Doubted;
         }
-        *self = Cursor::at(Some(list.version));
-        Answer::Taken
+        *self = ListCursor::at(Some(list.version));
+        CursorUpdate::Taken
     }
 
     /// Asks for the whole list next: the changes that came could not be read, and would come again.
@@ -63,7 +63,7 @@
 
     /// Asks for the whole list next, and takes what comes: another discovery has versions of its own.
     pub fn reset(&mut self) {
-        *self = Cursor::default();
+        *self = ListCursor::default();
     }
 }
 
@@ -71,7 +71,7 @@
 mod tests {
     use super::*;
 
-    fn list(version: u64, full: bool, nodes: usize) -> Members {
+    fn list(version: u64, full: bool, nodes: usize) -> EndpointList {
         let node = r#"{"id":"a","addr":"10.0.0.1:80","state":"ready"}"#;
         let servers = vec![node; nodes].join(",");
         let text = format!(r#"{{"version":{version},"full":{full},"servers":[{servers}]}}"#);
@@ -81,25 +81,25 @@
     #[test]
     fn an_older_list_is_asked_for_once_more_and_then_counts() {
         for older in [list(40, true, 1), list(40, false, 1), list(42, true, 0)] {
-            let mut cursor = Cursor::at(Some(41));
-            assert_eq!(cursor.saw(&older), Answer::Doubted);
+            let mut cursor = ListCursor::at(Some(41));
+            assert_eq!(cursor.saw(&older), CursorUpdate::Doubted);
             assert_eq!(cursor.path(9), "/catalog/members", "the whole list is asked for");
             let (mut good, mut again) = (cursor, cursor);
-            assert_eq!(good.saw(&list(42, true, 1)), Answer::Taken);
+            assert_eq!(good.saw(&list(42, true, 1)), CursorUpdate::Taken);
             assert_eq!(good.version(), Some(42));
-            assert_eq!(again.saw(&older), Answer::Taken, "discovery has begun anew");
+            assert_eq!(again.saw(&older), CursorUpdate::Taken, "discovery has begun anew");
             assert_eq!(again.version(), Some(older.version));
-            assert_eq!(again.saw(&list(older.version.saturating_sub(1), true, 1)), Answer::Doubted);
+            assert_eq!(again.saw(&list(older.version.saturating_sub(1), true, 1)), CursorUpdate::Doubted);
         }
     }
 
     #[test]
     fn what_follows_and_what_is_new_counts_at_once() {
-        let mut cursor = Cursor::at(Some(41));
-        assert_eq!(cursor.saw(&list(41, false, 0)), Answer::Taken, "nothing has changed");
-        assert_eq!(cursor.saw(&list(43, true, 1)), Answer::Taken);
+        let mut cursor = ListCursor::at(Some(41));
+        assert_eq!(cursor.saw(&list(41, false, 0)), CursorUpdate::Taken, "nothing has changed");
+        assert_eq!(cursor.saw(&list(43, true, 1)), CursorUpdate::Taken);
         cursor.reset();
-        assert_eq!(cursor.saw(&list(1, true, 0)), Answer::Taken, "another discovery");
-        assert_eq!(Cursor::default().saw(&list(0, true, 0)), Answer::Taken);
+        assert_eq!(cursor.saw(&list(1, true, 0)), CursorUpdate::Taken, "another discovery");
+        assert_eq!(ListCursor::default().saw(&list(0, true, 0)), CursorUpdate::Taken);
     }
 }
--- a/crates/core/endpoints/src/member.rs
+++ b/crates/core/endpoints/src/endpoint.rs
@@ -7,7 +7,7 @@
 
 /// State of a node, from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum NodeState {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes its work; nothing new may be sent.
@@ -16,27 +16,27 @@
     Gone,
 }
 
-impl NodeState {
+impl EndpointState {
     /// The state as discovery words it.
     pub fn as_str(self) -> &'static str {
         match self {
-            NodeState::Ready => "ready",
-            NodeState::Draining => "draining",
-            NodeState::Gone => "gone",
+            EndpointState::Ready => "ready",
+            EndpointState::Draining => "draining",
+            EndpointState::Gone => "gone",
         }
     }
 
     /// Reads discovery's word. A state that is new here gets nothing new: it counts as draining.
     pub fn from_word(word: &str) -> Self {
         match word {
-            "ready" => NodeState::Ready,
-            "gone" => NodeState::Gone,
-            _ => NodeState::Draining,
+            "ready" => EndpointState::Ready,
+            "gone" => EndpointState::Gone,
+            _ => EndpointState::Draining,
         }
     }
 }
 
-impl Serialize for NodeState {
+impl Serialize for EndpointState {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(self.as_str())
     }
@@ -45,7 +45,7 @@
 /// A cache node, or the origin.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "Wire")]
-pub struct Member {
+pub struct Endpoint {
     /// Its id, the same at every proxy and after a restart.
     pub id: String,
     /// Where to connect; `None`: the list gave no address that can be read.
@@ -57,7 +57,7 @@
     /// Its cell.
     pub cell: u32,
     /// Its state.
-    pub state: NodeState,
+    pub state: EndpointState,
     /// Its size relative to others.
     pub weight: f64,
     /// When its process last started, Unix time in nanoseconds; 0: long ago, or not told.
@@ -66,13 +66,13 @@
 
 /// A list of nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Members {
+pub struct EndpointList {
     /// The list's version; grows with each change until discovery itself starts anew.
     pub version: u64,
     /// The whole list, else only the entries that changed.
     pub full: bool,
     /// The entries.
-    pub servers: Vec<Member>,
+    pub servers: Vec<Endpoint>,
 }
 
 /// What stands on the wire. Lenient, as a list that is followed must be: one odd field of one node must not cost the
@@ -95,18 +95,18 @@
     started_ms: Option<f64>,
 }
 
-impl From<Wire> for Member {
+impl From<Wire> for Endpoint {
     fn from(w: Wire) -> Self {
         let text = |v: Value| match v {
             Value::String(s) => s,
             _ => String::new(),
         };
-        Member {
+        Endpoint {
             addr: w.addr.parse().ok(),
             zone: text(w.zone),
             kind: text(w.kind),
             cell: w.cell.unwrap_or(0),
-            state: NodeState::from_word(&w.state),
+            state: EndpointState::from_word(&w.state),
             weight: w.weight.unwrap_or(1.0),
             started: (w.started_ms.unwrap_or(0.0) * 1e6) as Nanos,
             id: w.id,
@@ -114,7 +114,7 @@
     }
 }
 
-impl Serialize for Member {
+impl Serialize for Endpoint {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         use serde::ser::SerializeStruct;
         let mut fields = to.serialize_struct("Member", 8)?;
@@ -139,11 +139,12 @@
         let text = r#"{"version":3,"full":true,"servers":[
             {"id":"a","addr":"10.0.0.1:80","zone":"z","kind":"k","cell":2,"state":"ready","weight":2.5,"started_ms":7},
             {"id":"b","addr":"nowhere","zone":4,"state":"resting"}]}"#;
-        let list: Members = serde_json::from_str(text).expect("a list");
+        let list: EndpointList = serde_json::from_str(text).expect("a list");
         let (a, b) = (&list.servers[0], &list.servers[1]);
-        assert_eq!((a.state, a.started, a.weight, a.cell), (NodeState::Ready, 7_000_000, 2.5, 2));
-        assert_eq!((b.addr, b.zone.as_str(), b.state), (None, "", NodeState::Draining));
-        let again: Member = serde_json::from_value(serde_json::to_value(a).expect("JSON")).expect("a member");
+        assert_eq!((a.state, a.started, a.weight, a.cell), (EndpointState::Ready, 7_000_000, 2.5, 2));
+        assert_eq!((b.addr, b.zone.as_str(), b.state), (None, "", EndpointState::Draining));
+        let again: Endpoint =
+            serde_json::from_value(serde_json::to_value(a).expect("JSON")).expect("a member");
         assert_eq!(&again, a);
     }
 }
--- a/crates/core/endpoints/src/lib.rs
+++ b/crates/core/endpoints/src/lib.rs
@@ -4,25 +4,25 @@
 //! Pure: no I/O, and time comes in as an argument.
 #![forbid(unsafe_code)]
 
-mod check;
 mod cursor;
-mod follow;
+mod endpoint;
 mod imposed;
-mod member;
+mod list_assembler;
 mod merge;
 mod pins;
-mod roll;
-mod starts;
+mod start_times;
+mod validation;
+mod watch_schedule;
 
-pub use check::{check_list, ListFault};
-pub use cursor::{Answer, Cursor};
-pub use follow::{Failure, Follow, Manner, Step, TOLD};
+pub use cursor::{CursorUpdate, ListCursor};
+pub use endpoint::{Endpoint, EndpointList, EndpointState};
 pub use imposed::Imposed;
-pub use member::{Member, Members, NodeState};
-pub use merge::{Changes, Merge, MergeLimits, News, Source, Stated, View};
+pub use list_assembler::ListAssembler;
+pub use merge::{Changes, EndpointMerger, EndpointView, MergeLimits, Source, SourcedEndpoint, WatchEvent};
 pub use pins::{Pin, Pins};
-pub use roll::Roll;
-pub use starts::Starts;
+pub use start_times::StartTimes;
+pub use validation::{validate_list, ListError};
+pub use watch_schedule::{CallFailure, NextCall, WatchMode, WatchSchedule, TOLD};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/endpoints/src/merge.rs
+++ b/crates/core/endpoints/src/merge.rs
@@ -17,7 +17,7 @@
 //!    only restricts: out of service counts as draining, a factor goes on the weight, and a node that comes back with a
 //!    cold cache counts as started then. It ends by the clock, whoever can be reached.
 
-use crate::{Imposed, Member, Members, Nanos, NodeState, Pin};
+use crate::{Endpoint, EndpointList, EndpointState, Imposed, Nanos, Pin};
 use std::collections::{BTreeSet, HashMap};
 
 /// Who says something about nodes. The order is that of precedence for addresses.
@@ -35,9 +35,9 @@
 
 /// A node with the version of discovery's list that it comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stated {
+pub struct SourcedEndpoint {
     /// The node.
-    pub member: Member,
+    pub member: Endpoint,
     /// The version of the list in which this entry was last told; 0: not told.
     pub listed: u64,
     /// The list was discovery's, so that its versions can be compared between sources.
@@ -48,11 +48,11 @@
 
 /// News from one source.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum WatchEvent {
     /// All that the source names.
-    Whole(Vec<Stated>),
+    Whole(Vec<SourcedEndpoint>),
     /// What has changed, a member in state gone included, and the ids that are no longer named.
-    Changed(Vec<Stated>, Vec<String>),
+    Changed(Vec<SourcedEndpoint>, Vec<String>),
     /// The source can't be reached; what it said stands.
     Lost,
 }
@@ -76,9 +76,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// Nodes that are new or changed, as they are to be taken now.
-    pub upserts: Vec<Member>,
+    pub upserts: Vec<Endpoint>,
     /// Nodes that no list names any more, as they were.
-    pub gone: Vec<Member>,
+    pub gone: Vec<Endpoint>,
 }
 
 impl Changes {
@@ -90,9 +90,9 @@
 
 /// A node of the merged list with where its state comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View<'a> {
+pub struct EndpointView<'a> {
     /// The node as it is taken.
-    pub member: &'a Member,
+    pub member: &'a Endpoint,
     /// The source whose word decided its state.
     pub decided: Source,
 }
@@ -100,7 +100,7 @@
 /// What one source says of one node.
 #[derive(Clone, Debug)]
 struct Said {
-    member: Member,
+    member: Endpoint,
     listed: u64,
     shared: bool,
     imposed: Imposed,
@@ -111,7 +111,7 @@
     /// The source still names the node; else this is a remembered restriction.
     names: bool,
     /// What the source says now, where that is not believed yet.
-    doubted: Option<Box<Stated>>,
+    doubted: Option<Box<SourcedEndpoint>>,
 }
 
 #[derive(Default)]
@@ -126,34 +126,34 @@
 }
 
 /// The merged list.
-pub struct Merge {
+pub struct EndpointMerger {
     limits: MergeLimits,
     tables: [Table; SOURCES],
-    merged: HashMap<String, (Member, Source)>,
+    merged: HashMap<String, (Endpoint, Source)>,
     /// When it was last told something, or the time.
     now: Nanos,
     /// When it was last told the time.
     ticked: Nanos,
 }
 
-impl Merge {
+impl EndpointMerger {
     /// No source has said anything yet.
     pub fn new(limits: MergeLimits) -> Self {
-        Merge { limits, tables: Default::default(), merged: HashMap::new(), now: 0, ticked: 0 }
+        EndpointMerger { limits, tables: Default::default(), merged: HashMap::new(), now: 0, ticked: 0 }
     }
 
     /// Takes a list in discovery's form from discovery, or what the configuration knew. A whole list of a lower
     /// version than the last isn't continuous: it is an old one, or discovery started anew.
-    pub fn list(&mut self, source: Source, list: &Members, now: Nanos) -> Changes {
+    pub fn list(&mut self, source: Source, list: &EndpointList, now: Nanos) -> Changes {
         let table = &mut self.tables[source as usize];
         table.view += u64::from(list.version < table.version);
         table.version = list.version;
-        let stated = |m: &Member| {
+        let stated = |m: &Endpoint| {
             let imposed = Imposed::default();
-            Stated { member: m.clone(), listed: list.version, shared: true, imposed }
+            SourcedEndpoint { member: m.clone(), listed: list.version, shared: true, imposed }
         };
-        let all: Vec<Stated> = list.servers.iter().map(stated).collect();
-        let news = if list.full { News::Whole(all) } else { News::Changed(all, Vec::new()) };
+        let all: Vec<SourcedEndpoint> = list.servers.iter().map(stated).collect();
+        let news = if list.full { WatchEvent::Whole(all) } else { WatchEvent::Changed(all, Vec::new()) };
         let mut changes = self.take(source, news, now);
         if source == Source::Discovery && list.full && !self.tables[Source::Known as usize].said.is_empty() {
             let ids: BTreeSet<String> =
@@ -167,14 +167,20 @@
 
     /// What this source had said before a restart: its version and its entries, each from the list in which it was last
     /// told. A list of a lower version that comes next is an old one, as it would have been without the restart.
-    pub fn restore(&mut self, source: Source, version: u64, all: Vec<Stated>, now: Nanos) -> Changes {
+    pub fn restore(
+        &mut self,
+        source: Source,
+        version: u64,
+        all: Vec<SourcedEndpoint>,
+        now: Nanos,
+    ) -> Changes {
         self.tables[source as usize].version = version;
-        self.take(source, News::Whole(all), now)
+        self.take(source, WatchEvent::Whole(all), now)
     }
 
     /// Takes news from the control service; `incarnation` names the process that speaks. The view is continuous
     /// while it stays the same.
-    pub fn control(&mut self, incarnation: &str, news: News, now: Nanos) -> Changes {
+    pub fn control(&mut self, incarnation: &str, news: WatchEvent, now: Nanos) -> Changes {
         let table = &mut self.tables[Source::Control as usize];
         if table.incarnation != incarnation {
             incarnation.clone_into(&mut table.incarnation);
@@ -226,8 +232,8 @@
     }
 
     /// The merged list, in no order.
-    pub fn nodes(&self) -> impl Iterator<Item = View<'_>> {
-        self.merged.values().map(|(member, decided)| View { member, decided: *decided })
+    pub fn nodes(&self) -> impl Iterator<Item = EndpointView<'_>> {
+        self.merged.values().map(|(member, decided)| EndpointView { member, decided: *decided })
     }
 
     /// What is bound to which node. A node that no list names has no pins.
@@ -242,16 +248,16 @@
         self.tables[source as usize].lost
     }
 
-    fn take(&mut self, source: Source, news: News, now: Nanos) -> Changes {
+    fn take(&mut self, source: Source, news: WatchEvent, now: Nanos) -> Changes {
         self.now = self.now.max(now);
         let (limits, table) = (self.limits, &mut self.tables[source as usize]);
         let mut touched = BTreeSet::new();
         let (stated, removed) = match news {
-            News::Lost => {
+            WatchEvent::Lost => {
                 table.lost = true;
                 return Changes::default();
             }
-            News::Whole(all) => {
+            WatchEvent::Whole(all) => {
                 let named: BTreeSet<&str> = all.iter().map(|s| s.member.id.as_str()).collect();
                 let missing = |(id, said): (&String, &Said)| {
                     ((said.names || said.doubted.is_some()) && !named.contains(id.as_str()))
@@ -260,7 +266,7 @@
                 let missing: Vec<String> = table.said.iter().filter_map(missing).collect();
                 (all, missing)
             }
-            News::Changed(changed, removed) => (changed, removed),
+            WatchEvent::Changed(changed, removed) => (changed, removed),
         };
         table.lost = false;
         for id in removed {
@@ -295,7 +301,7 @@
         changes
     }
 
-    fn decide(&self, id: &str) -> Option<(Member, Source)> {
+    fn decide(&self, id: &str) -> Option<(Endpoint, Source)> {
         let order = [Source::Discovery, Source::Known, Source::Control];
         let said: Vec<(Source, &Said)> =
             order.iter().filter_map(|s| Some((*s, self.tables[*s as usize].said.get(id)?))).collect();
@@ -314,13 +320,13 @@
             .map(|(s, said)| (*s, said.member.state))
             .reduce(|worst, other| if other.1 > worst.1 { other } else { worst })?;
         // Rule 3.
-        if worst == NodeState::Gone || !said.iter().any(|(_, s)| s.names) {
+        if worst == EndpointState::Gone || !said.iter().any(|(_, s)| s.names) {
             return None;
         }
         let named = || said.iter().filter(|(_, s)| s.names);
         let first = named().next().map(|(_, s)| &s.member)?;
         let control = named().find(|(s, _)| *s == Source::Control).map(|(_, s)| &s.member);
-        let mut member = Member {
+        let mut member = Endpoint {
             addr: named().find_map(|(_, s)| s.member.addr),
             state: worst,
             weight: control.unwrap_or(first).weight,
@@ -329,7 +335,7 @@
         // Rule 7.
         if let Some(imposed) = self.tables[Source::Control as usize].said.get(id).map(|s| &s.imposed) {
             if imposed.is_out(self.now) {
-                member.state = member.state.max(NodeState::Draining);
+                member.state = member.state.max(EndpointState::Draining);
             }
             member.weight *= imposed.factor(self.now);
             member.started = member.started.max(imposed.returned(self.now));
@@ -339,15 +345,15 @@
 }
 
 impl Said {
-    fn new(stated: Stated, at: Nanos, view: u64) -> Self {
-        let names = stated.member.state != NodeState::Gone;
-        let Stated { member, listed, shared, imposed } = stated;
+    fn new(stated: SourcedEndpoint, at: Nanos, view: u64) -> Self {
+        let names = stated.member.state != EndpointState::Gone;
+        let SourcedEndpoint { member, listed, shared, imposed } = stated;
         Said { member, listed, shared, imposed, at, view, names, doubted: None }
     }
 }
 
 impl Table {
-    fn say(&mut self, new: Stated, now: Nanos, hold: Nanos) {
+    fn say(&mut self, new: SourcedEndpoint, now: Nanos, hold: Nanos) {
         let view = self.view;
         let Some(old) = self.said.get_mut(&new.member.id) else {
             self.said.insert(new.member.id.clone(), Said::new(new, now, view));
@@ -376,9 +382,9 @@
         said.names = false;
         said.doubted = None;
         if said.view == self.view {
-            said.member.state = NodeState::Gone;
+            said.member.state = EndpointState::Gone;
             said.at = now;
-        } else if said.member.state == NodeState::Ready {
+        } else if said.member.state == EndpointState::Ready {
             self.said.remove(id);
         }
     }
--- a/crates/core/endpoints/src/starts.rs
+++ b/crates/core/endpoints/src/start_times.rs
@@ -4,7 +4,7 @@
 //! read, by an hour or more. Taken as told, a node that has just started would pass for one that has long been warm, and be
 //! pushed over; or for one that starts in the future, and be spared for an hour.
 
-use crate::{Member, Nanos};
+use crate::{Endpoint, Nanos};
 use std::collections::HashMap;
 
 /// Wall clocks of machines that are well differ by less than this.
@@ -25,7 +25,7 @@
 
 /// When nodes started, on the clock of this process.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct StartTimes {
     known: HashMap<String, Start>,
     /// How far this process's clock is ahead of the one that starts are told by; 0: as far as is known not at all.
     ahead: i64,
@@ -35,7 +35,7 @@
     listed: Option<Nanos>,
 }
 
-impl Starts {
+impl StartTimes {
     /// An answer of discovery was made at this Unix time, by its own clock. True: the two clocks differ otherwise than was known.
     pub fn dated(&mut self, date: Nanos, now: Nanos) -> bool {
         let ahead = now as i64 - date as i64;
@@ -53,7 +53,7 @@
     }
 
     /// Takes a list, whole or of what has changed, and puts its starts on this process's clock.
-    pub fn take(&mut self, members: &mut [Member], now: Nanos) {
+    pub fn take(&mut self, members: &mut [Endpoint], now: Nanos) {
         for member in members {
             member.started = self.here(&member.id, member.started, now);
         }
--- a/crates/core/endpoints/src/check.rs
+++ b/crates/core/endpoints/src/validation.rs
@@ -1,6 +1,6 @@
 //! The strict reading of a node list: each fault names its field and what was expected there.
 
-use crate::{Member, Members};
+use crate::{Endpoint, EndpointList};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 /// A fault in a node list. Fix the field named and read the list again.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}, found {found}")]
-pub struct ListFault {
+pub struct ListError {
     /// The field's path, as `servers[2].addr`; `(file)` for the whole.
     pub field: String,
     /// What was expected there.
@@ -17,12 +17,12 @@
     pub found: String,
 }
 
-fn fault(field: impl Into<String>, expected: &'static str, found: impl ToString) -> ListFault {
+fn fault(field: impl Into<String>, expected: &'static str, found: impl ToString) -> ListError {
     let mut found = found.to_string();
     if found.len() > 80 {
         found = found.chars().take(77).collect::<String>() + "...";
     }
-    ListFault { field: field.into(), expected, found }
+    ListError { field: field.into(), expected, found }
 }
 
 fn shown(v: Option<&Value>) -> String {
@@ -34,7 +34,7 @@
 /// # Errors
 /// The first fault: what is no JSON, a field that is missing or of another type, a list that isn't whole, an id
 /// that is empty or stands twice, an address that isn't `IP:PORT`, a weight that isn't positive.
-pub fn check_list(text: &str) -> Result<Members, ListFault> {
+pub fn validate_list(text: &str) -> Result<EndpointList, ListError> {
     let root: Value = serde_json::from_str(text).map_err(|e| fault("(file)", "JSON", e))?;
     let Value::Object(fields) = &root else { return Err(fault("(file)", "an object", "something else")) };
     let version = fields.get("version").and_then(Value::as_u64);
@@ -56,10 +56,10 @@
         }
         members.push(member);
     }
-    Ok(Members { version, full: true, servers: members })
+    Ok(EndpointList { version, full: true, servers: members })
 }
 
-fn check_member(at: &str, v: &Value) -> Result<Member, ListFault> {
+fn check_member(at: &str, v: &Value) -> Result<Endpoint, ListError> {
     let path = |name: &str| format!("{at}.{name}");
     if !v.is_object() {
         return Err(fault(at, "an object", v));
@@ -105,7 +105,7 @@
     use super::*;
 
     fn field(text: &str) -> String {
-        check_list(text).expect_err("a fault").field
+        validate_list(text).expect_err("a fault").field
     }
 
     fn with(node: &str) -> String {
@@ -126,6 +126,6 @@
         assert_eq!(field(&with(&format!(r#"{{{good},"cell":-1}}"#))), "servers[0].cell");
         assert_eq!(field(&with(&format!(r#"{{{good},"zone":7}}"#))), "servers[0].zone");
         assert_eq!(field(&with(&format!(r#"{{{good}}},{{{good}}}"#))), "servers[1].id");
-        assert_eq!(check_list(&with(&format!("{{{good}}}"))).map(|l| l.servers.len()), Ok(1));
+        assert_eq!(validate_list(&with(&format!("{{{good}}}"))).map(|l| l.servers.len()), Ok(1));
     }
 }
--- a/crates/core/endpoints/src/follow.rs
+++ b/crates/core/endpoints/src/watch_schedule.rs
@@ -35,7 +35,7 @@
 
 /// How lists come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum WatchMode {
     /// One discovery serves the whole fleet, and the list has to be asked for within this time (0: nothing is said).
     Asked {
         /// In nanoseconds.
@@ -51,7 +51,7 @@
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum CallFailure {
     /// No answer came in time.
     Silent,
     /// The connection broke, or was not to be had.
@@ -77,7 +77,7 @@
 
 /// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct NextCall {
     /// It begins after this time.
     pub wait: Nanos,
     /// Discovery may wait so long for news; 0: it is to answer at once.
@@ -88,58 +88,58 @@
 
 /// Follows one discovery, or one after another.
 #[derive(Clone, Copy, Debug)]
-pub struct Follow {
-    manner: Manner,
+pub struct WatchSchedule {
+    manner: WatchMode,
     state: State,
 }
 
-impl Follow {
+impl WatchSchedule {
     /// Nothing has been asked yet.
-    pub fn new(manner: Manner) -> Self {
-        Follow { manner, state: State::Starting }
+    pub fn new(manner: WatchMode) -> Self {
+        WatchSchedule { manner, state: State::Starting }
     }
 
     /// What to do next; `chance` gives numbers from 0 to 1.
-    pub fn next(&self, mut chance: impl FnMut() -> f64) -> Step {
+    pub fn next(&self, mut chance: impl FnMut() -> f64) -> NextCall {
         let drawn =
             |wait: Nanos, least: f64, chance: f64| (wait as f64 * (least + (1.0 - least) * chance)) as Nanos;
         let doubled = |first: Nanos, n: u32, most: Nanos| first.saturating_mul(1 << n.min(16)).min(most);
         match (self.state, self.manner) {
-            (State::Moved(0), _) => Step { wait: 0, hold: 0, limit: MOVED_ANSWER },
+            (State::Moved(0), _) => NextCall { wait: 0, hold: 0, limit: MOVED_ANSWER },
             (State::Moved(n), _) => {
-                Step { wait: doubled(MOVED_AGAIN, n - 1, MOVED_AGAIN_MOST), hold: 0, limit: MOVED_ANSWER }
+                NextCall { wait: doubled(MOVED_AGAIN, n - 1, MOVED_AGAIN_MOST), hold: 0, limit: MOVED_ANSWER }
             }
-            (State::Starting, Manner::Asked { .. }) => {
-                Step { wait: drawn(AGAIN, AGAIN_LEAST, chance()), ..self.watch(chance()) }
+            (State::Starting, WatchMode::Asked { .. }) => {
+                NextCall { wait: drawn(AGAIN, AGAIN_LEAST, chance()), ..self.watch(chance()) }
             }
             (State::Following, _) => self.watch(chance()),
-            (State::Doubtful, Manner::Asked { .. }) => {
-                Step { wait: drawn(RENEW, 0.0, chance()), hold: 0, limit: ANSWER }
+            (State::Doubtful, WatchMode::Asked { .. }) => {
+                NextCall { wait: drawn(RENEW, 0.0, chance()), hold: 0, limit: ANSWER }
             }
-            (State::Lost(n), Manner::Asked { .. }) => Step {
+            (State::Lost(n), WatchMode::Asked { .. }) => NextCall {
                 wait: drawn(doubled(AGAIN, n, AGAIN_MOST), AGAIN_LEAST, chance()),
                 hold: 0,
                 limit: ANSWER,
             },
-            (State::Starting | State::Doubtful, Manner::Pushed { grace }) => {
-                Step { wait: 0, hold: 0, limit: grace / 5 * 2 }
+            (State::Starting | State::Doubtful, WatchMode::Pushed { grace }) => {
+                NextCall { wait: 0, hold: 0, limit: grace / 5 * 2 }
             }
-            (State::Lost(n), Manner::Pushed { grace }) => {
+            (State::Lost(n), WatchMode::Pushed { grace }) => {
                 // Danger: an agent on a machine that is too busy would never be heard out; now and then it gets longer.
                 let limit = if n % 4 == 0 { grace / 5 * 4 } else { grace / 5 * 2 };
-                Step { wait: grace / 10, hold: 0, limit }
+                NextCall { wait: grace / 10, hold: 0, limit }
             }
         }
     }
 
-    fn watch(&self, chance: f64) -> Step {
+    fn watch(&self, chance: f64) -> NextCall {
         let (hold, overdue) = match self.manner {
-            Manner::Asked { within: 0 } => (HOLD, OVERDUE),
-            Manner::Asked { within } => ((within / 2).clamp(200 * MS, HOLD), OVERDUE),
-            Manner::Pushed { grace } => (PUSHED_HOLD, grace / 5 * 2),
+            WatchMode::Asked { within: 0 } => (HOLD, OVERDUE),
+            WatchMode::Asked { within } => ((within / 2).clamp(200 * MS, HOLD), OVERDUE),
+            WatchMode::Pushed { grace } => (PUSHED_HOLD, grace / 5 * 2),
         };
         let hold = (hold as f64 * (1.0 - HOLD_DRAWN * chance)) as Nanos;
-        Step { wait: 0, hold, limit: hold + overdue }
+        NextCall { wait: 0, hold, limit: hold + overdue }
     }
 
     /// A call was answered with a list.
@@ -153,11 +153,10 @@
     }
 
     /// A call has failed. Returns whether discovery counts as lost by now.
-    pub fn failed(&mut self, how: Failure) -> bool {
+    pub fn failed(&mut self, how: CallFailure) -> bool {
         self.state = match (self.state, how) {
-            (State::Following, Failure::Silent | Failure::Broken) | (State::Starting, Failure::Silent) => {
-                State::Doubtful
-            }
+            (State::Following, CallFailure::Silent | CallFailure::Broken)
+            | (State::Starting, CallFailure::Silent) => State::Doubtful,
             (State::Starting | State::Following | State::Doubtful, _) => State::Lost(1),
             (State::Lost(n), _) => State::Lost(n.saturating_add(1)),
             (State::Moved(n), _) => State::Moved(n.saturating_add(1)),
--- a/crates/core/endpoints/tests/fleet.rs
+++ b/crates/core/endpoints/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Three hundred proxies follow one discovery that is short of room, on one virtual clock.
 
-use rushquay_endpoints::{Failure, Follow, Manner, Nanos, TOLD};
+use rushquay_endpoints::{CallFailure, Nanos, WatchMode, WatchSchedule, TOLD};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -27,7 +27,7 @@
 }
 
 struct Fleet {
-    follows: Vec<Follow>,
+    follows: Vec<WatchSchedule>,
     known: Vec<u32>,
     /// By version: when each proxy knew it.
     when: Vec<Vec<Option<Nanos>>>,
@@ -144,13 +144,13 @@
                     self.follows[p].answered();
                 }
                 What::Refused => {
-                    self.follows[p].failed(Failure::Refused);
+                    self.follows[p].failed(CallFailure::Refused);
                 }
                 What::Silent => {
-                    self.follows[p].failed(Failure::Silent);
+                    self.follows[p].failed(CallFailure::Silent);
                 }
                 What::Broken => {
-                    self.follows[p].failed(Failure::Broken);
+                    self.follows[p].failed(CallFailure::Broken);
                 }
             }
             self.open[p] = None;
@@ -167,7 +167,7 @@
 fn three_hundred_proxies_know_each_change_in_time_and_do_not_call_in_step() {
     for seed in 1..=5 {
         let mut fleet = Fleet {
-            follows: vec![Follow::new(Manner::Asked { within: 10 * SECOND }); PROXIES],
+            follows: vec![WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND }); PROXIES],
             known: vec![0; PROXIES],
             when: vec![vec![None; PROXIES]; 4],
             calls: vec![0; PROXIES],
--- a/crates/core/endpoints/tests/follow.rs
+++ b/crates/core/endpoints/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use rushquay_endpoints::{Failure, Follow, Manner, Nanos, Step, TOLD};
+use rushquay_endpoints::{CallFailure, Nanos, NextCall, WatchMode, WatchSchedule, TOLD};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
@@ -38,7 +38,7 @@
 
 /// Discovery in virtual time.
 struct Play {
-    follow: Follow,
+    follow: WatchSchedule,
     chance: Chance,
     now: Nanos,
     /// The list has changed so often, and when it last did that discovery could be reached.
@@ -47,17 +47,17 @@
     known: u32,
     late: Nanos,
     /// A call that has begun, and whose end is still to be played.
-    begun: Option<Step>,
+    begun: Option<NextCall>,
 }
 
 impl Play {
-    fn new(manner: Manner, late: Nanos, seed: u64) -> Self {
-        let (follow, chance) = (Follow::new(manner), Chance(seed));
+    fn new(manner: WatchMode, late: Nanos, seed: u64) -> Self {
+        let (follow, chance) = (WatchSchedule::new(manner), Chance(seed));
         Play { follow, chance, now: 0, version: 0, due: 0, known: 0, late, begun: None }
     }
 
     /// The next call begins; returns what it is.
-    fn begin(&mut self) -> Step {
+    fn begin(&mut self) -> NextCall {
         if let Some(step) = self.begun.take() {
             return step;
         }
@@ -66,7 +66,7 @@
         step
     }
 
-    fn failed(&mut self, at: Nanos, how: Failure) {
+    fn failed(&mut self, at: Nanos, how: CallFailure) {
         self.now = at;
         self.follow.failed(how);
     }
@@ -77,7 +77,7 @@
         let waited = if self.known < self.version { 0 } else { step.hold };
         let answer = waited + (self.late as f64 * self.chance.draw()) as Nanos;
         if answer > step.limit {
-            return self.failed(self.now + step.limit, Failure::Silent);
+            return self.failed(self.now + step.limit, CallFailure::Silent);
         }
         self.now += answer;
         self.known = self.version;
@@ -86,7 +86,7 @@
 
     fn refused(&mut self) {
         self.begin();
-        self.failed(self.now + MS, Failure::Refused);
+        self.failed(self.now + MS, CallFailure::Refused);
     }
 
     fn change(&mut self, at: Nanos, told: Nanos) {
@@ -99,13 +99,13 @@
             Fault::Silence { refused } => {
                 let step = self.begin();
                 self.change(self.now + MS, told);
-                self.failed(self.now + step.limit, Failure::Silent);
+                self.failed(self.now + step.limit, CallFailure::Silent);
                 (0..refused).for_each(|_| self.refused());
             }
             Fault::Down { long, refused } => {
                 self.begin();
                 let back = self.now + long;
-                self.failed(self.now + MS, Failure::Broken);
+                self.failed(self.now + MS, CallFailure::Broken);
                 self.change(back - MS, told + MS);
                 loop {
                     let step = self.begin();
@@ -115,9 +115,9 @@
                         break;
                     }
                     match self.chance.draw() {
-                        c if c < 0.3 => self.failed(self.now + MS, Failure::Broken),
-                        c if c < 0.6 => self.failed(self.now + MS, Failure::Refused),
-                        _ => self.failed(self.now + step.limit, Failure::Silent),
+                        c if c < 0.3 => self.failed(self.now + MS, CallFailure::Broken),
+                        c if c < 0.6 => self.failed(self.now + MS, CallFailure::Refused),
+                        _ => self.failed(self.now + step.limit, CallFailure::Silent),
                     }
                 }
                 (0..refused).for_each(|_| self.refused());
@@ -154,7 +154,7 @@
     prop::collection::vec((1u32..6, fault), 1..12)
 }
 
-fn holds(manner: Manner, told: Nanos, late: Nanos, troubles: impl Strategy<Value = Troubles>) {
+fn holds(manner: WatchMode, told: Nanos, late: Nanos, troubles: impl Strategy<Value = Troubles>) {
     let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let test = |(troubles, seed): (Troubles, u64)| {
@@ -172,43 +172,43 @@
 #[test]
 fn a_change_is_known_within_the_time_told_where_discovery_is_asked() {
     for within in [0, 2 * SECOND, 10 * SECOND, 60 * SECOND] {
-        holds(Manner::Asked { within }, TOLD, 300 * MS, troubles(Some(2), 1));
+        holds(WatchMode::Asked { within }, TOLD, 300 * MS, troubles(Some(2), 1));
     }
 }
 
 #[test]
 fn a_change_is_known_within_the_time_told_where_discovery_answers_late() {
     // As late as it may be before it has failed.
-    holds(Manner::Asked { within: 10 * SECOND }, TOLD, 1_900 * MS, troubles(Some(0), 0));
+    holds(WatchMode::Asked { within: 10 * SECOND }, TOLD, 1_900 * MS, troubles(Some(0), 0));
 }
 
 #[test]
 fn what_an_agent_has_at_its_return_is_known_within_the_grace() {
     for grace in [100 * MS, 250 * MS, 500 * MS, 2 * SECOND] {
-        holds(Manner::Pushed { grace }, grace, grace / 50, troubles(None, 0));
+        holds(WatchMode::Pushed { grace }, grace, grace / 50, troubles(None, 0));
     }
 }
 
 #[test]
 fn a_silent_watch_at_an_agent_is_opened_anew_in_time() {
     for grace in [100 * MS, 500 * MS, 2 * SECOND] {
-        holds(Manner::Pushed { grace }, TOLD, grace / 50, troubles(Some(2), 1));
+        holds(WatchMode::Pushed { grace }, TOLD, grace / 50, troubles(Some(2), 1));
     }
 }
 
 #[test]
 fn after_silence_the_next_call_asks_at_once() {
-    let mut follow = Follow::new(Manner::Asked { within: 10 * SECOND });
+    let mut follow = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
     follow.answered();
     assert!(follow.next(|| 0.5).hold > 0, "a watch");
-    assert!(!follow.failed(Failure::Silent), "a watch that is silent says nothing of discovery");
+    assert!(!follow.failed(CallFailure::Silent), "a watch that is silent says nothing of discovery");
     assert_eq!(follow.next(|| 0.5).hold, 0);
-    assert!(follow.failed(Failure::Refused));
+    assert!(follow.failed(CallFailure::Refused));
 }
 
 #[test]
 fn watches_that_began_together_do_not_end_together() {
-    let mut follow = Follow::new(Manner::Asked { within: 10 * SECOND });
+    let mut follow = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
     follow.answered();
     let (least, most) = (follow.next(|| 1.0).hold, follow.next(|| 0.0).hold);
     assert!(most - least >= most / 5, "{least} to {most}");
--- a/crates/core/endpoints/tests/merge.rs
+++ b/crates/core/endpoints/tests/merge.rs
@@ -5,8 +5,8 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-fn node(id: &str, state: NodeState, started: Nanos) -> Member {
-    Member {
+fn node(id: &str, state: EndpointState, started: Nanos) -> Endpoint {
+    Endpoint {
         id: id.into(),
         addr: Some("127.0.0.1:80".parse().expect("an address")),
         zone: "rajkot".into(),
@@ -18,29 +18,29 @@
     }
 }
 
-fn list(version: u64, full: bool, servers: &[Member]) -> Members {
-    Members { version, full, servers: servers.to_vec() }
+fn list(version: u64, full: bool, servers: &[Endpoint]) -> EndpointList {
+    EndpointList { version, full, servers: servers.to_vec() }
 }
 
-fn stated(member: Member, listed: u64) -> Stated {
-    Stated { member, listed, shared: true, imposed: Default::default() }
+fn stated(member: Endpoint, listed: u64) -> SourcedEndpoint {
+    SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
 }
 
-fn state(m: &Merge, id: &str) -> Option<NodeState> {
+fn state(m: &EndpointMerger, id: &str) -> Option<EndpointState> {
     m.nodes().find(|v| v.member.id == id).map(|v| v.member.state)
 }
 
-use NodeState::{Draining, Gone, Ready};
+use EndpointState::{Draining, Gone, Ready};
 
-fn merge() -> Merge {
-    Merge::new(MergeLimits { hold: 60 * SECOND, remembered: 8 })
+fn merge() -> EndpointMerger {
+    EndpointMerger::new(MergeLimits { hold: 60 * SECOND, remembered: 8 })
 }
 
 /// Both sources name `a`, ready; the control service as process `c1`, from discovery's list 40.
-fn both() -> Merge {
+fn both() -> EndpointMerger {
     let mut m = merge();
     m.list(Source::Discovery, &list(40, true, &[node("a", Ready, 7)]), 0);
-    m.control("c1", News::Changed(vec![stated(node("a", Ready, 7), 40)], vec![]), 0);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 40)], vec![]), 0);
     m
 }
 
@@ -49,7 +49,7 @@
     for (by_control, by_discovery) in [(Draining, Ready), (Ready, Draining), (Gone, Ready), (Ready, Gone)] {
         let mut m = both();
         m.list(Source::Discovery, &list(41, false, &[node("a", by_discovery, 7)]), 1);
-        m.control("c1", News::Changed(vec![stated(node("a", by_control, 7), 41)], vec![]), 1);
+        m.control("c1", WatchEvent::Changed(vec![stated(node("a", by_control, 7), 41)], vec![]), 1);
         let worst = by_control.max(by_discovery);
         assert_eq!(state(&m, "a"), Some(worst).filter(|s| *s != Gone), "{by_control:?} {by_discovery:?}");
     }
@@ -59,10 +59,11 @@
 fn a_node_is_sent_to_only_while_a_list_names_it() {
     let mut m = both();
     assert!(
-        m.control("c1", News::Changed(vec![stated(node("b", Ready, 1), 41)], vec![]), 1).upserts.len() == 1
+        m.control("c1", WatchEvent::Changed(vec![stated(node("b", Ready, 1), 41)], vec![]), 1).upserts.len()
+            == 1
     );
     assert_eq!(state(&m, "b"), Some(Ready), "the control service's list is one");
-    let changes = m.control("c1", News::Changed(vec![], vec!["b".into()]), 2);
+    let changes = m.control("c1", WatchEvent::Changed(vec![], vec!["b".into()]), 2);
     assert_eq!((changes.gone.len(), state(&m, "b")), (1, None));
     // Discovery's list is late and names it still, with the start that the removal was about.
     m.list(Source::Discovery, &list(42, false, &[node("b", Ready, 1)]), 3);
@@ -75,36 +76,36 @@
 #[test]
 fn what_was_said_of_an_older_start_says_nothing_of_a_newer_one() {
     let mut m = both();
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 1);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 1);
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 8)]), 2);
     assert_eq!(state(&m, "a"), Some(Ready));
     // And the old one said again changes nothing.
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 3);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 3);
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn a_restarted_control_service_with_an_old_list_does_not_undo_a_drain() {
     let mut m = both();
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
     m.lost(Source::Control);
     // Empty after its restart, it follows a discovery that still gives list 41; this process's own does the same.
-    m.control("c2", News::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 2);
+    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 2);
     assert_eq!(state(&m, "a"), Some(Draining));
     m.confirm();
-    m.control("c2", News::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 3);
+    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 3);
     assert_eq!(state(&m, "a"), Some(Draining), "saying it again on the same stream makes it no truer");
     // A list from after the drain is believed.
-    m.control("c2", News::Changed(vec![stated(node("a", Ready, 7), 44)], vec![]), 4);
+    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 44)], vec![]), 4);
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn a_second_restart_with_versions_starting_over_does_not_undo_it_either_until_the_hold_is_over() {
     let mut m = both();
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), SECOND);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), SECOND);
     for process in ["c2", "c3"] {
-        m.control(process, News::Changed(vec![stated(node("a", Ready, 7), 1)], vec![]), 2 * SECOND);
+        m.control(process, WatchEvent::Changed(vec![stated(node("a", Ready, 7), 1)], vec![]), 2 * SECOND);
         assert_eq!(state(&m, "a"), Some(Draining));
     }
     assert!(m.tick(60 * SECOND).is_empty());
@@ -115,9 +116,9 @@
 #[test]
 fn the_process_that_drained_may_take_it_back() {
     let mut m = both();
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 0)], vec![]), 1);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 0)], vec![]), 1);
     m.lost(Source::Control);
-    m.control("c1", News::Changed(vec![stated(node("a", Ready, 7), 0)], vec![]), 2);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 0)], vec![]), 2);
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
@@ -125,30 +126,30 @@
 fn an_old_control_service_does_not_take_nodes_that_are_newer_than_it() {
     let mut m = both();
     m.list(Source::Discovery, &list(45, false, &[node("new", Ready, 9)]), 1);
-    m.control("c1", News::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 1);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 1);
     // The other one has stood still since list 30.
-    m.control("old", News::Changed(vec![], vec!["new".into()]), 2);
+    m.control("old", WatchEvent::Changed(vec![], vec!["new".into()]), 2);
     assert_eq!(state(&m, "new"), Some(Ready));
     // The one that goes on speaking is believed.
-    m.control("c1", News::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 3);
-    m.control("c1", News::Changed(vec![], vec!["new".into()]), 4);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 3);
+    m.control("c1", WatchEvent::Changed(vec![], vec!["new".into()]), 4);
     assert_eq!(state(&m, "new"), None);
 }
 
 #[test]
 fn a_drain_that_another_process_no_longer_names_is_kept_while_discovery_names_the_node() {
     let mut m = both();
-    m.control("c1", News::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
-    m.control("c2", News::Changed(vec![], vec!["a".into()]), 2);
+    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
+    m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), 2);
     assert_eq!(state(&m, "a"), Some(Draining));
 }
 
 #[test]
 fn what_a_new_process_left_standing_is_its_word_too() {
     let mut m = both();
-    m.control("c2", News::Changed(vec![], vec![]), 1);
+    m.control("c2", WatchEvent::Changed(vec![], vec![]), 1);
     m.confirm();
-    m.control("c2", News::Changed(vec![], vec!["a".into()]), 2);
+    m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), 2);
     assert_eq!(state(&m, "a"), None, "it removed what it had confirmed");
 }
 
@@ -157,11 +158,14 @@
     let mut m = both();
     m.control(
         "c1",
-        News::Changed(vec![stated(node("a", Draining, 7), 43), stated(node("b", Ready, 1), 43)], vec![]),
+        WatchEvent::Changed(
+            vec![stated(node("a", Draining, 7), 43), stated(node("b", Ready, 1), 43)],
+            vec![],
+        ),
         1,
     );
-    let before: Vec<Member> = m.nodes().map(|v| v.member.clone()).collect();
-    assert!(m.control("c1", News::Lost, 2).is_empty());
+    let before: Vec<Endpoint> = m.nodes().map(|v| v.member.clone()).collect();
+    assert!(m.control("c1", WatchEvent::Lost, 2).is_empty());
     assert_eq!(m.nodes().map(|v| v.member.clone()).collect::<Vec<_>>(), before, "no flap");
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 7)]), 3);
     assert_eq!(state(&m, "a"), Some(Draining), "older than the drain");
@@ -181,12 +185,12 @@
 #[test]
 fn addresses_are_this_proxys_own_and_weights_the_control_services() {
     let mut m = both();
-    let far = Member {
+    let far = Endpoint {
         addr: Some("127.9.9.9:1".parse().expect("an address")),
         weight: 0.25,
         ..node("a", Ready, 7)
     };
-    m.control("c1", News::Changed(vec![stated(far, 41)], vec![]), 1);
+    m.control("c1", WatchEvent::Changed(vec![stated(far, 41)], vec![]), 1);
     let a = m.nodes().next().expect("a node").member.clone();
     assert_eq!((a.addr, a.weight), (node("a", Ready, 7).addr, 0.25));
 }
@@ -196,8 +200,8 @@
     let mut m = merge();
     for i in 0..1000u64 {
         let id = format!("n{i}");
-        m.control("c1", News::Changed(vec![stated(node(&id, Ready, 1), i + 1)], vec![]), i);
-        m.control("c1", News::Changed(vec![], vec![id]), i);
+        m.control("c1", WatchEvent::Changed(vec![stated(node(&id, Ready, 1), i + 1)], vec![]), i);
+        m.control("c1", WatchEvent::Changed(vec![], vec![id]), i);
     }
     // The oldest are forgotten: discovery may name them again.
     m.list(Source::Discovery, &list(1, true, &[node("n0", Ready, 1), node("n999", Ready, 1)]), 2000);
@@ -241,22 +245,22 @@
             let now = i as Nanos * 5 * SECOND;
             let changes = match step {
                 Step::Discovery(version, full, nodes) => {
-                    let servers: Vec<Member> = members(nodes).collect();
+                    let servers: Vec<Endpoint> = members(nodes).collect();
                     named.extend(servers.iter().map(|m| m.id.clone()));
-                    m.list(Source::Discovery, &Members { version, full, servers }, now)
+                    m.list(Source::Discovery, &EndpointList { version, full, servers }, now)
                 }
                 Step::Control(process, nodes, gone) => {
-                    let all: Vec<Stated> = members(nodes).map(|m| stated(m, i as u64)).collect();
+                    let all: Vec<SourcedEndpoint> = members(nodes).map(|m| stated(m, i as u64)).collect();
                     named.extend(all.iter().map(|s| s.member.id.clone()));
                     let gone = gone.iter().map(u8::to_string).collect();
-                    m.control(&process.to_string(), News::Changed(all, gone), now)
+                    m.control(&process.to_string(), WatchEvent::Changed(all, gone), now)
                 }
                 Step::Lost => { m.lost(Source::Control); Changes::default() }
                 Step::Tick => m.tick(now),
             };
             for gone in changes.gone { told.remove(&gone.id); }
             for new in changes.upserts { told.insert(new.id.clone(), new); }
-            let merged: std::collections::BTreeMap<String, Member> =
+            let merged: std::collections::BTreeMap<String, Endpoint> =
                 m.nodes().map(|v| (v.member.id.clone(), v.member.clone())).collect();
             prop_assert_eq!(&told, &merged);
             prop_assert!(merged.iter().all(|(id, m)| named.contains(id) && m.state != Gone));
@@ -269,14 +273,14 @@
 fn what_is_imposed_ends_by_itself_and_only_restricts() {
     use rushquay_endpoints::Imposed;
     const S: u64 = 1_000_000_000;
-    let mut merge = Merge::new(MergeLimits::default());
-    let list = |state: &str| -> Members {
+    let mut merge = EndpointMerger::new(MergeLimits::default());
+    let list = |state: &str| -> EndpointList {
         let text = format!(
             r#"{{"version":1,"full":true,"servers":[{{"id":"a","addr":"127.0.0.1:1","state":"{state}","weight":2}}]}}"#
         );
         serde_json::from_str(&text).expect("a list")
     };
-    let stated = |imposed: Imposed| Stated {
+    let stated = |imposed: Imposed| SourcedEndpoint {
         member: list("ready").servers[0].clone(),
         listed: 1,
         shared: true,
@@ -289,28 +293,28 @@
         cold_after: 60 * S,
         ..Imposed::default()
     };
-    let changes = merge.control("one", News::Whole(vec![stated(imposed)]), 2 * S);
+    let changes = merge.control("one", WatchEvent::Whole(vec![stated(imposed)]), 2 * S);
     let seen = |changes: &rushquay_endpoints::Changes| {
         changes.upserts.first().map(|m| (m.state, m.weight, m.started))
     };
-    assert_eq!(seen(&changes), Some((NodeState::Draining, 1.0, 0)));
+    assert_eq!(seen(&changes), Some((EndpointState::Draining, 1.0, 0)));
     // Cut off from here on.
     merge.lost(Source::Control);
     assert!(merge.tick(49 * S).is_empty());
-    assert_eq!(seen(&merge.tick(50 * S)), Some((NodeState::Draining, 0.5, 0)));
+    assert_eq!(seen(&merge.tick(50 * S)), Some((EndpointState::Draining, 0.5, 0)));
     // Another list and a new start of the node change nothing of it.
     let mut restarted = list("ready");
     restarted.servers[0].started = 70 * S;
     merge.list(Source::Discovery, &restarted, 71 * S);
-    assert!(merge.nodes().all(|v| v.member.state == NodeState::Draining));
+    assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
     // Back after 99 s: with a cold cache, and so through the cold ramp.
-    assert_eq!(seen(&merge.tick(100 * S)), Some((NodeState::Ready, 0.5, 100 * S)));
-    assert_eq!(seen(&merge.tick(200 * S)), Some((NodeState::Ready, 2.0, 100 * S)));
+    assert_eq!(seen(&merge.tick(100 * S)), Some((EndpointState::Ready, 0.5, 100 * S)));
+    assert_eq!(seen(&merge.tick(200 * S)), Some((EndpointState::Ready, 2.0, 100 * S)));
     // The end of an override brings no draining node back.
-    let mut merge = Merge::new(MergeLimits::default());
+    let mut merge = EndpointMerger::new(MergeLimits::default());
     merge.list(Source::Discovery, &list("draining"), S);
     let short = Imposed { out: (S, 9 * S), ..Imposed::default() };
-    merge.control("one", News::Whole(vec![stated(short)]), 2 * S);
+    merge.control("one", WatchEvent::Whole(vec![stated(short)]), 2 * S);
     merge.tick(10 * S);
-    assert!(merge.nodes().all(|v| v.member.state == NodeState::Draining));
+    assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
 }
--- a/crates/core/endpoints/tests/starts.rs
+++ b/crates/core/endpoints/tests/starts.rs
@@ -1,23 +1,23 @@
 //! Starts of nodes, told to a process whose wall clock was stepped when it started.
 
-use rushquay_endpoints::{Member, Members, Nanos, Starts};
+use rushquay_endpoints::{Endpoint, EndpointList, Nanos, StartTimes};
 
 const SECOND: Nanos = 1_000_000_000;
 const HOUR: i64 = 3600 * SECOND as i64;
 /// Unix time.
 const NOW: Nanos = 1_800_000_000 * SECOND;
 
-fn members(told: &[(&str, Nanos)]) -> Vec<Member> {
+fn members(told: &[(&str, Nanos)]) -> Vec<Endpoint> {
     let one = |(id, started): &(&str, Nanos)| {
         format!(r#"{{"id":"{id}","state":"ready","started_ms":{}}}"#, started / 1_000_000)
     };
     let servers: Vec<String> = told.iter().map(one).collect();
     let text = format!(r#"{{"version":1,"full":true,"servers":[{}]}}"#, servers.join(","));
-    serde_json::from_str::<Members>(&text).expect("a list").servers
+    serde_json::from_str::<EndpointList>(&text).expect("a list").servers
 }
 
 /// For how long a node has been up, by what is made of its start.
-fn age(starts: &mut Starts, id: &str, started: Nanos, now_here: Nanos) -> Nanos {
+fn age(starts: &mut StartTimes, id: &str, started: Nanos, now_here: Nanos) -> Nanos {
     let mut told = members(&[(id, started)]);
     starts.take(&mut told, now_here);
     now_here - told[0].started
@@ -25,7 +25,7 @@
 
 #[test]
 fn with_clocks_that_agree_starts_stay_as_they_are_told() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     let agos = [0, 1, 12, 3000];
     let names = ["a", "b", "c", "d"];
     let told: Vec<(&str, Nanos)> = names.iter().zip(agos).map(|(n, ago)| (*n, NOW - ago * SECOND)).collect();
@@ -42,7 +42,7 @@
 fn a_clock_that_was_an_hour_off_is_found_out_by_the_date_of_an_answer() {
     for step in [HOUR, -HOUR] {
         let here = |t: Nanos| t.saturating_add_signed(step);
-        let mut starts = Starts::default();
+        let mut starts = StartTimes::default();
         assert!(starts.dated(NOW, here(NOW)));
         let mut list = members(&[("cold", NOW - 3 * SECOND), ("warm", NOW - 3000 * SECOND)]);
         starts.take(&mut list, here(NOW));
@@ -57,7 +57,7 @@
 fn a_clock_that_was_an_hour_off_is_found_out_by_the_first_start() {
     for step in [HOUR, -HOUR] {
         let here = |t: Nanos| t.saturating_add_signed(step);
-        let mut starts = Starts::default();
+        let mut starts = StartTimes::default();
         starts.take(&mut members(&[("old", 0)]), here(NOW));
         let later = NOW + 60 * SECOND;
         // Told two seconds late, and taken for a start just now: colder than it is, never warmer.
@@ -71,14 +71,14 @@
 
 #[test]
 fn nothing_starts_in_the_future() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     assert_eq!(age(&mut starts, "a", NOW + 5 * SECOND, NOW), 0);
 }
 
 /// One node that was away and comes back, as old as it says, moves no other.
 #[test]
 fn one_start_that_cannot_be_right_says_nothing_of_the_others() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     starts.take(&mut members(&[("old", 0)]), NOW);
     assert_eq!(age(&mut starts, "back", NOW - 3000 * SECOND, NOW + SECOND), 0);
     assert_eq!(starts.ahead(), 0);
--- a/crates/core/envoy/src/session.rs
+++ b/crates/core/envoy/src/session.rs
@@ -5,7 +5,7 @@
 use crate::common::Source;
 use crate::resource::{decode, Resource};
 use crate::wire::Notes;
-use rushquay_xds::client::{Ask, Backoff, Client, Ended, Retry, ServerAnswer, Session, Taken};
+use rushquay_xds::client::{Backoff, Client, ClientRequest, Ended, Retry, ServerAnswer, Session, Taken};
 use rushquay_xds::server::Variant;
 use rushquay_xds::{Kind, Nanos};
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
         Ads { client, catalogue, now: Box::new(now) }
     }
 
-    fn want(&mut self) -> Vec<Ask> {
+    fn want(&mut self) -> Vec<ClientRequest> {
         let catalogue = self.catalogue.borrow();
         let wanted = Kind::ORDER.map(|kind| (kind, catalogue.wanted(kind)));
         drop(catalogue);
@@ -56,12 +56,12 @@
         self.client.variant()
     }
 
-    fn connected(&mut self) -> Vec<Ask> {
+    fn connected(&mut self) -> Vec<ClientRequest> {
         let _ = self.want();
         self.client.connected()
     }
 
-    fn woken(&mut self) -> Vec<Ask> {
+    fn woken(&mut self) -> Vec<ClientRequest> {
         self.want()
     }
 
@@ -77,11 +77,11 @@
             let resource = Resource { name: name.clone(), version, item, encoded: came.body.clone() };
             Ok((name, resource))
         });
-        let mut asks: Vec<Ask> = reply.ask.into_iter().collect();
+        let mut asks: Vec<ClientRequest> = reply.ask.into_iter().collect();
         if let Some(why) = &reply.refused {
             let kind = asks.first().and_then(|a| match a {
-                Ask::Delta(r) => Kind::of(&r.type_url),
-                Ask::Sotw(r) => Kind::of(&r.type_url),
+                ClientRequest::Delta(r) => Kind::of(&r.type_url),
+                ClientRequest::Sotw(r) => Kind::of(&r.type_url),
             });
             if let Some(kind) = kind {
                 self.catalogue.borrow_mut().refuse(kind, why.clone());
--- a/crates/core/handover/src/form.rs
+++ b/crates/core/handover/src/form.rs
@@ -1,7 +1,7 @@
 //! What old and new process say, as JSON behind its length in four bytes, most significant first.
 
 use crate::Share;
-use rushquay_endpoints::Members;
+use rushquay_endpoints::EndpointList;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use thiserror::Error;
@@ -66,7 +66,7 @@
     /// What the new process may hold while the old one runs.
     pub share: Share,
     /// The node list of the old process, where it had one that can be used.
-    pub list: Option<Members>,
+    pub list: Option<EndpointList>,
     /// What the old process was given to act by.
     pub settings: Option<String>,
     /// What the old process acts by of policies.
@@ -183,7 +183,7 @@
 
 /// A list that an old process sent. Danger: an empty one, or one of changes alone, would leave the new process without
 /// nodes; its own configuration has a list that is older and better.
-pub(crate) fn list(told: Value) -> Option<Members> {
-    let list: Members = serde_json::from_value(told).ok()?;
+pub(crate) fn list(told: Value) -> Option<EndpointList> {
+    let list: EndpointList = serde_json::from_value(told).ok()?;
     (list.full && !list.servers.is_empty()).then_some(list)
 }
--- a/crates/core/lease/src/clock.rs
+++ b/crates/core/lease/src/clock.rs
@@ -8,7 +8,7 @@
 
 /// Both clocks at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct ClockReading {
     /// Unix time as the machine has it.
     pub wall: Nanos,
     /// A clock that counts from anywhere, suspended times included.
@@ -18,7 +18,7 @@
 /// Unix time that goes on evenly.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Reading,
+    start: ClockReading,
     /// How far the wall clock is ahead of this one, as last seen.
     offset: i64,
     steps: u64,
@@ -29,17 +29,17 @@
 
 impl Clock {
     /// Starts with what the wall clock says.
-    pub fn new(start: Reading) -> Self {
+    pub fn new(start: ClockReading) -> Self {
         Clock { start, offset: 0, steps: 0 }
     }
 
     /// Unix time by this clock.
-    pub fn now(&self, reading: Reading) -> Nanos {
+    pub fn now(&self, reading: ClockReading) -> Nanos {
         self.start.wall.saturating_add(reading.steady.saturating_sub(self.start.steady))
     }
 
     /// Looks at both clocks; by how much the wall clock jumped since the last look, if it did.
-    pub fn look(&mut self, reading: Reading) -> Option<i64> {
+    pub fn look(&mut self, reading: ClockReading) -> Option<i64> {
         let offset = reading.wall as i64 - self.now(reading) as i64;
         let jump = offset - self.offset;
         self.offset = offset;
@@ -61,7 +61,7 @@
 
     #[test]
     fn a_wall_clock_that_jumps_moves_nothing_and_is_named() {
-        let at = |wall: u64, steady: u64| Reading { wall: wall * SECOND, steady: steady * SECOND };
+        let at = |wall: u64, steady: u64| ClockReading { wall: wall * SECOND, steady: steady * SECOND };
         let mut clock = Clock::new(at(1000, 5));
         assert_eq!(clock.look(at(1010, 15)), None);
         // An hour forward, then two back.
--- a/crates/core/lease/src/elector.rs
+++ b/crates/core/lease/src/elector.rs
@@ -4,7 +4,7 @@
 
 /// The times of a lease, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// For so long the store holds a lease that isn't renewed.
     pub ttl: Nanos,
     /// It is renewed after this.
@@ -18,18 +18,18 @@
 /// Terms that can't hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("ttl: expected 1 to 300 s, found {0} ms")]
-pub struct TermsError(u64);
+pub struct LeaseTermsError(u64);
 
-impl Terms {
+impl LeaseTerms {
     /// From the time to live alone: renewed after a quarter of it, asked for as often, over a tenth early.
     ///
     /// # Errors
     /// Below a second or over five minutes.
-    pub fn of(ttl: Nanos) -> Result<Terms, TermsError> {
+    pub fn of(ttl: Nanos) -> Result<LeaseTerms, LeaseTermsError> {
         if !(SECOND..=300 * SECOND).contains(&ttl) {
-            return Err(TermsError(ttl / 1_000_000));
+            return Err(LeaseTermsError(ttl / 1_000_000));
         }
-        Ok(Terms { ttl, renew: ttl / 4, retry: ttl / 4, margin: ttl / 10 })
+        Ok(LeaseTerms { ttl, renew: ttl / 4, retry: ttl / 4, margin: ttl / 10 })
     }
 }
 
@@ -52,7 +52,7 @@
 
 /// What to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Ask the store for the lease.
     Campaign,
     /// Renew the lease.
@@ -66,7 +66,7 @@
 /// One instance's part in it.
 #[derive(Clone, Debug)]
 pub struct Elector {
-    terms: Terms,
+    terms: LeaseTerms,
     role: Role,
     /// When to ask or renew.
     next: Nanos,
@@ -74,7 +74,7 @@
 
 impl Elector {
     /// Follows at first, and asks at once.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: LeaseTerms) -> Self {
         Elector { terms, role: Role::Standby { leader: None }, next: 0 }
     }
 
@@ -92,15 +92,15 @@
     }
 
     /// What to do now.
-    pub fn act(&self, now: Nanos) -> Act {
+    pub fn act(&self, now: Nanos) -> Action {
         match self.role {
             // Danger: after a pause the first thing known is the clock; asked first, the store might take its time to say
             // what the clock says at once.
-            Role::Leader { until, .. } if now >= until => Act::StepDown,
-            Role::Leader { until, .. } if now < self.next => Act::Wait(self.next.min(until)),
-            Role::Leader { .. } => Act::Renew,
-            Role::Standby { .. } if now < self.next => Act::Wait(self.next),
-            Role::Standby { .. } => Act::Campaign,
+            Role::Leader { until, .. } if now >= until => Action::StepDown,
+            Role::Leader { until, .. } if now < self.next => Action::Wait(self.next.min(until)),
+            Role::Leader { .. } => Action::Renew,
+            Role::Standby { .. } if now < self.next => Action::Wait(self.next),
+            Role::Standby { .. } => Action::Campaign,
         }
     }
 
@@ -158,14 +158,14 @@
 mod tests {
     use super::*;
 
-    fn terms() -> Terms {
-        Terms::of(4 * SECOND).expect("terms")
+    fn terms() -> LeaseTerms {
+        LeaseTerms::of(4 * SECOND).expect("terms")
     }
 
     #[test]
     fn a_lease_runs_from_the_question_and_not_from_the_answer() {
         let mut e = Elector::new(terms());
-        assert_eq!(e.act(0), Act::Campaign);
+        assert_eq!(e.act(0), Action::Campaign);
         // The answer took longer than the lease.
         assert!(!e.won(Epoch(1), 0, 4 * SECOND));
         assert_eq!(e.leads(4 * SECOND), None);
@@ -178,9 +178,9 @@
     fn after_a_pause_it_steps_down_before_it_asks_anybody() {
         let mut e = Elector::new(terms());
         e.won(Epoch(3), 0, 0);
-        assert_eq!(e.act(SECOND / 2), Act::Wait(SECOND));
-        assert_eq!(e.act(SECOND), Act::Renew);
-        assert_eq!(e.act(300 * SECOND), Act::StepDown);
+        assert_eq!(e.act(SECOND / 2), Action::Wait(SECOND));
+        assert_eq!(e.act(SECOND), Action::Renew);
+        assert_eq!(e.act(300 * SECOND), Action::StepDown);
         assert_eq!(e.leads(300 * SECOND), None);
     }
 
@@ -190,7 +190,7 @@
         e.won(Epoch(3), 0, 0);
         e.unknown(SECOND);
         assert_eq!(e.leads(3 * SECOND), Some(Epoch(3)));
-        assert_eq!(e.act(3 * SECOND), Act::Renew);
+        assert_eq!(e.act(3 * SECOND), Action::Renew);
         // A late answer renews from when it was asked for.
         e.renewed(SECOND);
         assert_eq!(e.leads(4 * SECOND), Some(Epoch(3)));
@@ -202,8 +202,8 @@
     fn a_follower_asks_sooner_when_the_lease_is_free() {
         let mut e = Elector::new(terms());
         e.beaten(Some("a".into()), 0);
-        assert_eq!(e.act(1), Act::Wait(SECOND));
+        assert_eq!(e.act(1), Action::Wait(SECOND));
         e.free(2);
-        assert_eq!(e.act(2), Act::Campaign);
+        assert_eq!(e.act(2), Action::Campaign);
     }
 }
--- a/crates/core/lease/src/lib.rs
+++ b/crates/core/lease/src/lib.rs
@@ -12,8 +12,8 @@
 mod epoch;
 mod skew;
 
-pub use clock::{Clock, Reading};
-pub use elector::{Act, Elector, Role, Terms, TermsError};
+pub use clock::{Clock, ClockReading};
+pub use elector::{Action, Elector, LeaseTerms, LeaseTermsError, Role};
 pub use epoch::{Epoch, Fence, Stale};
 pub use skew::Skew;
 
--- a/crates/core/lease/tests/worlds.rs
+++ b/crates/core/lease/tests/worlds.rs
@@ -1,7 +1,7 @@
 //! Instances with clocks that drift, a store that answers late or not at all, and pauses of minutes: never do two lead at
 //! a time, and each leader's epoch is higher than all before it.
 
-use rushquay_lease::{Act, Elector, Epoch, Fence, Nanos, Role, Terms, SECOND};
+use rushquay_lease::{Action, Elector, Epoch, Fence, LeaseTerms, Nanos, Role, SECOND};
 
 /// The store, on true time.
 #[derive(Default)]
@@ -36,7 +36,7 @@
 
 fn play(seed: u64) -> (u64, Nanos) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let terms = Terms::of(5 * SECOND).expect("terms");
+    let terms = LeaseTerms::of(5 * SECOND).expect("terms");
     let mut store = Store::default();
     let mut instances: Vec<Instance> = (0..3)
         .map(|_| Instance {
@@ -60,7 +60,7 @@
             let clock = one.clock(now);
             if let Some((when, answer)) = one.answer {
                 if now < when {
-                    if one.elector.act(clock) == Act::StepDown {
+                    if one.elector.act(clock) == Action::StepDown {
                         one.elector.lost(clock);
                     }
                     continue;
@@ -80,25 +80,25 @@
             let after = now + random.u64(0..SECOND);
             let act = one.elector.act(clock);
             let answer = match act {
-                Act::Wait(_) => continue,
-                Act::StepDown => {
+                Action::Wait(_) => continue,
+                Action::StepDown => {
                     one.elector.lost(clock);
                     continue;
                 }
-                Act::Campaign if heard && free => {
+                Action::Campaign if heard && free => {
                     store.epoch += 1;
                     store.holder = Some((i, now + terms.ttl));
                     Answer::Won(store.epoch, clock)
                 }
-                Act::Campaign => Answer::Taken,
-                Act::Renew if heard => match &one.elector.role() {
+                Action::Campaign => Answer::Taken,
+                Action::Renew if heard => match &one.elector.role() {
                     Role::Leader { epoch, .. } if epoch.0 == store.epoch && !free => {
                         store.holder = Some((i, now + terms.ttl));
                         Answer::Renewed(clock)
                     }
                     _ => Answer::Fenced,
                 },
-                Act::Renew => Answer::Silence,
+                Action::Renew => Answer::Silence,
             };
             one.answer = Some((after, if comes { answer } else { Answer::Silence }));
         }
--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -3,13 +3,15 @@
 //! I/O; time is passed in.
 #![forbid(unsafe_code)]
 
-mod figures;
+mod membership;
 mod report;
-mod roster;
+mod stats;
 
-pub use figures::{bucket, upper, ClassFigures, Figures, BUCKETS};
-pub use report::{Refused, Report, ReportError};
-pub use roster::{Heard, Instance, Roster, Standing, Terms, Told, Was};
+pub use membership::{
+    Member, MemberRecord, MemberStatus, Membership, MembershipTimeouts, PreviousIncarnation, ReportOutcome,
+};
+pub use report::{RejectedConfig, Report, ReportError};
+pub use stats::{bucket, upper, ClassStats, ProxyStats, BUCKETS};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/membership/src/roster.rs
+++ b/crates/core/membership/src/membership.rs
@@ -1,6 +1,6 @@
 //! The instances, and how each stands.
 
-use crate::{Figures, Nanos, Refused, Report, SECOND};
+use crate::{Nanos, ProxyStats, RejectedConfig, Report, SECOND};
 use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 /// How an instance stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum MemberStatus {
     /// It was heard lately.
     Serving,
     /// It is known from what was kept, and this control service has not heard it yet.
@@ -23,33 +23,33 @@
     Retired,
 }
 
-impl Standing {
+impl MemberStatus {
     /// All of them.
-    pub const ALL: [Standing; 6] = [
-        Standing::Serving,
-        Standing::Unheard,
-        Standing::Restarting,
-        Standing::CutOff,
-        Standing::Down,
-        Standing::Retired,
+    pub const ALL: [MemberStatus; 6] = [
+        MemberStatus::Serving,
+        MemberStatus::Unheard,
+        MemberStatus::Restarting,
+        MemberStatus::CutOff,
+        MemberStatus::Down,
+        MemberStatus::Retired,
     ];
 
     /// Its name, as it is written.
     pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Serving => "serving",
-            Standing::Unheard => "unheard",
-            Standing::Restarting => "restarting",
-            Standing::CutOff => "cut-off",
-            Standing::Down => "down",
-            Standing::Retired => "retired",
+            MemberStatus::Serving => "serving",
+            MemberStatus::Unheard => "unheard",
+            MemberStatus::Restarting => "restarting",
+            MemberStatus::CutOff => "cut-off",
+            MemberStatus::Down => "down",
+            MemberStatus::Retired => "retired",
         }
     }
 }
 
 /// Spans by which standings are told.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct MembershipTimeouts {
     /// Heard within this time it serves.
     pub late: Nanos,
     /// The next process comes within this time.
@@ -60,15 +60,20 @@
     pub most: usize,
 }
 
-impl Default for Terms {
+impl Default for MembershipTimeouts {
     fn default() -> Self {
-        Terms { late: 4 * SECOND, restart: 15 * SECOND, retire: 24 * 3600 * SECOND, most: 20_000 }
+        MembershipTimeouts {
+            late: 4 * SECOND,
+            restart: 15 * SECOND,
+            retire: 24 * 3600 * SECOND,
+            most: 20_000,
+        }
     }
 }
 
 /// What an instance was before its present boot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Was {
+pub struct PreviousIncarnation {
     /// The boot.
     pub boot: u64,
     /// The program.
@@ -79,7 +84,7 @@
 
 /// What is kept of an instance: all that a standby needs to know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct MemberRecord {
     /// Its name.
     pub name: String,
     /// Its boot.
@@ -96,20 +101,20 @@
     /// The change that it was told last.
     pub change: u64,
     /// What it can't obey.
-    pub refused: Option<Refused>,
+    pub refused: Option<RejectedConfig>,
     /// How often a process of this name was followed by another.
     pub restarts: u64,
     /// What it was before.
-    pub before: Option<Was>,
+    pub before: Option<PreviousIncarnation>,
 }
 
 /// One instance.
 #[derive(Clone, Debug)]
-pub struct Instance {
+pub struct Member {
     /// What is kept of it.
-    pub told: Told,
+    pub told: MemberRecord,
     /// What it has counted in this boot; nothing before it is heard.
-    pub figures: Figures,
+    pub figures: ProxyStats,
     /// When it was heard last, by this control service; `None`: not yet.
     pub heard: Option<Nanos>,
     seq: u64,
@@ -127,7 +132,7 @@
 
 /// What came of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportOutcome {
     /// An instance that was not known.
     New,
     /// Another process under a name that was.
@@ -148,30 +153,34 @@
 
 /// All instances, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
-    terms: Terms,
-    instances: BTreeMap<String, Instance>,
+pub struct Membership {
+    terms: MembershipTimeouts,
+    instances: BTreeMap<String, Member>,
 }
 
-impl Roster {
+impl Membership {
     /// Nobody is known.
-    pub fn new(terms: Terms) -> Self {
-        Roster { terms, instances: BTreeMap::new() }
+    pub fn new(terms: MembershipTimeouts) -> Self {
+        Membership { terms, instances: BTreeMap::new() }
     }
 
     /// Goes on from what was kept; nobody has been heard yet.
-    pub fn restore(terms: Terms, kept: impl IntoIterator<Item = Told>, now: Nanos) -> Self {
-        let instance = |told: Told| (told.name.clone(), Instance::known(told, now));
-        Roster { terms, instances: kept.into_iter().map(instance).collect() }
+    pub fn restore(
+        terms: MembershipTimeouts,
+        kept: impl IntoIterator<Item = MemberRecord>,
+        now: Nanos,
+    ) -> Self {
+        let instance = |told: MemberRecord| (told.name.clone(), Member::known(told, now));
+        Membership { terms, instances: kept.into_iter().map(instance).collect() }
     }
 
     /// The instances, by name.
-    pub fn instances(&self) -> impl Iterator<Item = &Instance> {
+    pub fn instances(&self) -> impl Iterator<Item = &Member> {
         self.instances.values()
     }
 
     /// One instance.
-    pub fn get(&self, name: &str) -> Option<&Instance> {
+    pub fn get(&self, name: &str) -> Option<&Member> {
         self.instances.get(name)
     }
 
@@ -186,29 +195,29 @@
     }
 
     /// Takes a report that came on a stream. Streams are numbered in the order in which they were opened.
-    pub fn hear(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> Heard {
+    pub fn hear(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> ReportOutcome {
         let Some(known) = self.instances.get_mut(name) else {
             if !self.room(now) {
-                return Heard::Full;
+                return ReportOutcome::Full;
             }
-            let mut instance = Instance::known(report.told(name, None), now);
+            let mut instance = Member::known(report.told(name, None), now);
             instance.take(report, stream, now, self.terms.late);
             self.instances.insert(name.to_owned(), instance);
-            return Heard::New;
+            return ReportOutcome::New;
         };
         let late = self.terms.late;
         if report.boot != known.told.boot {
             if report.boot < known.told.boot && !known.yields_to(&report, now, late) {
-                return Heard::Stale;
+                return ReportOutcome::Stale;
             }
             known.told = report.told(name, Some(&known.told));
             known.take(report, stream, now, 0);
-            return Heard::Restarted;
+            return ReportOutcome::Restarted;
         }
         if known.heard.is_some() && report.seq <= known.seq {
-            return Heard::Stale;
+            return ReportOutcome::Stale;
         }
-        let told = Told {
+        let told = MemberRecord {
             restarts: known.told.restarts,
             before: known.told.before.clone(),
             ..report.told(name, None)
@@ -217,9 +226,9 @@
         known.told = told;
         known.take(report, stream, now, late);
         if changed {
-            Heard::Changed
+            ReportOutcome::Changed
         } else {
-            Heard::Same
+            ReportOutcome::Same
         }
     }
 
@@ -232,27 +241,27 @@
     }
 
     /// How an instance stands.
-    pub fn standing(&self, instance: &Instance, now: Nanos) -> Standing {
+    pub fn standing(&self, instance: &Member, now: Nanos) -> MemberStatus {
         let since = |then: Nanos| now.saturating_sub(then);
         let Some(heard) = instance.heard else {
             return if since(instance.known) < self.terms.retire {
-                Standing::Unheard
+                MemberStatus::Unheard
             } else {
-                Standing::Retired
+                MemberStatus::Retired
             };
         };
         match instance.ended {
-            _ if since(heard) >= self.terms.retire => Standing::Retired,
-            Some(ended) if since(ended) < self.terms.restart => Standing::Restarting,
-            Some(_) => Standing::Down,
-            None if since(heard) < self.terms.late => Standing::Serving,
-            None => Standing::CutOff,
+            _ if since(heard) >= self.terms.retire => MemberStatus::Retired,
+            Some(ended) if since(ended) < self.terms.restart => MemberStatus::Restarting,
+            Some(_) => MemberStatus::Down,
+            None if since(heard) < self.terms.late => MemberStatus::Serving,
+            None => MemberStatus::CutOff,
         }
     }
 
     /// Forgets those that are retired; returns their names.
     pub fn forget(&mut self, now: Nanos) -> Vec<String> {
-        let retired = |i: &&Instance| self.standing(i, now) == Standing::Retired;
+        let retired = |i: &&Member| self.standing(i, now) == MemberStatus::Retired;
         let names: Vec<String> = self.instances().filter(retired).map(|i| i.told.name.clone()).collect();
         names.iter().for_each(|n| drop(self.instances.remove(n)));
         names
@@ -267,10 +276,10 @@
     }
 }
 
-impl Instance {
-    fn known(told: Told, now: Nanos) -> Self {
-        let (figures, heard, seq, ended, stream) = (Figures::default(), None, 0, None, 0);
-        Instance { told, figures, heard, seq, known: now, since: now, ended, stream, rival: (0, 0, 0) }
+impl Member {
+    fn known(told: MemberRecord, now: Nanos) -> Self {
+        let (figures, heard, seq, ended, stream) = (ProxyStats::default(), None, 0, None, 0);
+        Member { told, figures, heard, seq, known: now, since: now, ended, stream, rival: (0, 0, 0) }
     }
 
     /// Since when it has been heard without a gap, in its present boot and on its present stream.
@@ -307,8 +316,8 @@
 }
 
 impl Report {
-    fn told(&self, name: &str, before: Option<&Told>) -> Told {
-        Told {
+    fn told(&self, name: &str, before: Option<&MemberRecord>) -> MemberRecord {
+        MemberRecord {
             name: name.to_owned(),
             boot: self.boot,
             zone: self.zone.clone(),
@@ -318,7 +327,11 @@
             change: self.change,
             refused: self.refused.clone(),
             restarts: before.map_or(0, |b| b.restarts + 1),
-            before: before.map(|b| Was { boot: b.boot, version: b.version.clone(), acting: b.acting }),
+            before: before.map(|b| PreviousIncarnation {
+                boot: b.boot,
+                version: b.version.clone(),
+                acting: b.acting,
+            }),
         }
     }
 }
--- a/crates/core/membership/src/report.rs
+++ b/crates/core/membership/src/report.rs
@@ -1,6 +1,6 @@
 //! What a proxy says of itself, once a second or so.
 
-use crate::Figures;
+use crate::ProxyStats;
 use rushquay_config_version::{Digest, FORM};
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
 
 /// A generation that the proxy can't obey.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct RejectedConfig {
     /// Which.
     pub generation: Digest,
     /// Why, with the path of the field.
@@ -43,13 +43,13 @@
     pub change: u64,
     /// What it was told last and can't obey; `None`: it acts by that.
     #[serde(default)]
-    pub refused: Option<Refused>,
+    pub refused: Option<RejectedConfig>,
     /// It was told to end.
     #[serde(default)]
     pub leaving: bool,
     /// What it has counted.
     #[serde(default)]
-    pub figures: Figures,
+    pub figures: ProxyStats,
 }
 
 /// Why a report can't be taken.
--- a/crates/core/membership/src/figures.rs
+++ b/crates/core/membership/src/stats.rs
@@ -23,7 +23,7 @@
 /// Requests of one class, by how they ended, since the boot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct ClassFigures {
+pub struct ClassStats {
     /// Served within the aim.
     pub served: u64,
     /// Served after it.
@@ -36,7 +36,7 @@
     pub times: Vec<u64>,
 }
 
-impl ClassFigures {
+impl ClassStats {
     /// All that ended.
     pub fn all(&self) -> u64 {
         self.served.saturating_add(self.late).saturating_add(self.refused).saturating_add(self.failed)
@@ -60,7 +60,7 @@
     pub fn since(&self, before: &Self) -> Self {
         let less = |a: u64, b: u64| a.saturating_sub(b);
         let times = self.times.iter().enumerate();
-        ClassFigures {
+        ClassStats {
             served: less(self.served, before.served),
             late: less(self.late, before.late),
             refused: less(self.refused, before.refused),
@@ -85,9 +85,9 @@
 /// What one process has counted since its boot, and what it holds now.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Figures {
+pub struct ProxyStats {
     /// By class.
-    pub classes: BTreeMap<String, ClassFigures>,
+    pub classes: BTreeMap<String, ClassStats>,
     /// Attempts written whole to cache nodes.
     pub attempts: u64,
     /// Resident memory, in bytes; 0: not known.
@@ -101,14 +101,14 @@
     pub late_beats: u64,
 }
 
-impl Figures {
+impl ProxyStats {
     /// What has come since an earlier state of the same boot; memory and descriptors as they are now.
     pub fn since(&self, before: &Self) -> Self {
-        let nothing = ClassFigures::default();
-        let class = |(name, now): (&String, &ClassFigures)| {
+        let nothing = ClassStats::default();
+        let class = |(name, now): (&String, &ClassStats)| {
             (name.clone(), now.since(before.classes.get(name).unwrap_or(&nothing)))
         };
-        Figures {
+        ProxyStats {
             classes: self.classes.iter().map(class).collect(),
             attempts: self.attempts.saturating_sub(before.attempts),
             beats: self.beats.saturating_sub(before.beats),
@@ -131,6 +131,6 @@
 
     /// All requests that ended.
     pub fn all(&self) -> u64 {
-        self.classes.values().map(ClassFigures::all).sum()
+        self.classes.values().map(ClassStats::all).sum()
     }
 }
--- a/crates/core/overrides/src/guard.rs
+++ b/crates/core/overrides/src/capacity_guard.rs
@@ -1,10 +1,10 @@
 //! Whether the rest can carry the load.
 
-use crate::{decide, Nanos, Node, Override, Policy};
+use crate::{effective_overrides, Nanos, Node, Override, OverrideLimits};
 
 /// A node and what it can do.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetCapacity {
     /// Id, kind and zone.
     pub id: String,
     /// Its machine kind.
@@ -17,7 +17,7 @@
     pub ready: bool,
 }
 
-impl Fleet {
+impl FleetCapacity {
     /// As overrides see it.
     pub fn node(&self) -> Node<'_> {
         Node { id: &self.id, kind: &self.kind, zone: &self.zone }
@@ -52,9 +52,13 @@
     }
 }
 
-fn in_service<'a>(overrides: impl Iterator<Item = &'a Override> + Clone, fleet: &[Fleet], now: Nanos) -> f64 {
-    let of = |node: &Fleet| {
-        let (imposed, _) = decide(overrides.clone(), &node.node(), now);
+fn in_service<'a>(
+    overrides: impl Iterator<Item = &'a Override> + Clone,
+    fleet: &[FleetCapacity],
+    now: Nanos,
+) -> f64 {
+    let of = |node: &FleetCapacity| {
+        let (imposed, _) = effective_overrides(overrides.clone(), &node.node(), now);
         // More than its weight a node cannot do.
         if node.ready && !imposed.is_out(now) {
             node.weight * imposed.factor(now).min(1.0)
@@ -69,8 +73,8 @@
 pub(crate) fn carries<'a>(
     live: impl Iterator<Item = &'a Override> + Clone,
     new: &'a Override,
-    fleet: &[Fleet],
-    policy: &Policy,
+    fleet: &[FleetCapacity],
+    policy: &OverrideLimits,
     now: Nanos,
 ) -> Result<Arithmetic, Arithmetic> {
     let whole = fleet.iter().map(|n| n.weight).sum::<f64>();
--- a/crates/core/overrides/src/decide.rs
+++ b/crates/core/overrides/src/effective.rs
@@ -5,7 +5,7 @@
 
 /// How an override stands on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum OverrideStatus {
     /// It counts.
     InForce,
     /// Another counts, of this number; it takes effect when that one ends.
@@ -24,11 +24,11 @@
 }
 
 /// What the overrides that are in force at this time come to on a node, and how each that is on it stands, by number.
-pub fn decide<'a>(
+pub fn effective_overrides<'a>(
     overrides: impl Iterator<Item = &'a Override>,
     node: &Node<'_>,
     now: Nanos,
-) -> (Imposed, Vec<(u64, Standing)>) {
+) -> (Imposed, Vec<(u64, OverrideStatus)>) {
     let mut on: Vec<&Override> =
         overrides.filter(|o| o.since <= now && o.until > now && o.scope.covers(node)).collect();
     // The narrowest first, and of one scope the latest.
@@ -48,15 +48,15 @@
                 let (class, keys) = (class.clone(), keys.clone());
                 imposed.pins.push(Pin { number: o.id, until: o.until, class, keys });
                 // Nothing is sent to a node that is out, pinned or not.
-                standings.push((o.id, masks.map_or(Standing::InForce, Standing::Masked)));
+                standings.push((o.id, masks.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
             }
-            Effect::Out => standings.push((o.id, Standing::InForce)),
+            Effect::Out => standings.push((o.id, OverrideStatus::InForce)),
             Effect::Weight(factor) => {
                 // One that ends no later than what is above it never counts.
                 if imposed.weights.iter().all(|(until, _)| *until < o.until) {
                     imposed.weights.push((o.until, *factor));
                 }
-                standings.push((o.id, upper.map_or(Standing::InForce, Standing::Masked)));
+                standings.push((o.id, upper.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
                 upper = upper.or(Some(o.id));
             }
         }
--- a/crates/core/overrides/src/lib.rs
+++ b/crates/core/overrides/src/lib.rs
@@ -17,13 +17,13 @@
 //! back that the list does not name: both are applied on top of what the list says, and only ever restrict it.
 #![forbid(unsafe_code)]
 
-mod book;
-mod decide;
-mod guard;
+mod capacity_guard;
+mod effective;
+mod override_set;
 mod types;
 
-pub use book::{Ask, Book, Event, EventKind, Refusal};
-pub use decide::{decide, masked_pins, Standing};
-pub use guard::{Arithmetic, Fleet};
+pub use capacity_guard::{Arithmetic, FleetCapacity};
+pub use effective::{effective_overrides, masked_pins, OverrideStatus};
+pub use override_set::{EventKind, OverrideError, OverrideEvent, OverrideRequest, OverrideSet};
 pub use rushquay_endpoints::Imposed;
-pub use types::{Effect, Nanos, Node, Override, Policy, Scope, SECOND};
+pub use types::{Effect, Nanos, Node, Override, OverrideLimits, Scope, SECOND};
--- a/crates/core/overrides/src/book.rs
+++ b/crates/core/overrides/src/override_set.rs
@@ -1,7 +1,7 @@
 //! The overrides that there are, and what became of those that there were.
 
-use crate::guard::{carries, Arithmetic, Fleet};
-use crate::{Effect, Nanos, Override, Policy, Scope, SECOND};
+use crate::capacity_guard::{carries, Arithmetic, FleetCapacity};
+use crate::{Effect, Nanos, Override, OverrideLimits, Scope, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,7 +13,7 @@
 /// What somebody asks for.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
+pub struct OverrideRequest {
     /// On which nodes.
     pub scope: Scope,
     /// What it does.
@@ -31,7 +31,7 @@
 
 /// Why an override is not set or lifted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
+pub enum OverrideError {
     /// Somebody else has changed something meanwhile.
     #[error("the overrides have changed meanwhile (now {now}, expected {expected}): look at them again")]
     Changed {
@@ -71,7 +71,7 @@
 /// An entry of the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Event {
+pub struct OverrideEvent {
     /// Its number, which grows.
     pub number: u64,
     /// When, Unix time in nanoseconds.
@@ -86,20 +86,20 @@
 
 /// The book of overrides.
 #[derive(Debug, Clone)]
-pub struct Book {
-    policy: Policy,
+pub struct OverrideSet {
+    policy: OverrideLimits,
     live: BTreeMap<u64, Override>,
     next: u64,
     revision: u64,
-    history: VecDeque<Event>,
+    history: VecDeque<OverrideEvent>,
     events: u64,
     announced: BTreeSet<u64>,
 }
 
-impl Book {
+impl OverrideSet {
     /// An empty book.
-    pub fn new(policy: Policy) -> Self {
-        Book {
+    pub fn new(policy: OverrideLimits) -> Self {
+        OverrideSet {
             policy,
             live: BTreeMap::new(),
             next: 1,
@@ -121,7 +121,7 @@
     }
 
     /// What happened, the newest first.
-    pub fn history(&self) -> impl Iterator<Item = &Event> {
+    pub fn history(&self) -> impl Iterator<Item = &OverrideEvent> {
         self.history.iter().rev()
     }
 
@@ -131,14 +131,14 @@
     }
 
     /// The bounds.
-    pub fn policy(&self) -> &Policy {
+    pub fn policy(&self) -> &OverrideLimits {
         &self.policy
     }
 
-    fn expect(&self, expected: Option<u64>) -> Result<(), Refusal> {
+    fn expect(&self, expected: Option<u64>) -> Result<(), OverrideError> {
         match expected {
             Some(expected) if expected != self.revision => {
-                Err(Refusal::Changed { now: self.revision, expected })
+                Err(OverrideError::Changed { now: self.revision, expected })
             }
             _ => Ok(()),
         }
@@ -150,13 +150,13 @@
     /// See [`Refusal`]; nothing is changed then.
     pub fn set(
         &mut self,
-        ask: Ask,
-        fleet: &[Fleet],
+        ask: OverrideRequest,
+        fleet: &[FleetCapacity],
         now: Nanos,
         expected: Option<u64>,
-    ) -> Result<Override, Refusal> {
+    ) -> Result<Override, OverrideError> {
         self.expect(expected)?;
-        let field = |name, why: &str| Err(Refusal::Field(name, why.to_owned()));
+        let field = |name, why: &str| Err(OverrideError::Field(name, why.to_owned()));
         for (name, text) in [("author", &ask.author), ("reason", &ask.reason)] {
             if text.trim().is_empty() || text.len() > TEXT_MOST {
                 return field(name, &format!("expected 1 to {TEXT_MOST} bytes"));
@@ -194,7 +194,7 @@
                 let pins = self.live.values().filter(|o| matches!(o.effect, Effect::Pinned { .. })).count();
                 // Danger: each request is held against all of them.
                 if pins >= PINS_MOST {
-                    return Err(Refusal::Full(pins));
+                    return Err(OverrideError::Full(pins));
                 }
             }
         }
@@ -212,13 +212,13 @@
             }
         }
         if self.live.len() >= self.policy.most {
-            return Err(Refusal::Full(self.live.len()));
+            return Err(OverrideError::Full(self.live.len()));
         }
-        let Ask { scope, effect, until, author, reason, force } = ask;
+        let OverrideRequest { scope, effect, until, author, reason, force } = ask;
         let new = Override { id: self.next, scope, effect, since: now, until, author, reason };
         let sum = carries(self.live.values(), &new, fleet, &self.policy, now);
         let kind = match sum {
-            Err(arithmetic) if !force => return Err(Refusal::TooMuch(arithmetic)),
+            Err(arithmetic) if !force => return Err(OverrideError::TooMuch(arithmetic)),
             Err(_) => EventKind::Forced,
             Ok(_) => EventKind::Set,
         };
@@ -240,9 +240,9 @@
         by: &str,
         now: Nanos,
         expected: Option<u64>,
-    ) -> Result<Override, Refusal> {
+    ) -> Result<Override, OverrideError> {
         self.expect(expected)?;
-        let lifted = self.live.remove(&id).ok_or(Refusal::Unknown(id))?;
+        let lifted = self.live.remove(&id).ok_or(OverrideError::Unknown(id))?;
         self.announced.remove(&id);
         self.revision += 1;
         self.note(now, EventKind::Lifted, by.to_owned(), lifted.clone());
@@ -275,7 +275,7 @@
 
     fn note(&mut self, at: Nanos, kind: EventKind, by: String, what: Override) {
         self.events += 1;
-        self.history.push_back(Event { number: self.events, at, kind, by, what });
+        self.history.push_back(OverrideEvent { number: self.events, at, kind, by, what });
         while self.history.len() > self.policy.history {
             self.history.pop_front();
         }
@@ -283,15 +283,15 @@
 
     /// Goes on from what was kept: overrides, history in its order, and the numbers that were given.
     pub fn restore(
-        policy: Policy,
+        policy: OverrideLimits,
         live: Vec<Override>,
-        history: Vec<Event>,
+        history: Vec<OverrideEvent>,
         next: u64,
         revision: u64,
     ) -> Self {
         let events = history.last().map_or(0, |e| e.number);
         let most = live.iter().map(|o| o.id).max().unwrap_or(0);
-        Book {
+        OverrideSet {
             policy,
             live: live.into_iter().map(|o| (o.id, o)).collect(),
             next: next.max(most + 1),
--- a/crates/core/overrides/src/types.rs
+++ b/crates/core/overrides/src/types.rs
@@ -121,7 +121,7 @@
 
 /// Bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Policy {
+pub struct OverrideLimits {
     /// The longest that an override may last, in nanoseconds.
     pub longest: Nanos,
     /// The part of the fleet's weight that must stay in service, from 0 to 1.
@@ -136,9 +136,9 @@
     pub history: usize,
 }
 
-impl Default for Policy {
+impl Default for OverrideLimits {
     fn default() -> Self {
-        Policy {
+        OverrideLimits {
             longest: 12 * 3600 * SECOND,
             stay: 0.67,
             announce: 600 * SECOND,
