--- a/crates/core/overrides/tests/book.rs
+++ b/crates/core/overrides/tests/book.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use rushquay_overrides::{
-    decide, Ask, Book, Effect, EventKind, Fleet, Node, Override, Policy, Refusal, Scope, Standing, SECOND,
+    effective_overrides, Effect, EventKind, FleetCapacity, Node, Override, OverrideError, OverrideLimits,
+    OverrideRequest, OverrideSet, OverrideStatus, Scope, SECOND,
 };
 
 const NODE: Node<'_> = Node { id: "cache-07", kind: "std-1c", zone: "vadodara" };
@@ -28,7 +29,7 @@
 #[test]
 fn precedence_is_as_the_table_says() {
     use Effect::{Out, Weight};
-    use Standing::{InForce, Masked};
+    use OverrideStatus::{InForce, Masked};
     let table = [
         // Out of service wins over any weight, however narrow.
         ((zone(), Out, 1, 50), (node(), Weight(0.5), 2, 90), (50, 0.5), [InForce, Masked(1)]),
@@ -50,7 +51,7 @@
             of(id, scope, effect, since, until)
         };
         let both = [make(1, one), make(2, two)];
-        let (imposed, mut stands) = decide(both.iter(), &NODE, 10 * SECOND);
+        let (imposed, mut stands) = effective_overrides(both.iter(), &NODE, 10 * SECOND);
         stands.sort_by_key(|(id, _)| *id);
         assert_eq!(imposed.out.1, out * SECOND, "row {number}");
         assert_eq!(imposed.is_out(10 * SECOND), out > 0, "row {number}");
@@ -68,14 +69,14 @@
             of(1, kind(), Effect::Weight(0.2), 1, lower_ends),
             of(2, node(), Effect::Weight(0.5), 2, upper_ends),
         ];
-        let (imposed, _) = decide(both.iter(), &NODE, 10 * SECOND);
+        let (imposed, _) = effective_overrides(both.iter(), &NODE, 10 * SECOND);
         let at = |s: u64| imposed.factor(s * SECOND);
         assert_eq!((at(10), at(49), at(upper_ends), at(90)), (0.5, 0.5, later, 1.0), "upper to {upper_ends}");
     }
 }
 
-fn fleet(weights: &[f64]) -> Vec<Fleet> {
-    let one = |(i, weight): (usize, &f64)| Fleet {
+fn fleet(weights: &[f64]) -> Vec<FleetCapacity> {
+    let one = |(i, weight): (usize, &f64)| FleetCapacity {
         id: format!("cache-{i:02}"),
         kind: "std-1c".into(),
         zone: if i % 2 == 0 { "vadodara" } else { "surat" }.into(),
@@ -85,14 +86,14 @@
     weights.iter().enumerate().map(one).collect()
 }
 
-fn ask(scope: Scope, effect: Effect, until: u64) -> Ask {
+fn ask(scope: Scope, effect: Effect, until: u64) -> OverrideRequest {
     let (author, reason) = ("asha".into(), "boiler room".into());
-    Ask { scope, effect, until: until * SECOND, author, reason, force: false }
+    OverrideRequest { scope, effect, until: until * SECOND, author, reason, force: false }
 }
 
 #[test]
 fn too_much_is_refused_with_the_arithmetic_unless_forced() {
-    let mut book = Book::new(Policy::default());
+    let mut book = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0, 1.0, 2.0]);
     let first = ask(Scope::Node("cache-00".into()), Effect::Out, 100);
     book.set(first, &nodes, 0, None).expect("a quarter may go");
@@ -101,47 +102,60 @@
     let text = refused.to_string();
     assert!(text.contains("all nodes weigh 4.00, 3.00 of it (75%) is in service"), "{text}");
     assert!(text.contains("with this 2.00 (50%) would be, and 2.68 (67%) must stay"), "{text}");
-    let forced = book.set(Ask { force: true, ..second }, &nodes, 0, None).expect("forced");
+    let forced = book.set(OverrideRequest { force: true, ..second }, &nodes, 0, None).expect("forced");
     assert_eq!(book.history().next().map(|e| (e.kind, e.what.id)), Some((EventKind::Forced, forced.id)));
     // What takes nothing away is not refused, however little there is.
     book.set(ask(Scope::Node("cache-02".into()), Effect::Weight(1.5), 100), &nodes, 0, None)
         .expect("no less");
     // A weight takes away as well.
     let less = ask(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
-    assert!(matches!(book.set(less, &nodes, 0, None), Err(Refusal::TooMuch(_))));
+    assert!(matches!(book.set(less, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
 }
 
 #[test]
 fn fields_are_checked_and_two_engineers_do_not_overwrite_each_other() {
-    let mut book = Book::new(Policy::default());
+    let mut book = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0; 12]);
     let good = ask(Scope::Node("cache-07".into()), Effect::Out, 100);
-    let field = |book: &mut Book, ask: Ask| match book.set(ask, &nodes, 50 * SECOND, None) {
-        Err(Refusal::Field(name, _)) => name,
+    let field = |book: &mut OverrideSet, ask: OverrideRequest| match book.set(ask, &nodes, 50 * SECOND, None)
+    {
+        Err(OverrideError::Field(name, _)) => name,
         other => panic!("{other:?}"),
     };
-    assert_eq!(field(&mut book, Ask { author: " ".into(), ..good.clone() }), "author");
-    assert_eq!(field(&mut book, Ask { reason: String::new(), ..good.clone() }), "reason");
-    assert_eq!(field(&mut book, Ask { until: 50 * SECOND, ..good.clone() }), "until");
-    assert_eq!(field(&mut book, Ask { until: 50_000 * SECOND, ..good.clone() }), "until");
-    assert_eq!(field(&mut book, Ask { effect: Effect::Weight(0.0), ..good.clone() }), "effect.weight");
-    assert_eq!(field(&mut book, Ask { effect: Effect::Weight(f64::NAN), ..good.clone() }), "effect.weight");
-    assert_eq!(field(&mut book, Ask { scope: Scope::Zone(String::new()), ..good.clone() }), "scope");
-    assert_eq!(field(&mut book, Ask { scope: Scope::Node("cahce-07".into()), ..good.clone() }), "scope.node");
+    assert_eq!(field(&mut book, OverrideRequest { author: " ".into(), ..good.clone() }), "author");
+    assert_eq!(field(&mut book, OverrideRequest { reason: String::new(), ..good.clone() }), "reason");
+    assert_eq!(field(&mut book, OverrideRequest { until: 50 * SECOND, ..good.clone() }), "until");
+    assert_eq!(field(&mut book, OverrideRequest { until: 50_000 * SECOND, ..good.clone() }), "until");
+    assert_eq!(
+        field(&mut book, OverrideRequest { effect: Effect::Weight(0.0), ..good.clone() }),
+        "effect.weight"
+    );
+    assert_eq!(
+        field(&mut book, OverrideRequest { effect: Effect::Weight(f64::NAN), ..good.clone() }),
+        "effect.weight"
+    );
+    assert_eq!(
+        field(&mut book, OverrideRequest { scope: Scope::Zone(String::new()), ..good.clone() }),
+        "scope"
+    );
+    assert_eq!(
+        field(&mut book, OverrideRequest { scope: Scope::Node("cahce-07".into()), ..good.clone() }),
+        "scope.node"
+    );
     let seen = book.revision();
     let set = book.set(good.clone(), &nodes, 50 * SECOND, Some(seen)).expect("set");
     let second = book.set(good, &nodes, 50 * SECOND, Some(seen)).expect_err("changed meanwhile");
-    assert_eq!(second, Refusal::Changed { now: seen + 1, expected: seen });
-    assert!(matches!(book.lift(set.id, "ravi", 51 * SECOND, Some(seen)), Err(Refusal::Changed { .. })));
+    assert_eq!(second, OverrideError::Changed { now: seen + 1, expected: seen });
+    assert!(matches!(book.lift(set.id, "ravi", 51 * SECOND, Some(seen)), Err(OverrideError::Changed { .. })));
     book.lift(set.id, "ravi", 51 * SECOND, None).expect("lifted");
-    assert_eq!(book.lift(set.id, "ravi", 52 * SECOND, None), Err(Refusal::Unknown(set.id)));
+    assert_eq!(book.lift(set.id, "ravi", 52 * SECOND, None), Err(OverrideError::Unknown(set.id)));
     let kinds: Vec<_> = book.history().map(|e| (e.kind, e.by.as_str())).collect();
     assert_eq!(kinds, [(EventKind::Lifted, "ravi"), (EventKind::Set, "asha")]);
 }
 
 #[test]
 fn a_pin_is_to_one_node_and_of_two_alike_the_later_masks() {
-    let mut book = Book::new(Policy::default());
+    let mut book = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0; 12]);
     let pinned = |class: Option<&str>, keys: Option<&str>| Effect::Pinned {
         class: class.map(str::to_owned),
@@ -155,7 +169,10 @@
         (on("cache-07"), pinned(None, Some("a*b")), "effect.pinned.keys"),
     ] {
         let refused = book.set(ask(scope, effect.clone(), 100), &nodes, 0, None);
-        assert!(matches!(&refused, Err(Refusal::Field(name, _)) if *name == field), "{effect}: {refused:?}");
+        assert!(
+            matches!(&refused, Err(OverrideError::Field(name, _)) if *name == field),
+            "{effect}: {refused:?}"
+        );
     }
     let mut set = |id, effect, until| book.set(ask(on(id), effect, until), &nodes, 0, None).expect("set").id;
     let first = set("cache-01", pinned(Some("read"), Some("boiler-*")), 100);
@@ -167,14 +184,14 @@
     // A node that is out gets nothing, pinned or not; the pin stands beneath.
     let out = book.set(ask(on("cache-01"), Effect::Out, 100), &nodes, 0, None).expect("set").id;
     let node = Node { id: "cache-01", kind: "k", zone: "z" };
-    let (imposed, stands) = decide(book.live(), &node, SECOND);
+    let (imposed, stands) = effective_overrides(book.live(), &node, SECOND);
     assert_eq!(imposed.pins.len(), 1);
-    assert!(stands.contains(&(first, Standing::Masked(out))), "{stands:?}");
+    assert!(stands.contains(&(first, OverrideStatus::Masked(out))), "{stands:?}");
 }
 
 #[test]
 fn history_and_announcements_are_bounded_and_each_is_announced_once() {
-    let mut book = Book::new(Policy { history: 10, ..Policy::default() });
+    let mut book = OverrideSet::new(OverrideLimits { history: 10, ..OverrideLimits::default() });
     let nodes = fleet(&[1.0; 12]);
     for i in 0..50 {
         let o = book
@@ -205,12 +222,12 @@
                 of(i as u64 + 1, scope, effect, *since, *until)
             })
             .collect();
-        let (taken, _) = decide(overrides.iter(), &NODE, 20 * SECOND);
-        let mut book = Book::restore(Policy::default(), overrides.clone(), Vec::new(), 1, 9);
+        let (taken, _) = effective_overrides(overrides.iter(), &NODE, 20 * SECOND);
+        let mut book = OverrideSet::restore(OverrideLimits::default(), overrides.clone(), Vec::new(), 1, 9);
         for second in 20..61 {
             let now = second * SECOND;
             book.expire(now);
-            let (fresh, _) = decide(book.live(), &NODE, now);
+            let (fresh, _) = effective_overrides(book.live(), &NODE, now);
             prop_assert_eq!(taken.is_out(now), fresh.is_out(now), "out at {}", second);
             prop_assert_eq!(taken.factor(now), fresh.factor(now), "factor at {}", second);
             let live: Vec<u64> = overrides.iter().filter(|o| o.until > now).map(|o| o.id).collect();
--- a/crates/core/policy/examples/policy_figures.rs
+++ b/crates/core/policy/examples/policy_figures.rs
@@ -3,7 +3,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_policy::{Acting, Boot, Coordinator, Ended, Grant, Member, Record, Terms, Told, Unanswered};
+use rushquay_policy::{
+    ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseGrant, LeaseTerms, Member, PolicyRecord,
+    PolicySet, StartupPolicy,
+};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -55,8 +58,8 @@
     away: Vec<bool>,
     coordinator: Option<Coordinator>,
     /// Asks on their way and at the leader, and leaves on their way.
-    asks: Vec<rushquay_policy::Ask>,
-    grants: Vec<Grant>,
+    asks: Vec<rushquay_policy::LeaseRequest>,
+    grants: Vec<LeaseGrant>,
     waiting: Vec<(usize, u64)>,
     words: u64,
     writes: u64,
@@ -127,7 +130,7 @@
                     let ask = &self.asks[*number as usize];
                     (*m, coordinator.hear(&format!("p{m}"), ask, self.now).expect("a leave"))
                 });
-                let granted: Vec<(usize, Grant)> = names.collect();
+                let granted: Vec<(usize, LeaseGrant)> = names.collect();
                 for (m, grant) in granted {
                     self.words += 1;
                     self.grants.push(grant);
@@ -141,8 +144,10 @@
 
 /// Seconds to the decision, seconds to the last proxy's new, and words and writes on the way.
 fn change(proxies: usize, fault: Fault, seed: u64) -> (f64, f64, u64, u64) {
-    let terms = Terms { span: 10 * SECOND, drift_ppm: 10_000, limit: 120 * SECOND, floor: 3600 * SECOND };
-    let members = (0..proxies).map(|m| Member::new(Boot(m as u64 + 1), Unanswered::Waits, 0)).collect();
+    let terms =
+        LeaseTerms { span: 10 * SECOND, drift_ppm: 10_000, limit: 120 * SECOND, floor: 3600 * SECOND };
+    let members =
+        (0..proxies).map(|m| Member::new(Incarnation(m as u64 + 1), StartupPolicy::Waits, 0)).collect();
     let mut play = Play {
         now: 0,
         events: BinaryHeap::new(),
@@ -150,7 +155,7 @@
         random: Pcg64Mcg::seed_from_u64(seed),
         members,
         away: vec![false; proxies],
-        coordinator: Some(Coordinator::lead(terms, Record::default(), 0)),
+        coordinator: Some(Coordinator::lead(terms, PolicyRecord::default(), 0)),
         asks: Vec::new(),
         grants: Vec::new(),
         waiting: Vec::new(),
@@ -194,10 +199,10 @@
     loop {
         play.step();
         let record = play.coordinator.as_ref().expect("it leads").record();
-        if decided.is_none() && matches!(record.last, Some((_, Ended::Committed))) {
+        if decided.is_none() && matches!(record.last, Some((_, ChangeOutcome::Committed))) {
             decided = Some(play.now);
         }
-        let new = Acting::Told(Told::Pure(record.holds));
+        let new = ActivePolicy::Leased(PolicySet::Pure(record.holds));
         let all = (0..proxies).all(|m| play.away[m] || play.members[m].acting(play.now) == new);
         if let (Some(decided), true) = (decided, all) {
             let seconds = |at: u64| (at - from) as f64 / SECOND as f64;
--- a/crates/core/policy/src/shelf.rs
+++ b/crates/core/policy/src/archive.rs
@@ -1,9 +1,9 @@
 //! The policies that are still of use, and the floors that somebody may still act by.
 
-use crate::body::{Floor, Policy, PolicyError};
-use crate::coordinator::Terms;
-use crate::record::{Number, Record, Revision};
-use crate::word::{Ask, Boot};
+use crate::coordinator::LeaseTerms;
+use crate::document::{FallbackPolicy, Policy, PolicyError};
+use crate::messages::{Incarnation, LeaseRequest};
+use crate::record::{PolicyNumber, PolicyRecord, Revision};
 use crate::Nanos;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,27 +16,27 @@
 /// A leave that a process was granted, and may have lost since: it goes by this policy's floor then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Leave {
-    of: Number,
+    of: PolicyNumber,
     granted: Nanos,
 }
 
 /// The policies that are kept, and who may stand on which floor.
 #[derive(Clone, Debug)]
-pub struct Shelf {
-    policies: BTreeMap<Number, Policy>,
+pub struct PolicyArchive {
+    policies: BTreeMap<PolicyNumber, Policy>,
     /// Those that have held: somebody may act by their floors. One that was proposed and never held has told nobody to.
-    held: BTreeSet<Number>,
+    held: BTreeSet<PolicyNumber>,
     /// What holds where nothing was ever proposed.
     first: Policy,
     /// By process and revision: the leaves that it may still stand behind.
-    leaves: BTreeMap<(String, Boot), BTreeMap<Revision, Leave>>,
+    leaves: BTreeMap<(String, Incarnation), BTreeMap<Revision, Leave>>,
     /// Since when this leader leads. Danger: whom those before it gave leave it does not know.
     since: Nanos,
 }
 
 /// Why a policy can't be proposed now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum UnfitPolicy {
     /// It is none.
     #[error(transparent)]
     Policy(#[from] PolicyError),
@@ -73,32 +73,37 @@
     until: Nanos,
 }
 
-impl Shelf {
+impl PolicyArchive {
     /// What was kept, when a leader begins.
-    pub fn lead(kept: BTreeMap<Number, Policy>, first: Floor, record: &Record, now: Nanos) -> Self {
-        let proposed = record.told().numbers().nth(1);
-        let held = kept.keys().copied().chain([Number(0)]).filter(|n| Some(*n) != proposed).collect();
+    pub fn lead(
+        kept: BTreeMap<PolicyNumber, Policy>,
+        first: FallbackPolicy,
+        record: &PolicyRecord,
+        now: Nanos,
+    ) -> Self {
+        let proposed = record.policy_set().numbers().nth(1);
+        let held = kept.keys().copied().chain([PolicyNumber(0)]).filter(|n| Some(*n) != proposed).collect();
         let leaves = BTreeMap::new();
-        Shelf { policies: kept, held, first: Policy::base(first), leaves, since: now }
+        PolicyArchive { policies: kept, held, first: Policy::base(first), leaves, since: now }
     }
 
     /// A policy, where it is kept.
-    pub fn get(&self, number: Number) -> Option<&Policy> {
-        self.policies.get(&number).or((number == Number(0)).then_some(&self.first))
+    pub fn get(&self, number: PolicyNumber) -> Option<&Policy> {
+        self.policies.get(&number).or((number == PolicyNumber(0)).then_some(&self.first))
     }
 
     /// Puts one there that was kept in the store.
-    pub fn put(&mut self, number: Number, policy: Policy) {
+    pub fn put(&mut self, number: PolicyNumber, policy: Policy) {
         self.policies.insert(number, policy);
     }
 
     /// The record stands so now.
-    pub fn moved(&mut self, record: &Record) {
+    pub fn moved(&mut self, record: &PolicyRecord) {
         self.held.insert(record.holds);
     }
 
     /// A process has asked, and is granted leave for what the record says.
-    pub fn granted(&mut self, name: &str, ask: &Ask, record: &Record, now: Nanos) {
+    pub fn granted(&mut self, name: &str, ask: &LeaseRequest, record: &PolicyRecord, now: Nanos) {
         let leaves = self.leaves.entry((name.to_owned(), ask.boot)).or_default();
         // What it acts by it never goes back behind, nor to the floors before it.
         leaves.retain(|revision, _| *revision >= ask.acting);
@@ -107,26 +112,33 @@
 
     /// Forgets the leaves behind which nobody can stand any more, and gives the policies that can be dropped: of no use to anybody, and
     /// not among the last.
-    pub fn useless(&mut self, record: &Record, terms: &Terms, now: Nanos) -> Vec<Number> {
+    pub fn useless(&mut self, record: &PolicyRecord, terms: &LeaseTerms, now: Nanos) -> Vec<PolicyNumber> {
         let over = terms.floor_over();
         self.leaves.retain(|_, leaves| {
             leaves.retain(|_, leave| now.saturating_sub(leave.granted) <= over);
             !leaves.is_empty()
         });
         let most = self.policies.len().saturating_sub(STAY);
-        let free = |n: &Number| {
-            !record.told().numbers().any(|named| named == *n) && self.users(*n, record, terms, now).is_none()
+        let free = |n: &PolicyNumber| {
+            !record.policy_set().numbers().any(|named| named == *n)
+                && self.users(*n, record, terms, now).is_none()
         };
         self.policies.keys().copied().filter(free).take(most).collect()
     }
 
     /// Forgets some.
-    pub fn forget(&mut self, numbers: &[Number]) {
+    pub fn forget(&mut self, numbers: &[PolicyNumber]) {
         numbers.iter().for_each(|number| drop(self.policies.remove(number)));
     }
 
     /// Who may act by the floor of a policy; `None`: nobody.
-    fn users(&self, number: Number, record: &Record, terms: &Terms, now: Nanos) -> Option<Users> {
+    fn users(
+        &self,
+        number: PolicyNumber,
+        record: &PolicyRecord,
+        terms: &LeaseTerms,
+        now: Nanos,
+    ) -> Option<Users> {
         if !self.held.contains(&number) {
             return None;
         }
@@ -157,12 +169,12 @@
         &self,
         settings: &Value,
         floor: Option<&Value>,
-        (record, terms): (&Record, &Terms),
+        (record, terms): (&PolicyRecord, &LeaseTerms),
         now: Nanos,
-    ) -> Result<Policy, Unfit> {
+    ) -> Result<Policy, UnfitPolicy> {
         let floor = match floor.filter(|f| !f.is_null()) {
-            Some(told) => Floor::read(told)?,
-            None => self.get(record.holds).map_or(Floor::Nobody, |p| p.floor.clone()),
+            Some(told) => FallbackPolicy::read(told)?,
+            None => self.get(record.holds).map_or(FallbackPolicy::Nobody, |p| p.floor.clone()),
         };
         let policy = Policy::of(settings, floor)?;
         for number in &self.held {
@@ -177,7 +189,7 @@
                     false => users.who.into_iter().collect(),
                 };
                 let for_s = users.until.saturating_sub(now).div_ceil(1_000_000_000);
-                return Err(Unfit::BelowFloor { of: number.0, paths, who, for_s });
+                return Err(UnfitPolicy::BelowFloor { of: number.0, paths, who, for_s });
             }
         }
         Ok(policy)
--- a/crates/core/policy/src/coordinator.rs
+++ b/crates/core/policy/src/coordinator.rs
@@ -1,13 +1,13 @@
 //! The leader's side: who may still act by what, and when a change is decided.
 
-use crate::record::{Ended, Phase, Record, Revision};
-use crate::word::{Ask, Boot, Grant};
+use crate::messages::{Incarnation, LeaseGrant, LeaseRequest};
+use crate::record::{ChangeOutcome, Phase, PolicyRecord, Revision};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
 /// Spans of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// A leave lasts so long, by the member's clock.
     pub span: Nanos,
     /// Clocks run so many parts in a million fast or slow at the most, below 500,000.
@@ -18,7 +18,7 @@
     pub floor: Nanos,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// After so long, by this leader's clock, a leave that was granted is surely over by the member's. The member's clock may be slow
     /// and this one fast: S/(1-d) of true time for the leave, of which this clock shows (1+d).
     pub fn over(&self) -> Nanos {
@@ -50,11 +50,11 @@
 
 /// Who holds a change up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holdup {
+pub struct BlockedReason {
     /// The member; empty: this leader itself, which has only just begun.
     pub name: String,
     /// Its process.
-    pub boot: Boot,
+    pub boot: Incarnation,
     /// When it is fenced and waited for no more, by this leader's clock.
     pub fenced_at: Nanos,
 }
@@ -62,31 +62,31 @@
 /// The leader of an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    terms: Terms,
-    record: Record,
+    terms: LeaseTerms,
+    record: PolicyRecord,
     /// Since when it leads.
     since: Nanos,
     /// Since when it knows of the change under way.
     change_since: Nanos,
-    seats: BTreeMap<(String, Boot), Seat>,
+    seats: BTreeMap<(String, Incarnation), Seat>,
     /// Who has heard of a revision that the store does not know.
     beyond: Option<(String, Revision)>,
 }
 
 impl Coordinator {
     /// Leads from now on, on what stands in the store.
-    pub fn lead(terms: Terms, record: Record, now: Nanos) -> Self {
+    pub fn lead(terms: LeaseTerms, record: PolicyRecord, now: Nanos) -> Self {
         Coordinator { terms, record, since: now, change_since: now, seats: BTreeMap::new(), beyond: None }
     }
 
     /// What stands in the store, as far as it is known here.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &PolicyRecord {
         &self.record
     }
 
     /// A record stands in the store from now on. Danger: told before it stands there, a decision would be known to members and to no
     /// successor.
-    pub fn kept(&mut self, record: Record, now: Nanos) {
+    pub fn kept(&mut self, record: PolicyRecord, now: Nanos) {
         self.record = record;
         self.change_since = now;
     }
@@ -104,7 +104,7 @@
     }
 
     /// A member has asked, and is answered; `None`: nobody has leave. The caller must lead, by its own clock, as it calls this.
-    pub fn hear(&mut self, name: &str, ask: &Ask, now: Nanos) -> Option<Grant> {
+    pub fn hear(&mut self, name: &str, ask: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
         // Danger: granted leave for what such a store says, a proxy that has just started would act by it beside those that act by what is
         // not there any more.
         if ask.heard > self.beyond.as_ref().map_or(self.record.revision, |(_, revision)| *revision) {
@@ -122,19 +122,19 @@
         }
         seat.leaves.retain(|_, granted| now.saturating_sub(*granted) <= over);
         seat.leaves.insert(self.record.revision, now);
-        let (revision, told) = (self.record.revision, self.record.told());
-        let Terms { span, floor, .. } = self.terms;
-        Some(Grant { boot: ask.boot, seq: ask.seq, revision, told, span, floor })
+        let (revision, told) = (self.record.revision, self.record.policy_set());
+        let LeaseTerms { span, floor, .. } = self.terms;
+        Some(LeaseGrant { boot: ask.boot, seq: ask.seq, revision, told, span, floor })
     }
 
     /// Who may still act by something older than the present revision.
-    pub fn holdups(&self, now: Nanos) -> Vec<Holdup> {
+    pub fn holdups(&self, now: Nanos) -> Vec<BlockedReason> {
         let over = self.terms.over();
         let mut holdups = Vec::new();
         // Danger: whoever led before may have granted leave to members that this one has never heard of, up to the end of its lease.
         let own = self.alone_from();
         if now <= own {
-            holdups.push(Holdup { name: String::new(), boot: Boot(0), fenced_at: own });
+            holdups.push(BlockedReason { name: String::new(), boot: Incarnation(0), fenced_at: own });
         }
         for ((name, boot), seat) in &self.seats {
             // One that acts by the present revision never goes back to an earlier one.
@@ -143,14 +143,14 @@
             }
             let older = seat.leaves.range(..self.record.revision).map(|(_, at)| at.saturating_add(over));
             if let Some(fenced_at) = older.max().filter(|fenced_at| now <= *fenced_at) {
-                holdups.push(Holdup { name: name.clone(), boot: *boot, fenced_at });
+                holdups.push(BlockedReason { name: name.clone(), boot: *boot, fenced_at });
             }
         }
         holdups
     }
 
     /// How the change under way ends now, if it does: what is to be kept, and only then counts.
-    pub fn step(&mut self, now: Nanos) -> Option<Record> {
+    pub fn step(&mut self, now: Nanos) -> Option<PolicyRecord> {
         let over = self.terms.over();
         self.seats.retain(|_, seat| seat.leaves.values().any(|granted| now.saturating_sub(*granted) <= over));
         let Phase::Joint(_) = self.record.phase else { return None };
@@ -160,34 +160,34 @@
         let revision = self.record.revision;
         let refused = self.seats.iter().find_map(|((name, _), seat)| {
             let (_, why) = seat.refused.as_ref().filter(|(what, _)| *what == revision)?;
-            Some(Ended::Refused { name: name.clone(), why: why.clone() })
+            Some(ChangeOutcome::Refused { name: name.clone(), why: why.clone() })
         });
         let holdups = self.holdups(now);
         let how = match (refused, holdups.is_empty()) {
             (Some(refused), _) => refused,
-            (None, true) => Ended::Committed,
+            (None, true) => ChangeOutcome::Committed,
             (None, false) if now.saturating_sub(self.change_since) > self.terms.limit => {
-                let name = |h: &Holdup| {
+                let name = |h: &BlockedReason| {
                     if h.name.is_empty() {
                         "a leader that has only just begun".into()
                     } else {
                         h.name.clone()
                     }
                 };
-                Ended::OverTime { held_up_by: holdups.iter().map(name).collect() }
+                ChangeOutcome::OverTime { held_up_by: holdups.iter().map(name).collect() }
             }
             (None, false) => return None,
         };
-        self.record.ended(how)
+        self.record.conclude(how)
     }
 
     /// The processes that have leave now, as far as this leader knows: name, process, and the newest revision that each said it acts by.
-    pub fn members(&self) -> impl Iterator<Item = (&str, Boot, Revision)> {
+    pub fn members(&self) -> impl Iterator<Item = (&str, Incarnation, Revision)> {
         self.seats.iter().map(|((name, boot), seat)| (name.as_str(), *boot, seat.acting))
     }
 
     /// The spans that it goes by.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> LeaseTerms {
         self.terms
     }
 
--- a/crates/core/policy/src/meet.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -1,19 +1,19 @@
 //! What a proxy obeys between two policies: field by field what breaks neither.
 
-use crate::field::{order, Order};
+use crate::strictness::{compare_strictness, Strictness};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where two policies have nothing in common: what is asked for there is refused until the change is decided.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stop {
+pub struct RejectedClass {
     /// The class that is refused; `None`: every request.
     pub class: Option<String>,
     /// The field, by its path.
     pub path: String,
 }
 
-impl std::fmt::Display for Stop {
+impl std::fmt::Display for RejectedClass {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let class = self.class.as_deref().unwrap_or("every class");
         write!(f, "{class} is refused until it is decided: the two have nothing in common in {}", self.path)
@@ -22,19 +22,19 @@
 
 /// The meet of two policies.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Met {
+pub struct Intersection {
     /// A proxy's settings; tenants in the order of their names.
     pub settings: Value,
     /// What it refuses.
-    pub stops: BTreeSet<Stop>,
+    pub stops: BTreeSet<RejectedClass>,
 }
 
 /// The stricter of two values; `None`: they have nothing in common.
-fn stricter(order: Order, a: &Value, b: &Value) -> Option<Value> {
+fn stricter(order: Strictness, a: &Value, b: &Value) -> Option<Value> {
     if a == b {
         return Some(a.clone());
     }
-    if let (Order::Subset, Some(one), Some(two)) = (order, a.as_array(), b.as_array()) {
+    if let (Strictness::Subset, Some(one), Some(two)) = (order, a.as_array(), b.as_array()) {
         let both: Vec<Value> = one.iter().filter(|v| two.contains(v)).cloned().collect();
         return (!both.is_empty()).then(|| Value::Array(sorted(both)));
     }
@@ -63,15 +63,15 @@
 }
 
 /// A set as [`sorted`] has it, anything else as it is.
-fn normal(order: Order, value: &Value) -> Value {
+fn normal(order: Strictness, value: &Value) -> Value {
     match (order, value) {
-        (Order::Subset, Value::Array(set)) => Value::Array(sorted(set.clone())),
+        (Strictness::Subset, Value::Array(set)) => Value::Array(sorted(set.clone())),
         _ => value.clone(),
     }
 }
 
 struct Meeting {
-    stops: BTreeSet<Stop>,
+    stops: BTreeSet<RejectedClass>,
 }
 
 impl Meeting {
@@ -90,10 +90,10 @@
             let value = if one.is_object() && two.is_object() {
                 self.objects(&path, class, one, two)
             } else {
-                let order = order(&path);
+                let order = compare_strictness(&path);
                 let (one, two) = (normal(order, one), normal(order, two));
                 stricter(order, &one, &two).unwrap_or_else(|| {
-                    self.stops.insert(Stop { class: class.map(str::to_owned), path });
+                    self.stops.insert(RejectedClass { class: class.map(str::to_owned), path });
                     // Nothing is asked for by it meanwhile; which of the two it says must not hang on their order.
                     either(one, two)
                 })
@@ -111,7 +111,7 @@
         let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
         let (one, two) = (list(a), list(b));
         if one.iter().map(name).ne(two.iter().map(name)) {
-            self.stops.insert(Stop { class: None, path: "categories".into() });
+            self.stops.insert(RejectedClass { class: None, path: "categories".into() });
             return either(a.clone(), b.clone());
         }
         let pairs = one.iter().zip(&two);
@@ -137,7 +137,7 @@
 
 /// What breaks neither of two policies, each a proxy's whole settings. It is the same for the two in either order, is itself for two of
 /// one kind, and nowhere looser than either.
-pub fn meet(a: &Value, b: &Value) -> Met {
+pub fn intersect(a: &Value, b: &Value) -> Intersection {
     let mut meeting = Meeting { stops: BTreeSet::new() };
     let mut settings = meeting.objects("", None, a, b);
     if !(a["categories"].is_null() && b["categories"].is_null()) {
@@ -147,12 +147,12 @@
         settings["customers"] = meeting.tenants(&a["customers"], &b["customers"]);
     }
     // A tenant is of no class: where two have nothing in common in one, all is refused.
-    let all = |stop: Stop| Stop { class: stop.class.filter(|c| !c.is_empty()), ..stop };
-    Met { settings, stops: meeting.stops.into_iter().map(all).collect() }
+    let all = |stop: RejectedClass| RejectedClass { class: stop.class.filter(|c| !c.is_empty()), ..stop };
+    Intersection { settings, stops: meeting.stops.into_iter().map(all).collect() }
 }
 
 /// The paths of fields in which `one` is looser than `than`, or can't be compared with it.
-pub fn looser(one: &Value, than: &Value) -> Vec<String> {
+pub fn looser_paths(one: &Value, than: &Value) -> Vec<String> {
     let mut found = Vec::new();
     compare("", one, than, &mut found);
     found
@@ -178,7 +178,7 @@
             // What is left out holds no fields.
             (_, Value::Object(_), Value::Null) => compare(&path, one, &Map::new().into(), found),
             (_, Value::Null, Value::Object(_)) => compare(&path, &Map::new().into(), than, found),
-            (_, one, than) if order(&path).strict(one, than) != Some(true) => found.push(path),
+            (_, one, than) if compare_strictness(&path).strict(one, than) != Some(true) => found.push(path),
             _ => {}
         }
     }
--- a/crates/core/policy/src/lib.rs
+++ b/crates/core/policy/src/lib.rs
@@ -3,27 +3,29 @@
 //! and for how long without word. [`meet`] is what a proxy obeys between old and new. No I/O; time is passed in.
 #![forbid(unsafe_code)]
 
-mod body;
+mod archive;
+mod broadcast;
 mod coordinator;
-mod field;
-mod imposed;
-mod meet;
+mod document;
+mod intersection;
 mod member;
+mod messages;
+mod overlay;
 mod record;
-mod shelf;
-mod told;
-mod word;
+mod strictness;
 
-pub use body::{Floor, Policy, PolicyError};
-pub use coordinator::{Coordinator, Holdup, Terms};
-pub use field::{order, Order};
-pub use imposed::{impose, Imposed};
-pub use meet::{looser, meet, Met, Stop};
-pub use member::{Acting, Handed, Member, Unanswered};
-pub use record::{Change, Ended, Event, Number, Phase, Record, Refusal, Revision};
-pub use shelf::{Shelf, Unfit};
-pub use told::{Holding, HoldingError};
-pub use word::{Ask, Boot, Grant, Told, WordError};
+pub use archive::{PolicyArchive, UnfitPolicy};
+pub use broadcast::{BroadcastError, PolicyBroadcast};
+pub use coordinator::{BlockedReason, Coordinator, LeaseTerms};
+pub use document::{FallbackPolicy, Policy, PolicyError};
+pub use intersection::{intersect, looser_paths, Intersection, RejectedClass};
+pub use member::{ActivePolicy, Member, MemberSnapshot, StartupPolicy};
+pub use messages::{Incarnation, LeaseGrant, LeaseRequest, MessageError, PolicySet};
+pub use overlay::{apply_overlay, Overlay};
+pub use record::{
+    ChangeOutcome, PendingChange, Phase, PolicyEvent, PolicyNumber, PolicyRecord, RecordError, Revision,
+};
+pub use strictness::{compare_strictness, Strictness};
 
 /// A point in time or a span, in nanoseconds, on a steady clock that counts while the machine is suspended.
 pub type Nanos = u64;
--- a/crates/core/policy/src/member.rs
+++ b/crates/core/policy/src/member.rs
@@ -1,7 +1,7 @@
 //! A proxy's side: what it acts by now. It decides nothing; without word for too long it acts by the floor, and then by nothing.
 
+use crate::messages::{Incarnation, LeaseGrant, LeaseRequest, PolicySet};
 use crate::record::Revision;
-use crate::word::{Ask, Boot, Grant, Told};
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -12,18 +12,18 @@
 
 /// What a proxy acts by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Acting {
+pub enum ActivePolicy {
     /// By what it was told, and has leave for.
-    Told(Told),
+    Leased(PolicySet),
     /// Its leave has run out: by the floor.
-    Floor,
+    Fallback,
     /// It was never told anything, or has had no word for longer than the floor may be acted by: it serves nobody.
-    Nothing,
+    Denied,
 }
 
 /// What a proxy does that has just started and is not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Unanswered {
+pub enum StartupPolicy {
     /// It serves nobody until it is.
     Waits,
     /// After so long it acts by the floor that its own file names.
@@ -32,11 +32,11 @@
 
 /// What a process tells the one that takes over from it, on the same machine and so by the same clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct MemberSnapshot {
     /// The newest revision that it heard of.
     pub heard: Revision,
     /// What it acts by.
-    pub told: Option<(Revision, Told)>,
+    pub told: Option<(Revision, PolicySet)>,
     /// Until when it has leave for that.
     pub until: Nanos,
     /// For so long beyond that it may act by the floor.
@@ -46,10 +46,10 @@
 /// A proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    boot: Boot,
+    boot: Incarnation,
     /// When it started, and what it does until it is answered.
     started: Nanos,
-    unanswered: Unanswered,
+    unanswered: StartupPolicy,
     /// For so long beyond its leave it may act by the floor, as the last leave said.
     floor: Nanos,
     /// Counts up with each ask.
@@ -59,14 +59,14 @@
     /// The newest revision that was ever heard of; older word is passed over, whatever becomes of this one.
     heard: Revision,
     /// What it acts by, and until when.
-    told: Option<(Revision, Told)>,
+    told: Option<(Revision, PolicySet)>,
     until: Nanos,
     refused: Option<(Revision, String)>,
 }
 
 impl Member {
     /// One that starts now and knows nothing.
-    pub fn new(boot: Boot, unanswered: Unanswered, now: Nanos) -> Self {
+    pub fn new(boot: Incarnation, unanswered: StartupPolicy, now: Nanos) -> Self {
         Member {
             boot,
             started: now,
@@ -82,36 +82,41 @@
     }
 
     /// What a process that takes over from this one is to know.
-    pub fn handed(&self) -> Handed {
-        Handed { heard: self.heard, told: self.told, until: self.until, floor: self.floor }
+    pub fn snapshot(&self) -> MemberSnapshot {
+        MemberSnapshot { heard: self.heard, told: self.told, until: self.until, floor: self.floor }
     }
 
     /// A process that takes over from another now: it has heard what that one has, so that it never goes back behind it. Danger: it
     /// has no leave. The coordinator knows of that one's alone; acted by here, it would stand after that one has said that it acts by
     /// something newer. Until it is answered it acts by the floor.
-    pub fn take_over(boot: Boot, unanswered: Unanswered, handed: Handed, now: Nanos) -> Self {
-        let Handed { heard, told, until, floor } = handed;
+    pub fn take_over(
+        boot: Incarnation,
+        unanswered: StartupPolicy,
+        handed: MemberSnapshot,
+        now: Nanos,
+    ) -> Self {
+        let MemberSnapshot { heard, told, until, floor } = handed;
         Member { heard, told, until: until.min(now), floor, ..Member::new(boot, unanswered, now) }
     }
 
     /// What it acts by now. A request reads it once, and ends by what it read.
-    pub fn acting(&self, now: Nanos) -> Acting {
+    pub fn acting(&self, now: Nanos) -> ActivePolicy {
         self.standing(now).0
     }
 
     /// What it acts by now, and until when, if it hears nothing.
-    pub fn standing(&self, now: Nanos) -> (Acting, Nanos) {
+    pub fn standing(&self, now: Nanos) -> (ActivePolicy, Nanos) {
         match self.told {
-            Some((_, told)) if now < self.until => (Acting::Told(told), self.until),
+            Some((_, told)) if now < self.until => (ActivePolicy::Leased(told), self.until),
             Some(_) => match self.until.saturating_add(self.floor) {
-                over if now < over => (Acting::Floor, over),
-                _ => (Acting::Nothing, Nanos::MAX),
+                over if now < over => (ActivePolicy::Fallback, over),
+                _ => (ActivePolicy::Denied, Nanos::MAX),
             },
             None => match self.unanswered {
-                Unanswered::Waits => (Acting::Nothing, Nanos::MAX),
-                Unanswered::FloorAfter(wait) => match self.started.saturating_add(wait) {
-                    begins if now < begins => (Acting::Nothing, begins),
-                    _ => (Acting::Floor, Nanos::MAX),
+                StartupPolicy::Waits => (ActivePolicy::Denied, Nanos::MAX),
+                StartupPolicy::FloorAfter(wait) => match self.started.saturating_add(wait) {
+                    begins if now < begins => (ActivePolicy::Denied, begins),
+                    _ => (ActivePolicy::Fallback, Nanos::MAX),
                 },
             },
         }
@@ -128,28 +133,38 @@
     }
 
     /// What it was told last, whether or not it still has leave for it.
-    pub fn told(&self) -> Option<Told> {
+    pub fn told(&self) -> Option<PolicySet> {
         self.told.map(|(_, told)| told)
     }
 
     /// Its process.
-    pub fn boot(&self) -> Boot {
+    pub fn boot(&self) -> Incarnation {
         self.boot
     }
 
     /// What to ask now.
-    pub fn ask(&mut self, now: Nanos) -> Ask {
+    pub fn ask(&mut self, now: Nanos) -> LeaseRequest {
         self.seq += 1;
         self.asked.push_back((self.seq, now));
         while self.asked.len() > ASKED {
             self.asked.pop_front();
         }
         let acting = if now < self.until { self.revision() } else { Revision(0) };
-        Ask { boot: self.boot, seq: self.seq, acting, heard: self.heard, refused: self.refused.clone() }
+        LeaseRequest {
+            boot: self.boot,
+            seq: self.seq,
+            acting,
+            heard: self.heard,
+            refused: self.refused.clone(),
+        }
     }
 
     /// Takes an answer. `obey`: whether this proxy can obey what it says, or why not. Returns whether what it acts by has changed.
-    pub fn granted(&mut self, grant: &Grant, obey: impl FnOnce(Told) -> Result<(), String>) -> bool {
+    pub fn granted(
+        &mut self,
+        grant: &LeaseGrant,
+        obey: impl FnOnce(PolicySet) -> Result<(), String>,
+    ) -> bool {
         if grant.boot != self.boot || grant.revision < self.heard {
             return false;
         }
--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -1,6 +1,6 @@
 //! What stands in the store: the only place where a change is decided.
 
-use crate::word::Told;
+use crate::messages::PolicySet;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 
 /// The number of a policy, never used twice: policies of one content that were proposed twice are two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number(pub u64);
+pub struct PolicyNumber(pub u64);
 
 /// Counts up with each change of what holds. 0: before all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -19,9 +19,9 @@
 
 /// A change that is not decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
+pub struct PendingChange {
     /// What is to hold.
-    pub to: Number,
+    pub to: PolicyNumber,
     /// Who proposed it.
     pub author: String,
     /// Why.
@@ -35,13 +35,13 @@
     /// One policy holds.
     Settled,
     /// Old and new both hold, until all are known to obey both.
-    Joint(Change),
+    Joint(PendingChange),
 }
 
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "ended", rename_all = "kebab-case")]
-pub enum Ended {
+pub enum ChangeOutcome {
     /// The new holds.
     Committed,
     /// An operator took it back.
@@ -63,31 +63,33 @@
     },
 }
 
-impl std::fmt::Display for Ended {
+impl std::fmt::Display for ChangeOutcome {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Ended::Committed => write!(f, "committed: it holds everywhere"),
-            Ended::Withdrawn { by } => write!(f, "withdrawn by {by}: it holds nowhere"),
-            Ended::Refused { name, why } => write!(f, "aborted: {name} can't obey it: {why}"),
-            Ended::OverTime { held_up_by } => write!(f, "aborted: held up by {}", held_up_by.join(", ")),
+            ChangeOutcome::Committed => write!(f, "committed: it holds everywhere"),
+            ChangeOutcome::Withdrawn { by } => write!(f, "withdrawn by {by}: it holds nowhere"),
+            ChangeOutcome::Refused { name, why } => write!(f, "aborted: {name} can't obey it: {why}"),
+            ChangeOutcome::OverTime { held_up_by } => {
+                write!(f, "aborted: held up by {}", held_up_by.join(", "))
+            }
         }
     }
 }
 
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Event {
+pub struct PolicyEvent {
     /// The revision that it made.
     pub revision: Revision,
     /// The policy that it was about.
-    pub policy: Number,
+    pub policy: PolicyNumber,
     /// In words.
     pub what: String,
 }
 
 /// Why a proposal or command was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum RecordError {
     /// Somebody else changed something since.
     #[error("the record is at revision {now}, not {expected}: look again, and ask again if it still is what you want")]
     Changed {
@@ -109,27 +111,27 @@
 
 /// The record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct PolicyRecord {
     /// Counts up with each change of it.
     pub revision: Revision,
     /// The number of the next policy.
-    pub next: Number,
+    pub next: PolicyNumber,
     /// What holds; while a change is under way, the old.
-    pub holds: Number,
+    pub holds: PolicyNumber,
     /// Whether a change is under way.
     pub phase: Phase,
     /// How the last change ended.
-    pub last: Option<(Number, Ended)>,
+    pub last: Option<(PolicyNumber, ChangeOutcome)>,
     /// What happened, the oldest first.
-    pub events: VecDeque<Event>,
+    pub events: VecDeque<PolicyEvent>,
 }
 
-impl Default for Record {
+impl Default for PolicyRecord {
     fn default() -> Self {
-        Record {
+        PolicyRecord {
             revision: Revision(1),
-            next: Number(1),
-            holds: Number(0),
+            next: PolicyNumber(1),
+            holds: PolicyNumber(0),
             phase: Phase::Settled,
             last: None,
             events: VecDeque::new(),
@@ -137,19 +139,19 @@
     }
 }
 
-impl Record {
+impl PolicyRecord {
     /// What members are to act by.
-    pub fn told(&self) -> Told {
+    pub fn policy_set(&self) -> PolicySet {
         match &self.phase {
-            Phase::Settled => Told::Pure(self.holds),
-            Phase::Joint(change) => Told::Joint(self.holds, change.to),
+            Phase::Settled => PolicySet::Pure(self.holds),
+            Phase::Joint(change) => PolicySet::Joint(self.holds, change.to),
         }
     }
 
-    fn expect(&self, expected: Option<Revision>) -> Result<(), Refusal> {
+    fn expect(&self, expected: Option<Revision>) -> Result<(), RecordError> {
         match expected {
             Some(expected) if expected != self.revision => {
-                Err(Refusal::Changed { expected: expected.0, now: self.revision.0 })
+                Err(RecordError::Changed { expected: expected.0, now: self.revision.0 })
             }
             _ => Ok(()),
         }
@@ -163,44 +165,44 @@
         &self,
         (author, reason): (&str, &str),
         expected: Option<Revision>,
-    ) -> Result<Record, Refusal> {
+    ) -> Result<PolicyRecord, RecordError> {
         self.expect(expected)?;
         if let Phase::Joint(change) = &self.phase {
-            return Err(Refusal::Undecided(change.to.0));
+            return Err(RecordError::Undecided(change.to.0));
         }
         let sound = |text: &str| !text.trim().is_empty() && text.len() <= TEXT_MOST;
         if !sound(author) {
-            return Err(Refusal::Field("author", "who asks, in 1000 bytes at most"));
+            return Err(RecordError::Field("author", "who asks, in 1000 bytes at most"));
         }
         if !sound(reason) {
-            return Err(Refusal::Field("reason", "why, in 1000 bytes at most"));
+            return Err(RecordError::Field("reason", "why, in 1000 bytes at most"));
         }
         let (author, reason) = (author.to_owned(), reason.to_owned());
         let what = format!("{author} proposes: {reason}");
         let mut next = self.clone();
-        next.next = Number(self.next.0 + 1);
-        next.phase = Phase::Joint(Change { to: self.next, author, reason });
-        next.tell(self.next, what);
+        next.next = PolicyNumber(self.next.0 + 1);
+        next.phase = Phase::Joint(PendingChange { to: self.next, author, reason });
+        next.push_event(self.next, what);
         Ok(next)
     }
 
     /// The record as it goes on where revisions up to this one were told that it knows nothing of: the next one is later than all of them,
     /// and so are its policies' numbers, since each revision has named one new policy at the most.
-    pub fn beyond(&self, told: Revision) -> Record {
+    pub fn resumed_after(&self, told: Revision) -> PolicyRecord {
         let revision = self.revision.max(told);
-        Record { revision, next: Number(self.next.0.max(revision.0)), ..self.clone() }
+        PolicyRecord { revision, next: PolicyNumber(self.next.0.max(revision.0)), ..self.clone() }
     }
 
     /// The record in which the change under way has ended so. `None`: there is none.
-    pub fn ended(&self, how: Ended) -> Option<Record> {
+    pub fn conclude(&self, how: ChangeOutcome) -> Option<PolicyRecord> {
         let Phase::Joint(change) = &self.phase else { return None };
         let mut next = self.clone();
-        if how == Ended::Committed {
+        if how == ChangeOutcome::Committed {
             next.holds = change.to;
         }
         next.phase = Phase::Settled;
         next.last = Some((change.to, how.clone()));
-        next.tell(change.to, how.to_string());
+        next.push_event(change.to, how.to_string());
         Some(next)
     }
 
@@ -208,17 +210,17 @@
     ///
     /// # Errors
     /// See [`Refusal`].
-    pub fn withdraw(&self, by: &str, expected: Option<Revision>) -> Result<Record, Refusal> {
+    pub fn withdraw(&self, by: &str, expected: Option<Revision>) -> Result<PolicyRecord, RecordError> {
         self.expect(expected)?;
         if by.trim().is_empty() || by.len() > TEXT_MOST {
-            return Err(Refusal::Field("by", "who asks, in 1000 bytes at most"));
+            return Err(RecordError::Field("by", "who asks, in 1000 bytes at most"));
         }
-        self.ended(Ended::Withdrawn { by: by.to_owned() }).ok_or(Refusal::Settled)
+        self.conclude(ChangeOutcome::Withdrawn { by: by.to_owned() }).ok_or(RecordError::Settled)
     }
 
-    fn tell(&mut self, policy: Number, what: String) {
+    fn push_event(&mut self, policy: PolicyNumber, what: String) {
         self.revision = Revision(self.revision.0 + 1);
-        self.events.push_back(Event { revision: self.revision, policy, what });
+        self.events.push_back(PolicyEvent { revision: self.revision, policy, what });
         while self.events.len() > EVENTS {
             self.events.pop_front();
         }
--- a/crates/core/policy/tests/explore.rs
+++ b/crates/core/policy/tests/explore.rs
@@ -3,8 +3,8 @@
 //! change ends everywhere alike.
 
 use rushquay_policy::{
-    Acting, Ask, Boot, Coordinator, Ended, Grant, Member, Number, Phase, Record, Revision, Terms, Told,
-    Unanswered,
+    ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseGrant, LeaseRequest, LeaseTerms, Member,
+    Phase, PolicyNumber, PolicyRecord, PolicySet, Revision, StartupPolicy,
 };
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -72,7 +72,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct World {
     now: u64,
-    store: Record,
+    store: PolicyRecord,
     epoch: u64,
     /// Until when nobody else may lead.
     lease: u64,
@@ -82,16 +82,16 @@
     before: Option<Member>,
     boots: u64,
     /// A write of a leader that has crashed since, on its way to the store, and its epoch.
-    writing: Option<(u64, Record)>,
+    writing: Option<(u64, PolicyRecord)>,
     /// Grants on their way, and when what they answer was asked.
-    net: Vec<(usize, Grant, u64)>,
+    net: Vec<(usize, LeaseGrant, u64)>,
     /// The last ask of each, to come once more.
-    asked: [Option<(Ask, u64)>; 3],
+    asked: [Option<(LeaseRequest, u64)>; 3],
     /// What the store ever had decided.
-    decided: BTreeSet<Number>,
+    decided: BTreeSet<PolicyNumber>,
     /// How each change ended, by the store: committed or not; and one that ended both ways.
-    ends: BTreeMap<Number, bool>,
-    both: Option<Number>,
+    ends: BTreeMap<PolicyNumber, bool>,
+    both: Option<PolicyNumber>,
     faults: u8,
     proposals: u8,
     withdrawals: u8,
@@ -120,16 +120,16 @@
     HandOver,
 }
 
-fn terms() -> Terms {
-    Terms { span: SPAN, drift_ppm: 0, limit: LIMIT, floor: FLOOR }
+fn terms() -> LeaseTerms {
+    LeaseTerms { span: SPAN, drift_ppm: 0, limit: LIMIT, floor: FLOOR }
 }
 
 fn member(boot: u64, now: u64) -> Member {
-    Member::new(Boot(boot), Unanswered::Waits, now)
+    Member::new(Incarnation(boot), StartupPolicy::Waits, now)
 }
 
 fn first() -> World {
-    let record = Record::default();
+    let record = PolicyRecord::default();
     let coordinator = Coordinator::lead(terms(), record.clone(), 0);
     World {
         now: 0,
@@ -143,7 +143,7 @@
         writing: None,
         net: Vec::new(),
         asked: [None, None, None],
-        decided: BTreeSet::from([Number(0)]),
+        decided: BTreeSet::from([PolicyNumber(0)]),
         ends: BTreeMap::new(),
         both: None,
         faults: 0,
@@ -215,9 +215,9 @@
         steps
     }
 
-    fn send(&mut self, m: usize, grant: Grant, asked: u64) {
+    fn send(&mut self, m: usize, grant: LeaseGrant, asked: u64) {
         // Two of one member's are on their way at the most: the older one is lost.
-        let of = |net: &[(usize, Grant, u64)]| net.iter().filter(|(to, ..)| *to == m).count();
+        let of = |net: &[(usize, LeaseGrant, u64)]| net.iter().filter(|(to, ..)| *to == m).count();
         if of(&self.net) >= 2 {
             let at = self.net.iter().position(|(to, ..)| *to == m).expect("two");
             self.net.remove(at);
@@ -226,13 +226,13 @@
     }
 
     /// The store takes a record, unless the epoch is over.
-    fn store(&mut self, epoch: u64, record: Record, without: Without) -> bool {
+    fn store(&mut self, epoch: u64, record: PolicyRecord, without: Without) -> bool {
         if epoch != self.epoch && without != Without::TheFenceOfTheStore {
             return false;
         }
         self.store = record;
         if let Some((number, how)) = &self.store.last {
-            let committed = *how == Ended::Committed;
+            let committed = *how == ChangeOutcome::Committed;
             if self.ends.insert(*number, committed).is_some_and(|before| before != committed) {
                 self.both = Some(*number);
             }
@@ -244,7 +244,7 @@
     }
 
     /// A leader writes a record; `crashes`: it does so with its write on the way.
-    fn keep(&mut self, l: usize, record: Record, crashes: bool, without: Without) {
+    fn keep(&mut self, l: usize, record: PolicyRecord, crashes: bool, without: Without) {
         let Some(leader) = &mut self.leaders[l] else { return };
         let epoch = leader.epoch;
         if without == Without::KeepingFirst && crashes {
@@ -324,13 +324,13 @@
             Step::Decide(l, lost) => {
                 let Some(leader) = &mut self.leaders[l] else { return };
                 let decided = match without {
-                    Without::WaitingForAll => leader.coordinator.record().ended(Ended::Committed),
+                    Without::WaitingForAll => leader.coordinator.record().conclude(ChangeOutcome::Committed),
                     Without::WaitingAfterATakeover => {
                         // As if it had led for longer than any leave lasts.
                         let holdups = leader.coordinator.holdups(now);
                         let only = holdups.iter().all(|h| h.name.is_empty());
                         if only {
-                            leader.coordinator.record().ended(Ended::Committed)
+                            leader.coordinator.record().conclude(ChangeOutcome::Committed)
                         } else {
                             leader.coordinator.step(now)
                         }
@@ -352,7 +352,7 @@
                 if let Ok(mut record) = proposed {
                     self.proposals += 1;
                     if without == Without::TheJointPhase {
-                        record = record.ended(Ended::Committed).expect("it was proposed");
+                        record = record.conclude(ChangeOutcome::Committed).expect("it was proposed");
                     }
                     self.keep(l, record, false, without);
                 }
@@ -394,7 +394,7 @@
                 // With its leave it goes on as the process that the leader knows, and the one before it acts by the same leave.
                 if without != Without::LeavesOfOnesOwn {
                     self.members[0] =
-                        Member::take_over(Boot(self.boots), Unanswered::Waits, old.handed(), now);
+                        Member::take_over(Incarnation(self.boots), StartupPolicy::Waits, old.snapshot(), now);
                 }
                 self.before = Some(old);
             }
@@ -402,32 +402,32 @@
     }
 
     /// What each process acts by.
-    fn acting(&self, without: Without) -> Vec<Told> {
+    fn acting(&self, without: Without) -> Vec<PolicySet> {
         let now = if without == Without::LeavesThatRunOut { 0 } else { self.now };
         let acts = |m: &Member| match m.acting(now) {
-            Acting::Told(told) => Some(told),
-            Acting::Floor | Acting::Nothing => None,
+            ActivePolicy::Leased(told) => Some(told),
+            ActivePolicy::Fallback | ActivePolicy::Denied => None,
         };
         self.members.iter().chain(&self.before).filter_map(acts).collect()
     }
 
     fn breach(&self, without: Without) -> Option<String> {
         let acting = self.acting(without);
-        let numbers: BTreeSet<Number> = acting
+        let numbers: BTreeSet<PolicyNumber> = acting
             .iter()
             .flat_map(|told| match *told {
-                Told::Pure(one) => vec![one],
-                Told::Joint(one, two) => vec![one, two],
+                PolicySet::Pure(one) => vec![one],
+                PolicySet::Joint(one, two) => vec![one, two],
             })
             .collect();
-        if !acting.is_empty() && !numbers.iter().any(|n| acting.iter().all(|told| told.obeys(*n))) {
+        if !acting.is_empty() && !numbers.iter().any(|n| acting.iter().all(|told| told.includes(*n))) {
             return Some(format!("no policy is obeyed by all: {acting:?}"));
         }
         if let Some(number) = self.both {
             return Some(format!("{number:?} was decided in two ways"));
         }
         let undecided = acting.iter().find_map(|told| match told {
-            Told::Pure(n) if !self.decided.contains(n) => Some(*n),
+            PolicySet::Pure(n) if !self.decided.contains(n) => Some(*n),
             _ => None,
         });
         undecided.map(|n| format!("{n:?} holds alone somewhere and was never decided"))
@@ -466,8 +466,8 @@
                 return Err(format!("on the way to the end: {breach}"));
             }
         }
-        let all: Vec<Acting> = world.members.iter().map(|m| m.acting(world.now)).collect();
-        let holds = Acting::Told(Told::Pure(world.store.holds));
+        let all: Vec<ActivePolicy> = world.members.iter().map(|m| m.acting(world.now)).collect();
+        let holds = ActivePolicy::Leased(PolicySet::Pure(world.store.holds));
         if world.store.phase != Phase::Settled || all.iter().any(|a| *a != holds) {
             return Err(format!("it does not end: {:?} and {all:?}", world.store.phase));
         }
@@ -523,7 +523,11 @@
 }
 
 /// A way of so many steps from a seed; the steps, how changes ended on it, and what broke.
-fn wander(seed: u64, most: usize, without: Without) -> (Vec<Step>, BTreeMap<Number, bool>, Option<String>) {
+fn wander(
+    seed: u64,
+    most: usize,
+    without: Without,
+) -> (Vec<Step>, BTreeMap<PolicyNumber, bool>, Option<String>) {
     let (mut draw, mut world, mut way) = (Draw(seed), first(), Vec::new());
     for _ in 0..most {
         let steps = world.steps(without);
--- a/crates/core/policy/tests/meet.rs
+++ b/crates/core/policy/tests/meet.rs
@@ -1,7 +1,7 @@
 //! The laws of the meet, and what stops.
 
 use proptest::prelude::*;
-use rushquay_policy::{looser, meet, Stop};
+use rushquay_policy::{intersect, looser_paths, RejectedClass};
 use serde_json::{json, Value};
 
 fn set() -> impl Strategy<Value = Value> {
@@ -48,7 +48,7 @@
 }
 
 /// Paths at which the two have nothing in common, as `looser` names them.
-fn stopped(stops: &std::collections::BTreeSet<Stop>) -> Vec<&str> {
+fn stopped(stops: &std::collections::BTreeSet<RejectedClass>) -> Vec<&str> {
     stops.iter().map(|s| s.path.as_str()).collect()
 }
 
@@ -57,20 +57,20 @@
 
     #[test]
     fn it_is_the_same_in_either_order_itself_for_two_of_a_kind_and_never_looser(a in policy(), b in policy(), c in policy()) {
-        let (one, two) = (meet(&a, &b), meet(&b, &a));
+        let (one, two) = (intersect(&a, &b), intersect(&b, &a));
         prop_assert_eq!(&one, &two);
-        let again = meet(&one.settings, &one.settings);
+        let again = intersect(&one.settings, &one.settings);
         prop_assert_eq!(&again.settings, &one.settings);
         prop_assert!(again.stops.is_empty());
         // What is refused can't be too loose.
         for of in [&a, &b] {
-            let loose = looser(&one.settings, of);
+            let loose = looser_paths(&one.settings, of);
             let refused = stopped(&one.stops);
             prop_assert!(loose.iter().all(|path| refused.contains(&path.as_str())), "{:?} of {} and {}: {}", loose, a, b, one.settings);
         }
         // With three it does not matter which two are first, where nothing is refused.
-        let (left, right) = (meet(&one.settings, &c), meet(&a, &meet(&b, &c).settings));
-        if one.stops.is_empty() && left.stops.is_empty() && right.stops.is_empty() && meet(&b, &c).stops.is_empty() {
+        let (left, right) = (intersect(&one.settings, &c), intersect(&a, &intersect(&b, &c).settings));
+        if one.stops.is_empty() && left.stops.is_empty() && right.stops.is_empty() && intersect(&b, &c).stops.is_empty() {
             prop_assert_eq!(left.settings, right.settings);
         }
     }
@@ -84,7 +84,7 @@
     let b = json!({"categories": [{"name": "plan", "allowed_in": [2, 1, 3], "effect": "keyed", "deadline_ns": 5, "group": "zone"}],
                    "customers": [{"name": "hostels", "quota_rps": 70.0}],
                    "caps": {"attempts_cap": 2, "second_copies": false, "max_retry_after_ns": 7}});
-    let met = meet(&a, &b);
+    let met = intersect(&a, &b);
     assert!(met.stops.is_empty(), "{:?}", met.stops);
     let plan = &met.settings["categories"][0];
     assert_eq!(
@@ -102,18 +102,21 @@
 fn where_two_have_nothing_in_common_the_class_is_refused_and_it_is_told() {
     let class =
         |zones: Value| json!({"categories": [{"name": "plan", "allowed_in": zones}, {"name": "read"}]});
-    let met = meet(&class(json!([0, 1])), &class(json!([2])));
+    let met = intersect(&class(json!([0, 1])), &class(json!([2])));
     let told: Vec<String> = met.stops.iter().map(|s| s.to_string()).collect();
     assert_eq!(
         told,
         ["plan is refused until it is decided: the two have nothing in common in categories.allowed_in"]
     );
     // A field that has no order stops all that it is about.
-    let met = meet(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
-    assert_eq!(met.stops.into_iter().collect::<Vec<_>>(), [Stop { class: None, path: "worth_by".into() }]);
+    let met = intersect(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
+    assert_eq!(
+        met.stops.into_iter().collect::<Vec<_>>(),
+        [RejectedClass { class: None, path: "worth_by".into() }]
+    );
     // So does one that nobody has thought of.
-    let met = meet(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
+    let met = intersect(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
     assert_eq!(met.stops.into_iter().next().map(|s| s.path).as_deref(), Some("rules.new"));
-    let met = meet(&json!({"categories": [{"name": "a"}]}), &json!({"categories": [{"name": "b"}]}));
+    let met = intersect(&json!({"categories": [{"name": "a"}]}), &json!({"categories": [{"name": "b"}]}));
     assert_eq!(met.stops.into_iter().next().map(|s| (s.class, s.path)), Some((None, "categories".into())));
 }
--- a/crates/core/policy/tests/shelf.rs
+++ b/crates/core/policy/tests/shelf.rs
@@ -1,48 +1,51 @@
 //! Which policies may be proposed beside the floors that somebody may still act by, and which are kept.
 
-use rushquay_policy::{Ask, Boot, Ended, Floor, Number, Policy, Record, Revision, Shelf, Terms, Unfit};
+use rushquay_policy::{
+    ChangeOutcome, FallbackPolicy, Incarnation, LeaseRequest, LeaseTerms, Policy, PolicyArchive,
+    PolicyNumber, PolicyRecord, Revision, UnfitPolicy,
+};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
 const SECOND: u64 = 1_000_000_000;
 
-fn terms() -> Terms {
-    Terms { span: 10 * SECOND, drift_ppm: 0, limit: 60 * SECOND, floor: 90 * SECOND }
+fn terms() -> LeaseTerms {
+    LeaseTerms { span: 10 * SECOND, drift_ppm: 0, limit: 60 * SECOND, floor: 90 * SECOND }
 }
 
 fn attempts(n: u64) -> Value {
     json!({"caps": {"attempts_cap": n}})
 }
 
-fn ask(boot: u64, acting: Revision) -> Ask {
-    Ask { boot: Boot(boot), seq: 1, acting, heard: acting, refused: None }
+fn ask(boot: u64, acting: Revision) -> LeaseRequest {
+    LeaseRequest { boot: Incarnation(boot), seq: 1, acting, heard: acting, refused: None }
 }
 
 struct Stand {
-    shelf: Shelf,
-    record: Record,
+    shelf: PolicyArchive,
+    record: PolicyRecord,
 }
 
 impl Stand {
     fn new() -> Self {
-        let record = Record::default();
-        Stand { shelf: Shelf::lead(BTreeMap::new(), Floor::Nobody, &record, 0), record }
+        let record = PolicyRecord::default();
+        Stand { shelf: PolicyArchive::lead(BTreeMap::new(), FallbackPolicy::Nobody, &record, 0), record }
     }
 
-    fn fit(&self, settings: &Value, floor: Option<&Value>, now: u64) -> Result<Policy, Unfit> {
+    fn fit(&self, settings: &Value, floor: Option<&Value>, now: u64) -> Result<Policy, UnfitPolicy> {
         self.shelf.fit(settings, floor, (&self.record, &terms()), now)
     }
 
     /// A policy is proposed, and everybody that is named joins and then acts by it alone.
-    fn hold(&mut self, settings: &Value, floor: &Value, now: u64, joins: &[u64]) -> Number {
+    fn hold(&mut self, settings: &Value, floor: &Value, now: u64, joins: &[u64]) -> PolicyNumber {
         let policy = self.fit(settings, Some(floor), now).expect("it may be proposed");
         self.record = self.record.propose(("a", "b"), None).expect("proposed");
-        let number = self.record.told().numbers().nth(1).expect("two");
+        let number = self.record.policy_set().numbers().nth(1).expect("two");
         self.shelf.put(number, policy);
         self.shelf.moved(&self.record);
         for revision in [self.record.revision, Revision(self.record.revision.0 + 1)] {
             if revision != self.record.revision {
-                self.record = self.record.ended(Ended::Committed).expect("it was under way");
+                self.record = self.record.conclude(ChangeOutcome::Committed).expect("it was under way");
                 self.shelf.moved(&self.record);
             }
             for boot in joins {
@@ -61,7 +64,7 @@
     stand.hold(&attempts(4), &attempts(3), late, &[1, 2]);
     let below =
         |stand: &Stand, settings: &Value, now: u64| match stand.fit(settings, Some(&json!("nobody")), now) {
-            Err(Unfit::BelowFloor { of, who, for_s, .. }) => Some((of, who, for_s)),
+            Err(UnfitPolicy::BelowFloor { of, who, for_s, .. }) => Some((of, who, for_s)),
             Err(other) => panic!("{other}"),
             Ok(_) => None,
         };
@@ -87,10 +90,10 @@
     stand.hold(&attempts(4), &attempts(3), 0, &[1]);
     stand.hold(&attempts(4), &attempts(1), 0, &[1]);
     assert!(stand.fit(&attempts(2), None, 101 * SECOND).is_ok());
-    let kept = [1, 2].map(|n| (Number(n), stand.shelf.get(Number(n)).expect("kept").clone()));
-    let led = Shelf::lead(BTreeMap::from(kept), Floor::Nobody, &stand.record, 200 * SECOND);
+    let kept = [1, 2].map(|n| (PolicyNumber(n), stand.shelf.get(PolicyNumber(n)).expect("kept").clone()));
+    let led = PolicyArchive::lead(BTreeMap::from(kept), FallbackPolicy::Nobody, &stand.record, 200 * SECOND);
     let fits = |now: u64| led.fit(&attempts(2), None, (&stand.record, &terms()), now);
-    assert!(matches!(fits(300 * SECOND), Err(Unfit::BelowFloor { of: 1, .. })));
+    assert!(matches!(fits(300 * SECOND), Err(UnfitPolicy::BelowFloor { of: 1, .. })));
     assert!(fits(300 * SECOND + 1).is_ok());
 }
 
@@ -101,7 +104,7 @@
     let late = 200 * SECOND;
     let policy = stand.fit(&attempts(9), Some(&attempts(8)), late).expect("it may be proposed");
     stand.record = stand.record.propose(("a", "b"), None).expect("proposed");
-    stand.shelf.put(Number(1), policy);
+    stand.shelf.put(PolicyNumber(1), policy);
     stand.shelf.moved(&stand.record);
     stand.shelf.granted("p1", &ask(1, Revision(0)), &stand.record, late);
     stand.record = stand.record.withdraw("a", None).expect("withdrawn");
@@ -113,7 +116,7 @@
 fn a_floor_names_each_field_that_its_policy_names_as_strictly() {
     let stand = Stand::new();
     let looser = |settings: &Value, floor: &Value| match stand.fit(settings, Some(floor), 0) {
-        Err(Unfit::Policy(why)) => why.to_string(),
+        Err(UnfitPolicy::Policy(why)) => why.to_string(),
         other => panic!("{other:?}"),
     };
     assert!(looser(&attempts(3), &attempts(4)).contains("caps.attempts_cap"));
@@ -134,8 +137,8 @@
     let useless = |stand: &mut Stand, now: u64| stand.shelf.useless(&stand.record, &terms(), now);
     assert_eq!(useless(&mut stand, 50 * SECOND), [], "this leader has only just begun");
     let gone = useless(&mut stand, 300 * SECOND);
-    assert_eq!(gone, [1, 2, 3, 4].map(Number));
+    assert_eq!(gone, [1, 2, 3, 4].map(PolicyNumber));
     stand.shelf.forget(&gone);
     assert_eq!(useless(&mut stand, 300 * SECOND), []);
-    assert!(stand.shelf.get(Number(1)).is_none() && stand.shelf.get(Number(12)).is_some());
+    assert!(stand.shelf.get(PolicyNumber(1)).is_none() && stand.shelf.get(PolicyNumber(12)).is_some());
 }
--- a/crates/core/policy/tests/terms.rs
+++ b/crates/core/policy/tests/terms.rs
@@ -1,18 +1,18 @@
 //! What the exploration leaves out: clocks that run fast and slow, floors, refusals, and who is named.
 
 use rushquay_policy::{
-    Acting, Boot, Coordinator, Ended, Member, Number, Phase, Record, Refusal, Revision, Terms, Told,
-    Unanswered,
+    ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseTerms, Member, Phase, PolicyNumber,
+    PolicyRecord, PolicySet, RecordError, Revision, StartupPolicy,
 };
 
 const SECOND: u64 = 1_000_000_000;
 
-fn terms() -> Terms {
-    Terms { span: 5 * SECOND, drift_ppm: 10_000, limit: 60 * SECOND, floor: 100 * SECOND }
+fn terms() -> LeaseTerms {
+    LeaseTerms { span: 5 * SECOND, drift_ppm: 10_000, limit: 60 * SECOND, floor: 100 * SECOND }
 }
 
 fn fresh(boot: u64) -> Member {
-    Member::new(Boot(boot), Unanswered::Waits, 0)
+    Member::new(Incarnation(boot), StartupPolicy::Waits, 0)
 }
 
 /// One exchange at this moment of the coordinator's clock and the member's.
@@ -35,7 +35,7 @@
     let acts_past_its_fence = |member: i64, leader: i64| {
         (0..20u64).any(|tenth| {
             let granted = 1000 * SECOND + tenth * SECOND / 10;
-            let mut c = Coordinator::lead(terms(), Record::default(), clock(1, leader));
+            let mut c = Coordinator::lead(terms(), PolicyRecord::default(), clock(1, leader));
             let mut m = fresh(1);
             exchange(&mut c, &mut m, "p0", (clock(granted, leader), clock(granted, member)));
             let proposed = c.record().propose(("a", "b"), None).expect("proposed");
@@ -43,7 +43,7 @@
             // In steps of a millisecond: the first moment at which nobody holds it up.
             let free = (0..10_000u64).map(|ms| granted + ms * 1_000_000);
             let free = free.into_iter().find(|t| c.holdups(clock(*t, leader)).is_empty()).expect("it ends");
-            matches!(m.acting(clock(free, member)), Acting::Told(_))
+            matches!(m.acting(clock(free, member)), ActivePolicy::Leased(_))
         })
     };
     for member in [-10_000, 0, 10_000] {
@@ -59,25 +59,25 @@
 
 #[test]
 fn without_word_it_acts_by_the_floor_and_then_by_nothing() {
-    let mut c = Coordinator::lead(terms(), Record::default(), 0);
+    let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
     let mut m = fresh(1);
-    assert_eq!(m.acting(0), Acting::Nothing, "it has not been answered");
+    assert_eq!(m.acting(0), ActivePolicy::Denied, "it has not been answered");
     exchange(&mut c, &mut m, "p0", (0, 0));
-    assert_eq!(m.acting(5 * SECOND - 1), Acting::Told(Told::Pure(Number(0))));
-    assert_eq!(m.acting(5 * SECOND), Acting::Floor);
-    assert_eq!(m.acting(105 * SECOND - 1), Acting::Floor);
-    assert_eq!(m.acting(105 * SECOND), Acting::Nothing);
+    assert_eq!(m.acting(5 * SECOND - 1), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))));
+    assert_eq!(m.acting(5 * SECOND), ActivePolicy::Fallback);
+    assert_eq!(m.acting(105 * SECOND - 1), ActivePolicy::Fallback);
+    assert_eq!(m.acting(105 * SECOND), ActivePolicy::Denied);
     // One that may begin by its file's floor does so after its wait.
-    let started = Member::new(Boot(2), Unanswered::FloorAfter(3 * SECOND), 0);
+    let started = Member::new(Incarnation(2), StartupPolicy::FloorAfter(3 * SECOND), 0);
     assert_eq!(
         (started.acting(3 * SECOND - 1), started.acting(3 * SECOND)),
-        (Acting::Nothing, Acting::Floor)
+        (ActivePolicy::Denied, ActivePolicy::Fallback)
     );
 }
 
 #[test]
 fn one_that_cannot_obey_it_aborts_it_everywhere_and_is_named() {
-    let mut c = Coordinator::lead(terms(), Record::default(), 0);
+    let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
     let (mut able, mut older) = (fresh(1), fresh(2));
     for m in [("able", &mut able), ("older", &mut older)] {
         exchange(&mut c, m.1, m.0, (0, 0));
@@ -85,11 +85,15 @@
     let proposed = c.record().propose(("ravi", "less for hostels"), Some(Revision(1))).expect("proposed");
     c.kept(proposed, SECOND);
     exchange(&mut c, &mut able, "able", (SECOND, SECOND));
-    assert_eq!(able.acting(SECOND), Acting::Told(Told::Joint(Number(0), Number(1))));
+    assert_eq!(able.acting(SECOND), ActivePolicy::Leased(PolicySet::Joint(PolicyNumber(0), PolicyNumber(1))));
     let ask = older.ask(SECOND);
     let grant = c.hear("older", &ask, SECOND).expect("a leave");
     older.granted(&grant, |_| Err("caps.attempts_cap: not known here".into()));
-    assert_eq!(older.acting(SECOND), Acting::Told(Told::Pure(Number(0))), "it goes on as it was");
+    assert_eq!(
+        older.acting(SECOND),
+        ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
+        "it goes on as it was"
+    );
     // Its leave for that is not renewed by one for what it can't obey.
     let ask = older.ask(2 * SECOND);
     let grant = c.hear("older", &ask, 2 * SECOND).expect("a leave");
@@ -97,17 +101,21 @@
     assert_eq!(older.until(), 5 * SECOND);
     let record = c.step(2 * SECOND).expect("it ends");
     let why = "caps.attempts_cap: not known here".to_owned();
-    assert_eq!(record.last, Some((Number(1), Ended::Refused { name: "older".into(), why })));
-    assert_eq!((record.holds, &record.phase), (Number(0), &Phase::Settled));
+    assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Refused { name: "older".into(), why })));
+    assert_eq!((record.holds, &record.phase), (PolicyNumber(0), &Phase::Settled));
     c.kept(record, 2 * SECOND);
     exchange(&mut c, &mut able, "able", (2 * SECOND, 2 * SECOND));
-    assert_eq!(able.acting(2 * SECOND), Acting::Told(Told::Pure(Number(0))), "it holds nowhere");
+    assert_eq!(
+        able.acting(2 * SECOND),
+        ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
+        "it holds nowhere"
+    );
 }
 
 /// One that is down can't block the fleet: it is fenced. One that asks and never hears the answer neither.
 #[test]
 fn one_that_is_down_or_hears_nothing_is_fenced_and_named_until_then() {
-    let mut c = Coordinator::lead(terms(), Record::default(), 0);
+    let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
     let (mut well, mut down, mut deaf) = (fresh(1), fresh(2), fresh(3));
     for (name, m) in [("well", &mut well), ("down", &mut down), ("deaf", &mut deaf)] {
         exchange(&mut c, m, name, (0, 0));
@@ -122,7 +130,7 @@
         c.hear("deaf", &deaf.ask(now), now);
         exchange(&mut c, &mut well, "well", (now, now));
         if let Some(record) = c.step(now) {
-            assert_eq!(record.last, Some((Number(1), Ended::Committed)));
+            assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Committed)));
             committed = Some(now);
             break;
         }
@@ -132,62 +140,78 @@
     let committed = committed.expect("it is committed");
     assert!(committed <= terms().over() + SECOND / 5, "after {committed} ns");
     for m in [&down, &deaf] {
-        assert_eq!(m.acting(committed), Acting::Floor);
+        assert_eq!(m.acting(committed), ActivePolicy::Fallback);
     }
 }
 
 #[test]
 fn what_cannot_be_asked_changes_nothing() {
-    let record = Record::default();
+    let record = PolicyRecord::default();
     let proposed = record.propose(("ravi", "b"), Some(Revision(1))).expect("proposed");
-    assert_eq!(proposed.propose(("a", "b"), None), Err(Refusal::Undecided(1)));
-    assert_eq!(record.propose(("a", "b"), Some(Revision(9))), Err(Refusal::Changed { expected: 9, now: 1 }));
-    assert!(matches!(record.propose((" ", "b"), None), Err(Refusal::Field("author", _))));
-    assert!(matches!(record.propose(("a", ""), None), Err(Refusal::Field("reason", _))));
-    assert_eq!(record.withdraw("a", None), Err(Refusal::Settled));
+    assert_eq!(proposed.propose(("a", "b"), None), Err(RecordError::Undecided(1)));
+    assert_eq!(
+        record.propose(("a", "b"), Some(Revision(9))),
+        Err(RecordError::Changed { expected: 9, now: 1 })
+    );
+    assert!(matches!(record.propose((" ", "b"), None), Err(RecordError::Field("author", _))));
+    assert!(matches!(record.propose(("a", ""), None), Err(RecordError::Field("reason", _))));
+    assert_eq!(record.withdraw("a", None), Err(RecordError::Settled));
     let withdrawn = proposed.withdraw("ravi", Some(Revision(2))).expect("withdrawn");
-    assert_eq!(withdrawn.told(), Told::Pure(Number(0)));
+    assert_eq!(withdrawn.policy_set(), PolicySet::Pure(PolicyNumber(0)));
     // The same content proposed once more is another policy.
     let again = withdrawn.propose(("ravi", "b"), None).expect("proposed");
-    assert_eq!(again.told(), Told::Joint(Number(0), Number(2)));
-    let committed = again.ended(Ended::Committed).expect("it was under way");
-    assert_eq!((committed.told(), committed.revision), (Told::Pure(Number(2)), Revision(5)));
+    assert_eq!(again.policy_set(), PolicySet::Joint(PolicyNumber(0), PolicyNumber(2)));
+    let committed = again.conclude(ChangeOutcome::Committed).expect("it was under way");
+    assert_eq!((committed.policy_set(), committed.revision), (PolicySet::Pure(PolicyNumber(2)), Revision(5)));
     let text = serde_json::to_string(&committed).expect("JSON");
-    assert_eq!(serde_json::from_str::<Record>(&text).expect("read"), committed);
+    assert_eq!(serde_json::from_str::<PolicyRecord>(&text).expect("read"), committed);
 }
 
 /// A store that was lost, or set back to an older copy: who has heard of a later revision shows it. Nobody has leave by what it says, and a
 /// policy that is proposed anew goes on behind all that was ever told.
 #[test]
 fn a_store_that_is_behind_what_was_told_gives_nobody_leave() {
-    let mut c = Coordinator::lead(terms(), Record::default(), 0);
+    let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
     let (mut old, mut young) = (fresh(1), fresh(2));
-    let mut record = Record::default();
+    let mut record = PolicyRecord::default();
     for _ in 0..3 {
-        record =
-            record.propose(("a", "b"), None).expect("proposed").ended(Ended::Committed).expect("under way");
+        record = record
+            .propose(("a", "b"), None)
+            .expect("proposed")
+            .conclude(ChangeOutcome::Committed)
+            .expect("under way");
     }
     c.kept(record.clone(), 0);
     exchange(&mut c, &mut old, "old", (0, 0));
-    assert_eq!(old.acting(0), Acting::Told(Told::Pure(Number(3))));
+    assert_eq!(old.acting(0), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(3))));
     // Its store knows nothing.
-    let mut c = Coordinator::lead(terms(), Record::default(), SECOND);
+    let mut c = Coordinator::lead(terms(), PolicyRecord::default(), SECOND);
     exchange(&mut c, &mut old, "old", (SECOND, SECOND));
     assert_eq!(c.behind(), Some(("old", Revision(7))));
     exchange(&mut c, &mut young, "young", (SECOND, SECOND));
     assert_eq!(
         young.acting(SECOND),
-        Acting::Nothing,
+        ActivePolicy::Denied,
         "by what the store says it would act beside the other's"
     );
     assert_eq!(c.step(100 * SECOND), None);
-    let begun =
-        c.record().beyond(Revision(7)).propose(("ravi", "the store was lost"), None).expect("proposed");
-    assert_eq!((begun.revision, begun.told()), (Revision(8), Told::Joint(Number(0), Number(7))));
+    let begun = c
+        .record()
+        .resumed_after(Revision(7))
+        .propose(("ravi", "the store was lost"), None)
+        .expect("proposed");
+    assert_eq!(
+        (begun.revision, begun.policy_set()),
+        (Revision(8), PolicySet::Joint(PolicyNumber(0), PolicyNumber(7)))
+    );
     c.kept(begun, 10 * SECOND);
     assert_eq!(c.behind(), None);
     for (name, m) in [("old", &mut old), ("young", &mut young)] {
         exchange(&mut c, m, name, (10 * SECOND, 10 * SECOND));
-        assert_eq!(m.acting(10 * SECOND), Acting::Told(Told::Joint(Number(0), Number(7))), "{name}");
+        assert_eq!(
+            m.acting(10 * SECOND),
+            ActivePolicy::Leased(PolicySet::Joint(PolicyNumber(0), PolicyNumber(7))),
+            "{name}"
+        );
     }
 }
--- a/crates/core/rollout/examples/rollout_figures.rs
+++ b/crates/core/rollout/examples/rollout_figures.rs
@@ -5,7 +5,7 @@
 
 mod sim;
 
-use rushquay_rollout::Reason;
+use rushquay_rollout::RollbackReason;
 use sim::{play, Defect, World};
 use std::time::Instant;
 
@@ -59,7 +59,7 @@
                 parts.into_iter().flat_map(|p| p.join().expect("played")).collect()
             });
             let of = |done| ends.iter().filter(|e| e.done == done).count();
-            let worse = ends.iter().filter(|e| matches!(e.why, Some(Reason::Worse(_)))).count();
+            let worse = ends.iter().filter(|e| matches!(e.why, Some(RollbackReason::Worse(_)))).count();
             println!(
                 "| {name} | {:.1} | {} | {} | {} | {} | {} | {} | {:.1} |",
                 14.5 * times,
--- a/crates/core/rollout/examples/sim/mod.rs
+++ b/crates/core/rollout/examples/sim/mod.rs
@@ -5,8 +5,11 @@
 use rand_distr::{Distribution, LogNormal, Poisson};
 use rand_pcg::Pcg64Mcg;
 use rushquay_config_version::{Digest, FORM};
-use rushquay_membership::{ClassFigures, Figures, Report, Roster, Standing, Terms};
-use rushquay_rollout::{Ask, Board, Bounds, Evidence, Hold, Phase, PlanText, Reason, Seen, Verdict, SECOND};
+use rushquay_membership::{ClassStats, MemberStatus, Membership, MembershipTimeouts, ProxyStats, Report};
+use rushquay_rollout::{
+    Analysis, Bounds, FleetView, HoldReason, Phase, PlanText, RollbackReason, RolloutRegistry,
+    RolloutRequest, Verdict, SECOND,
+};
 use serde_json::json;
 
 /// A class of requests: how many a second at each proxy, the part that ends badly, and the median time in milliseconds.
@@ -74,7 +77,7 @@
 pub struct End {
     /// `None`: it had not ended by the last second.
     pub done: Option<bool>,
-    pub why: Option<Reason>,
+    pub why: Option<RollbackReason>,
     /// Seconds from the beginning of the change.
     pub seconds: u64,
     /// Proxies that ever acted by the new.
@@ -88,7 +91,7 @@
 struct Proxy {
     name: String,
     zone: String,
-    figures: Figures,
+    figures: ProxyStats,
     acting: Digest,
     seq: u64,
     tried: bool,
@@ -98,16 +101,16 @@
 const BEFORE: u64 = 70;
 
 /// Plays one change, for so many seconds at most. `watch` sees the board after each second.
-pub fn play(world: &World, most: u64, mut watch: impl FnMut(&Board, &[Seen<'_>])) -> End {
+pub fn play(world: &World, most: u64, mut watch: impl FnMut(&RolloutRegistry, &[FleetView<'_>])) -> End {
     let mut random = Pcg64Mcg::seed_from_u64(world.seed);
-    let terms = Terms { most: world.proxies * 2, ..Terms::default() };
-    let (mut roster, mut board) = (Roster::new(terms), Board::default());
-    let mut evidence = Evidence::new(Bounds::default());
+    let terms = MembershipTimeouts { most: world.proxies * 2, ..MembershipTimeouts::default() };
+    let (mut roster, mut board) = (Membership::new(terms), RolloutRegistry::default());
+    let mut evidence = Analysis::new(Bounds::default());
     let base = board.record().holds;
     let proxy = |n: usize| Proxy {
         name: format!("p{n}"),
         zone: format!("z{}", n % world.zones),
-        figures: Figures::default(),
+        figures: ProxyStats::default(),
         acting: base,
         seq: 0,
         tried: false,
@@ -118,7 +121,7 @@
         let now = (second + 1) * SECOND;
         if second == BEFORE {
             let settings = json!({"over_share_worth": 0.5});
-            let ask = Ask {
+            let ask = RolloutRequest {
                 settings,
                 plan: world.plan.clone(),
                 author: "a".into(),
@@ -156,10 +159,10 @@
             };
             roster.hear(&p.name, report, 1, now);
         }
-        let serving = roster.instances().filter(|i| roster.standing(i, now) == Standing::Serving);
-        let seen: Vec<Seen<'_>> = roster
+        let serving = roster.instances().filter(|i| roster.standing(i, now) == MemberStatus::Serving);
+        let seen: Vec<FleetView<'_>> = roster
             .instances()
-            .map(|i| Seen {
+            .map(|i| FleetView {
                 name: &i.told.name,
                 zone: &i.told.zone,
                 standing: roster.standing(i, now),
@@ -184,7 +187,8 @@
         let change = board.record().change.as_ref().expect("it was begun");
         if change.phase != before {
             match change.phase {
-                Phase::Moving { .. } if matches!(before, Phase::Held { why: Hold::Silent { .. }, .. }) => {}
+                Phase::Moving { .. }
+                    if matches!(before, Phase::Held { why: HoldReason::Silent { .. }, .. }) => {}
                 Phase::Moving { .. } => evidence.begin(change.plan.stages().len()),
                 Phase::Soaking { .. } => evidence.soak(now),
                 _ => {}
@@ -221,7 +225,7 @@
             _ => 1.0,
         };
         let times = LogNormal::new((class.median_ms * slow).ln(), 0.5).expect("times");
-        let figures: &mut ClassFigures = p.figures.classes.entry(class.name.to_owned()).or_default();
+        let figures: &mut ClassStats = p.figures.classes.entry(class.name.to_owned()).or_default();
         for _ in 0..asked {
             p.figures.attempts += 1;
             let drawn = random.random::<f64>();
--- a/crates/core/rollout/src/evidence.rs
+++ b/crates/core/rollout/src/analysis.rs
@@ -1,14 +1,14 @@
 //! What is seen of old and new over the same time, and the verdict on it. Kept by the leader alone, in memory: whoever leads
 //! next begins anew, and a stage soaks anew with it.
 
-use crate::change::Verdict;
-use crate::course::Sample;
-use crate::pulse::{Count, Pulse};
-use crate::sides::{slow, total, Bursts, Side, BURST};
-use crate::test::{allowed, passes, Odds};
+use crate::cohorts::{slow, total, Bursts, Side, BURST};
+use crate::fleet_baseline::{Count, Pulse};
+use crate::sequential_test::{allowed, passes, Odds};
+use crate::state_machine::Verdict;
+use crate::timeline::Sample;
 use crate::{Nanos, SECOND};
 use rushquay_config_version::Digest;
-use rushquay_membership::{ClassFigures, Figures, Instance};
+use rushquay_membership::{ClassStats, Member, ProxyStats};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -154,11 +154,11 @@
 
 /// What is seen.
 #[derive(Clone, Debug)]
-pub struct Evidence {
+pub struct Analysis {
     bounds: Bounds,
     replaces: bool,
     /// By instance: boot and figures when they were last taken.
-    marks: BTreeMap<String, (u64, Figures)>,
+    marks: BTreeMap<String, (u64, ProxyStats)>,
     /// Instances that have only just started: for how long what they do is no evidence.
     young: BTreeMap<String, Nanos>,
     /// Those of them that started to act by the new: a stage that soaked before they count would pass without them.
@@ -166,7 +166,7 @@
     /// How the whole fleet does, and did before the change.
     pulse: Pulse,
     /// Times of the answers before the change, by class.
-    usual: BTreeMap<String, ClassFigures>,
+    usual: BTreeMap<String, ClassStats>,
     /// Buckets over which an answer is slow, by class: half, and nine in ten before were no slower.
     slow: BTreeMap<String, [usize; 2]>,
     tests: BTreeMap<Test, Odds>,
@@ -192,10 +192,10 @@
     stages: usize,
 }
 
-impl Evidence {
+impl Analysis {
     /// Nothing has been seen.
     pub fn new(bounds: Bounds) -> Self {
-        Evidence {
+        Analysis {
             replaces: false,
             bounds,
             marks: BTreeMap::new(),
@@ -246,7 +246,7 @@
     /// No change runs any more: what is usual is learned anew.
     pub fn rest(&mut self) {
         if self.frozen {
-            *self = Evidence { marks: std::mem::take(&mut self.marks), ..Evidence::new(self.bounds) };
+            *self = Analysis { marks: std::mem::take(&mut self.marks), ..Analysis::new(self.bounds) };
         }
     }
 
@@ -264,12 +264,12 @@
     /// old. Only the old of the same data centres are compared with.
     pub fn look<'i>(
         &mut self,
-        serving: impl Iterator<Item = &'i Instance>,
+        serving: impl Iterator<Item = &'i Member>,
         moved: impl Fn(&str) -> bool,
         (from, to): (Digest, Digest),
         span: Nanos,
     ) {
-        let serving: Vec<&Instance> = serving.collect();
+        let serving: Vec<&Member> = serving.collect();
         let zones: BTreeSet<&str> =
             serving.iter().filter(|i| moved(&i.told.name)).map(|i| i.told.zone.as_str()).collect();
         let mut sides: BTreeMap<String, [Side; 2]> = BTreeMap::new();
@@ -286,10 +286,10 @@
             let fresh = match mark {
                 Some((boot, before)) if *boot == told.boot => one.figures.since(before),
                 // Seen for the first time: what it has counted was before.
-                None => Figures {
+                None => ProxyStats {
                     memory: one.figures.memory,
                     descriptors: one.figures.descriptors,
-                    ..Figures::default()
+                    ..ProxyStats::default()
                 },
                 Some(_) => one.figures.clone(),
             };
@@ -313,7 +313,7 @@
             let fresh = match self.young.get_mut(&told.name) {
                 Some(left) if *left > 0 => {
                     *left = left.saturating_sub(span);
-                    Figures { classes: BTreeMap::new(), attempts: 0, beats: 0, late_beats: 0, ..fresh }
+                    ProxyStats { classes: BTreeMap::new(), attempts: 0, beats: 0, late_beats: 0, ..fresh }
                 }
                 _ => fresh,
             };
@@ -426,7 +426,7 @@
     fn compare_class(&mut self, (zone, class): (&str, &str), measure: Measure, sides: &[Side; 2]) {
         let slow = self.slow.get(class).copied();
         // Bad ends and all of one instance; `None`: it is not known yet what is slow.
-        let of = |f: &ClassFigures| match measure {
+        let of = |f: &ClassStats| match measure {
             Measure::SlowHalf => slow.map(|s| (f.slower(s[0]), f.served + f.late)),
             Measure::SlowTenth => slow.map(|s| (f.slower(s[1]), f.served + f.late)),
             Measure::Failed => Some((f.failed, f.all())),
--- a/crates/core/rollout/src/sides.rs
+++ b/crates/core/rollout/src/cohorts.rs
@@ -1,7 +1,7 @@
 //! What old and new did in a look, in one data centre, and how bad ends come together.
 
 use crate::{Nanos, SECOND};
-use rushquay_membership::{ClassFigures, Figures};
+use rushquay_membership::{ClassStats, ProxyStats};
 use std::collections::BTreeMap;
 
 /// Answers of which it is told what is slow.
@@ -23,11 +23,11 @@
     /// Of each instance: looks at its clock that came late, and all.
     pub beats: Vec<(u64, u64)>,
     /// By class: for each instance.
-    pub each: BTreeMap<String, Vec<ClassFigures>>,
+    pub each: BTreeMap<String, Vec<ClassStats>>,
 }
 
 impl Side {
-    pub fn take(&mut self, fresh: Figures, restarted: bool, span: Nanos) {
+    pub fn take(&mut self, fresh: ProxyStats, restarted: bool, span: Nanos) {
         self.instances += 1.0;
         self.restarts += u64::from(restarted);
         self.attempts += fresh.attempts;
@@ -41,7 +41,7 @@
     }
 
     pub fn all(&self) -> u64 {
-        self.each.values().flatten().map(ClassFigures::all).sum()
+        self.each.values().flatten().map(ClassStats::all).sum()
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// The buckets over which an answer is slow; `None`: too few were seen.
-pub(crate) fn slow(usual: &ClassFigures) -> Option<[usize; 2]> {
+pub(crate) fn slow(usual: &ClassStats) -> Option<[usize; 2]> {
     let enough = usual.times.iter().sum::<u64>() >= ANSWERS;
     enough.then(|| [quantile(&usual.times, 0.5), quantile(&usual.times, 0.9)])
 }
--- a/crates/core/rollout/src/pulse.rs
+++ b/crates/core/rollout/src/fleet_baseline.rs
@@ -1,7 +1,7 @@
 //! How the whole fleet does, against how it did before the change: a trouble of all holds a change and is not blamed on it.
 
-use crate::test::allowed;
-use rushquay_membership::Figures;
+use crate::sequential_test::allowed;
+use rushquay_membership::ProxyStats;
 use std::collections::VecDeque;
 
 /// So many looks are remembered of how the fleet did before a change, and so many of the last make up "now".
@@ -24,7 +24,7 @@
 
 impl Count {
     /// Takes in what an instance did in the look.
-    pub fn take(&mut self, fresh: &Figures) {
+    pub fn take(&mut self, fresh: &ProxyStats) {
         for class in fresh.classes.values() {
             self.bad += (class.refused + class.failed + class.late) as f64;
             self.all += class.all() as f64;
--- a/crates/core/rollout/src/lib.rs
+++ b/crates/core/rollout/src/lib.rs
@@ -3,24 +3,24 @@
 //! [`Board`] is the record of all changes. No I/O; time is passed in.
 #![forbid(unsafe_code)]
 
-mod board;
-mod change;
-mod course;
-mod evidence;
-mod order;
+mod analysis;
+mod cohorts;
+mod fleet_baseline;
 mod plan;
 mod preview;
-mod pulse;
-mod sides;
-mod test;
+mod registry;
+mod scheduling;
+mod sequential_test;
+mod state_machine;
+mod timeline;
 
-pub use board::{Ask, Board, BoardRefusal, Event, Record};
-pub use change::{Change, Hold, Phase, Reason, Seen, Verdict};
-pub use course::{Course, Point, Sample};
-pub use evidence::{Bounds, Evidence, Finding, Measure, Score};
-pub use plan::{Pick, Plan, PlanFault, PlanText, Stage, StageText};
+pub use analysis::{Analysis, Bounds, Finding, Measure, Score};
+pub use plan::{Plan, PlanError, PlanText, Stage, StageSelector, StageText};
 pub use preview::{preview, Step};
-pub use test::{allowed, passes, Odds};
+pub use registry::{RegistryError, RegistryRecord, RolloutEvent, RolloutRegistry, RolloutRequest};
+pub use sequential_test::{allowed, passes, Odds};
+pub use state_machine::{FleetView, HoldReason, Phase, RollbackReason, Rollout, Verdict};
+pub use timeline::{Point, Sample, Timeline};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/rollout/src/plan.rs
+++ b/crates/core/rollout/src/plan.rs
@@ -5,7 +5,7 @@
 
 /// Which proxies a stage adds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Pick {
+pub enum StageSelector {
     /// So many more.
     Count(usize),
     /// So many more that this share of all, or of the zone, has changed; over 0, below 1.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
     /// Which proxies.
-    pub pick: Pick,
+    pub pick: StageSelector,
     /// Of this data centre alone; `None`: of all.
     pub zone: Option<String>,
     /// For so long at least old and new are compared once all of the stage have changed.
@@ -98,7 +98,7 @@
 /// A field that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
-pub struct PlanFault {
+pub struct PlanError {
     /// Its path.
     pub field: String,
     /// What was expected.
@@ -107,30 +107,30 @@
 
 const SPAN: &str = "seconds from 0.1 to 604800";
 
-fn span(field: impl Into<String>, seconds: f64) -> Result<Nanos, PlanFault> {
+fn span(field: impl Into<String>, seconds: f64) -> Result<Nanos, PlanError> {
     match (0.1..=604_800.0).contains(&seconds) {
         true => Ok((seconds * SECOND as f64).round() as Nanos),
-        false => Err(PlanFault { field: field.into(), expected: SPAN }),
+        false => Err(PlanError { field: field.into(), expected: SPAN }),
     }
 }
 
 impl TryFrom<PlanText> for Plan {
-    type Error = PlanFault;
-    fn try_from(text: PlanText) -> Result<Self, PlanFault> {
-        let fault = |field: String, expected| Err(PlanFault { field, expected });
+    type Error = PlanError;
+    fn try_from(text: PlanText) -> Result<Self, PlanError> {
+        let fault = |field: String, expected| Err(PlanError { field, expected });
         if text.stages.len() > 50 {
             return fault("stages".into(), "50 at most");
         }
         let (mut stages, mut share_before) = (Vec::new(), 0.0);
         for (i, stage) in text.stages.iter().enumerate() {
             let pick = match (stage.count, stage.share) {
-                (Some(count), None) if (1..=100_000).contains(&count) => Pick::Count(count),
+                (Some(count), None) if (1..=100_000).contains(&count) => StageSelector::Count(count),
                 (Some(_), None) => return fault(format!("stages[{i}].count"), "1 to 100000"),
-                (None, Some(share)) if share > 0.0 && share < 1.0 => Pick::Share(share),
+                (None, Some(share)) if share > 0.0 && share < 1.0 => StageSelector::Share(share),
                 (None, Some(_)) => return fault(format!("stages[{i}].share"), "over 0 and below 1"),
                 _ => return fault(format!("stages[{i}]"), "count or share, one of them"),
             };
-            if let (Pick::Share(share), None) = (pick, &stage.zone) {
+            if let (StageSelector::Share(share), None) = (pick, &stage.zone) {
                 if share <= share_before {
                     return fault(format!("stages[{i}].share"), "more than in the stage before");
                 }
@@ -142,7 +142,7 @@
             let soak = span(format!("stages[{i}].soak_s"), stage.soak_s.unwrap_or(text.soak_s))?;
             stages.push(Stage { pick, zone: stage.zone.clone(), soak });
         }
-        stages.push(Stage { pick: Pick::All, zone: None, soak: span("soak_s", text.soak_s)? });
+        stages.push(Stage { pick: StageSelector::All, zone: None, soak: span("soak_s", text.soak_s)? });
         for (field, n) in [("at_once", text.at_once), ("back_at_once", text.back_at_once)] {
             if !(1..=10_000).contains(&n) {
                 return fault(field.into(), "1 to 10000");
@@ -164,13 +164,13 @@
         let seconds = |span: Nanos| span as f64 / SECOND as f64;
         let last = plan.stages.last().map_or(0, |s| s.soak);
         let text = |s: &Stage| StageText {
-            count: if let Pick::Count(n) = s.pick { Some(n) } else { None },
-            share: if let Pick::Share(s) = s.pick { Some(s) } else { None },
+            count: if let StageSelector::Count(n) = s.pick { Some(n) } else { None },
+            share: if let StageSelector::Share(s) = s.pick { Some(s) } else { None },
             zone: s.zone.clone(),
             soak_s: Some(seconds(s.soak)),
         };
         PlanText {
-            stages: plan.stages.iter().filter(|s| s.pick != Pick::All).map(text).collect(),
+            stages: plan.stages.iter().filter(|s| s.pick != StageSelector::All).map(text).collect(),
             at_once: plan.at_once,
             back_at_once: plan.back_at_once,
             confirm_s: seconds(plan.confirm),
--- a/crates/core/rollout/src/preview.rs
+++ b/crates/core/rollout/src/preview.rs
@@ -1,10 +1,10 @@
 //! What a plan comes to on the fleet as it stands: the change itself, played in an instant in which nothing fails.
 
-use crate::change::{Change, Phase, Seen, Verdict};
 use crate::plan::Plan;
+use crate::state_machine::{FleetView, Phase, Rollout, Verdict};
 use crate::{Nanos, SECOND};
 use rushquay_config_version::Digest;
-use rushquay_membership::Standing;
+use rushquay_membership::MemberStatus;
 use serde::Serialize;
 
 /// A stage as it would be made.
@@ -17,12 +17,12 @@
 }
 
 /// Plays a plan on those that serve. `id` is the number that the change would have: the order hangs on it.
-pub fn preview(plan: &Plan, seen: &[Seen<'_>], id: u64) -> Vec<Step> {
+pub fn preview(plan: &Plan, seen: &[FleetView<'_>], id: u64) -> Vec<Step> {
     let (from, to) = (Digest::of(b"before"), Digest::of(b"after"));
-    let serving = seen.iter().filter(|s| s.standing == Standing::Serving);
-    let mut fleet: Vec<Seen<'_>> =
-        serving.map(|s| Seen { acting: from, refused: None, since: 0, ..*s }).collect();
-    let mut change = Change::new(id, (from, to), plan.clone(), (String::new(), String::new()), 0);
+    let serving = seen.iter().filter(|s| s.standing == MemberStatus::Serving);
+    let mut fleet: Vec<FleetView<'_>> =
+        serving.map(|s| FleetView { acting: from, refused: None, since: 0, ..*s }).collect();
+    let mut change = Rollout::new(id, (from, to), plan.clone(), (String::new(), String::new()), 0);
     let mut steps: Vec<Step> = Vec::new();
     let mut now: Nanos = 0;
     // Each pass tells somebody or ends a stage; a plan that can't go on is held, and nothing lifts that here.
--- a/crates/core/rollout/src/order.rs
+++ b/crates/core/rollout/src/scheduling.rs
@@ -1,7 +1,7 @@
 //! Who is next: whom a stage still has to tell, in an order that leaves one data centre at a time and never all of it.
 
-use crate::change::Seen;
-use crate::plan::{Pick, Stage};
+use crate::plan::{Stage, StageSelector};
+use crate::state_machine::FleetView;
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -14,26 +14,26 @@
 }
 
 /// How many more a stage is to take.
-pub fn wanted(stage: &Stage, seen: &[Seen<'_>], moved: &BTreeSet<String>, in_stage: usize) -> usize {
-    let here = |s: &&Seen<'_>| stage.zone.as_deref().is_none_or(|zone| zone == s.zone);
+pub fn wanted(stage: &Stage, seen: &[FleetView<'_>], moved: &BTreeSet<String>, in_stage: usize) -> usize {
+    let here = |s: &&FleetView<'_>| stage.zone.as_deref().is_none_or(|zone| zone == s.zone);
     let all = seen.iter().filter(here).count();
     let done = seen.iter().filter(here).filter(|s| moved.contains(s.name)).count();
     match stage.pick {
-        Pick::Count(n) => n.saturating_sub(in_stage).min(all - done),
-        Pick::Share(share) => ((all as f64 * share).ceil() as usize).saturating_sub(done),
-        Pick::All => all - done,
+        StageSelector::Count(n) => n.saturating_sub(in_stage).min(all - done),
+        StageSelector::Share(share) => ((all as f64 * share).ceil() as usize).saturating_sub(done),
+        StageSelector::All => all - done,
     }
 }
 
 /// The next to be told, so that no more than `at_once` are on their way, all of one data centre and never all of it.
 pub fn next<'s>(
-    candidates: impl Iterator<Item = &'s Seen<'s>>,
-    on_way: &[&Seen<'_>],
-    seen: &[Seen<'_>],
+    candidates: impl Iterator<Item = &'s FleetView<'s>>,
+    on_way: &[&FleetView<'_>],
+    seen: &[FleetView<'_>],
     at_once: usize,
     salt: u64,
-) -> Vec<&'s Seen<'s>> {
-    let mut zones: BTreeMap<&str, Vec<&Seen<'_>>> = BTreeMap::new();
+) -> Vec<&'s FleetView<'s>> {
+    let mut zones: BTreeMap<&str, Vec<&FleetView<'_>>> = BTreeMap::new();
     for one in candidates {
         zones.entry(one.zone).or_default().push(one);
     }
--- a/crates/core/rollout/src/change.rs
+++ b/crates/core/rollout/src/state_machine.rs
@@ -1,12 +1,12 @@
 //! A change and what may become of it. [`Change::step`] looks at the fleet and at the verdict and moves it by one step at the
 //! most; whoever drives it keeps the result before anybody is told by it.
 
-use crate::evidence::Finding;
-use crate::order;
+use crate::analysis::Finding;
 use crate::plan::Plan;
+use crate::scheduling;
 use crate::{Nanos, SECOND};
 use rushquay_config_version::Digest;
-use rushquay_membership::Standing;
+use rushquay_membership::MemberStatus;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,13 +15,13 @@
 
 /// An instance as the change sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
+pub struct FleetView<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its data centre.
     pub zone: &'a str,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: MemberStatus,
     /// What it acts by.
     pub acting: Digest,
     /// Since when it has been heard without a gap.
@@ -48,7 +48,7 @@
 /// Why a change is held.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Hold {
+pub enum HoldReason {
     /// An operator holds it.
     Operator {
         /// Who.
@@ -71,7 +71,7 @@
 /// Why a change goes back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Reason {
+pub enum RollbackReason {
     /// An operator says so.
     Operator {
         /// Who.
@@ -126,19 +126,19 @@
         /// Which stage.
         stage: usize,
         /// Why.
-        why: Hold,
+        why: HoldReason,
         /// Since when.
         since: Nanos,
     },
     /// Going back, a few at a time.
     Back {
         /// Why.
-        why: Reason,
+        why: RollbackReason,
     },
     /// Going back, and some that serve don't.
     Stuck {
         /// Why it goes back.
-        why: Reason,
+        why: RollbackReason,
         /// Which proxies stay.
         names: Vec<String>,
     },
@@ -147,7 +147,7 @@
     /// All that are heard act by the old again.
     GoneBack {
         /// Why.
-        why: Reason,
+        why: RollbackReason,
     },
 }
 
@@ -174,7 +174,7 @@
     }
 
     /// Whether it goes back, or has gone.
-    pub fn back(&self) -> Option<&Reason> {
+    pub fn back(&self) -> Option<&RollbackReason> {
         match self {
             Phase::Back { why } | Phase::Stuck { why, .. } | Phase::GoneBack { why } => Some(why),
             _ => None,
@@ -184,7 +184,7 @@
 
 /// A change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct Rollout {
     /// Its number, never used twice.
     pub id: u64,
     /// What held before.
@@ -218,7 +218,7 @@
     names.take(5).map(str::to_owned).collect()
 }
 
-impl Change {
+impl Rollout {
     /// A change that begins now.
     pub fn new(
         id: u64,
@@ -227,7 +227,7 @@
         (author, reason): (String, String),
         now: Nanos,
     ) -> Self {
-        Change {
+        Rollout {
             id,
             from,
             to,
@@ -274,7 +274,7 @@
     }
 
     /// Goes back, whatever it was about to do.
-    pub fn go_back(&mut self, why: Reason) {
+    pub fn go_back(&mut self, why: RollbackReason) {
         if !self.phase.over() && self.phase.back().is_none() {
             self.phase = Phase::Back { why };
             self.returned.clear();
@@ -284,7 +284,7 @@
     /// An operator holds it; false if there is nothing to hold.
     pub fn hold(&mut self, by: &str, now: Nanos) -> bool {
         let Some(stage) = self.stage() else { return false };
-        self.phase = Phase::Held { stage, why: Hold::Operator { by: by.to_owned() }, since: now };
+        self.phase = Phase::Held { stage, why: HoldReason::Operator { by: by.to_owned() }, since: now };
         true
     }
 
@@ -296,12 +296,12 @@
     }
 
     /// Those that were told the new and don't act by it yet.
-    fn on_way<'s>(&self, seen: &'s [Seen<'s>]) -> Vec<&'s Seen<'s>> {
+    fn on_way<'s>(&self, seen: &'s [FleetView<'s>]) -> Vec<&'s FleetView<'s>> {
         seen.iter().filter(|s| self.moved.contains_key(s.name) && s.acting != self.to).collect()
     }
 
     /// Looks at the fleet and moves on by one step at the most; true if something is to be kept.
-    pub fn step(&mut self, seen: &[Seen<'_>], verdict: &Verdict, now: Nanos) -> bool {
+    pub fn step(&mut self, seen: &[FleetView<'_>], verdict: &Verdict, now: Nanos) -> bool {
         let passed = now.saturating_sub(self.stepped);
         self.stepped = now;
         if self.phase.over() {
@@ -317,23 +317,25 @@
         }
         // Danger: where a third of all reports are lost somebody is always late; a hold for each would never end. One that may
         // be on its way back is waited for as long as it may take to act on what it is told.
-        let away = |s: &&Seen<'_>| self.moved.contains_key(s.name) && s.standing != Standing::Serving;
+        let away =
+            |s: &&FleetView<'_>| self.moved.contains_key(s.name) && s.standing != MemberStatus::Serving;
         let silent = seen.iter().filter(away).filter(|s| s.quiet > self.plan.confirm);
         let silent = some(silent.map(|s| s.name));
         let away = seen.iter().filter(away).count();
         match (self.phase.clone(), verdict) {
             (Phase::Moving { stage } | Phase::Soaking { stage, .. }, Verdict::Trouble(what)) => {
-                self.held(stage, Hold::Trouble { what: what.clone() }, now)
+                self.held(stage, HoldReason::Trouble { what: what.clone() }, now)
             }
             (Phase::Moving { stage } | Phase::Soaking { stage, .. }, _) if !silent.is_empty() => {
-                self.held(stage, Hold::Silent { names: silent }, now)
+                self.held(stage, HoldReason::Silent { names: silent }, now)
             }
             (Phase::Moving { stage }, _) => self.step_moving(stage, seen, now),
             (Phase::Soaking { stage, since }, Verdict::Passed) => {
                 // What is compared has to be there: all of a few, nine in ten of many.
                 let heard = away * 10 <= self.moved.len();
                 let soaked = now.saturating_sub(since) >= self.plan.stage(stage).soak;
-                if !soaked || !heard || self.on_way(seen).iter().any(|s| s.standing == Standing::Serving) {
+                if !soaked || !heard || self.on_way(seen).iter().any(|s| s.standing == MemberStatus::Serving)
+                {
                     return false;
                 }
                 self.in_stage = 0;
@@ -343,10 +345,10 @@
             }
             (Phase::Held { stage, why, .. }, verdict) => {
                 let over = match why {
-                    Hold::Operator { .. } => false,
-                    Hold::Trouble { .. } => !matches!(verdict, Verdict::Trouble(_)),
-                    Hold::Silent { .. } => silent.is_empty(),
-                    Hold::Nobody => self.candidates(stage, seen).next().is_some(),
+                    HoldReason::Operator { .. } => false,
+                    HoldReason::Trouble { .. } => !matches!(verdict, Verdict::Trouble(_)),
+                    HoldReason::Silent { .. } => silent.is_empty(),
+                    HoldReason::Nobody => self.candidates(stage, seen).next().is_some(),
                 };
                 if over {
                     self.phase = Phase::Moving { stage };
@@ -357,36 +359,36 @@
         }
     }
 
-    fn held(&mut self, stage: usize, why: Hold, now: Nanos) -> bool {
+    fn held(&mut self, stage: usize, why: HoldReason, now: Nanos) -> bool {
         self.phase = Phase::Held { stage, why, since: now };
         true
     }
 
     /// What makes it go back.
-    fn fault(&self, seen: &[Seen<'_>], verdict: &Verdict, now: Nanos) -> Option<Reason> {
+    fn fault(&self, seen: &[FleetView<'_>], verdict: &Verdict, now: Nanos) -> Option<RollbackReason> {
         if let Verdict::Worse(finding) = verdict {
-            return Some(Reason::Worse(finding.clone()));
+            return Some(RollbackReason::Worse(finding.clone()));
         }
         let told = || seen.iter().filter_map(|s| Some((s, *self.moved.get(s.name)?)));
         let refused =
             told().find_map(|(s, _)| Some((s.name, s.refused.filter(|(what, _)| *what == self.to)?.1)));
         if let Some((name, why)) = refused {
-            return Some(Reason::Refused { name: name.into(), why: why.into() });
+            return Some(RollbackReason::Refused { name: name.into(), why: why.into() });
         }
         let late = told().filter(|(s, at)| {
             // Who was away meanwhile, or is a new process, has to be told again first.
             let due = now.saturating_sub((*at).max(s.since)) > self.plan.confirm;
-            due && s.acting != self.to && s.standing == Standing::Serving
+            due && s.acting != self.to && s.standing == MemberStatus::Serving
         });
         let late = some(late.map(|(s, _)| s.name));
         if !late.is_empty() {
-            return Some(Reason::Unconfirmed { names: late });
+            return Some(RollbackReason::Unconfirmed { names: late });
         }
         if self.ran > self.plan.limit {
-            return Some(Reason::OverTime);
+            return Some(RollbackReason::OverTime);
         }
         let waits = match (&self.phase, verdict) {
-            (Phase::Held { why: Hold::Operator { .. }, .. }, _) => None,
+            (Phase::Held { why: HoldReason::Operator { .. }, .. }, _) => None,
             (Phase::Held { why, since, .. }, _) => Some((*since, self.plan.patience, why.to_string())),
             (Phase::Soaking { stage, since }, Verdict::Waiting(what)) => {
                 Some((*since, self.plan.patience.saturating_add(self.plan.stage(*stage).soak), what.clone()))
@@ -394,36 +396,38 @@
             _ => None,
         };
         let (_, _, what) = waits.filter(|(since, most, _)| now.saturating_sub(*since) > *most)?;
-        Some(Reason::Patience { what })
+        Some(RollbackReason::Patience { what })
     }
 
     fn candidates<'s>(
         &self,
         stage: usize,
-        seen: &'s [Seen<'s>],
-    ) -> impl Iterator<Item = &'s Seen<'s>> + use<'s, '_> {
+        seen: &'s [FleetView<'s>],
+    ) -> impl Iterator<Item = &'s FleetView<'s>> + use<'s, '_> {
         let zone = self.plan.stage(stage).zone.clone();
-        let here = move |s: &&Seen<'_>| zone.as_deref().is_none_or(|zone| zone == s.zone);
-        let left = |s: &&Seen<'_>| s.standing == Standing::Serving && !self.moved.contains_key(s.name);
+        let here = move |s: &&FleetView<'_>| zone.as_deref().is_none_or(|zone| zone == s.zone);
+        let left =
+            |s: &&FleetView<'_>| s.standing == MemberStatus::Serving && !self.moved.contains_key(s.name);
         seen.iter().filter(here).filter(left)
     }
 
-    fn step_moving(&mut self, stage: usize, seen: &[Seen<'_>], now: Nanos) -> bool {
+    fn step_moving(&mut self, stage: usize, seen: &[FleetView<'_>], now: Nanos) -> bool {
         let on_way = self.on_way(seen);
         let moved: BTreeSet<String> = self.moved.keys().cloned().collect();
-        let wanted = order::wanted(self.plan.stage(stage), seen, &moved, self.in_stage);
+        let wanted = scheduling::wanted(self.plan.stage(stage), seen, &moved, self.in_stage);
         let left = self.candidates(stage, seen).count();
         if on_way.is_empty() && (wanted == 0 || left == 0) {
             // Danger: a stage in which nobody changed would be compared with nobody, and one of which half is away would pass
             // for whole. The last stage ends without those that are away: they take what holds when they come.
             let nobody = wanted > 0 && !self.plan.last(stage) || self.moved.is_empty();
             if nobody {
-                return self.held(stage, Hold::Nobody, now);
+                return self.held(stage, HoldReason::Nobody, now);
             }
             self.phase = Phase::Soaking { stage, since: now };
             return true;
         }
-        let mut next = order::next(self.candidates(stage, seen), &on_way, seen, self.plan.at_once, self.id);
+        let mut next =
+            scheduling::next(self.candidates(stage, seen), &on_way, seen, self.plan.at_once, self.id);
         next.truncate(wanted);
         let told = next.len();
         self.moved.extend(next.into_iter().map(|s| (s.name.to_owned(), now)));
@@ -432,13 +436,13 @@
     }
 
     /// Going back: those that were told the new are told the old, a few at a time and of one data centre.
-    fn step_back(&mut self, seen: &[Seen<'_>], now: Nanos) -> bool {
+    fn step_back(&mut self, seen: &[FleetView<'_>], now: Nanos) -> bool {
         let Some(why) = self.phase.back().cloned() else { return false };
-        let serves = |s: &&Seen<'_>| s.standing == Standing::Serving;
-        let back = |s: &&Seen<'_>| !self.moved.contains_key(s.name) && s.acting == self.to;
-        let on_way: Vec<&Seen<'_>> = seen.iter().filter(serves).filter(back).collect();
+        let serves = |s: &&FleetView<'_>| s.standing == MemberStatus::Serving;
+        let back = |s: &&FleetView<'_>| !self.moved.contains_key(s.name) && s.acting == self.to;
+        let on_way: Vec<&FleetView<'_>> = seen.iter().filter(serves).filter(back).collect();
         let candidates = seen.iter().filter(serves).filter(|s| self.moved.contains_key(s.name));
-        let next = order::next(candidates, &on_way, seen, self.plan.back_at_once, self.id);
+        let next = scheduling::next(candidates, &on_way, seen, self.plan.back_at_once, self.id);
         if !next.is_empty() {
             for one in next {
                 self.moved.remove(one.name);
@@ -447,7 +451,7 @@
             return true;
         }
         // Danger: a leader that has only just taken over has heard nobody, and would find the whole fleet away.
-        let unheard = |s: &Seen<'_>| s.standing == Standing::Unheard && s.acting == self.to;
+        let unheard = |s: &FleetView<'_>| s.standing == MemberStatus::Unheard && s.acting == self.to;
         if seen.iter().any(|s| unheard(s) && now.saturating_sub(s.since) <= self.plan.confirm) {
             return false;
         }
@@ -474,29 +478,29 @@
     }
 }
 
-impl std::fmt::Display for Hold {
+impl std::fmt::Display for HoldReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Hold::Operator { by } => write!(f, "held by {by}"),
-            Hold::Trouble { what } => write!(f, "{what}"),
-            Hold::Silent { names } => write!(f, "not heard: {}", names.join(", ")),
-            Hold::Nobody => write!(f, "nobody left in the stage can be told"),
+            HoldReason::Operator { by } => write!(f, "held by {by}"),
+            HoldReason::Trouble { what } => write!(f, "{what}"),
+            HoldReason::Silent { names } => write!(f, "not heard: {}", names.join(", ")),
+            HoldReason::Nobody => write!(f, "nobody left in the stage can be told"),
         }
     }
 }
 
-impl std::fmt::Display for Reason {
+impl std::fmt::Display for RollbackReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reason::Operator { by } => write!(f, "{by} said so"),
-            Reason::Worse(finding) => write!(f, "{finding}"),
-            Reason::Refused { name, why } => write!(f, "{name} can't obey it: {why}"),
-            Reason::Unconfirmed { names } => {
+            RollbackReason::Operator { by } => write!(f, "{by} said so"),
+            RollbackReason::Worse(finding) => write!(f, "{finding}"),
+            RollbackReason::Refused { name, why } => write!(f, "{name} can't obey it: {why}"),
+            RollbackReason::Unconfirmed { names } => {
                 write!(f, "told and serving, but not acting by it: {}", names.join(", "))
             }
-            Reason::Patience { what } => write!(f, "waited for too long: {what}"),
-            Reason::OverTime => write!(f, "it took longer than it may"),
-            Reason::Displaced { by } => write!(f, "change {by} takes its place"),
+            RollbackReason::Patience { what } => write!(f, "waited for too long: {what}"),
+            RollbackReason::OverTime => write!(f, "it took longer than it may"),
+            RollbackReason::Displaced { by } => write!(f, "change {by} takes its place"),
         }
     }
 }
--- a/crates/core/rollout/src/course.rs
+++ b/crates/core/rollout/src/timeline.rs
@@ -40,7 +40,7 @@
 
 /// What was seen since the change began, or since this leader leads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Course {
+pub struct Timeline {
     /// The number of the change; 0: none was seen.
     pub change: u64,
     /// Nanoseconds from one point to the next.
@@ -51,10 +51,10 @@
     pub marks: Vec<(Nanos, String)>,
 }
 
-impl Course {
+impl Timeline {
     /// A change is seen from now on.
     pub fn new(change: u64) -> Self {
-        Course { change, every: SECOND, ..Course::default() }
+        Timeline { change, every: SECOND, ..Timeline::default() }
     }
 
     /// It has moved on.
@@ -110,7 +110,7 @@
 
     #[test]
     fn a_long_change_keeps_its_points_further_apart_and_loses_no_request() {
-        let mut course = Course::new(7);
+        let mut course = Timeline::new(7);
         let one = |n| {
             BTreeMap::from([("plan".to_owned(), [Sample { all: n, bad: 1, slow: 0 }, Sample::default()])])
         };
--- a/crates/core/rollout/tests/evidence.rs
+++ b/crates/core/rollout/tests/evidence.rs
@@ -1,25 +1,25 @@
 //! What passes a stage, what stops it and what holds it, where data centres differ: three of them with three proxies each.
 
-use rushquay_config_version::{Digest, Generation, FORM};
-use rushquay_membership::{Figures, Report, Roster, Standing, Terms};
-use rushquay_rollout::{Bounds, Evidence, Finding, Measure, Verdict, SECOND};
+use rushquay_config_version::{ConfigVersion, Digest, FORM};
+use rushquay_membership::{MemberStatus, Membership, MembershipTimeouts, ProxyStats, Report};
+use rushquay_rollout::{Analysis, Bounds, Finding, Measure, Verdict, SECOND};
 use serde_json::json;
 use std::collections::BTreeSet;
 
 const ZONES: [&str; 3] = ["gandhinagar", "rajkot", "vadodara"];
 
 struct Fleet {
-    roster: Roster,
-    evidence: Evidence,
-    figures: Vec<Figures>,
+    roster: Membership,
+    evidence: Analysis,
+    figures: Vec<ProxyStats>,
     /// Proxies that act by the new.
     new: BTreeSet<usize>,
     at: u64,
 }
 
 fn digests() -> (Digest, Digest) {
-    let to = Generation::read(&json!({"over_share_worth": 0.5})).expect("settings");
-    (Generation::base().digest(), to.digest())
+    let to = ConfigVersion::read(&json!({"over_share_worth": 0.5})).expect("settings");
+    (ConfigVersion::base().digest(), to.digest())
 }
 
 fn zone(n: usize) -> &'static str {
@@ -29,8 +29,9 @@
 impl Fleet {
     /// A minute in which all went well.
     fn new() -> Self {
-        let (roster, evidence) = (Roster::new(Terms::default()), Evidence::new(Bounds::default()));
-        let figures = vec![Figures::default(); 9];
+        let (roster, evidence) =
+            (Membership::new(MembershipTimeouts::default()), Analysis::new(Bounds::default()));
+        let figures = vec![ProxyStats::default(); 9];
         let mut fleet = Fleet { roster, evidence, figures, new: BTreeSet::new(), at: 0 };
         (0..60).for_each(|_| fleet.second(|_, _| (40, 0)));
         assert!(fleet.evidence.usual().is_some());
@@ -65,7 +66,8 @@
             self.roster.hear(&format!("p{n}"), report, 1, now);
         }
         let new: BTreeSet<String> = self.new.iter().map(|n| format!("p{n}")).collect();
-        let serving = self.roster.instances().filter(|i| self.roster.standing(i, now) == Standing::Serving);
+        let serving =
+            self.roster.instances().filter(|i| self.roster.standing(i, now) == MemberStatus::Serving);
         self.evidence.look(serving, |name| new.contains(name), (from, to), SECOND);
     }
 
--- a/crates/core/rollout/tests/explore.rs
+++ b/crates/core/rollout/tests/explore.rs
@@ -2,8 +2,10 @@
 //! must never be is looked for in each state; and from each state, once faults end, the change must end.
 
 use rushquay_config_version::Digest;
-use rushquay_membership::Standing;
-use rushquay_rollout::{Change, Finding, Measure, Phase, Plan, PlanText, Seen, StageText, Verdict, SECOND};
+use rushquay_membership::MemberStatus;
+use rushquay_rollout::{
+    Finding, FleetView, Measure, Phase, Plan, PlanText, Rollout, StageText, Verdict, SECOND,
+};
 use std::collections::{HashSet, VecDeque};
 
 const ZONES: [&str; 3] = ["a", "a", "b"];
@@ -33,14 +35,14 @@
 #[derive(Clone, PartialEq, Debug)]
 struct Leader {
     epoch: u64,
-    change: Change,
+    change: Rollout,
     heard: [bool; 3],
 }
 
 #[derive(Clone, PartialEq, Debug)]
 struct World {
     now: u64,
-    store: Change,
+    store: Rollout,
     epoch: u64,
     leaders: [Option<Leader>; 2],
     proxies: [Proxy; 3],
@@ -64,7 +66,7 @@
         soak_s: 1.0,
     };
     let plan = Plan::try_from(text).expect("a plan");
-    let change = Change::new(1, digests(), plan, ("a".into(), "r".into()), 0);
+    let change = Rollout::new(1, digests(), plan, ("a".into(), "r".into()), 0);
     let proxy = Proxy { acting: false, up: true, fence: 0 };
     World {
         now: 0,
@@ -88,19 +90,19 @@
     })
 }
 
-fn seen<'a>(world: &World, leader: &Leader) -> Vec<Seen<'a>> {
+fn seen<'a>(world: &World, leader: &Leader) -> Vec<FleetView<'a>> {
     let (from, to) = digests();
     let one = |n: usize| {
         let p = &world.proxies[n];
         let standing = match (leader.heard[n], p.up) {
-            (_, true) => Standing::Serving,
-            (true, false) => Standing::Down,
-            (false, false) => Standing::Unheard,
+            (_, true) => MemberStatus::Serving,
+            (true, false) => MemberStatus::Down,
+            (false, false) => MemberStatus::Unheard,
         };
         let acting = if p.acting { to } else { from };
         // Whoever is away has been for long.
         let quiet = if p.up { 0 } else { 100 * SECOND };
-        Seen { name: NAMES[n], zone: ZONES[n], standing, acting, since: 0, quiet, refused: None }
+        FleetView { name: NAMES[n], zone: ZONES[n], standing, acting, since: 0, quiet, refused: None }
     };
     (0..3).map(one).collect()
 }
@@ -112,7 +114,7 @@
     /// What tells this state from others: times by how far they are back, and no further than anything asks.
     fn key(&self) -> String {
         let ago = |t: u64| (self.now.saturating_sub(t) / SECOND).min(6);
-        let change = |c: &Change| {
+        let change = |c: &Rollout| {
             let phase = match &c.phase {
                 Phase::Soaking { stage, since } => format!("soak {stage} {}", ago(*since)),
                 Phase::Held { stage, why, since } => format!("held {stage} {why} {}", ago(*since)),
@@ -246,7 +248,7 @@
     }
 
     /// A leader's word comes to a proxy, however late.
-    fn delivered(&self, change: &Change, epoch: u64, p: usize, without: Without) -> Option<World> {
+    fn delivered(&self, change: &Rollout, epoch: u64, p: usize, without: Without) -> Option<World> {
         let proxy = &self.proxies[p];
         if !proxy.up || epoch < proxy.fence && without != Without::TheFenceOfProxies {
             return None;
@@ -308,18 +310,24 @@
 }
 
 /// What must hold of each step.
-fn check(before: &Change, after: &Change, verdict: &Verdict, seen: &[Seen<'_>], broken: &mut Vec<String>) {
+fn check(
+    before: &Rollout,
+    after: &Rollout,
+    verdict: &Verdict,
+    seen: &[FleetView<'_>],
+    broken: &mut Vec<String>,
+) {
     let new: Vec<&str> =
         after.moved.keys().filter(|n| !before.moved.contains_key(*n)).map(String::as_str).collect();
     if !new.is_empty() {
-        let way = |s: &&Seen<'_>| after.moved.contains_key(s.name) && s.acting != after.to;
-        let on_way: Vec<&Seen<'_>> = seen.iter().filter(way).collect();
+        let way = |s: &&FleetView<'_>| after.moved.contains_key(s.name) && s.acting != after.to;
+        let on_way: Vec<&FleetView<'_>> = seen.iter().filter(way).collect();
         let zones: HashSet<&str> = on_way.iter().map(|s| s.zone).collect();
         if on_way.len() > after.plan.at_once || zones.len() > 1 {
             broken.push(format!("{} on their way in {zones:?}", on_way.len()));
         }
     }
-    let stage = |c: &Change| if c.phase == Phase::Done { Some(usize::MAX) } else { c.stage() };
+    let stage = |c: &Rollout| if c.phase == Phase::Done { Some(usize::MAX) } else { c.stage() };
     if let (Some(from), Some(to)) = (stage(before), stage(after)) {
         if to > from && *verdict != Verdict::Passed {
             broken.push(format!("stage {from} was left for {to} on {verdict:?}"));
--- a/crates/core/rollout/tests/fleet.rs
+++ b/crates/core/rollout/tests/fleet.rs
@@ -3,7 +3,7 @@
 #[path = "../examples/sim/mod.rs"]
 mod sim;
 
-use rushquay_rollout::{Phase, Reason};
+use rushquay_rollout::{Phase, RollbackReason};
 use sim::{play, Defect, World};
 use std::collections::BTreeSet;
 
@@ -32,11 +32,11 @@
     let end = played(&world(1));
     assert!(end.done == Some(true) && end.tried == 300, "{end:?}");
     let end = played(&World { defect: Defect::Bad("setpoint-change", 0.3), ..world(2) });
-    assert!(matches!(end.why, Some(Reason::Worse(_))) && end.tried <= 8, "{end:?}");
+    assert!(matches!(end.why, Some(RollbackReason::Worse(_))) && end.tried <= 8, "{end:?}");
     let end = played(&World { defect: Defect::BadIn("z2", "setpoint-change", 0.3), ..world(7) });
-    assert!(matches!(&end.why, Some(Reason::Worse(f)) if f.class == "setpoint-change"), "{end:?}");
+    assert!(matches!(&end.why, Some(RollbackReason::Worse(f)) if f.class == "setpoint-change"), "{end:?}");
     let end = played(&World { defect: Defect::Slow(1.5), ..world(3) });
-    assert!(matches!(end.why, Some(Reason::Worse(_))) && end.tried <= 8, "{end:?}");
+    assert!(matches!(end.why, Some(RollbackReason::Worse(_))) && end.tried <= 8, "{end:?}");
 }
 
 /// A third of all end badly everywhere for five minutes: it is held, not blamed, and goes on after.
--- a/crates/core/supervisor/src/pulse.rs
+++ b/crates/core/supervisor/src/heartbeat.rs
@@ -7,14 +7,14 @@
 
 /// A sign of life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// The process.
     pub pid: u32,
     /// It serves.
     pub yes: bool,
 }
 
-impl Pulse {
+impl Heartbeat {
     /// As it travels.
     pub fn bytes(&self) -> Vec<u8> {
         // Plain fields always have a JSON form.
--- a/crates/core/supervisor/src/lib.rs
+++ b/crates/core/supervisor/src/lib.rs
@@ -6,19 +6,19 @@
 //! again, and never starts a second one beside a first by mistake (`docs/design-host.md`).
 #![forbid(unsafe_code)]
 
-mod machine;
+mod heartbeat;
 mod process;
-mod pulse;
 mod record;
 mod report;
-mod terms;
+mod state_machine;
+mod timeouts;
 
-pub use machine::{Act, Host};
-pub use process::{Found, ProcId};
-pub use pulse::Pulse;
-pub use record::{Failed, Record, RecordError, Target};
-pub use report::{HostReport, HostReportError};
-pub use terms::{Terms, TermsFault};
+pub use heartbeat::Heartbeat;
+pub use process::{FoundProcess, ProcessId};
+pub use record::{FailedTarget, RecordError, SupervisorRecord, Target};
+pub use report::{SupervisorReport, SupervisorReportError};
+pub use state_machine::{Action, Supervisor};
+pub use timeouts::{Timeouts, TimeoutsError};
 
 /// A point in time or a span, in nanoseconds of a clock that is never set.
 pub type Nanos = u64;
--- a/crates/core/supervisor/src/process.rs
+++ b/crates/core/supervisor/src/process.rs
@@ -5,7 +5,7 @@
 
 /// One process. A number that the machine gives out again is told from the first by its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ProcId {
+pub struct ProcessId {
     /// When it was started, by the machine's own count: the later of two has the higher one.
     pub start: u64,
     /// Its number.
@@ -14,9 +14,9 @@
 
 /// A process that a host finds when it starts: one that an earlier host of the same folder has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct FoundProcess {
     /// Which.
-    pub id: ProcId,
+    pub id: ProcessId,
     /// The program that it was started as.
     pub program: Digest,
 }
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Proc {
-    pub id: ProcId,
+    pub id: ProcessId,
     pub program: Digest,
     pub role: Role,
     /// When it was started, or found.
@@ -55,7 +55,7 @@
 }
 
 impl Proc {
-    pub fn new(id: ProcId, program: Digest, role: Role, now: Nanos) -> Self {
+    pub fn new(id: ProcessId, program: Digest, role: Role, now: Nanos) -> Self {
         Proc { id, program, role, began: now, yes: None, heard: now, pulse: None }
     }
 
--- a/crates/core/supervisor/src/record.rs
+++ b/crates/core/supervisor/src/record.rs
@@ -20,7 +20,7 @@
 
 /// What did not do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failed {
+pub struct FailedTarget {
     /// What was tried.
     pub target: Target,
     /// What came of it.
@@ -31,7 +31,7 @@
 
 /// What is kept: what was told, what has served well, and what has not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct SupervisorRecord {
     /// The form of what follows.
     pub form: u32,
     /// The highest epoch of a control service that was heard: word of an earlier one is not taken.
@@ -52,7 +52,7 @@
     pub trying: Option<Target>,
     /// What failed last.
     #[serde(default)]
-    pub failed: Option<Failed>,
+    pub failed: Option<FailedTarget>,
 }
 
 /// Why a record can't be gone on from.
@@ -66,11 +66,11 @@
     Form(u32),
 }
 
-impl Record {
+impl SupervisorRecord {
     /// Nothing was told yet: what the host's own file says is good.
     pub fn new(good: Target) -> Self {
         let (wanted, before, trying, failed) = (None, None, None, None);
-        Record { form: FORM, epoch: 0, wanted, named: false, good, before, trying, failed }
+        SupervisorRecord { form: FORM, epoch: 0, wanted, named: false, good, before, trying, failed }
     }
 
     /// As it is kept.
--- a/crates/core/supervisor/src/report.rs
+++ b/crates/core/supervisor/src/report.rs
@@ -12,7 +12,7 @@
 
 /// What one host says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostReport {
+pub struct SupervisorReport {
     /// The form of what follows.
     pub form: u32,
     /// Unix time of the host's start in nanoseconds: another one for each host process.
@@ -38,7 +38,7 @@
 
 /// Why a report can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HostReportError {
+pub enum SupervisorReportError {
     /// It can't be read.
     #[error("not a host's report: {0}")]
     Malformed(String),
@@ -50,11 +50,11 @@
     Large,
 }
 
-impl HostReport {
+impl SupervisorReport {
     /// Of the form that this version writes; `seq` is set by who sends it.
     pub(crate) fn new(boot: u64) -> Self {
         let (runs, trying, refused, fault) = (None, None, None, None);
-        HostReport { form: FORM, boot, seq: 0, runs, trying, refused, fault, ends: 0 }
+        SupervisorReport { form: FORM, boot, seq: 0, runs, trying, refused, fault, ends: 0 }
     }
 
     /// As it travels.
@@ -67,15 +67,15 @@
     ///
     /// # Errors
     /// See [`HostReportError`].
-    pub fn read(text: &str) -> Result<Self, HostReportError> {
+    pub fn read(text: &str) -> Result<Self, SupervisorReportError> {
         if text.len() > MOST {
-            return Err(HostReportError::Large);
+            return Err(SupervisorReportError::Large);
         }
         let report: Self =
-            serde_json::from_str(text).map_err(|e| HostReportError::Malformed(e.to_string()))?;
+            serde_json::from_str(text).map_err(|e| SupervisorReportError::Malformed(e.to_string()))?;
         match report.form {
             FORM => Ok(report),
-            other => Err(HostReportError::Form(other)),
+            other => Err(SupervisorReportError::Form(other)),
         }
     }
 }
--- a/crates/core/supervisor/src/machine.rs
+++ b/crates/core/supervisor/src/state_machine.rs
@@ -1,29 +1,29 @@
 //! The host: what it knows, and what it does next.
 
-use crate::process::{Found, Proc, ProcId, Role};
-use crate::record::{Failed, Record, Target};
-use crate::report::{HostReport, WHY_MOST};
-use crate::{Nanos, Terms, SECOND};
-use rushquay_config_version::{Assignment, Digest};
+use crate::process::{FoundProcess, Proc, ProcessId, Role};
+use crate::record::{FailedTarget, SupervisorRecord, Target};
+use crate::report::{SupervisorReport, WHY_MOST};
+use crate::{Nanos, Timeouts, SECOND};
+use rushquay_config_version::{ConfigAssignment, Digest};
 
 /// What is to be done. Starting and signalling are the adapter's; it tells what came of each start before it looks again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Start a process of this.
     Start(Target),
     /// Ask it to end.
-    End(ProcId),
+    End(ProcessId),
     /// Kill it.
-    Kill(ProcId),
+    Kill(ProcessId),
 }
 
 /// The host of one proxy.
 #[derive(Clone, Debug)]
-pub struct Host {
-    terms: Terms,
+pub struct Supervisor {
+    terms: Timeouts,
     /// What runs where nothing that was told names a program.
     own: Target,
-    record: Record,
+    record: SupervisorRecord,
     procs: Vec<Proc>,
     /// What is being started, and as what.
     starting: Option<(Target, Role)>,
@@ -48,11 +48,17 @@
     why.chars().take(WHY_MOST).collect()
 }
 
-impl Host {
+impl Supervisor {
     /// A host that starts. `found` are the processes that run already; whoever calls this must be the only host that can start
     /// any.
-    pub fn new(terms: Terms, own: Target, record: Record, found: &[Found], now: Nanos) -> Self {
-        let mut host = Host {
+    pub fn new(
+        terms: Timeouts,
+        own: Target,
+        record: SupervisorRecord,
+        found: &[FoundProcess],
+        now: Nanos,
+    ) -> Self {
+        let mut host = Supervisor {
             terms,
             own,
             record,
@@ -75,7 +81,7 @@
 
     /// Of what runs already the youngest that is known to be good serves, the youngest of what was being tried is watched
     /// anew, and all else is to end once one of these serves.
-    fn find(&mut self, found: &[Found], now: Nanos) {
+    fn find(&mut self, found: &[FoundProcess], now: Nanos) {
         let mut found = found.to_vec();
         found.sort_by_key(|f| std::cmp::Reverse(f.id));
         let good = self.record.good.program;
@@ -96,12 +102,12 @@
     }
 
     /// What is kept.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &SupervisorRecord {
         &self.record
     }
 
     /// The processes that it knows.
-    pub fn processes(&self) -> impl Iterator<Item = ProcId> + '_ {
+    pub fn processes(&self) -> impl Iterator<Item = ProcessId> + '_ {
         self.procs.iter().map(|p| p.id)
     }
 
@@ -121,7 +127,7 @@
 
     /// A control service of this epoch says what is to run. Returns false where that is word of an epoch that is over: it
     /// changes nothing.
-    pub fn told(&mut self, epoch: u64, given: &Assignment) -> bool {
+    pub fn told(&mut self, epoch: u64, given: &ConfigAssignment) -> bool {
         if epoch < self.record.epoch {
             return false;
         }
@@ -143,14 +149,14 @@
 
     /// Whether word may be obeyed though it can't be kept: it leads to a program that has served well here. Danger: a disk that
     /// is full must not be what holds a machine at a bad version.
-    pub fn known_good(&self, given: &Assignment) -> bool {
+    pub fn known_good(&self, given: &ConfigAssignment) -> bool {
         let program = given.generation.program().unwrap_or(self.own.program);
         let served = [Some(&self.record.good), self.record.before.as_ref(), Some(&self.own)];
         served.into_iter().flatten().any(|t| t.program == program)
     }
 
     /// Word could not be kept and so is not obeyed.
-    pub fn not_kept(&mut self, given: &Assignment, why: &str) {
+    pub fn not_kept(&mut self, given: &ConfigAssignment, why: &str) {
         self.unkept = Some((given.generation.digest(), cut(why)));
     }
 
@@ -170,7 +176,7 @@
     }
 
     /// What was to be started runs.
-    pub fn started(&mut self, id: ProcId, now: Nanos) {
+    pub fn started(&mut self, id: ProcessId, now: Nanos) {
         if let Some((target, role)) = self.starting.take() {
             self.fault = None;
             self.procs.push(Proc::new(id, target.program, role, now));
@@ -193,7 +199,7 @@
     }
 
     /// A process has ended.
-    pub fn gone(&mut self, id: ProcId, how: &str, now: Nanos) {
+    pub fn gone(&mut self, id: ProcessId, how: &str, now: Nanos) {
         let Some(at) = self.procs.iter().position(|p| p.id == id) else { return };
         let one = self.procs.remove(at);
         match one.role {
@@ -249,19 +255,19 @@
         let same = self.record.failed.take().filter(|f| f.target.program == target.program);
         let times = same.map_or(1, |f| f.times + 1);
         self.retry_at = now.saturating_add(self.terms.pause_after(times));
-        self.record.failed = Some(Failed { target, why: cut(&why), times });
+        self.record.failed = Some(FailedTarget { target, why: cut(&why), times });
     }
 
     fn with(&self, role: Role) -> Option<Proc> {
         self.procs.iter().copied().find(|p| p.role == role)
     }
 
-    fn set(&mut self, id: ProcId, role: Role) {
+    fn set(&mut self, id: ProcessId, role: Role) {
         self.procs.iter_mut().filter(|p| p.id == id).for_each(|p| p.role = role);
     }
 
     /// What is to be done now. At most one process is started at a time.
-    pub fn look(&mut self, now: Nanos) -> Vec<Act> {
+    pub fn look(&mut self, now: Nanos) -> Vec<Action> {
         // Danger: what was said while this host was stopped is read after the first look; silence that is its own is nobody's fault.
         let missed = now.saturating_sub(std::mem::replace(&mut self.looked, now));
         if missed > LOOK_MOST {
@@ -282,12 +288,12 @@
                 self.record.trying = Some(target.clone());
             }
             self.starting = Some((target.clone(), role));
-            acts.push(Act::Start(target));
+            acts.push(Action::Start(target));
         }
         acts
     }
 
-    fn look_at_ending(&mut self, now: Nanos, acts: &mut Vec<Act>) {
+    fn look_at_ending(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         let drain = self.terms.drain;
         // Danger: where the record is older than what runs, a stray may be all that serves.
         if self.standing() == 0 {
@@ -301,23 +307,23 @@
                 // A host before this one may have told it, or not.
                 Role::Stray if others => {
                     one.role = Role::Ending(now);
-                    acts.push(Act::End(one.id));
+                    acts.push(Action::End(one.id));
                 }
                 Role::Ending(since) if now.saturating_sub(since) >= drain => {
                     one.role = Role::Killed(now);
-                    acts.push(Act::Kill(one.id));
+                    acts.push(Action::Kill(one.id));
                 }
                 // It was asked, and asking may have failed.
                 Role::Killed(since) if now.saturating_sub(since) >= drain => {
                     one.role = Role::Killed(now);
-                    acts.push(Act::Kill(one.id));
+                    acts.push(Action::Kill(one.id));
                 }
                 _ => {}
             }
         }
     }
 
-    fn look_at_main(&mut self, now: Nanos, acts: &mut Vec<Act>) {
+    fn look_at_main(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         let Some(main) = self.with(Role::Main) else { return };
         let steady = now.saturating_sub(main.began) >= self.terms.steady;
         let target = self.target();
@@ -336,11 +342,11 @@
             _ => return,
         };
         self.set(main.id, Role::Killed(now));
-        acts.push(Act::Kill(main.id));
+        acts.push(Action::Kill(main.id));
         self.main_ended(main, &format!("{why} and was killed"), now);
     }
 
-    fn look_at_trying(&mut self, now: Nanos, acts: &mut Vec<Act>) {
+    fn look_at_trying(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         let Some(new) = self.with(Role::Trying) else { return };
         let Some(target) = self.record.trying.clone() else { return };
         let silent = now.saturating_sub(new.heard);
@@ -356,7 +362,7 @@
         };
         if let Some(why) = why {
             self.set(new.id, Role::Killed(now));
-            acts.push(Act::Kill(new.id));
+            acts.push(Action::Kill(new.id));
             self.record.trying = None;
             self.failed(target, why, now);
             return;
@@ -367,7 +373,7 @@
             // Wanted no more: the old one serves on.
             self.record.trying = None;
             self.set(new.id, Role::Ending(now));
-            acts.push(Act::End(new.id));
+            acts.push(Action::End(new.id));
             return;
         }
         // Danger: one that has just fallen silent would have the old one ended, and then be found to hang.
@@ -379,7 +385,7 @@
             self.set(new.id, Role::Main);
             if let Some(old) = main {
                 self.set(old.id, Role::Ending(now));
-                acts.push(Act::End(old.id));
+                acts.push(Action::End(old.id));
             }
         }
     }
@@ -409,21 +415,21 @@
     }
 
     /// What to tell a control service. `boot` is this host's start; who sends it counts `seq`.
-    pub fn report(&self, boot: u64, seq: u64) -> HostReport {
+    pub fn report(&self, boot: u64, seq: u64) -> SupervisorReport {
         let target = self.target();
         let main = self.with(Role::Main).map(|p| p.program);
-        let fails = |f: &&Failed| f.target.program == target.program && main != Some(target.program);
+        let fails = |f: &&FailedTarget| f.target.program == target.program && main != Some(target.program);
         let failed = self.record.failed.as_ref().filter(fails);
         let failed =
             failed.map(|f| (target.generation, format!("program {:?}: {}", f.target.program, f.why)));
-        HostReport {
+        SupervisorReport {
             seq,
             runs: main,
             trying: self.with(Role::Trying).map(|p| p.program),
             refused: self.unkept.clone().or(failed),
             fault: self.fault.clone(),
             ends: self.ends,
-            ..HostReport::new(boot)
+            ..SupervisorReport::new(boot)
         }
     }
 }
--- a/crates/core/supervisor/src/terms.rs
+++ b/crates/core/supervisor/src/timeouts.rs
@@ -4,7 +4,7 @@
 
 /// Spans, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Timeouts {
     /// A new process says yes within this time.
     pub yes_within: Nanos,
     /// From its yes on a new process is watched for so long beside the old one.
@@ -23,9 +23,9 @@
     pub ends_most: u32,
 }
 
-impl Default for Terms {
+impl Default for Timeouts {
     fn default() -> Self {
-        Terms {
+        Timeouts {
             yes_within: 10 * SECOND,
             watch: 10 * SECOND,
             hang: 5 * SECOND,
@@ -41,20 +41,21 @@
 /// A span out of its bounds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
-pub struct TermsFault {
+pub struct TimeoutsError {
     /// The field, as settings name it.
     pub field: &'static str,
     /// What is expected.
     pub expected: &'static str,
 }
 
-impl Terms {
+impl Timeouts {
     /// The same spans, where they can be worked with.
     ///
     /// # Errors
     /// The first field that can't.
-    pub fn checked(self) -> Result<Self, TermsFault> {
-        let need = |holds, field, expected| if holds { Ok(()) } else { Err(TermsFault { field, expected }) };
+    pub fn checked(self) -> Result<Self, TimeoutsError> {
+        let need =
+            |holds, field, expected| if holds { Ok(()) } else { Err(TimeoutsError { field, expected }) };
         let within = |span: Nanos| (SECOND / 10..=3600 * SECOND).contains(&span);
         need(within(self.yes_within), "yes_within_s", "seconds from 0.1 to 3600")?;
         need(within(self.watch), "watch_s", "seconds from 0.1 to 3600")?;
--- a/crates/core/supervisor/tests/walk.rs
+++ b/crates/core/supervisor/tests/walk.rs
@@ -3,8 +3,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_config_version::{Assignment, Digest, Generation};
-use rushquay_supervisor::{Act, Found, Host, ProcId, Record, Target, Terms, SECOND};
+use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest};
+use rushquay_supervisor::{
+    Action, FoundProcess, ProcessId, Supervisor, SupervisorRecord, Target, Timeouts, SECOND,
+};
 
 const STEP: u64 = SECOND / 5;
 
@@ -20,7 +22,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Life {
-    id: ProcId,
+    id: ProcessId,
     program: usize,
     born: u64,
     yes: Option<u64>,
@@ -38,14 +40,14 @@
 struct World {
     kinds: Vec<Kind>,
     lives: Vec<Life>,
-    host: Host,
+    host: Supervisor,
     /// What is on the disk.
-    kept: Record,
+    kept: SupervisorRecord,
     full: bool,
     now: u64,
     starts: u64,
     epoch: u64,
-    terms: Terms,
+    terms: Timeouts,
 }
 
 fn digest(program: usize) -> Digest {
@@ -53,20 +55,20 @@
 }
 
 fn own() -> Target {
-    Target { program: digest(0), generation: Generation::base().digest(), given: None }
+    Target { program: digest(0), generation: ConfigVersion::base().digest(), given: None }
 }
 
-fn wants(program: usize, change: u64) -> Assignment {
+fn wants(program: usize, change: u64) -> ConfigAssignment {
     let settings = serde_json::json!({"over_share_worth": change as f64 / 1e6});
-    let generation = Generation::read(&settings).expect("good").with_program(digest(program));
-    Assignment { change, generation }
+    let generation = ConfigVersion::read(&settings).expect("good").with_program(digest(program));
+    ConfigAssignment { change, generation }
 }
 
 impl World {
     fn new(kinds: &[Kind]) -> Self {
-        let terms = Terms::default();
-        let kept = Record::new(own());
-        let host = Host::new(terms, own(), kept.clone(), &[], 0);
+        let terms = Timeouts::default();
+        let kept = SupervisorRecord::new(own());
+        let host = Supervisor::new(terms, own(), kept.clone(), &[], 0);
         let kinds = kinds.to_vec();
         World { kinds, lives: Vec::new(), host, kept, full: false, now: 0, starts: 0, epoch: 1, terms }
     }
@@ -93,9 +95,9 @@
 
     /// The host is killed and another one starts.
     fn kill_host(&mut self) {
-        let found: Vec<Found> =
-            self.lives.iter().map(|l| Found { id: l.id, program: digest(l.program) }).collect();
-        self.host = Host::new(self.terms, own(), self.kept.clone(), &found, self.now);
+        let found: Vec<FoundProcess> =
+            self.lives.iter().map(|l| FoundProcess { id: l.id, program: digest(l.program) }).collect();
+        self.host = Supervisor::new(self.terms, own(), self.kept.clone(), &found, self.now);
     }
 
     fn standing(&self) -> Vec<Life> {
@@ -147,7 +149,7 @@
                 return self.kill_host();
             }
             match act {
-                Act::Start(target) => {
+                Action::Start(target) => {
                     let program =
                         (0..self.kinds.len()).find(|p| digest(*p) == target.program).expect("known");
                     let standing = self.standing();
@@ -161,7 +163,7 @@
                         continue;
                     }
                     self.starts += 1;
-                    let id = ProcId { start: self.starts, pid: self.starts as u32 };
+                    let id = ProcessId { start: self.starts, pid: self.starts as u32 };
                     let life = Life { id, program, born: now, yes: None, told: false, hung: None };
                     self.lives.push(life);
                     // Killed just after the start, before anything is known of it.
@@ -170,8 +172,8 @@
                     }
                     self.host.started(id, now);
                 }
-                Act::End(id) => self.lives.iter_mut().filter(|l| l.id == id).for_each(|l| l.told = true),
-                Act::Kill(id) => {
+                Action::End(id) => self.lives.iter_mut().filter(|l| l.id == id).for_each(|l| l.told = true),
+                Action::Kill(id) => {
                     self.lives.retain(|l| l.id != id);
                     self.host.gone(id, "killed", now);
                 }
@@ -327,7 +329,7 @@
     world.run(5);
     world.tell(1, 1, 1);
     world.run(30);
-    (world.kept, world.kinds[0]) = (Record::new(own()), Kind::NoFile);
+    (world.kept, world.kinds[0]) = (SupervisorRecord::new(own()), Kind::NoFile);
     world.kill_host();
     world.run(30);
     assert_eq!((world.serves(), world.host.report(1, 1).runs), (vec![1], Some(digest(1))));
--- a/crates/core/xds-resources/src/decode.rs
+++ b/crates/core/xds-resources/src/decode.rs
@@ -1,6 +1,6 @@
 //! xDS resources as nodes. What stands there is checked before anything of it is taken.
 
-use crate::names::{LEAVES, POLICY, TEXT_TYPE};
+use crate::names::{LEAVES, POLICY_RESOURCE, TEXT_TYPE};
 use crate::{METADATA, WEIGHT_UNIT};
 use envoy_types::pb::envoy::config::core::v3::{
     address, socket_address::PortSpecifier, Address, HealthStatus, Metadata, TypedExtensionConfig,
@@ -10,9 +10,9 @@
 };
 use envoy_types::pb::google::protobuf::{value, Value};
 use prost::Message;
-use rushquay_config_version::Assignment;
-use rushquay_endpoints::{Imposed, Member, NodeState, Stated};
-use rushquay_xds::client::Came;
+use rushquay_config_version::ConfigAssignment;
+use rushquay_endpoints::{Endpoint, EndpointState, Imposed, SourcedEndpoint};
+use rushquay_xds::client::ReceivedResource;
 use rushquay_xds::Kind;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -38,29 +38,29 @@
 
 /// A text of policies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PolicyText {
+pub enum PolicyMessage {
     /// What holds, for all alike.
-    Holding(String),
+    Broadcast(String),
     /// A leave for this process.
-    Leave(String),
+    LeaseGrant(String),
 }
 
 /// A resource as the proxy reads it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum DecodedResource {
     /// A cluster's assignment.
     Assignment {
         /// Endpoints that stand inline.
-        endpoints: Vec<Stated>,
+        endpoints: Vec<SourcedEndpoint>,
         /// Names of the collections that hold the others.
         collections: Vec<String>,
     },
     /// One endpoint of a collection.
-    Endpoint(Stated),
+    Endpoint(SourcedEndpoint),
     /// Settings for a proxy.
-    Settings(Assignment),
+    Settings(ConfigAssignment),
     /// What holds of policies, and a leave to act by it: texts that whoever follows them reads.
-    Policy(PolicyText),
+    Policy(PolicyMessage),
 }
 
 fn field(field: impl Into<String>, why: impl Into<String>) -> DecodeError {
@@ -71,13 +71,13 @@
 ///
 /// # Errors
 /// See [`DecodeError`]; nothing of the resource is to be taken.
-pub fn decode(kind: Kind, came: &Came) -> Result<(String, Item), DecodeError> {
+pub fn decode(kind: Kind, came: &ReceivedResource) -> Result<(String, DecodedResource), DecodeError> {
     let malformed = |e: prost::DecodeError| DecodeError::Malformed(e.to_string());
     match kind {
         Kind::Endpoint => {
             let name = came.name.clone().ok_or_else(|| field("name", "missing"))?;
             let message = LbEndpoint::decode(came.body.as_slice()).map_err(malformed)?;
-            Ok((name, Item::Endpoint(endpoint("", &message, "")?)))
+            Ok((name, DecodedResource::Endpoint(endpoint("", &message, "")?)))
         }
         Kind::Endpoints => {
             let message = ClusterLoadAssignment::decode(came.body.as_slice()).map_err(malformed)?;
@@ -92,12 +92,14 @@
             }
             let text = String::decode(config.value.as_slice()).map_err(malformed)?;
             let name = came.name.clone().unwrap_or(message.name);
-            let item = if name == POLICY {
-                Item::Policy(PolicyText::Holding(text))
+            let item = if name == POLICY_RESOURCE {
+                DecodedResource::Policy(PolicyMessage::Broadcast(text))
             } else if name.starts_with(LEAVES) {
-                Item::Policy(PolicyText::Leave(text))
+                DecodedResource::Policy(PolicyMessage::LeaseGrant(text))
             } else {
-                Item::Settings(Assignment::read(&text).map_err(|e| field("typed_config", e.to_string()))?)
+                DecodedResource::Settings(
+                    ConfigAssignment::read(&text).map_err(|e| field("typed_config", e.to_string()))?,
+                )
             };
             Ok((name, item))
         }
@@ -105,7 +107,7 @@
     }
 }
 
-fn assignment(message: &ClusterLoadAssignment) -> Result<Item, DecodeError> {
+fn assignment(message: &ClusterLoadAssignment) -> Result<DecodedResource, DecodeError> {
     if message.cluster_name.is_empty() {
         return Err(field("cluster_name", "empty"));
     }
@@ -139,10 +141,10 @@
             endpoints.push(stated);
         }
     }
-    Ok(Item::Assignment { endpoints, collections })
+    Ok(DecodedResource::Assignment { endpoints, collections })
 }
 
-fn endpoint(path: &str, message: &LbEndpoint, zone: &str) -> Result<Stated, DecodeError> {
+fn endpoint(path: &str, message: &LbEndpoint, zone: &str) -> Result<SourcedEndpoint, DecodeError> {
     let at = |name: &str| format!("{path}{name}");
     let addr = match &message.host_identifier {
         Some(HostIdentifier::Endpoint(e)) => address(&at("endpoint.address"), e.address.as_ref())?,
@@ -150,13 +152,13 @@
         None => return Err(field(at("endpoint"), "missing")),
     };
     let state = match HealthStatus::try_from(message.health_status) {
-        Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => NodeState::Ready,
+        Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => EndpointState::Ready,
         // A state that is new here gets nothing new.
-        _ => NodeState::Draining,
+        _ => EndpointState::Draining,
     };
     let own = Own::of(message.metadata.as_ref());
     // Where something is imposed the health is for clients that know nothing of it.
-    let state = own.text("state").map_or(state, NodeState::from_word);
+    let state = own.text("state").map_or(state, EndpointState::from_word);
     let weight = match (own.number("weight"), &message.load_balancing_weight) {
         (Some(exact), _) if exact > 0.0 && exact.is_finite() => exact,
         (Some(_), _) => return Err(field(at("metadata.rushquay.weight"), "not over 0")),
@@ -179,7 +181,7 @@
             text.parse().map_err(|_| field(at(&format!("metadata.rushquay.{name}")), "not a whole number"))
         }
     };
-    let member = Member {
+    let member = Endpoint {
         id,
         addr,
         zone: own.text("zone").unwrap_or(zone).to_owned(),
@@ -191,7 +193,7 @@
     };
     let imposed =
         imposed(&own).map_err(|name| field(at(&format!("metadata.rushquay.{name}")), "not as expected"))?;
-    Ok(Stated { member, listed: nanos("listed")?, shared: own.flag("shared"), imposed })
+    Ok(SourcedEndpoint { member, listed: nanos("listed")?, shared: own.flag("shared"), imposed })
 }
 
 /// What is imposed; the name of a field that can't be read.
--- a/crates/core/xds-resources/src/encode.rs
+++ b/crates/core/xds-resources/src/encode.rs
@@ -23,13 +23,13 @@
 };
 use envoy_types::pb::google::protobuf::{value, Any, Duration, Struct, UInt32Value, UInt64Value, Value};
 use prost::{Message, Name};
-use rushquay_endpoints::{Imposed, NodeState, Stated};
+use rushquay_endpoints::{EndpointState, Imposed, SourcedEndpoint};
 use rushquay_xds::{version_of, Declared, Kind, Nanos, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Which clusters the nodes make.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct ClusterNames {
     /// Name of the cluster of cache nodes, and of the listener and the route that lead to it.
     pub cluster: String,
     /// Name of the origin's cluster.
@@ -37,10 +37,10 @@
 }
 
 /// The nodes of one cluster by id.
-pub type Nodes = BTreeMap<String, Stated>;
+pub type EndpointsById = BTreeMap<String, SourcedEndpoint>;
 
 /// Declares all resources for two clusters: cache nodes and origin. Returns how many changed.
-pub fn declare(store: &mut Store, shape: &Shape, clusters: [&Nodes; 2], now: Nanos) -> usize {
+pub fn declare(store: &mut Store, shape: &ClusterNames, clusters: [&EndpointsById; 2], now: Nanos) -> usize {
     let names = [shape.cluster.as_str(), shape.origin.as_str()];
     let mut endpoints = BTreeMap::new();
     let mut assignments = BTreeMap::new();
@@ -64,9 +64,9 @@
 pub fn declare_changed(
     store: &mut Store,
     cluster: &str,
-    nodes: &Nodes,
-    changed: &[Stated],
-    gone: &[Stated],
+    nodes: &EndpointsById,
+    changed: &[SourcedEndpoint],
+    gone: &[SourcedEndpoint],
     now: Nanos,
 ) -> usize {
     let mut count = 0;
@@ -77,7 +77,7 @@
         by_collections(cluster, nodes),
         now,
     ));
-    let name = |n: &Stated| endpoint_name(cluster, &n.member.zone, &n.member.id);
+    let name = |n: &SourcedEndpoint| endpoint_name(cluster, &n.member.zone, &n.member.id);
     let live: BTreeSet<String> = changed.iter().map(name).collect();
     for node in changed {
         count += usize::from(store.set(Kind::Endpoint, &name(node), one(node), now));
@@ -93,7 +93,7 @@
 }
 
 /// All that an endpoint says, in one order.
-fn content(node: &Stated) -> String {
+fn content(node: &SourcedEndpoint) -> String {
     let m = &node.member;
     format!(
         "{:?} {:?} {:?} {:?} {} {:?} {} {} {} {}{}",
@@ -112,18 +112,18 @@
     )
 }
 
-fn one(node: &Stated) -> Declared {
+fn one(node: &SourcedEndpoint) -> Declared {
     declared(&content(node), &endpoint(node))
 }
 
-fn endpoint(node: &Stated) -> LbEndpoint {
+fn endpoint(node: &SourcedEndpoint) -> LbEndpoint {
     let m = &node.member;
     let (out, factor) = node.imposed.present.unwrap_or((false, 1.0));
     let health = match m.state {
-        NodeState::Ready if out => HealthStatus::Draining,
-        NodeState::Ready => HealthStatus::Healthy,
-        NodeState::Draining => HealthStatus::Draining,
-        NodeState::Gone => HealthStatus::Unhealthy,
+        EndpointState::Ready if out => HealthStatus::Draining,
+        EndpointState::Ready => HealthStatus::Healthy,
+        EndpointState::Draining => HealthStatus::Draining,
+        EndpointState::Gone => HealthStatus::Unhealthy,
     };
     let text = |t: &str| value::Kind::StringValue(t.to_owned());
     let fields = [
@@ -139,7 +139,7 @@
     ];
     let imposed = imposed(&node.imposed);
     // Clients of this project take the state below for the list's, and let what is imposed end by themselves.
-    let own = (out && m.state == NodeState::Ready).then(|| ("state", text(m.state.as_str())));
+    let own = (out && m.state == EndpointState::Ready).then(|| ("state", text(m.state.as_str())));
     let fields = fields.into_iter().chain(own).chain(imposed);
     let fields = fields.map(|(name, kind)| (name.to_owned(), Value { kind: Some(kind) })).collect();
     LbEndpoint {
@@ -194,7 +194,7 @@
     }
 }
 
-fn inline(cluster: &str, nodes: &Nodes) -> Declared {
+fn inline(cluster: &str, nodes: &EndpointsById) -> Declared {
     // An endpoint that can't be connected to would spoil the whole for clients that check.
     let reachable = || nodes.values().filter(|n| n.member.addr.is_some());
     let mut zones: BTreeMap<&str, Vec<LbEndpoint>> = BTreeMap::new();
@@ -211,7 +211,7 @@
 }
 
 /// Changes when a data centre comes or goes, and not with its nodes.
-fn by_collections(cluster: &str, nodes: &Nodes) -> Declared {
+fn by_collections(cluster: &str, nodes: &EndpointsById) -> Declared {
     let zones: BTreeSet<&str> = nodes.values().map(|n| n.member.zone.as_str()).collect();
     let endpoints = zones.iter().map(|zone| LocalityLbEndpoints {
         lb_config: Some(LbConfig::LedsClusterLocalityConfig(LedsClusterLocalityConfig {
--- a/crates/core/xds-resources/src/follow.rs
+++ b/crates/core/xds-resources/src/follow.rs
@@ -1,18 +1,20 @@
 //! The proxy's reading of a control service: which resources it asks for, and what they say of the nodes.
 
-use crate::decode::{decode, Item, PolicyText};
-use crate::names::{assignment_name, leave_name, settings_name, POLICY};
-use rushquay_config_version::Assignment;
-use rushquay_endpoints::{News, Stated};
+use crate::decode::{decode, DecodedResource, PolicyMessage};
+use crate::names::{assignment_name, policy_lease_name, settings_name, POLICY_RESOURCE};
+use rushquay_config_version::ConfigAssignment;
+use rushquay_endpoints::{SourcedEndpoint, WatchEvent};
 use rushquay_lease::{Epoch, Fence};
-use rushquay_xds::client::{Ask, Backoff, Client, Ended, Retry, ServerAnswer, Session, Taken, Topic, Update};
+use rushquay_xds::client::{
+    Backoff, Client, ClientRequest, Ended, Retry, ServerAnswer, Session, Taken, Topic, Update,
+};
 use rushquay_xds::server::{DeltaRequest, Variant};
 use rushquay_xds::{Kind, Nanos, Pattern};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What to follow.
 #[derive(Clone, Debug)]
-pub struct FollowConfig {
+pub struct FollowerConfig {
     /// How many addresses there are.
     pub addresses: usize,
     /// The clusters whose endpoints are the node list.
@@ -27,19 +29,19 @@
 
 /// What an answer says.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct FollowerEvent {
     /// The process that says so.
     pub process: String,
     /// Of the nodes.
-    pub nodes: Option<News>,
+    pub nodes: Option<WatchEvent>,
     /// What this proxy is to act by.
-    pub settings: Option<Assignment>,
+    pub settings: Option<ConfigAssignment>,
     /// Of policies.
-    pub policy: Vec<PolicyText>,
+    pub policy: Vec<PolicyMessage>,
 }
 
 /// Whether this proxy can obey what it is given; why not, where it can't.
-type Obeys = Box<dyn Fn(&Assignment) -> Result<(), String>>;
+type Obeys = Box<dyn Fn(&ConfigAssignment) -> Result<(), String>>;
 /// What this process tells of itself.
 type Tells = Box<dyn FnMut() -> Option<String>>;
 
@@ -60,22 +62,22 @@
 /// What the texts of an answer say.
 #[derive(Default)]
 struct Texts {
-    settings: Option<Assignment>,
-    policy: Vec<PolicyText>,
+    settings: Option<ConfigAssignment>,
+    policy: Vec<PolicyMessage>,
 }
 
 /// Follows the clusters over one stream after another.
-pub struct Follow {
-    config: FollowConfig,
+pub struct ControlFollower {
+    config: FollowerConfig,
     client: Client,
     /// By name of the assignment: endpoints inline, by id, and the collections named.
-    assignments: HashMap<String, (BTreeMap<String, Stated>, Vec<String>)>,
+    assignments: HashMap<String, (BTreeMap<String, SourcedEndpoint>, Vec<String>)>,
     /// Endpoints of collections by resource name.
-    endpoints: HashMap<String, Stated>,
+    endpoints: HashMap<String, SourcedEndpoint>,
     /// Clusters that the server has only in the plain form.
     plain: BTreeSet<String>,
     /// What was last said, by id.
-    said: BTreeMap<String, Stated>,
+    said: BTreeMap<String, SourcedEndpoint>,
     /// Epochs of control services that lead one after another.
     fence: Fence,
     settings: Option<Settings>,
@@ -86,15 +88,15 @@
     older: bool,
 }
 
-impl Follow {
+impl ControlFollower {
     /// Nothing is held yet.
-    pub fn new(config: FollowConfig) -> Self {
+    pub fn new(config: FollowerConfig) -> Self {
         let backoff = Backoff::new(config.backoff.0, config.backoff.1);
         let client = Client::new(config.addresses, backoff, config.most);
         let (assignments, endpoints) = Default::default();
         let (plain, said, fence) = Default::default();
         let (settings, policy, telling, older) = (None, None, false, false);
-        Follow {
+        ControlFollower {
             config,
             client,
             assignments,
@@ -114,7 +116,7 @@
     pub fn settings(
         &mut self,
         proxy: &str,
-        obeys: impl Fn(&Assignment) -> Result<(), String> + 'static,
+        obeys: impl Fn(&ConfigAssignment) -> Result<(), String> + 'static,
         tells: impl FnMut() -> Option<String> + 'static,
     ) {
         let (obeys, tells) = (Box::new(obeys), Box::new(tells));
@@ -124,12 +126,12 @@
     /// Follows what holds of policies, and this process's leave. `tells` is asked for its next ask for leave, when `settings` would be;
     /// `None`: none is due.
     pub fn policy(&mut self, proxy: &str, boot: u64, tells: impl FnMut() -> Option<String> + 'static) {
-        self.policy = Some(Policy { leave: leave_name(proxy, boot), tells: Box::new(tells) });
+        self.policy = Some(Policy { leave: policy_lease_name(proxy, boot), tells: Box::new(tells) });
     }
 
     /// The texts that are followed.
     fn texts_wanted(&self) -> BTreeSet<String> {
-        let policy = self.policy.iter().flat_map(|p| [POLICY.to_owned(), p.leave.clone()]);
+        let policy = self.policy.iter().flat_map(|p| [POLICY_RESOURCE.to_owned(), p.leave.clone()]);
         self.settings.iter().map(|s| s.name.clone()).chain(policy).collect()
     }
 
@@ -164,7 +166,7 @@
         }
     }
 
-    fn take(&mut self, update: Update<Item>) -> Texts {
+    fn take(&mut self, update: Update<DecodedResource>) -> Texts {
         let mut texts = Texts::default();
         for name in update.removed {
             match update.kind {
@@ -181,45 +183,45 @@
         }
         for (name, item) in update.upserts {
             match item {
-                Item::Endpoint(stated) => {
+                DecodedResource::Endpoint(stated) => {
                     self.endpoints.insert(name, stated);
                 }
-                Item::Assignment { endpoints, collections } => {
+                DecodedResource::Assignment { endpoints, collections } => {
                     let endpoints = endpoints.into_iter().map(|s| (s.member.id.clone(), s)).collect();
                     self.assignments.insert(name, (endpoints, collections));
                 }
-                Item::Settings(assignment) => texts.settings = Some(assignment),
-                Item::Policy(text) => texts.policy.push(text),
+                DecodedResource::Settings(assignment) => texts.settings = Some(assignment),
+                DecodedResource::Policy(text) => texts.policy.push(text),
             }
         }
         texts
     }
 
     /// What differs from what was last said; `None`: nothing.
-    fn compare(&mut self) -> Option<News> {
-        let mut now: BTreeMap<String, Stated> = BTreeMap::new();
+    fn compare(&mut self) -> Option<WatchEvent> {
+        let mut now: BTreeMap<String, SourcedEndpoint> = BTreeMap::new();
         let inline = self.assignments.values().flat_map(|(endpoints, _)| endpoints.values());
         for stated in self.endpoints.values().chain(inline) {
             // A node that moved stands under two names until the old one is removed: its newer entry counts, and of
             // equals the more restrictive.
-            let newer = |old: &Stated| {
-                let rank = |s: &Stated| (s.member.started, s.listed, s.member.state);
+            let newer = |old: &SourcedEndpoint| {
+                let rank = |s: &SourcedEndpoint| (s.member.started, s.listed, s.member.state);
                 rank(stated) >= rank(old)
             };
             if now.get(&stated.member.id).is_none_or(newer) {
                 now.insert(stated.member.id.clone(), stated.clone());
             }
         }
-        let changed: Vec<Stated> =
+        let changed: Vec<SourcedEndpoint> =
             now.values().filter(|s| self.said.get(&s.member.id) != Some(s)).cloned().collect();
         let gone: Vec<String> = self.said.keys().filter(|id| !now.contains_key(*id)).cloned().collect();
         self.said = now;
-        (!changed.is_empty() || !gone.is_empty()).then_some(News::Changed(changed, gone))
+        (!changed.is_empty() || !gone.is_empty()).then_some(WatchEvent::Changed(changed, gone))
     }
 }
 
-impl Session for Follow {
-    type News = Said;
+impl Session for ControlFollower {
+    type News = FollowerEvent;
 
     fn address(&self) -> usize {
         self.client.address()
@@ -229,7 +231,7 @@
         self.client.variant()
     }
 
-    fn connected(&mut self) -> Vec<Ask> {
+    fn connected(&mut self) -> Vec<ClientRequest> {
         self.plain.clear();
         // What is wanted is set before anything is sent, in the form that this stream can carry.
         let _ = self.client.want(Kind::Endpoints, self.assignments_wanted());
@@ -240,14 +242,14 @@
         self.client.connected()
     }
 
-    fn woken(&mut self) -> Vec<Ask> {
+    fn woken(&mut self) -> Vec<ClientRequest> {
         // A server that speaks the other variant takes each request for a subscription, and would answer it.
         if self.texts_wanted().is_empty() || self.older || self.client.variant() != Variant::Delta {
             return Vec::new();
         }
         self.telling = true;
         let type_url = Kind::Extension.type_url().into();
-        vec![Ask::Delta(DeltaRequest { type_url, ..DeltaRequest::default() })]
+        vec![ClientRequest::Delta(DeltaRequest { type_url, ..DeltaRequest::default() })]
     }
 
     fn tells(&mut self) -> Vec<(Topic, String)> {
@@ -257,7 +259,7 @@
         let report = self.settings.as_mut().and_then(|s| (s.tells)());
         let leave = self.policy.as_mut().and_then(|p| (p.tells)());
         let report = report.map(|text| (Topic::Report, text));
-        report.into_iter().chain(leave.map(|text| (Topic::Leave, text))).collect()
+        report.into_iter().chain(leave.map(|text| (Topic::PolicyLease, text))).collect()
     }
 
     fn answer(&mut self, answer: ServerAnswer) -> Taken<Self::News> {
@@ -268,7 +270,7 @@
         let settings = &self.settings;
         let reply = self.client.answer(answer, |kind, came| {
             let (name, item) = decode(kind, came).map_err(|e| e.to_string())?;
-            if let (Item::Settings(assignment), Some(settings)) = (&item, settings) {
+            if let (DecodedResource::Settings(assignment), Some(settings)) = (&item, settings) {
                 (settings.obeys)(assignment)?;
             }
             Ok((name, item))
@@ -289,7 +291,7 @@
         taken.asks.extend(self.client.want(Kind::Endpoint, collections).0);
         let nodes = self.compare();
         let says = nodes.is_some() || settings.is_some() || !policy.is_empty();
-        taken.news = says.then_some(Said { process, nodes, settings, policy });
+        taken.news = says.then_some(FollowerEvent { process, nodes, settings, policy });
         taken
     }
 
--- a/crates/core/xds-resources/src/lib.rs
+++ b/crates/core/xds-resources/src/lib.rs
@@ -11,11 +11,13 @@
 mod names;
 mod settings;
 
-pub use decode::{decode, DecodeError, Item, PolicyText};
-pub use encode::{declare, declare_changed, Nodes, Shape};
-pub use follow::{Follow, FollowConfig, Said};
-pub use names::{assignment_name, collection_name, endpoint_name, leave_name, settings_name, POLICY};
-pub use settings::{declare_settings, declare_text, forget_settings, forget_text};
+pub use decode::{decode, DecodeError, DecodedResource, PolicyMessage};
+pub use encode::{declare, declare_changed, ClusterNames, EndpointsById};
+pub use follow::{ControlFollower, FollowerConfig, FollowerEvent};
+pub use names::{
+    assignment_name, collection_name, endpoint_name, policy_lease_name, settings_name, POLICY_RESOURCE,
+};
+pub use settings::{declare_settings, declare_text, remove_settings, remove_text};
 
 /// The name of the filter under which endpoint metadata stands.
 pub const METADATA: &str = "rushquay";
--- a/crates/core/xds-resources/src/names.rs
+++ b/crates/core/xds-resources/src/names.rs
@@ -13,13 +13,13 @@
 }
 
 /// What holds of policies, for all alike.
-pub const POLICY: &str = "rushquay/policy";
+pub const POLICY_RESOURCE: &str = "rushquay/policy";
 
 /// Leaves are named so.
 pub(crate) const LEAVES: &str = "rushquay/leave/";
 
 /// The leave of a process to act by a policy; `boot` names the process.
-pub fn leave_name(proxy: &str, boot: u64) -> String {
+pub fn policy_lease_name(proxy: &str, boot: u64) -> String {
     format!("{LEAVES}{}/{boot:x}", segment(proxy))
 }
 
--- a/crates/core/xds-resources/src/settings.rs
+++ b/crates/core/xds-resources/src/settings.rs
@@ -6,7 +6,7 @@
 use envoy_types::pb::envoy::config::core::v3::TypedExtensionConfig;
 use envoy_types::pb::google::protobuf::Any;
 use prost::Message;
-use rushquay_config_version::Assignment;
+use rushquay_config_version::ConfigAssignment;
 use rushquay_xds::{version_of, Declared, Kind, Nanos, Store};
 
 /// Declares a text under a name; false if it stands so already.
@@ -21,16 +21,16 @@
 }
 
 /// Nobody needs this text any more.
-pub fn forget_text(store: &mut Store, name: &str, now: Nanos) -> bool {
+pub fn remove_text(store: &mut Store, name: &str, now: Nanos) -> bool {
     store.remove(Kind::Extension, name, now)
 }
 
 /// Declares what a proxy is to act by; false if it stands so already.
-pub fn declare_settings(store: &mut Store, proxy: &str, assignment: &Assignment, now: Nanos) -> bool {
+pub fn declare_settings(store: &mut Store, proxy: &str, assignment: &ConfigAssignment, now: Nanos) -> bool {
     declare_text(store, &settings_name(proxy), &assignment.text(), now)
 }
 
 /// A proxy that is gone for good needs none.
-pub fn forget_settings(store: &mut Store, proxy: &str, now: Nanos) -> bool {
-    forget_text(store, &settings_name(proxy), now)
+pub fn remove_settings(store: &mut Store, proxy: &str, now: Nanos) -> bool {
+    remove_text(store, &settings_name(proxy), now)
 }
--- a/crates/core/xds-resources/tests/follow.rs
+++ b/crates/core/xds-resources/tests/follow.rs
@@ -3,18 +3,18 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_control_state::{Change, Control, ControlConfig, Origin, Taken};
-use rushquay_endpoints::{Member, Members, Merge, MergeLimits, News, NodeState};
-use rushquay_xds::client::{Ask, Came, Ended, ServerAnswer, Session, Topic};
+use rushquay_control_state::{ControlConfig, ControlState, EndpointChange, ListOutcome, Origin};
+use rushquay_endpoints::{Endpoint, EndpointList, EndpointMerger, EndpointState, MergeLimits, WatchEvent};
+use rushquay_xds::client::{ClientRequest, Ended, ReceivedResource, ServerAnswer, Session, Topic};
 use rushquay_xds::server::{Answer, DeltaRequest, Limits, SotwRequest, Stream, Variant};
 use rushquay_xds::{Kind, Store};
 use rushquay_xds_resources::{
-    assignment_name, collection_name, declare, declare_changed, Follow, FollowConfig, Shape,
+    assignment_name, collection_name, declare, declare_changed, ClusterNames, ControlFollower, FollowerConfig,
 };
 use std::collections::{BTreeMap, VecDeque};
 
-fn follow(collections: bool) -> Follow {
-    Follow::new(FollowConfig {
+fn follow(collections: bool) -> ControlFollower {
+    ControlFollower::new(FollowerConfig {
         addresses: 1,
         clusters: vec!["cache-nodes".into(), "origin".into()],
         collections,
@@ -23,8 +23,8 @@
     })
 }
 
-fn node(id: u8, zone: u8, kind: u8, state: NodeState, started: u64, weight: f64) -> Member {
-    Member {
+fn node(id: u8, zone: u8, kind: u8, state: EndpointState, started: u64, weight: f64) -> Endpoint {
+    Endpoint {
         id: id.to_string(),
         addr: Some(([127, 0, 0, 1], 1000 + u16::from(id)).into()),
         zone: format!("z{zone}"),
@@ -38,14 +38,14 @@
 
 struct World {
     version: u64,
-    truth: BTreeMap<String, Member>,
-    control: Control,
+    truth: BTreeMap<String, Endpoint>,
+    control: ControlState,
     store: Store,
     processes: u32,
     stream: Option<Stream>,
-    follow: Follow,
-    merge: Merge,
-    to_server: VecDeque<Ask>,
+    follow: ControlFollower,
+    merge: EndpointMerger,
+    to_server: VecDeque<ClientRequest>,
     to_client: VecDeque<Answer>,
     garble: bool,
     speaks_delta: bool,
@@ -58,12 +58,12 @@
         let mut w = World {
             version: 100,
             truth: BTreeMap::new(),
-            control: Control::new(ControlConfig::default(), Origin::Discovery),
+            control: ControlState::new(ControlConfig::default(), Origin::Discovery),
             store: Store::new("p0", 16),
             processes: 0,
             stream: None,
             follow: follow(true),
-            merge: Merge::new(MergeLimits::default()),
+            merge: EndpointMerger::new(MergeLimits::default()),
             to_server: VecDeque::new(),
             to_client: VecDeque::new(),
             garble: false,
@@ -71,7 +71,7 @@
             has_collections,
             refusals: 0,
         };
-        w.truth.insert("200".into(), node(200, 0, 1, NodeState::Ready, 1, 1.0));
+        w.truth.insert("200".into(), node(200, 0, 1, EndpointState::Ready, 1, 1.0));
         w.whole();
         w
     }
@@ -79,35 +79,35 @@
     /// The control service is told the whole list.
     fn whole(&mut self) {
         let servers = self.truth.values().cloned().collect();
-        let taken = self.control.list(&Members { version: self.version, full: true, servers }, 0);
+        let taken = self.control.list(&EndpointList { version: self.version, full: true, servers }, 0);
         self.taken(taken);
     }
 
-    fn change(&mut self, changed: Member) {
+    fn change(&mut self, changed: Endpoint) {
         self.version += 1;
         match changed.state {
-            NodeState::Gone => drop(self.truth.remove(&changed.id)),
+            EndpointState::Gone => drop(self.truth.remove(&changed.id)),
             _ => drop(self.truth.insert(changed.id.clone(), changed.clone())),
         }
-        let list = Members { version: self.version, full: false, servers: vec![changed] };
+        let list = EndpointList { version: self.version, full: false, servers: vec![changed] };
         let taken = self.control.list(&list, 0);
         self.taken(taken);
     }
 
-    fn taken(&mut self, taken: Taken) {
+    fn taken(&mut self, taken: ListOutcome) {
         match taken {
-            Taken::First => {
-                let shape = Shape { cluster: "cache-nodes".into(), origin: "origin".into() };
+            ListOutcome::First => {
+                let shape = ClusterNames { cluster: "cache-nodes".into(), origin: "origin".into() };
                 declare(&mut self.store, &shape, self.control.clusters(), 0);
                 self.store.open();
             }
-            Taken::Changed(Change { changed, gone }) => {
+            ListOutcome::Changed(EndpointChange { changed, gone }) => {
                 for i in 0..2 {
                     let (name, nodes) = (self.control.names()[i], self.control.clusters()[i]);
                     declare_changed(&mut self.store, name, nodes, &changed[i], &gone[i], 0);
                 }
             }
-            Taken::EmptyRefused => panic!("there is always a node"),
+            ListOutcome::EmptyRefused => panic!("there is always a node"),
         }
         if !self.has_collections {
             // A server that has the plain form alone.
@@ -120,7 +120,7 @@
     fn restart(&mut self) {
         self.cut();
         self.processes += 1;
-        self.control = Control::new(ControlConfig::default(), Origin::Discovery);
+        self.control = ControlState::new(ControlConfig::default(), Origin::Discovery);
         self.store = Store::new(&format!("p{}", self.processes), 16);
         self.whole();
     }
@@ -128,7 +128,7 @@
     fn cut(&mut self) {
         if self.stream.take().is_some() {
             self.follow.ended(Ended::Broken, 0.5);
-            self.merge.control("", News::Lost, 0);
+            self.merge.control("", WatchEvent::Lost, 0);
         }
         self.to_server.clear();
         self.to_client.clear();
@@ -152,8 +152,8 @@
         let ask = self.to_server.pop_front();
         let mut moved = ask.is_some();
         match ask {
-            Some(Ask::Delta(r)) => drop(stream.delta(r).expect("a good request")),
-            Some(Ask::Sotw(r)) => drop(stream.sotw(r).expect("a good request")),
+            Some(ClientRequest::Delta(r)) => drop(stream.delta(r).expect("a good request")),
+            Some(ClientRequest::Sotw(r)) => drop(stream.sotw(r).expect("a good request")),
             None => {}
         }
         match stream.next(&self.store) {
@@ -177,7 +177,7 @@
         let delta = self.follow.variant() == Variant::Delta;
         let type_url = answer.kind.type_url().to_owned();
         let garble = std::mem::take(&mut self.garble);
-        let came = |r: &std::sync::Arc<rushquay_xds::Resource>| Came {
+        let came = |r: &std::sync::Arc<rushquay_xds::Resource>| ReceivedResource {
             name: delta.then(|| r.name.to_string()),
             version: if delta { r.version.to_string() } else { String::new() },
             type_url: type_url.clone(),
@@ -209,7 +209,7 @@
         panic!("no end of messages");
     }
 
-    fn merged(&self) -> BTreeMap<String, Member> {
+    fn merged(&self) -> BTreeMap<String, Endpoint> {
         self.merge.nodes().map(|v| (v.member.id.clone(), v.member.clone())).collect()
     }
 }
@@ -217,13 +217,13 @@
 #[test]
 fn all_that_is_said_of_a_node_arrives() {
     let mut w = World::new(true);
-    let odd = Member {
+    let odd = Endpoint {
         zone: String::new(),
         kind: "a/b*".into(),
-        ..node(1, 1, 1, NodeState::Draining, 1_764_000_000_123_456_789, 0.1)
+        ..node(1, 1, 1, EndpointState::Draining, 1_764_000_000_123_456_789, 0.1)
     };
     w.change(odd);
-    w.change(node(2, 1, 0, NodeState::Ready, 5, 2.5));
+    w.change(node(2, 1, 0, EndpointState::Ready, 5, 2.5));
     w.settle();
     assert_eq!(w.merged(), w.truth);
 }
@@ -233,16 +233,16 @@
     let mut sizes = Vec::new();
     for count in [10u8, 190] {
         let mut w = World::new(true);
-        (0..count).for_each(|i| w.change(node(i, i % 4, 1, NodeState::Ready, 1, 1.0)));
+        (0..count).for_each(|i| w.change(node(i, i % 4, 1, EndpointState::Ready, 1, 1.0)));
         w.settle();
-        w.change(node(3, 3, 1, NodeState::Draining, 1, 1.0));
+        w.change(node(3, 3, 1, EndpointState::Draining, 1, 1.0));
         let mut bytes = 0;
         while let Ok(Some(answer)) = w.stream.as_mut().expect("a stream").next(&w.store) {
             bytes += answer.resources.iter().map(|r| r.body.len() + r.name.len()).sum::<usize>();
             w.take(answer);
             w.settle();
         }
-        assert_eq!(w.merged()["3"].state, NodeState::Draining);
+        assert_eq!(w.merged()["3"].state, EndpointState::Draining);
         sizes.push(bytes);
     }
     assert_eq!(sizes[0], sizes[1]);
@@ -252,14 +252,14 @@
 fn a_server_without_delta_is_asked_for_whole_clusters() {
     let mut w = World::new(true);
     w.speaks_delta = false;
-    w.change(node(1, 1, 1, NodeState::Ready, 1, 1.0));
+    w.change(node(1, 1, 1, EndpointState::Ready, 1, 1.0));
     w.settle();
     assert_eq!((w.follow.variant(), w.merged()), (Variant::Sotw, w.truth.clone()));
     // And back, with what changed meanwhile.
     w.cut();
     w.speaks_delta = true;
-    w.change(node(1, 1, 1, NodeState::Gone, 1, 1.0));
-    w.change(node(2, 1, 1, NodeState::Ready, 1, 1.0));
+    w.change(node(1, 1, 1, EndpointState::Gone, 1, 1.0));
+    w.change(node(2, 1, 1, EndpointState::Ready, 1, 1.0));
     w.settle();
     assert_eq!((w.follow.variant(), w.merged()), (Variant::Delta, w.truth.clone()));
 }
@@ -267,7 +267,7 @@
 #[test]
 fn a_server_without_collections_is_asked_for_the_plain_form() {
     let mut w = World::new(false);
-    w.change(node(1, 1, 1, NodeState::Draining, 1, 1.0));
+    w.change(node(1, 1, 1, EndpointState::Draining, 1, 1.0));
     w.settle();
     assert_eq!((w.follow.variant(), w.merged()), (Variant::Delta, w.truth.clone()));
 }
@@ -276,11 +276,11 @@
 fn what_was_wanted_is_asked_for_by_name() {
     let mut f = follow(true);
     let asks = f.connected();
-    let Ask::Delta(DeltaRequest { subscribe, .. }) = &asks[0] else { panic!("delta") };
+    let ClientRequest::Delta(DeltaRequest { subscribe, .. }) = &asks[0] else { panic!("delta") };
     assert_eq!(*subscribe, [assignment_name("cache-nodes"), assignment_name("origin")]);
     f.ended(Ended::Unimplemented, 0.0);
     let asks = f.connected();
-    let Ask::Sotw(SotwRequest { names, .. }) = &asks[0] else { panic!("state-of-the-world") };
+    let ClientRequest::Sotw(SotwRequest { names, .. }) = &asks[0] else { panic!("state-of-the-world") };
     assert_eq!(
         (names.as_slice(), asks.len()),
         (["cache-nodes".to_owned(), "origin".to_owned()].as_slice(), 1)
@@ -294,10 +294,10 @@
     w.settle();
     let before = w.merged();
     w.garble = true;
-    w.change(node(1, 0, 1, NodeState::Ready, 1, 1.0));
+    w.change(node(1, 0, 1, EndpointState::Ready, 1, 1.0));
     w.settle();
     assert_eq!((w.refusals, w.merged()), (1, before));
-    w.change(node(2, 0, 1, NodeState::Ready, 1, 1.0));
+    w.change(node(2, 0, 1, EndpointState::Ready, 1, 1.0));
     w.settle();
     assert_eq!(w.merged(), w.truth);
 }
@@ -348,12 +348,12 @@
                     // A node's start never goes back.
                     let started = starts.entry(id).or_insert(1);
                     *started += u64::from(newer == 3);
-                    let state = if drains { NodeState::Draining } else { NodeState::Ready };
+                    let state = if drains { EndpointState::Draining } else { EndpointState::Ready };
                     w.change(node(id, zone, kind, state, *started, f64::from(kind) + 1.0));
                 }
                 Step::Gone(id) => {
                     if let Some(member) = w.truth.get(&id.to_string()).cloned() {
-                        w.change(Member { state: NodeState::Gone, ..member });
+                        w.change(Endpoint { state: EndpointState::Gone, ..member });
                     }
                 }
                 Step::Pass(n) => {
@@ -372,8 +372,8 @@
         }
         w.garble = false;
         // What is owed after a refusal comes with the next change: both forms of both clusters.
-        w.change(node(201, 0, 1, NodeState::Ready, 1, 1.0));
-        w.change(node(202, 9, 0, NodeState::Ready, 1, 1.0));
+        w.change(node(201, 0, 1, EndpointState::Ready, 1, 1.0));
+        w.change(node(202, 9, 0, EndpointState::Ready, 1, 1.0));
         w.settle();
         prop_assert_eq!(w.merged(), w.truth);
     }
@@ -384,17 +384,17 @@
 fn word_from_an_epoch_that_is_over_is_not_taken() {
     let node_of = |state| node(1, 0, 1, state, 1, 1.0);
     let told = |process: &str, state| {
-        let mut control = Control::new(ControlConfig::default(), Origin::Discovery);
-        control.list(&Members { version: 1, full: true, servers: vec![node_of(state)] }, 0);
+        let mut control = ControlState::new(ControlConfig::default(), Origin::Discovery);
+        control.list(&EndpointList { version: 1, full: true, servers: vec![node_of(state)] }, 0);
         let mut store = Store::new(process, 16);
-        let shape = Shape { cluster: "cache-nodes".into(), origin: "origin".into() };
+        let shape = ClusterNames { cluster: "cache-nodes".into(), origin: "origin".into() };
         declare(&mut store, &shape, control.clusters(), 0);
         let resource = store.get(Kind::Endpoints, "cache-nodes").expect("a resource").clone();
         ServerAnswer {
             type_url: Kind::Endpoints.type_url().into(),
             nonce: "1".into(),
             control_plane: process.into(),
-            resources: vec![Came {
+            resources: vec![ReceivedResource {
                 name: Some("cache-nodes".into()),
                 version: resource.version.to_string(),
                 type_url: Kind::Endpoints.type_url().into(),
@@ -405,14 +405,14 @@
     };
     let mut f = follow(false);
     f.connected();
-    let taken = f.answer(told("new@7", NodeState::Draining));
+    let taken = f.answer(told("new@7", EndpointState::Draining));
     assert!(taken.news.is_some() && taken.leave.is_none());
     for old in ["old@6", "without"] {
-        let taken = f.answer(told(old, NodeState::Ready));
+        let taken = f.answer(told(old, EndpointState::Ready));
         assert!(taken.news.is_none() && taken.asks.is_empty(), "{old}");
         assert!(taken.leave.is_some_and(|why| why.contains("7 was seen")), "{old}");
     }
-    assert!(f.answer(told("newer@8", NodeState::Ready)).news.is_some());
+    assert!(f.answer(told("newer@8", EndpointState::Ready)).news.is_some());
 }
 
 /// A control service from before there were settings to follow ends the stream for being asked: the nodes are followed without
@@ -421,14 +421,15 @@
 fn an_older_control_service_is_followed_for_the_nodes_alone() {
     let mut f = follow(true);
     f.settings("p", |_| Ok(()), || Some("told".into()));
-    let kinds = |asks: &[Ask]| -> Vec<String> {
-        let url = |a: &Ask| match a {
-            Ask::Delta(r) => r.type_url.clone(),
-            Ask::Sotw(r) => r.type_url.clone(),
+    let kinds = |asks: &[ClientRequest]| -> Vec<String> {
+        let url = |a: &ClientRequest| match a {
+            ClientRequest::Delta(r) => r.type_url.clone(),
+            ClientRequest::Sotw(r) => r.type_url.clone(),
         };
         asks.iter().map(url).collect()
     };
-    let asks_for = |f: &mut Follow| kinds(&f.connected()).contains(&Kind::Extension.type_url().to_owned());
+    let asks_for =
+        |f: &mut ControlFollower| kinds(&f.connected()).contains(&Kind::Extension.type_url().to_owned());
     assert!(asks_for(&mut f));
     assert_eq!((f.tells(), f.tells()), (vec![(Topic::Report, "told".into())], Vec::new()), "once a stream");
     assert_eq!(f.woken().len(), 1);
