--- a/crates/core/xds/src/client/mod.rs
+++ b/crates/core/xds/src/client/mod.rs
@@ -15,7 +15,7 @@
 
 /// A request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ClientRequest {
     /// On a delta stream.
     Delta(DeltaRequest),
     /// On a state-of-the-world stream.
@@ -24,7 +24,7 @@
 
 /// A resource as it came.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Came {
+pub struct ReceivedResource {
     /// Its name; `None` where the variant doesn't tell it beside the body.
     pub name: Option<String>,
     /// Its version; empty in state-of-the-world answers.
@@ -47,7 +47,7 @@
     /// `control_plane.identifier`: the process that speaks.
     pub control_plane: String,
     /// The resources.
-    pub resources: Vec<Came>,
+    pub resources: Vec<ReceivedResource>,
     /// Delta alone: what is gone.
     pub removed: Vec<String>,
 }
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply<T> {
     /// ACK or NACK; `None` where the type isn't one that was asked for.
-    pub ask: Option<Ask>,
+    pub ask: Option<ClientRequest>,
     /// What was accepted; `None` after a NACK.
     pub update: Option<Update<T>>,
     /// Why it was refused.
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Taken<N> {
     /// To send, in order.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     /// What it says.
     pub news: Option<N>,
     /// Why it was refused.
@@ -95,12 +95,12 @@
     /// How it is and what it acts by.
     Report,
     /// It asks for leave to act by a policy.
-    Leave,
+    PolicyLease,
 }
 
 impl Topic {
     /// All.
-    pub const ALL: [Topic; 2] = [Topic::Report, Topic::Leave];
+    pub const ALL: [Topic; 2] = [Topic::Report, Topic::PolicyLease];
 }
 
 /// What goes on over one stream after another; the sockets' side drives it and knows nothing of what it is about.
@@ -112,9 +112,9 @@
     /// The variant to speak there.
     fn variant(&self) -> Variant;
     /// A stream is open: what to send first.
-    fn connected(&mut self) -> Vec<Ask>;
+    fn connected(&mut self) -> Vec<ClientRequest>;
     /// What is wanted has changed for another reason than an answer: what to send for it on the open stream.
-    fn woken(&mut self) -> Vec<Ask> {
+    fn woken(&mut self) -> Vec<ClientRequest> {
         Vec::new()
     }
     /// What the next request is to tell of this process, in its node's metadata; asked once for each request.
@@ -199,7 +199,7 @@
     }
 
     /// Sets all names of a kind that are wanted; returns what to send for it, and what is no longer held.
-    pub fn want(&mut self, kind: Kind, names: BTreeSet<String>) -> (Option<Ask>, Vec<String>) {
+    pub fn want(&mut self, kind: Kind, names: BTreeSet<String>) -> (Option<ClientRequest>, Vec<String>) {
         let variant = self.variant();
         let watch = &mut self.watches[kind as usize];
         if watch.names == names {
@@ -214,7 +214,7 @@
         unwanted.iter().for_each(|n| std::mem::drop(watch.held.remove(n)));
         let ask = (self.connected && carries(variant, kind)).then(|| match (variant, watch.begun) {
             (_, false) => watch.first(kind, variant),
-            (Variant::Delta, true) => Ask::Delta(DeltaRequest {
+            (Variant::Delta, true) => ClientRequest::Delta(DeltaRequest {
                 type_url: kind.type_url().into(),
                 subscribe: add,
                 unsubscribe: drop,
@@ -226,7 +226,7 @@
     }
 
     /// A stream is open: what to send first.
-    pub fn connected(&mut self) -> Vec<Ask> {
+    pub fn connected(&mut self) -> Vec<ClientRequest> {
         self.connected = true;
         let variant = self.variant();
         let mut asks = Vec::new();
@@ -246,7 +246,7 @@
     pub fn answer<T>(
         &mut self,
         answer: ServerAnswer,
-        mut decode: impl FnMut(Kind, &Came) -> Result<(String, T), String>,
+        mut decode: impl FnMut(Kind, &ReceivedResource) -> Result<(String, T), String>,
     ) -> Reply<T> {
         let nothing = Reply { ask: None, update: None, refused: None };
         let variant = self.variant();
@@ -351,11 +351,11 @@
         self.names.iter().map(|n| Pattern::parse(n)).collect()
     }
 
-    fn first(&mut self, kind: Kind, variant: Variant) -> Ask {
+    fn first(&mut self, kind: Kind, variant: Variant) -> ClientRequest {
         self.begun = true;
         match variant {
             Variant::Sotw => self.sotw(kind, None),
-            Variant::Delta => Ask::Delta(DeltaRequest {
+            Variant::Delta => ClientRequest::Delta(DeltaRequest {
                 type_url: kind.type_url().into(),
                 subscribe: self.asked(kind),
                 initial_versions: self.held.clone(),
@@ -364,12 +364,17 @@
         }
     }
 
-    fn delta(&self, kind: Kind, nonce: String, error: Option<String>) -> Ask {
-        Ask::Delta(DeltaRequest { type_url: kind.type_url().into(), nonce, error, ..DeltaRequest::default() })
+    fn delta(&self, kind: Kind, nonce: String, error: Option<String>) -> ClientRequest {
+        ClientRequest::Delta(DeltaRequest {
+            type_url: kind.type_url().into(),
+            nonce,
+            error,
+            ..DeltaRequest::default()
+        })
     }
 
-    fn sotw(&self, kind: Kind, error: Option<String>) -> Ask {
-        Ask::Sotw(SotwRequest {
+    fn sotw(&self, kind: Kind, error: Option<String>) -> ClientRequest {
+        ClientRequest::Sotw(SotwRequest {
             type_url: kind.type_url().into(),
             version: self.version.clone(),
             names: self.asked(kind),
--- a/crates/core/xds/src/store.rs
+++ b/crates/core/xds/src/store.rs
@@ -46,7 +46,7 @@
 }
 
 #[derive(Default)]
-struct Shelf {
+struct TypeTable {
     slots: BTreeMap<Arc<str>, Slot>,
     by_seq: BTreeMap<u64, Arc<str>>,
     /// Removals up to here are forgotten.
@@ -59,7 +59,7 @@
 /// All resources of a server. Each change gets the next sequence number; a name stands in the order of changes once,
 /// at its last one, so what a subscriber lacks costs what changed and not what there is.
 pub struct Store {
-    shelves: [Shelf; KINDS],
+    shelves: [TypeTable; KINDS],
     seq: u64,
     ready: bool,
     incarnation: Arc<str>,
@@ -189,7 +189,7 @@
     }
 }
 
-impl Shelf {
+impl TypeTable {
     fn put(&mut self, seq: u64, slot: Slot) {
         let name = slot.resource.name.clone();
         self.removed += usize::from(!slot.live);
--- a/crates/core/xds/tests/converge.rs
+++ b/crates/core/xds/tests/converge.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_xds::client::{Ask, Backoff, Came, Client, Ended, ServerAnswer};
+use rushquay_xds::client::{Backoff, Client, ClientRequest, Ended, ReceivedResource, ServerAnswer};
 use rushquay_xds::server::{Answer, Limits, Stream, Variant};
 use rushquay_xds::{version_of, Declared, Kind, Store};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -52,7 +52,7 @@
     store: Store,
     stream: Option<Stream>,
     client: Client,
-    to_server: VecDeque<Ask>,
+    to_server: VecDeque<ClientRequest>,
     to_client: VecDeque<Answer>,
     held: [BTreeMap<String, String>; 2],
     wanted: [BTreeSet<String>; 2],
@@ -120,8 +120,8 @@
         if let Some(ask) = self.to_server.pop_front() {
             moved = true;
             let heard = match ask {
-                Ask::Delta(r) => stream.delta(r),
-                Ask::Sotw(r) => stream.sotw(r),
+                ClientRequest::Delta(r) => stream.delta(r),
+                ClientRequest::Sotw(r) => stream.sotw(r),
             };
             heard.expect("a good request");
         }
@@ -145,7 +145,7 @@
     fn take(&mut self, answer: Answer) {
         let type_url = answer.kind.type_url().to_owned();
         let delta = self.client.variant() == Variant::Delta;
-        let came = |r: &std::sync::Arc<rushquay_xds::Resource>| Came {
+        let came = |r: &std::sync::Arc<rushquay_xds::Resource>| ReceivedResource {
             name: delta.then(|| r.name.to_string()),
             version: if delta { r.version.to_string() } else { String::new() },
             type_url: type_url.clone(),
--- a/crates/services/control-service/src/admin.rs
+++ b/crates/services/control-service/src/admin.rs
@@ -75,7 +75,7 @@
 }
 
 async fn healthz(State(shared): State<Arc<Shared>>) -> (StatusCode, &'static str) {
-    if shared.must_lead().is_err() {
+    if shared.require_leadership().is_err() {
         return (StatusCode::OK, "stands by\n");
     }
     match shared.hub.store().is_open() {
--- a/crates/services/control-service/src/api.rs
+++ b/crates/services/control-service/src/api.rs
@@ -1,14 +1,16 @@
 //! Overrides over HTTP: `/v1/overrides`. Each answer has an `ETag`, the book's revision; each change needs it back in
 //! `If-Match` (RFC 9110, 13.1.1), so that two engineers can't overwrite each other unseen.
 
-use crate::shared::{Denied, Shared};
+use crate::shared::{CommandError, Shared};
 use axum::extract::{Path, Query, State};
 use axum::http::{header, HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::routing::{delete, get};
 use axum::{Json, Router};
-use rushquay_overrides::{decide, masked_pins, Ask, Override, Refusal, Standing};
-use rushquay_rollout::BoardRefusal;
+use rushquay_overrides::{
+    effective_overrides, masked_pins, Override, OverrideError, OverrideRequest, OverrideStatus,
+};
+use rushquay_rollout::RegistryError;
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -25,22 +27,21 @@
 }
 
 /// A refusal as an answer.
-pub fn refused(denied: &Denied) -> Response {
+pub fn refused(denied: &CommandError) -> Response {
     let status = match denied {
-        Denied::Refused(Refusal::Changed { .. }) | Denied::Board(BoardRefusal::Changed { .. }) => {
-            StatusCode::PRECONDITION_FAILED
-        }
-        Denied::Refused(Refusal::Field(..)) => StatusCode::UNPROCESSABLE_ENTITY,
-        Denied::Refused(Refusal::TooMuch(_)) => StatusCode::CONFLICT,
-        Denied::Refused(Refusal::Full(_)) => StatusCode::INSUFFICIENT_STORAGE,
-        Denied::Refused(Refusal::Unknown(_)) => StatusCode::NOT_FOUND,
-        Denied::Board(BoardRefusal::Settings(_) | BoardRefusal::Plan(_) | BoardRefusal::Field(..)) => {
-            StatusCode::UNPROCESSABLE_ENTITY
-        }
-        Denied::Board(_) => StatusCode::CONFLICT,
-        Denied::Policy(not_done) => not_done.status(),
-        Denied::NotKept(_) => StatusCode::INSUFFICIENT_STORAGE,
-        Denied::StandsBy(_) => StatusCode::SERVICE_UNAVAILABLE,
+        CommandError::Override(OverrideError::Changed { .. })
+        | CommandError::Rollout(RegistryError::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
+        CommandError::Override(OverrideError::Field(..)) => StatusCode::UNPROCESSABLE_ENTITY,
+        CommandError::Override(OverrideError::TooMuch(_)) => StatusCode::CONFLICT,
+        CommandError::Override(OverrideError::Full(_)) => StatusCode::INSUFFICIENT_STORAGE,
+        CommandError::Override(OverrideError::Unknown(_)) => StatusCode::NOT_FOUND,
+        CommandError::Rollout(
+            RegistryError::Settings(_) | RegistryError::Plan(_) | RegistryError::Field(..),
+        ) => StatusCode::UNPROCESSABLE_ENTITY,
+        CommandError::Rollout(_) => StatusCode::CONFLICT,
+        CommandError::Policy(not_done) => not_done.status(),
+        CommandError::NotPersisted(_) => StatusCode::INSUFFICIENT_STORAGE,
+        CommandError::NotLeader(_) => StatusCode::SERVICE_UNAVAILABLE,
     };
     (status, Json(json!({"error": denied.to_string()}))).into_response()
 }
@@ -48,7 +49,7 @@
 /// A part that may be off, where this instance leads.
 pub fn part<'s, T>(shared: &Shared, part: Option<&'s T>, off: &'static str) -> Result<&'s T, Box<Response>> {
     // Danger: what a standby shows is what once was.
-    shared.must_lead().map_err(|denied| Box::new(refused(&denied)))?;
+    shared.require_leadership().map_err(|denied| Box::new(refused(&denied)))?;
     part.ok_or_else(|| Box::new((StatusCode::NOT_FOUND, Json(json!({"error": off}))).into_response()))
 }
 
@@ -91,18 +92,19 @@
 
 fn shown(shared: &Shared) -> (u64, Value) {
     let fleet = shared.control.lock().unwrap_or_else(std::sync::PoisonError::into_inner).fleet();
-    let (now, book) = (shared.wall(), shared.book());
-    let on: Vec<(u64, Standing)> = fleet.iter().flat_map(|n| decide(book.live(), &n.node(), now).1).collect();
+    let (now, book) = (shared.unix_now(), shared.book());
+    let on: Vec<(u64, OverrideStatus)> =
+        fleet.iter().flat_map(|n| effective_overrides(book.live(), &n.node(), now).1).collect();
     let pins = masked_pins(book.live(), now);
     let one = |o: &Override| {
         let stands = || on.iter().filter(|(id, _)| *id == o.id);
         let mut masked_by: BTreeSet<u64> = stands()
             .filter_map(|(_, s)| match s {
-                Standing::Masked(by) => Some(*by),
-                Standing::InForce => None,
+                OverrideStatus::Masked(by) => Some(*by),
+                OverrideStatus::InForce => None,
             })
             .collect();
-        let mut masked = stands().filter(|(_, s)| *s != Standing::InForce).count();
+        let mut masked = stands().filter(|(_, s)| *s != OverrideStatus::InForce).count();
         if let Some((_, by)) = pins.iter().find(|(id, _)| *id == o.id) {
             masked = stands().count();
             masked_by.insert(*by);
@@ -125,7 +127,7 @@
 
 async fn list(State(shared): State<Arc<Shared>>) -> Response {
     // Danger: a standby's book is empty, and an engineer would take that for the truth.
-    if let Err(denied) = shared.must_lead() {
+    if let Err(denied) = shared.require_leadership() {
         return refused(&denied);
     }
     let (revision, body) = shown(&shared);
@@ -136,7 +138,7 @@
 async fn change_book(
     shared: Arc<Shared>,
     status: StatusCode,
-    done: impl FnOnce(&Shared) -> Result<(Override, Option<String>), Denied> + Send + 'static,
+    done: impl FnOnce(&Shared) -> Result<(Override, Option<String>), CommandError> + Send + 'static,
 ) -> Response {
     let of = shared.clone();
     match tokio::task::spawn_blocking(move || done(&of)).await {
@@ -150,7 +152,11 @@
     }
 }
 
-async fn set(State(shared): State<Arc<Shared>>, headers: HeaderMap, Json(ask): Json<Ask>) -> Response {
+async fn set(
+    State(shared): State<Arc<Shared>>,
+    headers: HeaderMap,
+    Json(ask): Json<OverrideRequest>,
+) -> Response {
     match expected(&headers) {
         Ok(expected) => change_book(shared, StatusCode::CREATED, move |s| s.set(ask, expected)).await,
         Err(response) => *response,
@@ -180,7 +186,7 @@
 }
 
 async fn history(State(shared): State<Arc<Shared>>, Query(most): Query<Most>) -> Response {
-    if let Err(denied) = shared.must_lead() {
+    if let Err(denied) = shared.require_leadership() {
         return refused(&denied);
     }
     let book = shared.book();
--- a/crates/services/control-service/src/discovery.rs
+++ b/crates/services/control-service/src/discovery.rs
@@ -1,13 +1,13 @@
 //! Follows the list at discovery: the whole first, then a watch renewed at once.
 
-use crate::shared::Told;
+use crate::shared::SourceEvent;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use rushquay_endpoints::{Answer, Cursor, Members};
+use rushquay_endpoints::{CursorUpdate, EndpointList, ListCursor};
 use rushquay_sockets::{connect, RetryStream};
 use rushquay_xds::client::Backoff;
 use std::net::SocketAddr;
@@ -27,11 +27,11 @@
 const LIST_MOST: usize = 4 << 20;
 
 /// Follows for good. After each break the whole list is asked for: a discovery that started anew counts from elsewhere.
-pub async fn follow(addr: SocketAddr, told: mpsc::Sender<Told>) {
+pub async fn follow(addr: SocketAddr, told: mpsc::Sender<SourceEvent>) {
     let mut backoff = Backoff::new(AGAIN.0, AGAIN.1);
     loop {
         let Err(why) = watch(addr, &told, &mut backoff).await;
-        if told.send(Told::Lost(format!("discovery at {addr}: {why}"))).await.is_err() {
+        if told.send(SourceEvent::Unavailable(format!("discovery at {addr}: {why}"))).await.is_err() {
             return;
         }
         tokio::time::sleep(Duration::from_nanos(backoff.failed(fastrand::f64()).wait)).await;
@@ -40,7 +40,7 @@
 
 async fn watch(
     addr: SocketAddr,
-    told: &mpsc::Sender<Told>,
+    told: &mpsc::Sender<SourceEvent>,
     backoff: &mut Backoff,
 ) -> Result<std::convert::Infallible, String> {
     let stream = timeout(CONNECT, connect(addr)).await.map_err(|_| "no connection in time")?;
@@ -48,7 +48,7 @@
     let io = TokioIo::new(RetryStream::new(stream));
     let (mut sender, connection) = http1::handshake(io).await.map_err(|e| e.to_string())?;
     let driver = tokio::spawn(connection);
-    let mut cursor = Cursor::default();
+    let mut cursor = ListCursor::default();
     let done = loop {
         let hold = cursor.version().map_or(Duration::ZERO, |_| HOLD);
         match timeout(hold + GRACE, ask(&mut sender, addr, cursor)).await {
@@ -56,10 +56,10 @@
             Ok(Err(why)) => break why,
             Ok(Ok(list)) => {
                 backoff.worked();
-                if cursor.saw(&list) == Answer::Doubted {
+                if cursor.saw(&list) == CursorUpdate::Doubted {
                     continue;
                 }
-                if told.send(Told::List(list)).await.is_err() {
+                if told.send(SourceEvent::EndpointList(list)).await.is_err() {
                     break "the service has ended".to_owned();
                 }
             }
@@ -72,8 +72,8 @@
 async fn ask(
     sender: &mut SendRequest<Empty<Bytes>>,
     addr: SocketAddr,
-    at: Cursor,
-) -> Result<Members, String> {
+    at: ListCursor,
+) -> Result<EndpointList, String> {
     sender.ready().await.map_err(|e| format!("connection lost: {e}"))?;
     let request = Request::get(at.path(HOLD.as_millis())).header(HOST, addr.to_string()).body(Empty::new());
     let response = sender.send_request(request.map_err(|e| e.to_string())?).await;
--- a/crates/services/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -1,7 +1,7 @@
 //! Follows the list in a file: read again when it changes on disk, and when asked to.
 
-use crate::shared::Told;
-use rushquay_endpoints::{check_list, Members};
+use crate::shared::SourceEvent;
+use rushquay_endpoints::{validate_list, EndpointList};
 use std::os::unix::fs::MetadataExt as _;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -65,20 +65,20 @@
 }
 
 /// Reads the file, strictly.
-pub fn read(path: &Path) -> Result<Members, String> {
+pub fn read(path: &Path) -> Result<EndpointList, String> {
     try_read(path).map_err(|e| match e {
         ReadError::Unread(why) | ReadError::Invalid(why) => why,
     })
 }
 
-fn try_read(path: &Path) -> Result<Members, ReadError> {
+fn try_read(path: &Path) -> Result<EndpointList, ReadError> {
     let text = std::fs::read_to_string(path);
     let text = text.map_err(|e| ReadError::Unread(format!("{}: {e}", path.display())))?;
-    check_list(&text).map_err(|e| ReadError::Invalid(format!("{}: {e}", path.display())))
+    validate_list(&text).map_err(|e| ReadError::Invalid(format!("{}: {e}", path.display())))
 }
 
 /// Follows for good; a message on `again` has the file read at once. What can't be read changes nothing.
-pub async fn follow(path: PathBuf, told: mpsc::Sender<Told>, mut again: mpsc::Receiver<()>) {
+pub async fn follow(path: PathBuf, told: mpsc::Sender<SourceEvent>, mut again: mpsc::Receiver<()>) {
     let mut watched = Watched::default();
     let mut last_fault = String::new();
     let mut last_text = None;
@@ -96,7 +96,7 @@
                     last_fault.clear();
                     if last_text.as_ref() != Some(&list) {
                         last_text = Some(list.clone());
-                        if told.send(Told::List(list)).await.is_err() {
+                        if told.send(SourceEvent::EndpointList(list)).await.is_err() {
                             return;
                         }
                     }
@@ -106,7 +106,7 @@
                     last_fault.clone_from(&fault);
                     // A file that is mended to what it was before has to be told as well.
                     last_text = None;
-                    if told.send(Told::Lost(fault)).await.is_err() {
+                    if told.send(SourceEvent::Unavailable(fault)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/services/control-service/src/standby.rs
+++ b/crates/services/control-service/src/leadership.rs
@@ -1,10 +1,10 @@
 //! Takes over when the instance that leads is gone, and stops when its own time is over: a thread that does what
 //! [`Elector`] says, against a store of leases.
 
-use crate::keeper::Leased;
+use crate::persistence::LeasedStore;
 use crate::shared::Shared;
-use rushquay_lease::{Act, Elector, Epoch, Role, Terms};
-use rushquay_state::{Campaign, Held, SharedError, SharedState};
+use rushquay_lease::{Action, Elector, Epoch, LeaseTerms, Role};
+use rushquay_state::{Campaign, HeldLease, SharedError, SharedState};
 use rushquay_xds::client::Outage;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -16,7 +16,7 @@
 
 /// How it stands, for the admin page.
 #[derive(Clone, Debug, Default)]
-pub struct StandbyState {
+pub struct LeadershipState {
     /// Who leads, as the store last said.
     pub leader: Option<String>,
     /// The epoch in which this instance leads; 0: it does not.
@@ -31,29 +31,29 @@
 
 #[derive(Default)]
 struct Inner {
-    state: StandbyState,
+    state: LeadershipState,
     ending: bool,
     /// A write was refused: the lease is another's.
     fenced: bool,
 }
 
 /// One instance of several.
-pub struct Standby {
+pub struct Leadership {
     /// How it calls itself.
     pub me: String,
     /// The store.
     pub store: Arc<dyn SharedState>,
-    terms: Terms,
+    terms: LeaseTerms,
     inner: Mutex<Inner>,
     wake: Condvar,
     /// Until when it may speak as the leader, by its own clock; 0: it does not lead.
     until: AtomicU64,
 }
 
-impl Standby {
-    pub(crate) fn new(me: String, store: Arc<dyn SharedState>, terms: Terms) -> Arc<Self> {
+impl Leadership {
+    pub(crate) fn new(me: String, store: Arc<dyn SharedState>, terms: LeaseTerms) -> Arc<Self> {
         let until = AtomicU64::new(0);
-        Arc::new(Standby { me, store, terms, inner: Mutex::default(), wake: Condvar::new(), until })
+        Arc::new(Leadership { me, store, terms, inner: Mutex::default(), wake: Condvar::new(), until })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -61,7 +61,7 @@
     }
 
     /// How it stands.
-    pub fn state(&self) -> StandbyState {
+    pub fn state(&self) -> LeadershipState {
         self.lock().state.clone()
     }
 
@@ -93,8 +93,8 @@
 }
 
 /// The thread's work, until the end.
-pub(crate) fn run(shared: &Shared, standby: &Standby) {
-    let mut guard = Guard {
+pub(crate) fn run(shared: &Shared, standby: &Leadership) {
+    let mut guard = LeadershipLoop {
         shared,
         standby,
         elector: Elector::new(standby.terms),
@@ -113,15 +113,15 @@
     }
 }
 
-struct Guard<'a> {
+struct LeadershipLoop<'a> {
     shared: &'a Shared,
-    standby: &'a Standby,
+    standby: &'a Leadership,
     elector: Elector,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     outage: Outage,
 }
 
-impl Guard<'_> {
+impl LeadershipLoop<'_> {
     fn now(&self) -> u64 {
         self.shared.clock.steady()
     }
@@ -134,10 +134,10 @@
         }
         let now = self.now();
         match self.elector.act(now) {
-            Act::Wait(until) => self.wait(until.saturating_sub(now)),
-            Act::StepDown => self.step_down("its time is over"),
-            Act::Renew => self.renew(),
-            Act::Campaign => self.campaign(),
+            Action::Wait(until) => self.wait(until.saturating_sub(now)),
+            Action::StepDown => self.step_down("its time is over"),
+            Action::Renew => self.renew(),
+            Action::Campaign => self.campaign(),
         }
         let until = match self.elector.role() {
             Role::Leader { until, .. } if self.held.is_some() => *until,
@@ -194,7 +194,7 @@
         }
     }
 
-    fn take_over(&mut self, held: Held) {
+    fn take_over(&mut self, held: HeldLease) {
         let (start, standby) = (self.now(), self.standby);
         let policy = *self.shared.book().policy();
         let loaded = standby.store.load(policy).and_then(|kept| Ok((kept, standby.store.load_records()?)));
@@ -219,7 +219,7 @@
             return self.elector.lost(self.now());
         }
         self.held = Some(held);
-        let durable = Arc::new(Leased { store: standby.store.clone(), held });
+        let durable = Arc::new(LeasedStore { store: standby.store.clone(), held });
         self.shared.lead(Epoch(held.epoch), saved, book, &records, durable);
         let took = (self.now() - start) / 1_000_000;
         let mut inner = standby.lock();
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -6,27 +6,27 @@
 mod api;
 mod discovery;
 mod file;
-mod keeper;
+mod leadership;
 mod metrics;
+mod persistence;
 mod policy;
 mod policy_api;
-mod reopening;
+mod reopening_store;
 mod report;
 mod rollout;
 mod rollout_api;
 mod service;
 mod settings;
 mod shared;
-mod standby;
 mod time;
 
 pub use admin::serve_pages;
 pub use file::{Watched, LOOK_EVERY};
+pub use leadership::LeadershipState;
 pub use policy::PolicySettings;
 pub use rollout::RolloutSettings;
 pub use service::{start, start_by, ControlService, Options, StartError};
 pub use settings::{
     read_settings, LimitSettings, OverrideSettings, Settings, SettingsError, SourceOption, StandbySettings,
 };
-pub use standby::StandbyState;
 pub use time::{steady, Clocks};
--- a/crates/services/control-service/src/metrics.rs
+++ b/crates/services/control-service/src/metrics.rs
@@ -6,8 +6,8 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
-use rushquay_endpoints::NodeState;
-use rushquay_membership::Standing;
+use rushquay_endpoints::EndpointState;
+use rushquay_membership::MemberStatus;
 use rushquay_rollout::Phase;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering::Relaxed;
@@ -57,7 +57,7 @@
 pub fn metrics(shared: &Shared) -> String {
     let mut of = Taken(Registry::with_prefix("rushquay_control"));
     let nodes = shared.nodes();
-    let states = [NodeState::Ready, NodeState::Draining].map(NodeState::as_str);
+    let states = [EndpointState::Ready, EndpointState::Draining].map(EndpointState::as_str);
     let listed =
         |state: &str| nodes.iter().filter(|n| n.stated.member.state.as_str() == state).count() as i64;
     of.family(("nodes", "Nodes declared, by state", "state"), states.into_iter(), listed);
@@ -79,8 +79,8 @@
         of.counter("takeovers", "Times that this instance took over", state.takeovers);
     }
     if let Some(rollout) = shared.rollout.as_ref().filter(|_| shared.leads()) {
-        let now = rollout.figures(shared.wall());
-        let standing = Standing::ALL.into_iter().map(Standing::as_str);
+        let now = rollout.figures(shared.unix_now());
+        let standing = MemberStatus::ALL.into_iter().map(MemberStatus::as_str);
         let count = |of: &str| now.standings.get(of).copied().unwrap_or(0);
         of.family(
             ("rollout_proxies", "Proxies on the roster, by how they stand", "standing"),
--- a/crates/services/control-service/src/keeper.rs
+++ b/crates/services/control-service/src/persistence.rs
@@ -1,10 +1,11 @@
 //! Keeps what the service knows in a file, on a thread of its own: a disk that is slow or full holds nobody up.
 
-use crate::reopening::Reopening;
-use rushquay_endpoints::Stated;
-use rushquay_overrides::{Book, Policy};
+use crate::reopening_store::ReopeningStore;
+use rushquay_endpoints::SourcedEndpoint;
+use rushquay_overrides::{OverrideLimits, OverrideSet};
 use rushquay_state::{
-    BookChange, Change, Held, RecordChange, Saved, SharedError, SharedState, StateError, StateStore,
+    EndpointWrite, HeldLease, OverrideWrite, RecordWrite, SharedError, SharedState, StateError, StateStore,
+    StoredState,
 };
 use rushquay_xds::client::Outage;
 use serde_json::Value;
@@ -26,53 +27,53 @@
 pub type Records = BTreeMap<String, Value>;
 
 /// What keeps changes: a file of this instance alone, or what instances share.
-pub trait Durable: Send + Sync {
+pub trait DurableStore: Send + Sync {
     /// Keeps a change of node knowledge.
     ///
     /// # Errors
     /// Nothing of it is kept, or it is not known whether.
-    fn keep(&self, change: &Change) -> Result<(), SharedError>;
+    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError>;
     /// Keeps the book of overrides.
     ///
     /// # Errors
     /// The same.
-    fn keep_book(&self, change: &BookChange) -> Result<(), SharedError>;
+    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError>;
     /// Keeps records of other parts.
     ///
     /// # Errors
     /// The same.
-    fn keep_records(&self, change: &RecordChange) -> Result<(), SharedError>;
+    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError>;
     /// Reads node knowledge.
     ///
     /// # Errors
     /// The store can't be read.
-    fn saved(&self) -> Result<Saved, SharedError>;
+    fn saved(&self) -> Result<StoredState, SharedError>;
 }
 
 /// What instances share, for as long as a lease is held.
-pub struct Leased {
+pub struct LeasedStore {
     pub store: Arc<dyn SharedState>,
-    pub held: Held,
+    pub held: HeldLease,
 }
 
-impl Durable for Leased {
-    fn keep(&self, change: &Change) -> Result<(), SharedError> {
+impl DurableStore for LeasedStore {
+    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError> {
         self.store.keep(self.held, change)
     }
-    fn keep_book(&self, change: &BookChange) -> Result<(), SharedError> {
+    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError> {
         self.store.keep_book(self.held, change)
     }
-    fn keep_records(&self, change: &RecordChange) -> Result<(), SharedError> {
+    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError> {
         self.store.keep_records(self.held, change)
     }
-    fn saved(&self) -> Result<Saved, SharedError> {
-        Ok(self.store.load(Policy::default())?.0)
+    fn saved(&self) -> Result<StoredState, SharedError> {
+        Ok(self.store.load(OverrideLimits::default())?.0)
     }
 }
 
 /// What is known of a write that did not go well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeepFailure {
+pub enum PersistFailure {
     /// There is no store: nothing of it stands anywhere.
     NoStore,
     /// Another instance leads, or soon will: it never will be kept.
@@ -85,14 +86,14 @@
 
 /// Why something is not kept.
 #[derive(Clone, Debug)]
-pub struct KeepError {
+pub struct PersistError {
     pub why: String,
-    pub failure: KeepFailure,
+    pub failure: PersistFailure,
 }
 
 /// How the file stands, for the admin page.
 #[derive(Clone, Debug, Default)]
-pub struct KeeperState {
+pub struct PersistenceState {
     /// Why nothing is kept, or not all; `None`: all is.
     pub fault: Option<String>,
     /// Version of the list last kept.
@@ -104,9 +105,9 @@
 #[derive(Default)]
 struct Slot {
     /// The newest that is to be kept; what it replaced need not be.
-    next: Option<(u64, Vec<Stated>)>,
+    next: Option<(u64, Vec<SourcedEndpoint>)>,
     ending: bool,
-    state: KeeperState,
+    state: PersistenceState,
 }
 
 #[derive(Default)]
@@ -116,11 +117,11 @@
 }
 
 /// The keeper of a file. Dropping it writes what is still to be written.
-pub struct Keeper {
+pub struct Persistence {
     /// The file; `None`: what instances share.
     pub path: Option<PathBuf>,
     shared: Arc<Shared>,
-    store: Option<Arc<dyn Durable>>,
+    store: Option<Arc<dyn DurableStore>>,
     thread: Thread,
 }
 
@@ -133,40 +134,41 @@
     }
 }
 
-impl Keeper {
+impl Persistence {
     /// Opens the file and reads what it holds. One that can't be used is named in a line; the service then runs from
     /// memory, and the file stays as it is.
-    pub fn open(path: &Path, policy: Policy) -> (Keeper, Saved, Book, Records) {
+    pub fn open(path: &Path, policy: OverrideLimits) -> (Persistence, StoredState, OverrideSet, Records) {
         let shared = Arc::new(Shared::default());
         match open_patiently(path, policy) {
             Ok((store, saved, book, records)) => {
-                let store = Arc::new(Reopening::new(path, store));
-                let keeper = Keeper { path: Some(path.to_owned()), ..Keeper::on(store, saved.clone()) };
+                let store = Arc::new(ReopeningStore::new(path, store));
+                let keeper =
+                    Persistence { path: Some(path.to_owned()), ..Persistence::on(store, saved.clone()) };
                 (keeper, saved, book, records)
             }
             Err(e) => {
                 warn!(file = %path.display(), fault = %e, "state can't be used: running from memory");
                 shared.lock().state.fault = Some(e.to_string());
                 let path = Some(path.to_owned());
-                let keeper = Keeper { path, shared, store: None, thread: Thread(None) };
-                (keeper, Saved::default(), Book::new(policy), Records::new())
+                let keeper = Persistence { path, shared, store: None, thread: Thread(None) };
+                (keeper, StoredState::default(), OverrideSet::new(policy), Records::new())
             }
         }
     }
 
     /// Keeps what differs from what is kept already.
-    pub fn on(store: Arc<dyn Durable>, saved: Saved) -> Keeper {
+    pub fn on(store: Arc<dyn DurableStore>, saved: StoredState) -> Persistence {
         let shared = Arc::new(Shared::default());
         shared.lock().state.version = saved.version;
         let known = saved.nodes.into_iter().map(|s| (s.member.id.clone(), s)).collect();
         let (own, held) = (shared.clone(), store.clone());
         let thread = std::thread::spawn(move || keep(&*held, &own, known, saved.version));
         let thread = Thread(Some((thread, shared.clone())));
-        Keeper { path: None, shared, store: Some(store), thread }
+        Persistence { path: None, shared, store: Some(store), thread }
     }
 
     /// Has this kept, soon.
-    pub fn keep(&self, version: u64, nodes: Vec<Stated>) {
+    pub fn keep(&self, version: u64, nodes: Vec<SourcedEndpoint>) {
         if self.thread.0.is_some() {
             self.shared.lock().next = Some((version, nodes));
             self.shared.changed.notify_one();
@@ -177,7 +179,7 @@
     ///
     /// # Errors
     /// Why it is not kept.
-    pub fn keep_book(&self, change: &BookChange) -> Result<(), KeepError> {
+    pub fn keep_book(&self, change: &OverrideWrite) -> Result<(), PersistError> {
         self.at_once(|store| store.keep_book(change))
     }
 
@@ -185,30 +187,33 @@
     ///
     /// # Errors
     /// Why they are not kept.
-    pub fn keep_records(&self, change: &RecordChange) -> Result<(), KeepError> {
+    pub fn keep_records(&self, change: &RecordWrite) -> Result<(), PersistError> {
         self.at_once(|store| store.keep_records(change))
     }
 
-    fn at_once(&self, keeps: impl FnOnce(&dyn Durable) -> Result<(), SharedError>) -> Result<(), KeepError> {
+    fn at_once(
+        &self,
+        keeps: impl FnOnce(&dyn DurableStore) -> Result<(), SharedError>,
+    ) -> Result<(), PersistError> {
         let fault = |e: SharedError| {
             let failure = match e {
-                SharedError::Fenced(_) => KeepFailure::Fenced,
-                SharedError::Unreachable(_) => KeepFailure::Unsure,
-                SharedError::State(_) => KeepFailure::Failed,
+                SharedError::Fenced(_) => PersistFailure::Fenced,
+                SharedError::Unreachable(_) => PersistFailure::Unsure,
+                SharedError::State(_) => PersistFailure::Failed,
             };
-            KeepError { why: e.to_string(), failure }
+            PersistError { why: e.to_string(), failure }
         };
         match &self.store {
             Some(store) => keeps(&**store).map_err(fault),
             None => {
                 let why = self.state().fault.unwrap_or_default();
-                Err(KeepError { why, failure: KeepFailure::NoStore })
+                Err(PersistError { why, failure: PersistFailure::NoStore })
             }
         }
     }
 
     /// How the file stands.
-    pub fn state(&self) -> KeeperState {
+    pub fn state(&self) -> PersistenceState {
         self.shared.lock().state.clone()
     }
 }
@@ -224,7 +229,10 @@
 }
 
 /// Opens a store and reads what it holds, again and again for a while where the disk fails.
-fn open_patiently(path: &Path, policy: Policy) -> Result<(StateStore, Saved, Book, Records), StateError> {
+fn open_patiently(
+    path: &Path,
+    policy: OverrideLimits,
+) -> Result<(StateStore, StoredState, OverrideSet, Records), StateError> {
     let mut tries = 0;
     loop {
         tries += 1;
@@ -243,7 +251,12 @@
 }
 
 /// Writes what has changed against what is known to be kept, until the end.
-fn keep(store: &dyn Durable, shared: &Shared, mut known: BTreeMap<String, Stated>, mut version: Option<u64>) {
+fn keep(
+    store: &dyn DurableStore,
+    shared: &Shared,
+    mut known: BTreeMap<String, SourcedEndpoint>,
+    mut version: Option<u64>,
+) {
     let mut outage = Outage::default();
     // A write failed: it is not known what of it is kept.
     let mut doubtful = false;
@@ -304,16 +317,17 @@
 
 /// What is to be written; `None`: nothing.
 fn difference(
-    known: &BTreeMap<String, Stated>,
+    known: &BTreeMap<String, SourcedEndpoint>,
     version: Option<u64>,
     now: u64,
-    nodes: &[Stated],
-) -> Option<Change> {
-    let set: Vec<Stated> = nodes.iter().filter(|s| known.get(&s.member.id) != Some(s)).cloned().collect();
+    nodes: &[SourcedEndpoint],
+) -> Option<EndpointWrite> {
+    let set: Vec<SourcedEndpoint> =
+        nodes.iter().filter(|s| known.get(&s.member.id) != Some(s)).cloned().collect();
     let live: std::collections::BTreeSet<&str> = nodes.iter().map(|s| s.member.id.as_str()).collect();
     let gone: Vec<String> = known.keys().filter(|id| !live.contains(id.as_str())).cloned().collect();
     let new = version != Some(now);
-    (new || !set.is_empty() || !gone.is_empty()).then(|| Change {
+    (new || !set.is_empty() || !gone.is_empty()).then(|| EndpointWrite {
         whole: false,
         version: new.then_some(now),
         set,
--- a/crates/services/control-service/src/policy.rs
+++ b/crates/services/control-service/src/policy.rs
@@ -1,15 +1,16 @@
 //! Changes of policy, driven: proxies ask for leave, the coordinator decides, each step is kept, and only then told
 //! (`docs/design-policy.md`).
 
-use crate::keeper::{KeepError, KeepFailure, Records};
-use crate::shared::{Denied, Shared};
+use crate::persistence::{PersistError, PersistFailure, Records};
+use crate::shared::{CommandError, Shared};
 use rushquay_policy::{
-    Ask, Boot, Coordinator, Floor, Holding, Number, Policy, Record, Refusal, Revision, Shelf, Told,
+    Coordinator, FallbackPolicy, Incarnation, LeaseRequest, Policy, PolicyArchive, PolicyBroadcast,
+    PolicyNumber, PolicyRecord, PolicySet, RecordError, Revision,
 };
-use rushquay_state::RecordChange;
+use rushquay_state::RecordWrite;
 use rushquay_xds::client::{Outage, Topic};
-use rushquay_xds_grpc::Word;
-use rushquay_xds_resources::{declare_text, forget_text, leave_name, POLICY};
+use rushquay_xds_grpc::StreamEvent;
+use rushquay_xds_resources::{declare_text, policy_lease_name, remove_text, POLICY_RESOURCE};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,13 +18,13 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-mod acted;
-mod not_done;
+mod error;
+mod history;
 mod settings;
 mod view;
 
-use acted::Acted;
-pub use not_done::NotDone;
+pub use error::PolicyCommandError;
+use history::PolicyHistory;
 pub use settings::PolicySettings;
 
 /// The record of what holds.
@@ -68,28 +69,28 @@
 struct Stood {
     /// Unix time in nanoseconds.
     at: Nanos,
-    told: Told,
+    told: PolicySet,
 }
 
 /// What is kept of the record.
 #[derive(Clone, Serialize, Deserialize)]
 struct Kept {
-    record: Record,
+    record: PolicyRecord,
     /// By revision, those of the last while.
     stood: BTreeMap<u64, Stood>,
 }
 
 struct State {
     coordinator: Coordinator,
-    shelf: Shelf,
+    shelf: PolicyArchive,
     stood: BTreeMap<u64, Stood>,
     /// What proxies have asked since the last look.
-    asks: Vec<(String, Ask)>,
+    asks: Vec<(String, LeaseRequest)>,
     /// The revision that was told to all.
     told: Option<Revision>,
     /// Leaves that are declared.
-    leaves: BTreeSet<(String, Boot)>,
-    acted: Acted,
+    leaves: BTreeSet<(String, Incarnation)>,
+    acted: PolicyHistory,
     /// Why nothing is decided and nobody has leave; `None`: it is and they have.
     fault: Option<String>,
     /// Who was waited for when it was last looked.
@@ -100,7 +101,7 @@
 }
 
 /// Policies and who may act by them.
-pub struct Policies {
+pub struct PolicyController {
     settings: PolicySettings,
     state: Mutex<State>,
     /// One decision at a time: it is made, kept, and only then known. Locked before `state`.
@@ -112,42 +113,43 @@
 }
 
 /// What was kept; why it can't be read.
-fn read(records: &Records) -> Result<(Kept, BTreeMap<Number, Policy>, Acted), String> {
+fn read(records: &Records) -> Result<(Kept, BTreeMap<PolicyNumber, Policy>, PolicyHistory), String> {
     let kept = match records.get(HOLDS) {
-        None => Kept { record: Record::default(), stood: BTreeMap::new() },
+        None => Kept { record: PolicyRecord::default(), stood: BTreeMap::new() },
         Some(told) => Kept::deserialize(told).map_err(|e| format!("{HOLDS}: {e}"))?,
     };
     let mut policies = BTreeMap::new();
     for (name, told) in records.iter() {
         let Some(number) = name.strip_prefix(POLICIES) else { continue };
         let number = number.parse().map_err(|_| format!("{name}: expected a number"))?;
-        policies.insert(Number(number), Policy::read(told).map_err(|e| format!("{name}: {e}"))?);
+        policies.insert(PolicyNumber(number), Policy::read(told).map_err(|e| format!("{name}: {e}"))?);
     }
-    if let Some(missing) = kept.record.told().numbers().find(|n| *n != Number(0) && !policies.contains_key(n))
+    if let Some(missing) =
+        kept.record.policy_set().numbers().find(|n| *n != PolicyNumber(0) && !policies.contains_key(n))
     {
         return Err(format!("policy {} holds and is not there", missing.0));
     }
     let acted = records.iter().filter_map(|(name, told)| Some((name.strip_prefix(ACTED)?, told)));
-    Ok((kept, policies, Acted::restore(acted)))
+    Ok((kept, policies, PolicyHistory::restore(acted)))
 }
 
-impl Policies {
+impl PolicyController {
     pub(crate) fn new(settings: PolicySettings) -> Self {
         let terms = settings.terms();
         let state = State {
-            coordinator: Coordinator::lead(terms, Record::default(), 0),
-            shelf: Shelf::lead(BTreeMap::new(), Floor::Nobody, &Record::default(), 0),
+            coordinator: Coordinator::lead(terms, PolicyRecord::default(), 0),
+            shelf: PolicyArchive::lead(BTreeMap::new(), FallbackPolicy::Nobody, &PolicyRecord::default(), 0),
             stood: BTreeMap::new(),
             asks: Vec::new(),
             told: None,
             leaves: BTreeSet::new(),
-            acted: Acted::default(),
+            acted: PolicyHistory::default(),
             fault: Some("this instance has not led yet".into()),
             held_up: BTreeSet::new(),
             outage: Outage::default(),
             doubtful: false,
         };
-        Policies { settings, state: Mutex::new(state), turn: Mutex::new(()) }
+        PolicyController { settings, state: Mutex::new(state), turn: Mutex::new(()) }
     }
 
     pub(crate) fn every(&self) -> Duration {
@@ -163,13 +165,13 @@
         match read(records) {
             Ok((kept, policies, acted)) => {
                 // It was checked with the settings.
-                let floor = Floor::read(&self.settings.floor).unwrap_or(Floor::Nobody);
-                state.shelf = Shelf::lead(policies, floor, &kept.record, now);
+                let floor = FallbackPolicy::read(&self.settings.floor).unwrap_or(FallbackPolicy::Nobody);
+                state.shelf = PolicyArchive::lead(policies, floor, &kept.record, now);
                 state.coordinator = Coordinator::lead(self.settings.terms(), kept.record, now);
                 (state.stood, state.acted, state.fault) = (kept.stood, acted, None);
                 state.doubtful = false;
                 let record = state.coordinator.record();
-                info!(revision = record.revision.0, told = ?record.told(), "leading policies on");
+                info!(revision = record.revision.0, told = ?record.policy_set(), "leading policies on");
             }
             // Danger: begun anew, nobody would know what was decided.
             Err(why) => {
@@ -188,14 +190,14 @@
     }
 
     /// The policy that is proposed and not decided.
-    pub(crate) fn undecided(&self) -> Option<Number> {
-        lock(&self.state).coordinator.record().told().numbers().nth(1)
+    pub(crate) fn undecided(&self) -> Option<PolicyNumber> {
+        lock(&self.state).coordinator.record().policy_set().numbers().nth(1)
     }
 
     /// A proxy says something; it is answered at the next look.
-    pub(crate) fn hear(&self, node: &str, word: &Word) {
-        let Word::Told(_, Topic::Leave, text) = word else { return };
-        match Ask::read(text) {
+    pub(crate) fn hear(&self, node: &str, word: &StreamEvent) {
+        let StreamEvent::Metadata(_, Topic::PolicyLease, text) = word else { return };
+        match LeaseRequest::read(text) {
             Ok(ask) => {
                 let state = &mut *lock(&self.state);
                 if state.fault.is_none() && state.asks.len() < ASKS_MOST {
@@ -209,7 +211,7 @@
     /// Decides what can be decided, keeps it, and answers who has asked. It waits for the disk.
     pub(crate) fn tick(&self, shared: &Shared) {
         let _turn = lock(&self.turn);
-        if !shared.may_speak() || lock(&self.state).fault.is_some() {
+        if !shared.holds_valid_lease() || lock(&self.state).fault.is_some() {
             return;
         }
         let now = shared.clock.steady();
@@ -226,7 +228,7 @@
         self.keep_in_doubt(shared);
         if !useless.is_empty() {
             let gone = useless.iter().map(|n| format!("{POLICIES}{}", n.0)).collect();
-            if shared.keep_records(&RecordChange { set: BTreeMap::new(), gone }).is_ok() {
+            if shared.persist_records(&RecordWrite { set: BTreeMap::new(), gone }).is_ok() {
                 lock(&self.state).shelf.forget(&useless);
             }
         }
@@ -236,10 +238,10 @@
 
     /// Keeps a record, and the policy that is new in it. Only then it counts. Danger: told first, a decision would be known to proxies and
     /// to no successor.
-    fn keep(&self, shared: &Shared, record: Record, new: Option<Policy>) -> Result<(), Denied> {
-        let number = record.told().numbers().nth(1);
+    fn keep(&self, shared: &Shared, record: PolicyRecord, new: Option<Policy>) -> Result<(), CommandError> {
+        let number = record.policy_set().numbers().nth(1);
         let mut stood = lock(&self.state).stood.clone();
-        stood.insert(record.revision.0, Stood { at: shared.wall(), told: record.told() });
+        stood.insert(record.revision.0, Stood { at: shared.unix_now(), told: record.policy_set() });
         while stood.len() > STOOD {
             stood.pop_first();
         }
@@ -249,12 +251,12 @@
         if let (Some(policy), Some(number)) = (&new, number) {
             set.insert(format!("{POLICIES}{}", number.0), policy.document());
         }
-        if let Err(e) = shared.keep_records(&RecordChange { set, gone: Vec::new() }) {
+        if let Err(e) = shared.persist_records(&RecordWrite { set, gone: Vec::new() }) {
             return Err(self.not_kept(shared, &e));
         }
         // Danger: its lease may have ended meanwhile, and another have decided already on what it found. What was kept is its to tell.
-        if !shared.may_speak() {
-            return Err(Denied::NotKept(
+        if !shared.holds_valid_lease() {
+            return Err(CommandError::NotPersisted(
                 "this instance leads no longer; ask the one that does how it stands".into(),
             ));
         }
@@ -266,7 +268,7 @@
             state.shelf.put(number, policy);
         }
         let event = kept.record.events.back().map_or("", |e| e.what.as_str()).to_owned();
-        info!(revision = kept.record.revision.0, told = ?kept.record.told(), event, "the record of policies moves on");
+        info!(revision = kept.record.revision.0, told = ?kept.record.policy_set(), event, "the record of policies moves on");
         state.shelf.moved(&kept.record);
         state.coordinator.kept(kept.record, now);
         state.stood = kept.stood;
@@ -276,18 +278,18 @@
 
     /// Something is not kept, or may be. Danger: taken for not kept, a decision that stands in the store could be decided once more, the
     /// other way.
-    fn not_kept(&self, shared: &Shared, e: &KeepError) -> Denied {
+    fn not_kept(&self, shared: &Shared, e: &PersistError) -> CommandError {
         {
             let state = &mut *lock(&self.state);
             if let Some(n) = state.outage.failed(&e.why) {
                 warn!(fault = %e.why, failure = n, "a step of a change of policy is not kept");
             }
-            state.doubtful = matches!(e.failure, KeepFailure::Unsure | KeepFailure::Failed);
+            state.doubtful = matches!(e.failure, PersistFailure::Unsure | PersistFailure::Failed);
         }
-        if e.failure == KeepFailure::Unsure {
-            shared.step_aside();
+        if e.failure == PersistFailure::Unsure {
+            shared.relinquish_leadership();
         }
-        Denied::not_kept(e)
+        CommandError::not_persisted(e)
     }
 
     /// Writes the record that holds once more where a write of another failed: nobody was told of that one.
@@ -301,7 +303,7 @@
         let written = serde_json::to_value(&kept).unwrap_or_default();
         let set = BTreeMap::from([(HOLDS.to_owned(), written)]);
         // What is not kept is tried again at the next look.
-        if shared.keep_records(&RecordChange { set, gone: Vec::new() }).is_ok() {
+        if shared.persist_records(&RecordWrite { set, gone: Vec::new() }).is_ok() {
             let state = &mut *lock(&self.state);
             state.outage.over();
             state.doubtful = false;
@@ -315,23 +317,23 @@
             return;
         }
         state.tell(shared);
-        let (wall, asks) = (shared.wall(), std::mem::take(&mut state.asks));
+        let (wall, asks) = (shared.unix_now(), std::mem::take(&mut state.asks));
         let mut texts = Vec::new();
         // Danger: a process that was stopped since the look began would give leave that no successor knows of.
         let now = shared.clock.steady();
-        if !shared.may_speak() {
+        if !shared.holds_valid_lease() {
             return;
         }
         for (name, ask) in asks {
             state.acted.heard(&name, ask.boot, ask.acting, wall);
             let Some(grant) = state.coordinator.hear(&name, &ask, now) else { continue };
             state.shelf.granted(&name, &ask, state.coordinator.record(), now);
-            texts.push((leave_name(&name, ask.boot.0), grant.text()));
+            texts.push((policy_lease_name(&name, ask.boot.0), grant.text()));
             state.leaves.insert((name, ask.boot));
         }
-        let there: BTreeSet<(String, Boot)> =
+        let there: BTreeSet<(String, Incarnation)> =
             state.coordinator.members().map(|(name, boot, _)| (name.to_owned(), boot)).collect();
-        let gone: Vec<(String, Boot)> = state.leaves.difference(&there).cloned().collect();
+        let gone: Vec<(String, Incarnation)> = state.leaves.difference(&there).cloned().collect();
         for one in &gone {
             state.leaves.remove(one);
             state.acted.gone(&one.0, one.1, wall);
@@ -344,7 +346,7 @@
                 declare_text(store, name, text, at);
             }
             for (name, boot) in &gone {
-                forget_text(store, &leave_name(name, boot.0), at);
+                remove_text(store, &policy_lease_name(name, boot.0), at);
             }
         });
     }
@@ -357,7 +359,7 @@
             let set = due.iter().map(|(name, told)| (format!("{ACTED}{name}"), told.clone())).collect();
             (set, due.into_iter().map(|(name, _)| name).collect::<Vec<_>>())
         };
-        if !names.is_empty() && shared.keep_records(&RecordChange { set, gone: Vec::new() }).is_err() {
+        if !names.is_empty() && shared.persist_records(&RecordWrite { set, gone: Vec::new() }).is_err() {
             lock(&self.state).acted.again(names);
         }
     }
@@ -368,15 +370,15 @@
         shared: &Shared,
         ask: &Proposal,
         expected: Option<u64>,
-    ) -> Result<(Value, u64), Denied> {
-        let _begins = lock(&shared.begins);
+    ) -> Result<(Value, u64), CommandError> {
+        let _begins = lock(&shared.change_lock);
         let _turn = lock(&self.turn);
         self.must(shared)?;
         if let Some(change) = shared.rollout.as_ref().and_then(|r| r.running()) {
-            return Err(NotDone::RolloutRuns(change).into());
+            return Err(PolicyCommandError::RolloutRuns(change).into());
         }
         let (record, policy, body) = self.fit(shared, ask, expected)?;
-        let (number, revision) = (record.told().numbers().nth(1), record.revision.0);
+        let (number, revision) = (record.policy_set().numbers().nth(1), record.revision.0);
         self.keep(shared, record, Some(policy))?;
         let mut body = body;
         body["policy"] = json!(number);
@@ -390,7 +392,7 @@
         shared: &Shared,
         by: &str,
         expected: Option<u64>,
-    ) -> Result<(Value, u64), Denied> {
+    ) -> Result<(Value, u64), CommandError> {
         let _turn = lock(&self.turn);
         self.must(shared)?;
         let record = {
@@ -398,7 +400,7 @@
             state.whole()?;
             state.coordinator.record().withdraw(by, expected.map(Revision))
         };
-        let record = record.map_err(NotDone::from)?;
+        let record = record.map_err(PolicyCommandError::from)?;
         let revision = record.revision.0;
         self.keep(shared, record, None)?;
         Ok((json!({"revision": revision}), revision))
@@ -410,7 +412,7 @@
         shared: &Shared,
         ask: &Proposal,
         expected: Option<u64>,
-    ) -> Result<(Value, u64), Denied> {
+    ) -> Result<(Value, u64), CommandError> {
         self.must(shared)?;
         // Nobody proposes it yet.
         let nobody = || "nobody".to_owned();
@@ -419,10 +421,10 @@
         Ok((body, record.revision.0 - 1))
     }
 
-    fn must(&self, shared: &Shared) -> Result<(), Denied> {
-        shared.must_lead()?;
+    fn must(&self, shared: &Shared) -> Result<(), CommandError> {
+        shared.require_leadership()?;
         match &lock(&self.state).fault {
-            Some(fault) => Err(Denied::NotKept(fault.clone())),
+            Some(fault) => Err(CommandError::NotPersisted(fault.clone())),
             None => Ok(()),
         }
     }
@@ -433,7 +435,7 @@
         shared: &Shared,
         ask: &Proposal,
         expected: Option<u64>,
-    ) -> Result<(Record, Policy, Value), Denied> {
+    ) -> Result<(PolicyRecord, Policy, Value), CommandError> {
         let now = shared.clock.steady();
         let state = lock(&self.state);
         let record = state.coordinator.record();
@@ -441,68 +443,71 @@
         let policy = state
             .shelf
             .fit(&ask.settings, ask.floor.as_ref(), (record, &terms), now)
-            .map_err(NotDone::from)?;
+            .map_err(PolicyCommandError::from)?;
         // Where proxies tell of themselves, a class that none has is a mistake that need not be tried on all of them.
         let known = shared.rollout.as_ref().map(|r| r.classes()).unwrap_or_default();
         let named = policy.settings.document();
         let named = named["categories"].as_array().into_iter().flatten().filter_map(|c| c["name"].as_str());
         if let Some(unknown) = named.into_iter().find(|n| !known.is_empty() && !known.contains(*n)) {
             let known: Vec<String> = known.iter().cloned().collect();
-            return Err(NotDone::Class(unknown.into(), known.join(", ")).into());
+            return Err(PolicyCommandError::Class(unknown.into(), known.join(", ")).into());
         }
         let body = state.compared(record.holds, &policy);
         let next = state.base(ask.anew, now)?;
         // What was expected is what the store says.
         if let Some(expected) = expected.filter(|e| *e != record.revision.0) {
-            return Err(NotDone::from(Refusal::Changed { expected, now: record.revision.0 }).into());
+            return Err(
+                PolicyCommandError::from(RecordError::Changed { expected, now: record.revision.0 }).into()
+            );
         }
-        let next = next.propose((&ask.author, &ask.reason), None).map_err(NotDone::from)?;
+        let next = next.propose((&ask.author, &ask.reason), None).map_err(PolicyCommandError::from)?;
         Ok((next, policy, body))
     }
 }
 
 impl State {
     /// Whether the store knows all that was ever told.
-    fn whole(&self) -> Result<(), NotDone> {
+    fn whole(&self) -> Result<(), PolicyCommandError> {
         let stands = self.coordinator.record().revision.0;
         match self.coordinator.behind() {
-            Some((who, heard)) => Err(NotDone::Behind { stands, who: who.into(), heard: heard.0 }),
+            Some((who, heard)) => Err(PolicyCommandError::Behind { stands, who: who.into(), heard: heard.0 }),
             None => Ok(()),
         }
     }
 
     /// The record that a proposal goes on from.
-    fn base(&self, anew: bool, now: Nanos) -> Result<Record, NotDone> {
+    fn base(&self, anew: bool, now: Nanos) -> Result<PolicyRecord, PolicyCommandError> {
         let record = self.coordinator.record();
         let Some((_, heard)) = self.coordinator.behind() else {
-            return if anew { Err(NotDone::Whole) } else { Ok(record.clone()) };
+            return if anew { Err(PolicyCommandError::Whole) } else { Ok(record.clone()) };
         };
         if !anew {
             self.whole()?;
         }
         // Danger: told something else while a leave for what is lost runs, two would hold at once.
         match self.coordinator.alone_from() {
-            at if now <= at => Err(NotDone::TooSoon((at - now).div_ceil(1_000_000_000).max(1))),
-            _ => Ok(record.beyond(heard)),
+            at if now <= at => Err(PolicyCommandError::TooSoon((at - now).div_ceil(1_000_000_000).max(1))),
+            _ => Ok(record.resumed_after(heard)),
         }
     }
 
     /// Tells all what holds, if they were not told.
     fn tell(&mut self, shared: &Shared) {
         let record = self.coordinator.record();
-        if self.told == Some(record.revision) || !shared.hub.store().is_open() || !shared.may_speak() {
+        if self.told == Some(record.revision) || !shared.hub.store().is_open() || !shared.holds_valid_lease()
+        {
             return;
         }
-        let named = record.told().numbers();
+        let named = record.policy_set().numbers();
         let policies = named.filter_map(|n| Some((n, self.shelf.get(n)?.clone()))).collect();
-        let holding = Holding { revision: record.revision, told: record.told(), policies };
-        shared.hub.change(|store, at| declare_text(store, POLICY, &holding.text(), at));
+        let holding = PolicyBroadcast { revision: record.revision, told: record.policy_set(), policies };
+        shared.hub.change(|store, at| declare_text(store, POLICY_RESOURCE, &holding.text(), at));
         self.told = Some(record.revision);
     }
 
     /// Names in the log who holds a change up, when that changes.
     fn told_of_holdups(&mut self, now: Nanos) {
-        if self.coordinator.record().told().numbers().nth(1).is_none() {
+        if self.coordinator.record().policy_set().numbers().nth(1).is_none() {
             self.held_up.clear();
             return;
         }
--- a/crates/services/control-service/src/policy/not_done.rs
+++ b/crates/services/control-service/src/policy/error.rs
@@ -1,17 +1,17 @@
 //! Why a change of policy is not begun or ended as asked, in words that say what to do.
 
 use axum::http::StatusCode;
-use rushquay_policy::{Refusal, Unfit};
+use rushquay_policy::{RecordError, UnfitPolicy};
 
 /// Why a change of policy was not begun or ended as asked.
 #[derive(Debug, thiserror::Error)]
-pub enum NotDone {
+pub enum PolicyCommandError {
     /// The record refuses it.
     #[error(transparent)]
-    Record(#[from] Refusal),
+    Record(#[from] RecordError),
     /// It is no policy, or can't hold now.
     #[error(transparent)]
-    Unfit(#[from] Unfit),
+    Unfit(#[from] UnfitPolicy),
     /// The store is behind what was told.
     #[error(
         "the store stands at revision {stands}, and {who} has heard of {heard}: it was lost, or is an older copy, and nobody has leave. Put \
@@ -45,21 +45,21 @@
     Unknown(String),
 }
 
-impl NotDone {
+impl PolicyCommandError {
     /// As an answer over HTTP.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
-            NotDone::Record(Refusal::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
-            NotDone::Record(Refusal::Field(..)) | NotDone::Unfit(_) | NotDone::Class(..) => {
-                StatusCode::UNPROCESSABLE_ENTITY
-            }
-            NotDone::Record(_)
-            | NotDone::RolloutRuns(_)
-            | NotDone::PolicyUndecided(_)
-            | NotDone::Behind { .. }
-            | NotDone::Whole
-            | NotDone::TooSoon(_) => StatusCode::CONFLICT,
-            NotDone::Unknown(_) => StatusCode::NOT_FOUND,
+            PolicyCommandError::Record(RecordError::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
+            PolicyCommandError::Record(RecordError::Field(..))
+            | PolicyCommandError::Unfit(_)
+            | PolicyCommandError::Class(..) => StatusCode::UNPROCESSABLE_ENTITY,
+            PolicyCommandError::Record(_)
+            | PolicyCommandError::RolloutRuns(_)
+            | PolicyCommandError::PolicyUndecided(_)
+            | PolicyCommandError::Behind { .. }
+            | PolicyCommandError::Whole
+            | PolicyCommandError::TooSoon(_) => StatusCode::CONFLICT,
+            PolicyCommandError::Unknown(_) => StatusCode::NOT_FOUND,
         }
     }
 }
--- a/crates/services/control-service/src/policy/acted.rs
+++ b/crates/services/control-service/src/policy/history.rs
@@ -1,6 +1,6 @@
 //! By which revision each proxy acted, and when: for people who ask later.
 
-use rushquay_policy::{Boot, Revision};
+use rushquay_policy::{Incarnation, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -18,29 +18,29 @@
     /// When it was heard, Unix time in nanoseconds.
     pub at: Nanos,
     /// The process.
-    pub boot: Boot,
+    pub boot: Incarnation,
     /// By what it acts; 0: it has no leave, or is gone.
     pub revision: Revision,
 }
 
 /// All of them.
 #[derive(Clone, Debug, Default)]
-pub struct Acted {
+pub struct PolicyHistory {
     by: BTreeMap<String, VecDeque<Change>>,
     changed: BTreeSet<String>,
     kept: Nanos,
 }
 
-impl Acted {
+impl PolicyHistory {
     /// What was kept. What can't be read is left: it decides nothing.
     pub fn restore<'a>(kept: impl Iterator<Item = (&'a str, &'a Value)>) -> Self {
         let read =
             |(name, told): (&str, &Value)| Some((name.to_owned(), Deserialize::deserialize(told).ok()?));
-        Acted { by: kept.filter_map(read).collect(), ..Acted::default() }
+        PolicyHistory { by: kept.filter_map(read).collect(), ..PolicyHistory::default() }
     }
 
     /// A process says by which revision it acts.
-    pub fn heard(&mut self, name: &str, boot: Boot, revision: Revision, at: Nanos) {
+    pub fn heard(&mut self, name: &str, boot: Incarnation, revision: Revision, at: Nanos) {
         if !self.by.contains_key(name) && self.by.len() >= PROXIES {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /// A process has let its leave run out.
-    pub fn gone(&mut self, name: &str, boot: Boot, at: Nanos) {
+    pub fn gone(&mut self, name: &str, boot: Incarnation, at: Nanos) {
         self.heard(name, boot, Revision(0), at);
     }
 
--- a/crates/services/control-service/src/policy/settings.rs
+++ b/crates/services/control-service/src/policy/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of changes of policy, checked.
 
-use rushquay_policy::{Floor, Terms};
+use rushquay_policy::{FallbackPolicy, LeaseTerms};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -46,12 +46,12 @@
             .or(within("floor_s", self.floor_s, 0.0, 2_592_000.0))
             .or((self.drift_ppm > 200_000).then(|| ("drift_ppm", "0 to 200000".into())))
             .or((!(20..=10_000).contains(&self.look_ms)).then(|| ("look_ms", "20 to 10000".into())))
-            .or(Floor::read(&self.floor).err().map(|e| ("floor", e.to_string())))
+            .or(FallbackPolicy::read(&self.floor).err().map(|e| ("floor", e.to_string())))
     }
 
-    pub(super) fn terms(&self) -> Terms {
+    pub(super) fn terms(&self) -> LeaseTerms {
         let nanos = |seconds: f64| (seconds * SECOND) as Nanos;
         let (span, limit, floor) = (nanos(self.leave_s), nanos(self.limit_s), nanos(self.floor_s));
-        Terms { span, drift_ppm: self.drift_ppm, limit, floor }
+        LeaseTerms { span, drift_ppm: self.drift_ppm, limit, floor }
     }
 }
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -1,8 +1,8 @@
 //! Policies as people and scrapers see them.
 
-use super::{lock, NotDone, Policies, State};
-use crate::shared::{Denied, Shared};
-use rushquay_policy::{meet, Number, Phase, Policy, Told};
+use super::{lock, PolicyCommandError, PolicyController, State};
+use crate::shared::{CommandError, Shared};
+use rushquay_policy::{intersect, Phase, Policy, PolicyNumber, PolicySet};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeSet;
 
@@ -22,10 +22,10 @@
 }
 
 /// A record's word in words.
-fn in_words(told: Told) -> String {
+fn in_words(told: PolicySet) -> String {
     match told {
-        Told::Pure(one) => format!("policy {} alone", one.0),
-        Told::Joint(old, new) => format!("policies {} and {} at once", old.0, new.0),
+        PolicySet::Pure(one) => format!("policy {} alone", one.0),
+        PolicySet::Joint(old, new) => format!("policies {} and {} at once", old.0, new.0),
     }
 }
 
@@ -65,7 +65,7 @@
 
 impl State {
     /// What changes from a policy to another, field by field, and what holds in between.
-    pub(super) fn compared(&self, holds: Number, new: &Policy) -> Value {
+    pub(super) fn compared(&self, holds: PolicyNumber, new: &Policy) -> Value {
         let old = self.shelf.get(holds).map_or(json!({}), |p| p.settings.document());
         let new_settings = new.settings.document();
         let (mut before, mut after, mut joint) = (Map::new(), Map::new(), Map::new());
@@ -105,7 +105,7 @@
         }
         of
     };
-    let met = meet(&with(old, pick(&one)), &with(new, pick(&two)));
+    let met = intersect(&with(old, pick(&one)), &with(new, pick(&two)));
     let mut settings = met.settings;
     let alone = one.iter().chain(&two).filter(|c| !both.contains(&&c["name"]));
     if let Some(list) = settings["categories"].as_array_mut() {
@@ -114,7 +114,7 @@
     (settings, met.stops.iter().map(ToString::to_string).collect())
 }
 
-impl Policies {
+impl PolicyController {
     /// How all stands, for people.
     pub(crate) fn shown(&self, shared: &Shared) -> (Value, u64) {
         let now = shared.clock.steady();
@@ -134,13 +134,13 @@
         let change = match &record.phase {
             Phase::Settled => None,
             Phase::Joint(change) => {
-                let since = state.stood.get(&record.revision.0).map_or(shared.wall(), |s| s.at);
+                let since = state.stood.get(&record.revision.0).map_or(shared.unix_now(), |s| s.at);
                 let policy = state.shelf.get(change.to);
                 Some(json!({
                     "to": change.to, "author": change.author, "reason": change.reason,
                     "policy": policy.map(Policy::document),
                     "compared": policy.map(|p| state.compared(record.holds, p)),
-                    "since_s": shared.wall().saturating_sub(since) as f64 / SECOND,
+                    "since_s": shared.unix_now().saturating_sub(since) as f64 / SECOND,
                     "gives_up_in_s": left(state.coordinator.gives_up()),
                 }))
             }
@@ -158,10 +158,10 @@
             .as_ref()
             .map(|(n, ended)| json!({"policy": n, "ended": ended, "in_words": ended.to_string()}));
         let shown = json!({
-            "revision": record.revision, "holds": record.holds, "in_words": in_words(record.told()),
+            "revision": record.revision, "holds": record.holds, "in_words": in_words(record.policy_set()),
             "holding": state.shelf.get(record.holds).map(Policy::document), "change": change,
             "waits_for": holdups, "last": last, "members": members, "processes": count, "joined": joined,
-            "fault": state.fault.clone().or(state.whole().err().map(|e| e.to_string())), "now_ns": shared.wall(),
+            "fault": state.fault.clone().or(state.whole().err().map(|e| e.to_string())), "now_ns": shared.unix_now(),
         });
         (shown, record.revision.0)
     }
@@ -178,12 +178,12 @@
     }
 
     /// By what a proxy acted, the newest last; at a moment (Unix time in nanoseconds), where one is named.
-    pub(crate) fn explain(&self, name: &str, at: Option<Nanos>) -> Result<Value, Denied> {
+    pub(crate) fn explain(&self, name: &str, at: Option<Nanos>) -> Result<Value, CommandError> {
         let state = lock(&self.state);
-        let changes = state.acted.of(name).ok_or_else(|| NotDone::Unknown(name.into()))?;
+        let changes = state.acted.of(name).ok_or_else(|| PolicyCommandError::Unknown(name.into()))?;
         let told = |revision: u64| match (revision, state.stood.get(&revision)) {
             (0, _) => "no leave: by the floor, or not there".to_owned(),
-            (1, None) => in_words(Told::Pure(Number(0))),
+            (1, None) => in_words(PolicySet::Pure(PolicyNumber(0))),
             (_, Some(stood)) => in_words(stood.told),
             (_, None) => "a revision from too long ago".into(),
         };
--- a/crates/services/control-service/src/policy_api.rs
+++ b/crates/services/control-service/src/policy_api.rs
@@ -2,7 +2,7 @@
 //! `If-Match`.
 
 use crate::api::{change, part, refused, tagged};
-use crate::policy::{Policies, Proposal};
+use crate::policy::{PolicyController, Proposal};
 use crate::shared::Shared;
 use axum::extract::{Path, Query, State};
 use axum::http::{HeaderMap, StatusCode};
@@ -25,7 +25,7 @@
 }
 
 /// The part that is asked, where it is there and leads.
-fn asked(shared: &Shared) -> Result<&Policies, Box<Response>> {
+fn asked(shared: &Shared) -> Result<&PolicyController, Box<Response>> {
     let off = "changes of policy are off; give the control service's settings a [policy] section";
     part(shared, shared.policies.as_ref(), off)
 }
--- a/crates/services/control-service/src/reopening.rs
+++ b/crates/services/control-service/src/reopening_store.rs
@@ -4,21 +4,23 @@
 //! the disk. A disk that fails for a while (EIO, ENOSPC, a failed sync) must not end the keeping, so the store is closed, and the next
 //! call opens it again and reads what the disk really holds.
 
-use crate::keeper::Durable;
-use rushquay_state::{BookChange, Change, RecordChange, Saved, SharedError, StateError, StateStore};
+use crate::persistence::DurableStore;
+use rushquay_state::{
+    EndpointWrite, OverrideWrite, RecordWrite, SharedError, StateError, StateStore, StoredState,
+};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
 /// A store that is opened anew after a failure.
-pub struct Reopening {
+pub struct ReopeningStore {
     path: PathBuf,
     store: Mutex<Option<StateStore>>,
 }
 
-impl Reopening {
+impl ReopeningStore {
     /// Around a store that has just been opened from this file.
     pub fn new(path: &Path, store: StateStore) -> Self {
-        Reopening { path: path.to_owned(), store: Mutex::new(Some(store)) }
+        ReopeningStore { path: path.to_owned(), store: Mutex::new(Some(store)) }
     }
 
     /// Does something with the store, which is opened first where the last call failed.
@@ -37,20 +39,20 @@
     }
 }
 
-impl Durable for Reopening {
-    fn keep(&self, change: &Change) -> Result<(), SharedError> {
+impl DurableStore for ReopeningStore {
+    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError> {
         self.with(|store| store.keep(change))
     }
 
-    fn keep_book(&self, change: &BookChange) -> Result<(), SharedError> {
+    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError> {
         self.with(|store| store.keep_book(change))
     }
 
-    fn keep_records(&self, change: &RecordChange) -> Result<(), SharedError> {
+    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError> {
         self.with(|store| store.keep_records(change))
     }
 
-    fn saved(&self) -> Result<Saved, SharedError> {
+    fn saved(&self) -> Result<StoredState, SharedError> {
         self.with(StateStore::read)
     }
 }
--- a/crates/services/control-service/src/report.rs
+++ b/crates/services/control-service/src/report.rs
@@ -2,7 +2,7 @@
 //! nothing else, to be kept or sent on.
 
 use plotters::prelude::*;
-use rushquay_rollout::{Change, Course, Sample};
+use rushquay_rollout::{Rollout, Sample, Timeline};
 use std::fmt::Write as _;
 
 const SIZE: (u32, u32) = (860, 190);
@@ -14,7 +14,7 @@
 type Part = fn(&Sample) -> u64;
 
 /// A part of all for one side, point by point: seconds since the first, and the part; points at which nobody was asked are left out.
-fn series(course: &Course, class: &str, side: usize, part: Part) -> Vec<(f64, f64)> {
+fn series(course: &Timeline, class: &str, side: usize, part: Part) -> Vec<(f64, f64)> {
     let first = course.points.first().map_or(0, |p| p.at);
     let point = |p: &rushquay_rollout::Point| {
         let sample = p.classes.get(class)?[side];
@@ -25,7 +25,7 @@
 }
 
 /// Numbers as a plot shows them: parts in hundredths.
-fn plot(course: &Course, class: &str, part: Part) -> Result<String, String> {
+fn plot(course: &Timeline, class: &str, part: Part) -> Result<String, String> {
     let sides = [0, 1].map(|side| series(course, class, side, part));
     let first = course.points.first().map_or(0, |p| p.at);
     let at = |at: u64| at.saturating_sub(first) as f64 / 1e9;
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// A plot that can't be drawn.
-pub fn page(change: &Change, course: &Course) -> Result<String, String> {
+pub fn page(change: &Rollout, course: &Timeline) -> Result<String, String> {
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>A change in stages</title><style>\
          body{font:15px/1.45 sans-serif;margin:2em auto;max-width:900px;color:#222}h1{font-size:1.4em}h2{font-size:1.1em;margin:1.6em 0 .2em}\
--- a/crates/services/control-service/src/rollout.rs
+++ b/crates/services/control-service/src/rollout.rs
@@ -1,17 +1,20 @@
 //! Changes in stages, driven: reports come in, the board decides, each step is kept, and then handed out.
 
-use crate::keeper::{KeepError, KeepFailure, Records};
-use crate::shared::{Denied, Shared};
-use rushquay_config_version::{Assignment, Digest};
-use rushquay_membership::{Heard, Instance, Report, Roster, Standing, Terms, Told, SECOND};
+use crate::persistence::{PersistError, PersistFailure, Records};
+use crate::shared::{CommandError, Shared};
+use rushquay_config_version::{ConfigAssignment, Digest};
+use rushquay_membership::{
+    Member, MemberRecord, MemberStatus, Membership, MembershipTimeouts, Report, ReportOutcome, SECOND,
+};
 use rushquay_rollout::{
-    preview, Ask, Board, BoardRefusal, Bounds, Course, Evidence, Hold, Phase, Record, Seen, Verdict,
+    preview, Analysis, Bounds, FleetView, HoldReason, Phase, RegistryError, RegistryRecord, RolloutRegistry,
+    RolloutRequest, Timeline, Verdict,
 };
-use rushquay_state::RecordChange;
-use rushquay_supervisor::HostReport;
+use rushquay_state::RecordWrite;
+use rushquay_supervisor::SupervisorReport;
 use rushquay_xds::client::{Outage, Topic};
-use rushquay_xds_grpc::Word;
-use rushquay_xds_resources::{declare_settings, forget_settings};
+use rushquay_xds_grpc::StreamEvent;
+use rushquay_xds_resources::{declare_settings, remove_settings};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,7 +61,7 @@
 
 impl Default for RolloutSettings {
     fn default() -> Self {
-        let (terms, bounds) = (Terms::default(), Bounds::default());
+        let (terms, bounds) = (MembershipTimeouts::default(), Bounds::default());
         let seconds = |span: Nanos| span as f64 / SECOND as f64;
         RolloutSettings {
             late_s: seconds(terms.late),
@@ -96,10 +99,10 @@
         Duration::from_millis(self.look_ms)
     }
 
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> MembershipTimeouts {
         let nanos = |seconds: f64| (seconds * SECOND as f64) as Nanos;
         let (late, restart, retire) = (nanos(self.late_s), nanos(self.restart_s), nanos(self.retire_s));
-        Terms { late, restart, retire, most: self.most }
+        MembershipTimeouts { late, restart, retire, most: self.most }
     }
 
     fn bounds(&self) -> Bounds {
@@ -110,22 +113,22 @@
 
 /// What a host said last.
 struct HostTold {
-    report: HostReport,
+    report: SupervisorReport,
     at: Nanos,
     /// The stream that it came on.
     stream: u64,
 }
 
 struct State {
-    board: Board,
-    roster: Roster,
+    board: RolloutRegistry,
+    roster: Membership,
     /// What the hosts of proxies said last, by proxy, and when. It is told again every second, and not kept.
     hosts: BTreeMap<String, HostTold>,
-    evidence: Evidence,
+    evidence: Analysis,
     /// What was seen of the last change, for people.
-    course: Course,
+    course: Timeline,
     /// What is kept of each instance.
-    kept: BTreeMap<String, Told>,
+    kept: BTreeMap<String, MemberRecord>,
     /// What each was given last: the change and the generation.
     declared: BTreeMap<String, (u64, Digest)>,
     /// What the evidence said last, for people.
@@ -139,7 +142,7 @@
 }
 
 /// The fleet and its changes.
-pub struct Rollout {
+pub struct RolloutController {
     settings: RolloutSettings,
     state: Mutex<State>,
     /// One decision at a time: it is made, kept, and only then known. Locked before `state`.
@@ -152,24 +155,24 @@
 
 impl State {
     /// The fleet as a change sees it.
-    fn seen(&self, now: Nanos) -> Vec<Seen<'_>> {
+    fn seen(&self, now: Nanos) -> Vec<FleetView<'_>> {
         let roster = &self.roster;
         // A proxy can't obey what its own process refuses, or what its host could not bring to run.
-        let by_host = |i: &Instance| {
+        let by_host = |i: &Member| {
             let report = &self.hosts.get(&i.told.name)?.report;
             report.refused.as_ref().map(|(generation, why)| (*generation, why.as_str()))
         };
         let one = |i| seen(roster, i, now);
         let with_host = |i| {
-            let seen: Seen<'_> = one(i);
-            Seen { refused: seen.refused.or(by_host(i)), ..seen }
+            let seen: FleetView<'_> = one(i);
+            FleetView { refused: seen.refused.or(by_host(i)), ..seen }
         };
         roster.instances().map(with_host).collect()
     }
 }
 
-fn seen<'r>(roster: &'r Roster, i: &'r Instance, now: Nanos) -> Seen<'r> {
-    Seen {
+fn seen<'r>(roster: &'r Membership, i: &'r Member, now: Nanos) -> FleetView<'r> {
+    FleetView {
         name: &i.told.name,
         zone: &i.told.zone,
         standing: roster.standing(i, now),
@@ -180,14 +183,14 @@
     }
 }
 
-impl Rollout {
+impl RolloutController {
     pub(crate) fn new(settings: RolloutSettings) -> Self {
         let state = State {
-            board: Board::default(),
-            roster: Roster::new(settings.terms()),
+            board: RolloutRegistry::default(),
+            roster: Membership::new(settings.terms()),
             hosts: BTreeMap::new(),
-            evidence: Evidence::new(settings.bounds()),
-            course: Course::default(),
+            evidence: Analysis::new(settings.bounds()),
+            course: Timeline::default(),
             kept: BTreeMap::new(),
             declared: BTreeMap::new(),
             verdict: String::new(),
@@ -196,7 +199,7 @@
             fault: Some("this instance has not led yet".into()),
             outage: Outage::default(),
         };
-        Rollout { settings, state: Mutex::new(state), turn: Mutex::new(()) }
+        RolloutController { settings, state: Mutex::new(state), turn: Mutex::new(()) }
     }
 
     /// The number of the change that runs.
@@ -213,18 +216,18 @@
     pub(crate) fn lead(&self, records: &Records, now: Nanos) {
         let _turn = lock(&self.turn);
         let board = match records.get(BOARD) {
-            None => Ok(Board::default()),
-            Some(record) => serde_json::from_value::<Record>(record.clone())
+            None => Ok(RolloutRegistry::default()),
+            Some(record) => serde_json::from_value::<RegistryRecord>(record.clone())
                 .map_err(|e| e.to_string())
-                .and_then(|record| Board::restore(record, now).map_err(|e| e.to_string())),
+                .and_then(|record| RolloutRegistry::restore(record, now).map_err(|e| e.to_string())),
         };
         let kept = records.iter().filter(|(name, _)| name.starts_with(ROSTER));
-        let kept = kept.filter_map(|(_, told)| serde_json::from_value::<Told>(told.clone()).ok());
-        let kept: BTreeMap<String, Told> = kept.map(|told| (told.name.clone(), told)).collect();
+        let kept = kept.filter_map(|(_, told)| serde_json::from_value::<MemberRecord>(told.clone()).ok());
+        let kept: BTreeMap<String, MemberRecord> = kept.map(|told| (told.name.clone(), told)).collect();
         let mut state = lock(&self.state);
-        state.roster = Roster::restore(self.settings.terms(), kept.values().cloned(), now);
-        state.evidence = Evidence::new(self.settings.bounds());
-        state.course = Course::default();
+        state.roster = Membership::restore(self.settings.terms(), kept.values().cloned(), now);
+        state.evidence = Analysis::new(self.settings.bounds());
+        state.course = Timeline::default();
         (state.kept, state.declared, state.looked) = (kept, BTreeMap::new(), now);
         state.hosts = BTreeMap::new();
         state.doubtful = false;
@@ -256,23 +259,25 @@
     }
 
     /// A subscriber says something of itself, or its stream has ended.
-    pub(crate) fn hear(&self, node: &str, word: Word, now: Nanos) {
+    pub(crate) fn hear(&self, node: &str, word: StreamEvent, now: Nanos) {
         let state = &mut *lock(&self.state);
         if let Some(proxy) = node.strip_prefix(HOST) {
-            if let Word::Told(stream, Topic::Report, text) = word {
+            if let StreamEvent::Metadata(stream, Topic::Report, text) = word {
                 state.hear_host(proxy, &text, stream, now);
             }
             return;
         }
         match word {
-            Word::Ended(stream) => state.roster.ended(node, stream, now),
-            Word::Told(_, Topic::Leave, _) => {}
-            Word::Told(stream, Topic::Report, text) => match Report::read(&text) {
+            StreamEvent::Ended(stream) => state.roster.ended(node, stream, now),
+            StreamEvent::Metadata(_, Topic::PolicyLease, _) => {}
+            StreamEvent::Metadata(stream, Topic::Report, text) => match Report::read(&text) {
                 Err(e) => warn!(proxy = node, fault = %e, "a report is not taken"),
                 Ok(report) => match state.roster.hear(node, report, stream, now) {
-                    Heard::Full => warn!(proxy = node, "no more proxies are known; raise rollout.most"),
-                    Heard::New => info!(proxy = node, "a proxy is known from now on"),
-                    Heard::Restarted => info!(proxy = node, "another process under a known name"),
+                    ReportOutcome::Full => {
+                        warn!(proxy = node, "no more proxies are known; raise rollout.most")
+                    }
+                    ReportOutcome::New => info!(proxy = node, "a proxy is known from now on"),
+                    ReportOutcome::Restarted => info!(proxy = node, "another process under a known name"),
                     _ => {}
                 },
             },
@@ -282,7 +287,7 @@
     /// Looks at the fleet, moves the change on, keeps what has changed and hands out what was kept. It waits for the disk.
     pub(crate) fn tick(&self, shared: &Shared) {
         let _turn = lock(&self.turn);
-        let now = shared.wall();
+        let now = shared.unix_now();
         if !shared.leads() || lock(&self.state).fault.is_some() {
             return;
         }
@@ -315,10 +320,10 @@
     }
 
     /// Keeps a board; only then it counts. Danger: told first, a step would be known to proxies and to no successor.
-    fn keep_board(&self, shared: &Shared, board: Board, now: Nanos) -> Result<(), Denied> {
+    fn keep_board(&self, shared: &Shared, board: RolloutRegistry, now: Nanos) -> Result<(), CommandError> {
         let record = serde_json::to_value(board.record()).unwrap_or_default();
-        let change = RecordChange { set: BTreeMap::from([(BOARD.to_owned(), record)]), gone: Vec::new() };
-        let kept = shared.keep_records(&change);
+        let change = RecordWrite { set: BTreeMap::from([(BOARD.to_owned(), record)]), gone: Vec::new() };
+        let kept = shared.persist_records(&change);
         if let Err(e) = kept {
             return Err(self.not_kept(shared, &e));
         }
@@ -326,24 +331,24 @@
         state.outage.over();
         state.doubtful = false;
         // Its lease may have ended meanwhile: whoever leads next finds the step and makes it.
-        shared.must_lead()?;
+        shared.require_leadership()?;
         state.moved_on(board, now);
         Ok(())
     }
 
     /// A step is not kept, or may be. Danger: taken for not kept, what stands in the store would be begun by the next process.
-    fn not_kept(&self, shared: &Shared, e: &KeepError) -> Denied {
+    fn not_kept(&self, shared: &Shared, e: &PersistError) -> CommandError {
         {
             let state = &mut *lock(&self.state);
             if let Some(n) = state.outage.failed(&e.why) {
                 warn!(fault = %e.why, failure = n, "a step of a change is not kept: it is not made");
             }
-            state.doubtful = matches!(e.failure, KeepFailure::Unsure | KeepFailure::Failed);
+            state.doubtful = matches!(e.failure, PersistFailure::Unsure | PersistFailure::Failed);
         }
-        if e.failure == KeepFailure::Unsure {
-            shared.step_aside();
+        if e.failure == PersistFailure::Unsure {
+            shared.relinquish_leadership();
         }
-        Denied::not_kept(e)
+        CommandError::not_persisted(e)
     }
 
     /// Writes the board that holds once more where a write of another failed.
@@ -367,21 +372,21 @@
                 state.declared.remove(name);
                 state.hosts.remove(name);
             }
-            let differs = |i: &&Instance| state.kept.get(&i.told.name) != Some(&i.told);
-            let told: Vec<Told> =
+            let differs = |i: &&Member| state.kept.get(&i.told.name) != Some(&i.told);
+            let told: Vec<MemberRecord> =
                 state.roster.instances().filter(differs).take(KEPT_MOST).map(|i| i.told.clone()).collect();
             let gone: Vec<String> =
                 state.kept.keys().filter(|name| state.roster.get(name).is_none()).cloned().collect();
             let name = |name: &str| format!("{ROSTER}{name}");
             let set =
                 told.iter().map(|t| (name(&t.name), serde_json::to_value(t).unwrap_or_default())).collect();
-            (RecordChange { set, gone: gone.iter().map(|n| name(n)).collect() }, (told, gone))
+            (RecordWrite { set, gone: gone.iter().map(|n| name(n)).collect() }, (told, gone))
         };
-        if change == RecordChange::default() {
+        if change == RecordWrite::default() {
             return;
         }
         // What is not kept is tried again at the next look.
-        if shared.keep_records(&change).is_ok() {
+        if shared.persist_records(&change).is_ok() {
             let state = &mut *lock(&self.state);
             let (told, gone) = told;
             state.kept.extend(told.into_iter().map(|t| (t.name.clone(), t)));
@@ -391,7 +396,7 @@
             if !gone.is_empty() {
                 shared.hub.change(|store, at| {
                     for name in &gone {
-                        forget_settings(store, name, at);
+                        remove_settings(store, name, at);
                     }
                 });
             }
@@ -415,7 +420,7 @@
                     new.push((
                         one.told.name.clone(),
                         given,
-                        Assignment { change, generation: generation.clone() },
+                        ConfigAssignment { change, generation: generation.clone() },
                     ));
                 }
             }
@@ -440,15 +445,15 @@
     pub(crate) fn command<T>(
         &self,
         shared: &Shared,
-        does: impl FnOnce(&mut Board, Option<[f64; 2]>, Nanos) -> Result<T, BoardRefusal>,
-    ) -> Result<(T, u64), Denied> {
+        does: impl FnOnce(&mut RolloutRegistry, Option<[f64; 2]>, Nanos) -> Result<T, RegistryError>,
+    ) -> Result<(T, u64), CommandError> {
         let _turn = lock(&self.turn);
-        shared.must_lead()?;
-        let now = shared.wall();
+        shared.require_leadership()?;
+        let now = shared.unix_now();
         let (mut board, usual) = {
             let state = lock(&self.state);
             if let Some(fault) = &state.fault {
-                return Err(Denied::NotKept(fault.clone()));
+                return Err(CommandError::NotPersisted(fault.clone()));
             }
             (state.board.clone(), state.evidence.usual())
         };
@@ -460,7 +465,12 @@
     }
 
     /// What a plan would come to now.
-    pub(crate) fn plan(&self, ask: &Ask, expected: Option<u64>, now: Nanos) -> Result<(Value, u64), Denied> {
+    pub(crate) fn plan(
+        &self,
+        ask: &RolloutRequest,
+        expected: Option<u64>,
+        now: Nanos,
+    ) -> Result<(Value, u64), CommandError> {
         let state = lock(&self.state);
         let (generation, plan) = state.board.check(ask, expected)?;
         let record = state.board.record();
@@ -477,7 +487,7 @@
 impl State {
     /// A host says something of itself. Danger: word that is late or of an earlier host would refuse what is obeyed by now.
     fn hear_host(&mut self, proxy: &str, text: &str, stream: u64, now: Nanos) {
-        let report = match HostReport::read(text) {
+        let report = match SupervisorReport::read(text) {
             Ok(report) => report,
             Err(e) => return warn!(proxy, fault = %e, "a host's report is not taken"),
         };
@@ -503,17 +513,18 @@
             self.evidence.rest();
             let holds = self.board.record().holds;
             let serving =
-                self.roster.instances().filter(|i| self.roster.standing(i, now) == Standing::Serving);
+                self.roster.instances().filter(|i| self.roster.standing(i, now) == MemberStatus::Serving);
             self.evidence.look(serving, |_| false, (holds, holds), span);
             return Verdict::Waiting("no change runs".into());
         };
-        let serving = self.roster.instances().filter(|i| self.roster.standing(i, now) == Standing::Serving);
+        let serving =
+            self.roster.instances().filter(|i| self.roster.standing(i, now) == MemberStatus::Serving);
         let moved = |name: &str| change.moved.contains_key(name);
         let program = |of: &Digest| self.board.generation(of).and_then(|g| g.program());
         self.evidence.replaces(program(&change.from) != program(&change.to));
         self.evidence.look(serving, moved, (change.from, change.to), span);
         if self.course.change != change.id {
-            self.course = Course::new(change.id);
+            self.course = Timeline::new(change.id);
             self.course.mark(now, change.phase.to_string());
         }
         self.course.add(now, self.evidence.last());
@@ -525,8 +536,8 @@
     }
 
     /// Takes a board that was kept.
-    fn moved_on(&mut self, board: Board, now: Nanos) {
-        let phase = |board: &Board| board.record().change.as_ref().map(|c| (c.id, c.phase.clone()));
+    fn moved_on(&mut self, board: RolloutRegistry, now: Nanos) {
+        let phase = |board: &RolloutRegistry| board.record().change.as_ref().map(|c| (c.id, c.phase.clone()));
         let (before, after) = (phase(&self.board), phase(&board));
         if before != after {
             if let Some(change) = &board.record().change {
@@ -535,7 +546,8 @@
                     self.course.mark(now, change.phase.to_string());
                 }
                 // Who was silent has counted meanwhile; what a trouble did is no evidence of anything.
-                let silent = |phase: &Phase| matches!(phase, Phase::Held { why: Hold::Silent { .. }, .. });
+                let silent =
+                    |phase: &Phase| matches!(phase, Phase::Held { why: HoldReason::Silent { .. }, .. });
                 match change.phase {
                     Phase::Moving { .. } if before.as_ref().is_some_and(|b| silent(&b.1)) => {}
                     Phase::Moving { .. } => self.evidence.begin(change.plan.stages().len()),
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -1,8 +1,8 @@
 //! The fleet and its changes as people and scrapers see them.
 
-use super::{lock, Rollout};
-use rushquay_membership::{Instance, Standing};
-use rushquay_rollout::{Change, Course};
+use super::{lock, RolloutController};
+use rushquay_membership::{Member, MemberStatus};
+use rushquay_rollout::{Rollout, Timeline};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -30,12 +30,12 @@
     pub up: bool,
 }
 
-impl Rollout {
+impl RolloutController {
     /// How all stands, for people.
     pub(crate) fn shown(&self, now: Nanos) -> (Value, u64) {
         let state = lock(&self.state);
         let record = state.board.record();
-        let mut runs: BTreeMap<(String, String), BTreeMap<Standing, usize>> = BTreeMap::new();
+        let mut runs: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
         let mut waits = Vec::new();
         for one in state.roster.instances() {
             let standing = state.roster.standing(one, now);
@@ -75,7 +75,7 @@
     /// All that is known of each proxy, for people.
     pub(crate) fn roster(&self, now: Nanos) -> Value {
         let state = lock(&self.state);
-        let one = |i: &Instance| {
+        let one = |i: &Member| {
             let mut shown = json!(i.told);
             shown["standing"] = json!(state.roster.standing(i, now));
             shown["given"] = json!(state.board.given(&i.told.name).1.digest());
@@ -94,7 +94,7 @@
     }
 
     /// The last change and what was seen of it.
-    pub(crate) fn course(&self) -> (Option<Change>, Course) {
+    pub(crate) fn course(&self) -> (Option<Rollout>, Timeline) {
         let state = lock(&self.state);
         (state.board.record().change.clone(), state.course.clone())
     }
@@ -108,7 +108,7 @@
         }
         let running = state.board.running();
         let not_as_given = state.roster.instances().filter(|i| {
-            state.roster.standing(i, now) == Standing::Serving
+            state.roster.standing(i, now) == MemberStatus::Serving
                 && state.board.given(&i.told.name).1.digest() != i.told.acting
         });
         let scores = state.evidence.scores();
--- a/crates/services/control-service/src/rollout_api.rs
+++ b/crates/services/control-service/src/rollout_api.rs
@@ -2,8 +2,8 @@
 //! revision, and each change needs it back in `If-Match`.
 
 use crate::api::{change, part, refused, tagged};
-use crate::policy::{NotDone, Policies};
-use crate::rollout::Rollout;
+use crate::policy::{PolicyCommandError, PolicyController};
+use crate::rollout::RolloutController;
 use crate::shared::Shared;
 use axum::extract::{Path, Query, State};
 use axum::http::header::CONTENT_TYPE;
@@ -11,7 +11,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use rushquay_rollout::Ask;
+use rushquay_rollout::RolloutRequest;
 use serde::Deserialize;
 use serde_json::json;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 }
 
 /// The part that is asked, where it is there and leads.
-fn asked(shared: &Shared) -> Result<&Rollout, Box<Response>> {
+fn asked(shared: &Shared) -> Result<&RolloutController, Box<Response>> {
     let off = "changes in stages are off; give the control service's settings a [rollout] section";
     part(shared, shared.rollout.as_ref(), off)
 }
@@ -38,7 +38,7 @@
 async fn status(State(shared): State<Arc<Shared>>) -> Response {
     match asked(&shared) {
         Ok(rollout) => {
-            let (body, revision) = rollout.shown(shared.wall());
+            let (body, revision) = rollout.shown(shared.unix_now());
             tagged(revision, StatusCode::OK, body)
         }
         Err(response) => *response,
@@ -47,7 +47,7 @@
 
 async fn roster(State(shared): State<Arc<Shared>>) -> Response {
     match asked(&shared) {
-        Ok(rollout) => Json(rollout.roster(shared.wall())).into_response(),
+        Ok(rollout) => Json(rollout.roster(shared.unix_now())).into_response(),
         Err(response) => *response,
     }
 }
@@ -81,23 +81,27 @@
     }
 }
 
-async fn plan(State(shared): State<Arc<Shared>>, Json(ask): Json<Ask>) -> Response {
+async fn plan(State(shared): State<Arc<Shared>>, Json(ask): Json<RolloutRequest>) -> Response {
     let rollout = match asked(&shared) {
         Ok(rollout) => rollout,
         Err(response) => return *response,
     };
-    match rollout.plan(&ask, None, shared.wall()) {
+    match rollout.plan(&ask, None, shared.unix_now()) {
         Ok((body, revision)) => tagged(revision, StatusCode::OK, body),
         Err(denied) => refused(&denied),
     }
 }
 
-async fn start(State(shared): State<Arc<Shared>>, headers: HeaderMap, Json(ask): Json<Ask>) -> Response {
+async fn start(
+    State(shared): State<Arc<Shared>>,
+    headers: HeaderMap,
+    Json(ask): Json<RolloutRequest>,
+) -> Response {
     let begin = move |shared: &Shared, expected| {
         let rollout = asked(shared)?;
-        let _begins = shared.begins.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(policy) = shared.policies.as_ref().and_then(Policies::undecided) {
-            return Err(Box::new(refused(&NotDone::PolicyUndecided(policy.0).into())));
+        let _begins = shared.change_lock.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        if let Some(policy) = shared.policies.as_ref().and_then(PolicyController::undecided) {
+            return Err(Box::new(refused(&PolicyCommandError::PolicyUndecided(policy.0).into())));
         }
         let started = rollout.command(shared, |board, usual, now| {
             let left = board.start(ask, expected, usual, now)?;
@@ -126,7 +130,7 @@
             "hold" => board.hold(&by, expected, now),
             "resume" => board.resume(&by, expected, now),
             "back" => board.back(&by, expected, now),
-            _ => Err(rushquay_rollout::BoardRefusal::Field("path", "hold, resume or back")),
+            _ => Err(rushquay_rollout::RegistryError::Field("path", "hold, resume or back")),
         });
         let ((), revision) = done.map_err(|denied| Box::new(refused(&denied)))?;
         Ok((json!({"revision": revision}), revision))
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -1,13 +1,13 @@
 //! Starts the service and holds its parts together: the list comes in, the state decides, the hub hands out.
 
-use crate::keeper::Keeper;
+use crate::leadership::{self, Leadership, LeadershipState};
+use crate::persistence::Persistence;
 use crate::settings::{Settings, SourceOption};
-use crate::shared::{Shared, Told};
-use crate::standby::{self, Standby, StandbyState};
+use crate::shared::{Shared, SourceEvent};
 use crate::time::Clocks;
 use crate::{admin, discovery, file};
 use rushquay_control_state::Origin;
-use rushquay_endpoints::Members;
+use rushquay_endpoints::EndpointList;
 use rushquay_xds_grpc::{require_tls_beyond_loopback, serve, Hub, Tls, TlsError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -82,12 +82,12 @@
     }
 
     /// Takes a list as if the source had told it, for tests and measurements: the moment is then known.
-    pub fn tell(&self, list: Members) {
-        self.shared.take(Told::List(list));
+    pub fn tell(&self, list: EndpointList) {
+        self.shared.on_source_event(SourceEvent::EndpointList(list));
     }
 
     /// How it stands among several instances; `None`: it is alone.
-    pub fn standby(&self) -> Option<StandbyState> {
+    pub fn standby(&self) -> Option<LeadershipState> {
         self.shared.standby.as_ref().map(|s| s.state())
     }
 
@@ -165,7 +165,7 @@
         }
         Some(told) => {
             let terms = told.terms().map_err(|e| StartError::Standby(format!("standby.{e}")))?;
-            Some(Standby::new(told.name.clone(), told.store(&clocks).map_err(StartError::Standby)?, terms))
+            Some(Leadership::new(told.name.clone(), told.store(&clocks).map_err(StartError::Standby)?, terms))
         }
         None => None,
     };
@@ -188,15 +188,15 @@
     let hub = shared.hub.clone();
     if let Some(path) = options.state {
         // Reading a file of a fleet takes a millisecond, and nothing runs yet.
-        let (keeper, saved, book, records) = Keeper::open(&path, policy);
-        shared.go_on(saved, book, &records, keeper);
+        let (keeper, saved, book, records) = Persistence::open(&path, policy);
+        shared.restore(saved, book, &records, keeper);
     }
     if let Some(list) = first {
-        shared.take(Told::List(list));
+        shared.on_source_event(SourceEvent::EndpointList(list));
     }
     let guard = standby.clone().map(|standby| {
         let of = shared.clone();
-        std::thread::spawn(move || standby::run(&of, &standby))
+        std::thread::spawn(move || leadership::run(&of, &standby))
     });
 
     let (told, mut news) = mpsc::channel(16);
@@ -212,7 +212,7 @@
         let mut tick = tokio::time::interval(TICK);
         loop {
             tokio::select! {
-                Some(told) = news.recv() => taking.take(told),
+                Some(told) = news.recv() => taking.on_source_event(told),
                 _ = tick.tick() => {
                     taking.tick();
                     // It may wait for the disk.
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -3,10 +3,10 @@
 use crate::policy::PolicySettings;
 use crate::rollout::RolloutSettings;
 use crate::time::{boot, Clocks};
-use rushquay_control_state::{ControlConfig, Fault};
+use rushquay_control_state::{ConfigError, ControlConfig};
 use rushquay_etcd::{EtcdShared, Prefix};
-use rushquay_lease::{Terms, TermsError};
-use rushquay_overrides::{Policy, SECOND};
+use rushquay_lease::{LeaseTerms, LeaseTermsError};
+use rushquay_overrides::{OverrideLimits, SECOND};
 use rushquay_state::{SharedFile, SharedState};
 use rushquay_xds_grpc::{ServerLimits, Tls, TlsFiles};
 use serde::Deserialize;
@@ -81,8 +81,8 @@
     ///
     /// # Errors
     /// They can't hold.
-    pub fn terms(&self) -> Result<Terms, TermsError> {
-        Terms::of((self.ttl_s * SECOND as f64) as u64)
+    pub fn terms(&self) -> Result<LeaseTerms, LeaseTermsError> {
+        LeaseTerms::of((self.ttl_s * SECOND as f64) as u64)
     }
 
     /// The store that instances share. Nothing is asked of it yet.
@@ -105,10 +105,10 @@
         ))
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), ConfigError> {
         let need = |holds: bool, field: &str, expected: &str| match holds {
             true => Ok(()),
-            false => Err(Fault { field: field.into(), expected: expected.into() }),
+            false => Err(ConfigError { field: field.into(), expected: expected.into() }),
         };
         need(!self.name.trim().is_empty(), "standby.name", "a name, another one for each instance")?;
         need(self.terms().is_ok(), "standby.ttl_s", "seconds from 1 to 300")?;
@@ -147,7 +147,7 @@
 
 impl Default for OverrideSettings {
     fn default() -> Self {
-        let usual = Policy::default();
+        let usual = OverrideLimits::default();
         OverrideSettings {
             longest_s: usual.longest / SECOND,
             stay: usual.stay,
@@ -160,14 +160,14 @@
 
 impl OverrideSettings {
     /// In the form of the decisions.
-    pub fn policy(&self) -> Policy {
-        Policy {
+    pub fn policy(&self) -> OverrideLimits {
+        OverrideLimits {
             longest: self.longest_s.saturating_mul(SECOND),
             stay: self.stay,
             announce: self.announce_s.saturating_mul(SECOND),
             cold_after: self.cold_after_s.saturating_mul(SECOND),
             history: self.history,
-            ..Policy::default()
+            ..OverrideLimits::default()
         }
     }
 }
@@ -220,7 +220,7 @@
         /// The file.
         path: PathBuf,
         /// Which.
-        fault: Fault,
+        fault: ConfigError,
     },
 }
 
@@ -232,7 +232,7 @@
         ServerLimits { streams: self.limits.streams, message: self.limits.message_kb << 10, stream }
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), ConfigError> {
         self.control.check()?;
         self.standby.as_ref().map_or(Ok(()), StandbySettings::check)?;
         let ranges = [
@@ -245,18 +245,18 @@
         for (field, held, range) in ranges {
             if !range.contains(&held) {
                 let expected = format!("a number from {} to {}, found {held}", range.start(), range.end());
-                return Err(Fault { field: field.into(), expected });
+                return Err(ConfigError { field: field.into(), expected });
             }
         }
         if let Some((field, expected)) = self.rollout.and_then(|r| r.fault()) {
-            return Err(Fault { field: format!("rollout.{field}"), expected });
+            return Err(ConfigError { field: format!("rollout.{field}"), expected });
         }
         if let Some((field, expected)) = self.policy.as_ref().and_then(PolicySettings::fault) {
-            return Err(Fault { field: format!("policy.{field}"), expected });
+            return Err(ConfigError { field: format!("policy.{field}"), expected });
         }
         if !(0.0..=1.0).contains(&self.overrides.stay) {
             let expected = format!("a part from 0 to 1, found {}", self.overrides.stay);
-            return Err(Fault { field: "overrides.stay".into(), expected });
+            return Err(ConfigError { field: "overrides.stay".into(), expected });
         }
         Ok(())
     }
--- a/crates/services/control-service/src/shared.rs
+++ b/crates/services/control-service/src/shared.rs
@@ -1,21 +1,21 @@
 //! What the parts of the service share: the source's news go in, commands of operators go in, the hub hands out. With a
 //! standby configured it does so only while it leads.
 
-use crate::keeper::{Durable, KeepError, KeepFailure, Keeper, Records};
-use crate::policy::{NotDone, Policies};
-use crate::rollout::Rollout;
+use crate::leadership::Leadership;
+use crate::persistence::{DurableStore, PersistError, PersistFailure, Persistence, Records};
+use crate::policy::{PolicyCommandError, PolicyController};
+use crate::rollout::RolloutController;
 use crate::settings::Settings;
-use crate::standby::Standby;
 use crate::time::{Clocks, ServiceClock};
-use rushquay_control_state::{Change, Control, NodeView, Origin, Taken};
-use rushquay_endpoints::{Members, Nanos};
+use rushquay_control_state::{ControlState, EndpointChange, ListOutcome, NodeView, Origin};
+use rushquay_endpoints::{EndpointList, Nanos};
 use rushquay_lease::Epoch;
-use rushquay_overrides::{Ask, Book, Override, Refusal};
-use rushquay_rollout::BoardRefusal;
-use rushquay_state::{BookChange, RecordChange, Saved};
+use rushquay_overrides::{Override, OverrideError, OverrideRequest, OverrideSet};
+use rushquay_rollout::RegistryError;
+use rushquay_state::{OverrideWrite, RecordWrite, StoredState};
 use rushquay_xds::Store;
 use rushquay_xds_grpc::Hub;
-use rushquay_xds_resources::{declare, declare_changed, Shape};
+use rushquay_xds_resources::{declare, declare_changed, ClusterNames};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -27,11 +27,11 @@
 
 /// News of the list.
 #[derive(Debug)]
-pub enum Told {
+pub enum SourceEvent {
     /// The whole, or what changed.
-    List(Members),
+    EndpointList(EndpointList),
     /// The source can't be reached or read.
-    Lost(String),
+    Unavailable(String),
 }
 
 /// How the source stands, for the admin page.
@@ -47,33 +47,33 @@
 
 /// Why a command was not carried out.
 #[derive(Debug, thiserror::Error)]
-pub enum Denied {
+pub enum CommandError {
     /// The book refuses it.
     #[error(transparent)]
-    Refused(#[from] Refusal),
+    Override(#[from] OverrideError),
     /// Another instance leads.
     #[error("this control service stands by: {0}")]
-    StandsBy(String),
+    NotLeader(String),
     /// The board of changes refuses it.
     #[error(transparent)]
-    Board(#[from] BoardRefusal),
+    Rollout(#[from] RegistryError),
     /// A change of policy can't be made or ended so.
     #[error(transparent)]
-    Policy(#[from] NotDone),
+    Policy(#[from] PolicyCommandError),
     /// What can't be kept is not done.
     #[error("not done, since it can't be kept: {0}")]
-    NotKept(String),
+    NotPersisted(String),
 }
 
-impl Denied {
+impl CommandError {
     /// Something was not kept, as far as that is known.
-    pub(crate) fn not_kept(e: &KeepError) -> Self {
-        Denied::NotKept(match e.failure {
-            KeepFailure::NoStore | KeepFailure::Fenced => e.why.clone(),
-            KeepFailure::Unsure => {
+    pub(crate) fn not_persisted(e: &PersistError) -> Self {
+        CommandError::NotPersisted(match e.failure {
+            PersistFailure::NoStore | PersistFailure::Fenced => e.why.clone(),
+            PersistFailure::Unsure => {
                 format!("{}; whether it stands is for the next leader to find: look again", e.why)
             }
-            KeepFailure::Failed => {
+            PersistFailure::Failed => {
                 format!("{}; what held before is written again once the store works: look again", e.why)
             }
         })
@@ -85,31 +85,31 @@
     /// The subscribers' side.
     pub hub: Arc<Hub>,
     /// What is decided.
-    pub control: Mutex<Control>,
+    pub control: Mutex<ControlState>,
     /// The source. Locked before `control`.
     pub source: Mutex<SourceState>,
     /// What it is.
     pub source_name: String,
     /// Operators' overrides. Locked behind `control`, where both are.
-    pub book: Mutex<Book>,
+    pub book: Mutex<OverrideSet>,
     /// Where instances take over from one another; `None`: this one is alone.
-    pub standby: Option<Arc<Standby>>,
+    pub standby: Option<Arc<Leadership>>,
     /// Changes in stages; `None`: none are taken.
-    pub rollout: Option<Rollout>,
+    pub rollout: Option<RolloutController>,
     /// Changes of policy; `None`: none are taken.
-    pub policies: Option<Policies>,
+    pub policies: Option<PolicyController>,
     /// One change is begun at a time, of whichever kind. Locked before all else.
-    pub begins: Mutex<()>,
+    pub change_lock: Mutex<()>,
     /// One change of the book at a time: it is made, kept, and only then counts. Locked before `book`.
-    book_turn: Mutex<()>,
+    override_write_lock: Mutex<()>,
     /// The time.
     pub clock: Arc<ServiceClock>,
     settings: Settings,
     origin: Origin,
     /// What outlives a restart. Locked last.
-    keeper: Mutex<Option<Arc<Keeper>>>,
+    keeper: Mutex<Option<Arc<Persistence>>>,
     /// The number of the last event of the book that was kept. Locked before `book`.
-    kept_events: Mutex<u64>,
+    last_persisted_event: Mutex<u64>,
     /// The book was to be kept and is not.
     unkept: AtomicBool,
     /// Since when what was kept waits for the source.
@@ -126,42 +126,42 @@
         settings: Settings,
         origin: Origin,
         source_name: String,
-        standby: Option<Arc<Standby>>,
+        standby: Option<Arc<Leadership>>,
         clocks: Clocks,
     ) -> Arc<Shared> {
         let clock = Arc::new(ServiceClock::new(clocks));
         let unix = clock.clone();
-        let store = Store::new(&incarnation(Epoch(0)), settings.control.removals);
+        let store = Store::new(&incarnation_name(Epoch(0)), settings.control.removals);
         let hub = Hub::with_clock(store, settings.limits(), Box::new(move || unix.now()));
         if standby.is_some() {
-            hub.stand_by();
+            hub.suspend();
         }
-        let rollout = settings.rollout.map(Rollout::new);
-        let policies = settings.policy.clone().map(Policies::new);
+        let rollout = settings.rollout.map(RolloutController::new);
+        let policies = settings.policy.clone().map(PolicyController::new);
         let shared = Arc::new(Shared {
             hub,
-            control: Mutex::new(Control::new(settings.control.clone(), origin)),
+            control: Mutex::new(ControlState::new(settings.control.clone(), origin)),
             source: Mutex::default(),
             source_name,
-            book: Mutex::new(Book::new(settings.overrides.policy())),
+            book: Mutex::new(OverrideSet::new(settings.overrides.policy())),
             standby,
             clock,
             settings,
             origin,
             keeper: Mutex::default(),
-            kept_events: Mutex::default(),
+            last_persisted_event: Mutex::default(),
             unkept: AtomicBool::new(false),
             since: Mutex::new(Instant::now()),
             rollout,
             policies,
-            begins: Mutex::default(),
-            book_turn: Mutex::default(),
+            change_lock: Mutex::default(),
+            override_write_lock: Mutex::default(),
         });
         if shared.rollout.is_some() || shared.policies.is_some() {
             let hears = Arc::downgrade(&shared);
-            shared.hub.hear(move |node, word| {
+            shared.hub.on_stream_event(move |node, word| {
                 let Some(shared) = hears.upgrade() else { return };
-                let now = shared.wall();
+                let now = shared.unix_now();
                 shared.policies.iter().for_each(|p| p.hear(node, &word));
                 shared.rollout.iter().for_each(|r| r.hear(node, word.clone(), now));
             });
@@ -176,7 +176,7 @@
 
     /// How often policies are looked at; `None`: never.
     pub(crate) fn policy_every(&self) -> Option<Duration> {
-        self.policies.as_ref().map(Policies::every)
+        self.policies.as_ref().map(PolicyController::every)
     }
 
     pub(crate) fn nodes(&self) -> Vec<NodeView> {
@@ -188,11 +188,11 @@
         self.unkept.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn keeper(&self) -> Option<Arc<Keeper>> {
+    pub(crate) fn keeper(&self) -> Option<Arc<Persistence>> {
         lock(&self.keeper).clone()
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, Book> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, OverrideSet> {
         lock(&self.book)
     }
 
@@ -202,39 +202,45 @@
     }
 
     /// Whether it may speak as the leader at this moment, by its own clock.
-    pub(crate) fn may_speak(&self) -> bool {
+    pub(crate) fn holds_valid_lease(&self) -> bool {
         let now = self.clock.steady();
         self.leads() && self.standby.as_ref().is_none_or(|s| now < s.leads_until())
     }
 
     /// Leads no longer, since it can't tell what stands in the store: whoever leads next reads it. What is still on its way is bound to a
     /// lease that is over by then.
-    pub(crate) fn step_aside(&self) {
+    pub(crate) fn relinquish_leadership(&self) {
         if let Some(standby) = &self.standby {
-            self.hub.stand_by();
+            self.hub.suspend();
             standby.fenced();
         }
     }
 
     /// Unix time, in nanoseconds.
-    pub(crate) fn wall(&self) -> Nanos {
+    pub(crate) fn unix_now(&self) -> Nanos {
         self.clock.now()
     }
 
     /// Goes on from what was kept, alone.
-    pub(crate) fn go_on(&self, saved: Saved, book: Book, records: &Records, keeper: Keeper) {
+    pub(crate) fn restore(
+        &self,
+        saved: StoredState,
+        book: OverrideSet,
+        records: &Records,
+        keeper: Persistence,
+    ) {
         if let Some(version) = saved.version {
             info!(nodes = saved.nodes.len(), list = version, "going on from what was kept");
             lock(&self.control).restore(version, saved.nodes, self.hub.now());
         }
-        *lock(&self.kept_events) = book.history().next().map_or(0, |e| e.number);
+        *lock(&self.last_persisted_event) = book.history().next().map_or(0, |e| e.number);
         *self.book() = book;
         *lock(&self.keeper) = Some(Arc::new(keeper));
-        self.rollout.iter().for_each(|r| r.lead(records, self.wall()));
+        self.rollout.iter().for_each(|r| r.lead(records, self.unix_now()));
         self.policies.iter().for_each(|p| p.lead(records, self));
         // What expired while the service was down is over, and the rest holds before anything is handed out.
         self.expire();
-        self.impose();
+        self.apply_overrides();
     }
 
     /// Leads from now on, going on from what the last leader kept. What this instance has followed itself meanwhile comes on
@@ -242,18 +248,18 @@
     pub(crate) fn lead(
         &self,
         epoch: Epoch,
-        saved: Saved,
-        mut book: Book,
+        saved: StoredState,
+        mut book: OverrideSet,
         records: &Records,
-        durable: Arc<dyn Durable>,
+        durable: Arc<dyn DurableStore>,
     ) {
         // Nothing comes from the source meanwhile.
         let source = lock(&self.source);
-        let mut kept_events = lock(&self.kept_events);
+        let mut kept_events = lock(&self.last_persisted_event);
         let mut control = lock(&self.control);
-        let (now, wall) = (self.hub.now(), self.wall());
+        let (now, wall) = (self.hub.now(), self.unix_now());
         let followed = control.followed();
-        let mut new = Control::new(self.settings.control.clone(), self.origin);
+        let mut new = ControlState::new(self.settings.control.clone(), self.origin);
         if let Some(version) = saved.version {
             new.restore(version, saved.nodes.clone(), now);
         }
@@ -267,68 +273,68 @@
             let _ = new.list(list, now);
         }
         *control = new;
-        *lock(&self.keeper) = Some(Arc::new(Keeper::on(durable, saved)));
+        *lock(&self.keeper) = Some(Arc::new(Persistence::on(durable, saved)));
         *lock(&self.since) = Instant::now();
         // What another lease left unkept is not this one's.
         self.unkept.store(false, Ordering::SeqCst);
         self.rollout.iter().for_each(|r| r.lead(records, wall));
         self.policies.iter().for_each(|p| p.lead(records, self));
-        self.hub.serve(Store::new(&incarnation(epoch), self.settings.control.removals));
+        self.hub.serve(Store::new(&incarnation_name(epoch), self.settings.control.removals));
         if followed.is_some() {
             self.open(&control);
         }
-        self.keep(&control);
+        self.persist_endpoints(&control);
         drop((control, kept_events, source));
-        self.book_kept(self.keep_book());
+        self.override_write_error(self.persist_overrides());
     }
 
     /// Hands out nothing more, and takes no commands. It goes on following the source.
     pub(crate) fn step_down(&self) {
-        self.hub.stand_by();
-        self.rollout.iter().for_each(Rollout::step_down);
-        self.policies.iter().for_each(Policies::step_down);
+        self.hub.suspend();
+        self.rollout.iter().for_each(RolloutController::step_down);
+        self.policies.iter().for_each(PolicyController::step_down);
         let keeper = lock(&self.keeper).take();
         // Its thread may be at a write, which ends by itself.
         drop(keeper);
-        *self.book() = Book::new(self.settings.overrides.policy());
+        *self.book() = OverrideSet::new(self.settings.overrides.policy());
     }
 
-    pub(crate) fn take(&self, told: Told) {
+    pub(crate) fn on_source_event(&self, told: SourceEvent) {
         let mut source = lock(&self.source);
         let list = match told {
-            Told::Lost(fault) => {
+            SourceEvent::Unavailable(fault) => {
                 if source.fault.as_ref() != Some(&fault) {
                     warn!(source = %self.source_name, %fault, "no node list: the last one stays");
                 }
                 source.fault = Some(fault);
                 return;
             }
-            Told::List(list) => list,
+            SourceEvent::EndpointList(list) => list,
         };
         source.fault = None;
         source.lists += 1;
         let mut control = lock(&self.control);
         let now = self.hub.now();
         match control.list(&list, now) {
-            Taken::EmptyRefused => {
+            ListOutcome::EmptyRefused => {
                 source.refused += 1;
                 warn!(list = list.version, "a list without any node is not obeyed");
             }
             _ if !self.leads() => {}
-            Taken::First => self.open(&control),
+            ListOutcome::First => self.open(&control),
             // The first word after a restart that kept what it knew.
-            Taken::Changed(_) if control.version().is_some() && !self.hub.store().is_open() => {
+            ListOutcome::Changed(_) if control.version().is_some() && !self.hub.store().is_open() => {
                 self.open(&control);
             }
-            Taken::Changed(change) => self.declare(&control, &change),
+            ListOutcome::Changed(change) => self.declare(&control, &change),
         }
-        self.keep(&control);
+        self.persist_endpoints(&control);
     }
 
     /// Declares all, and hands out from now on.
-    fn open(&self, control: &Control) {
+    fn open(&self, control: &ControlState) {
         let [cluster, origin] = control.names();
-        let shape = Shape { cluster: cluster.to_owned(), origin: origin.to_owned() };
+        let shape = ClusterNames { cluster: cluster.to_owned(), origin: origin.to_owned() };
         let clusters = control.clusters();
         self.hub.change(|store, now| {
             declare(store, &shape, clusters, now);
@@ -337,20 +343,20 @@
     }
 
     /// Whether commands are taken here.
-    pub(crate) fn must_lead(&self) -> Result<(), Denied> {
+    pub(crate) fn require_leadership(&self) -> Result<(), CommandError> {
         match &self.standby {
-            Some(standby) if !self.leads() => Err(Denied::StandsBy(standby.who_leads())),
+            Some(standby) if !self.leads() => Err(CommandError::NotLeader(standby.who_leads())),
             _ => Ok(()),
         }
     }
 
     /// What became of a write of the book, for who asked for it; `Err`: nothing of it counts.
-    fn book_kept(&self, kept: Result<(), KeepError>) -> Option<String> {
+    fn override_write_error(&self, kept: Result<(), PersistError>) -> Option<String> {
         match kept {
             Ok(()) => None,
             Err(e) => {
-                if let (KeepFailure::Fenced, Some(standby)) = (e.failure, &self.standby) {
-                    self.hub.stand_by();
+                if let (PersistFailure::Fenced, Some(standby)) = (e.failure, &self.standby) {
+                    self.hub.suspend();
                     standby.fenced();
                 }
                 Some(e.why)
@@ -359,14 +365,18 @@
     }
 
     /// Sets an override and hands it out; with why it is not kept on disk, where it is not. It waits for the disk.
-    pub(crate) fn set(&self, ask: Ask, expected: Option<u64>) -> Result<(Override, Option<String>), Denied> {
-        self.must_lead()?;
+    pub(crate) fn set(
+        &self,
+        ask: OverrideRequest,
+        expected: Option<u64>,
+    ) -> Result<(Override, Option<String>), CommandError> {
+        self.require_leadership()?;
         let fleet = lock(&self.control).fleet();
-        let wall = self.wall();
-        let (set, undurable) = self.change_book(|book| book.set(ask, &fleet, wall, expected))?;
+        let wall = self.unix_now();
+        let (set, undurable) = self.change_overrides(|book| book.set(ask, &fleet, wall, expected))?;
         let Override { id, author, effect, scope, reason, .. } = &set;
         info!(id, %author, %effect, on = %scope, %reason, "override set");
-        self.impose();
+        self.apply_overrides();
         Ok((set, undurable))
     }
 
@@ -376,50 +386,53 @@
         id: u64,
         by: &str,
         expected: Option<u64>,
-    ) -> Result<(Override, Option<String>), Denied> {
-        self.must_lead()?;
-        let wall = self.wall();
-        let (lifted, undurable) = self.change_book(|book| book.lift(id, by, wall, expected))?;
+    ) -> Result<(Override, Option<String>), CommandError> {
+        self.require_leadership()?;
+        let wall = self.unix_now();
+        let (lifted, undurable) = self.change_overrides(|book| book.lift(id, by, wall, expected))?;
         info!(id, by, "override lifted");
-        self.impose();
+        self.apply_overrides();
         Ok((lifted, undurable))
     }
 
     /// Changes the book and keeps it; with why it is held in memory alone, where it is.
-    fn change_book<T>(
+    fn change_overrides<T>(
         &self,
-        change: impl FnOnce(&mut Book) -> Result<T, Refusal>,
-    ) -> Result<(T, Option<String>), Denied> {
-        let _turn = lock(&self.book_turn);
+        change: impl FnOnce(&mut OverrideSet) -> Result<T, OverrideError>,
+    ) -> Result<(T, Option<String>), CommandError> {
+        let _turn = lock(&self.override_write_lock);
         let before = self.book().clone();
         let done = change(&mut self.book())?;
-        let kept = self.keep_book();
+        let kept = self.persist_overrides();
         // Danger: the store that does not keep it does not keep the lease either, and with the lease what is held in memory goes.
         // What was not kept is not done; the book from before is written again as soon as that can be.
         if let (Err(e), Some(_)) = (&kept, &self.standby) {
             *self.book() = before;
-            self.book_kept(kept.clone());
-            self.must_lead()?;
-            return Err(Denied::not_kept(e));
+            self.override_write_error(kept.clone());
+            self.require_leadership()?;
+            return Err(CommandError::not_persisted(e));
         }
         // Danger: a leader whose lease ended meanwhile would acknowledge what its successor doesn't know.
-        self.must_lead()?;
-        Ok((done, self.book_kept(kept)))
+        self.require_leadership()?;
+        Ok((done, self.override_write_error(kept)))
     }
 
     /// Keeps what has changed in the book; why not, where it is not.
-    fn keep_book(&self) -> Result<(), KeepError> {
+    fn persist_overrides(&self) -> Result<(), PersistError> {
         // One at a time, in the order of the book.
-        let mut kept = lock(&self.kept_events);
+        let mut kept = lock(&self.last_persisted_event);
         let Some(keeper) = self.keeper() else {
-            return Err(KeepError { why: "no --state file is given".into(), failure: KeepFailure::NoStore });
+            return Err(PersistError {
+                why: "no --state file is given".into(),
+                failure: PersistFailure::NoStore,
+            });
         };
         let (change, last) = {
             let book = self.book();
             let mut events: Vec<_> = book.history().take_while(|e| e.number > *kept).cloned().collect();
             events.reverse();
             let last = events.last().map_or(*kept, |e| e.number);
-            let change = BookChange {
+            let change = OverrideWrite {
                 live: book.live().cloned().collect(),
                 events,
                 next: book.next_id(),
@@ -448,24 +461,24 @@
     }
 
     /// Keeps records of other parts, and steps down where another leads. It waits for the disk.
-    pub(crate) fn keep_records(&self, change: &RecordChange) -> Result<(), KeepError> {
+    pub(crate) fn persist_records(&self, change: &RecordWrite) -> Result<(), PersistError> {
         let Some(keeper) = self.keeper() else {
             let why = "no --state file and no [standby] is given: a change would not outlive this process";
-            return Err(KeepError { why: why.into(), failure: KeepFailure::NoStore });
+            return Err(PersistError { why: why.into(), failure: PersistFailure::NoStore });
         };
         let kept = keeper.keep_records(change);
-        self.book_kept(kept.clone());
+        self.override_write_error(kept.clone());
         kept
     }
 
     /// Declares what the overrides come to now.
-    fn impose(&self) {
+    fn apply_overrides(&self) {
         let mut control = lock(&self.control);
         let (live, cold_after) = {
             let book = self.book();
             (book.live().cloned().collect(), book.policy().cold_after)
         };
-        let change = control.impose(live, self.wall(), cold_after);
+        let change = control.impose(live, self.unix_now(), cold_after);
         // Nothing is handed out before the first list.
         if self.hub.store().is_open() {
             self.declare(&control, &change);
@@ -477,7 +490,7 @@
         if !self.leads() {
             return;
         }
-        let wall = self.wall();
+        let wall = self.unix_now();
         let (expired, soon) = {
             let mut book = self.book();
             (book.expire(wall), book.expiring(wall))
@@ -490,15 +503,15 @@
             info!(id = o.id, effect = %o.effect, on = %o.scope, "override has expired");
         }
         if !expired.is_empty() {
-            self.impose();
+            self.apply_overrides();
         }
         // What could not be kept is owed until it is.
         if !expired.is_empty() || self.unkept.load(Ordering::SeqCst) {
-            self.book_kept(self.keep_book());
+            self.override_write_error(self.persist_overrides());
         }
     }
 
-    fn keep(&self, control: &Control) {
+    fn persist_endpoints(&self, control: &ControlState) {
         if let (Some(keeper), Some(version)) = (self.keeper(), control.version()) {
             keeper.keep(version, control.kept());
         }
@@ -518,11 +531,11 @@
             self.open(&control);
         }
         if !change.is_empty() {
-            self.keep(&control);
+            self.persist_endpoints(&control);
         }
     }
 
-    fn declare(&self, control: &Control, change: &Change) {
+    fn declare(&self, control: &ControlState, change: &EndpointChange) {
         if change.is_empty() {
             return;
         }
@@ -537,7 +550,7 @@
 }
 
 /// Names this process, its turn at leading, and no other. Danger: subscribers tell an old process from a new one by it.
-fn incarnation(epoch: Epoch) -> String {
+fn incarnation_name(epoch: Epoch) -> String {
     static STARTED: AtomicU64 = AtomicU64::new(0);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
--- a/crates/services/control-service/src/time.rs
+++ b/crates/services/control-service/src/time.rs
@@ -1,6 +1,6 @@
 //! The machine's clocks.
 
-use rushquay_lease::{Clock, Nanos, Reading};
+use rushquay_lease::{Clock, ClockReading, Nanos};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -37,8 +37,8 @@
 }
 
 impl Clocks {
-    fn reading(&self) -> Reading {
-        Reading { wall: (self.wall)(), steady: (self.steady)() }
+    fn reading(&self) -> ClockReading {
+        ClockReading { wall: (self.wall)(), steady: (self.steady)() }
     }
 }
 
--- a/examples/state_figures.rs
+++ b/examples/state_figures.rs
@@ -8,9 +8,14 @@
 //!   pins cost a request.
 
 use rushquay::net::local::LocalProxy;
-use rushquay_endpoints::{Imposed, Member, Merge, MergeLimits, News, NodeState, Pin, Pins, Source, Stated};
-use rushquay_overrides::{Ask, Book, Effect, Fleet, Policy, Scope, SECOND};
-use rushquay_state::{BookChange, StateStore};
+use rushquay_endpoints::{
+    Endpoint, EndpointMerger, EndpointState, Imposed, MergeLimits, Pin, Pins, Source, SourcedEndpoint,
+    WatchEvent,
+};
+use rushquay_overrides::{
+    Effect, FleetCapacity, OverrideLimits, OverrideRequest, OverrideSet, Scope, SECOND,
+};
+use rushquay_state::{OverrideWrite, StateStore};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -153,17 +158,17 @@
 
 // ---- the store ----
 
-fn fleet() -> Vec<Fleet> {
+fn fleet() -> Vec<FleetCapacity> {
     let node = |i| {
         let (kind, zone) = ("std-1c".to_owned(), "rajkot".to_owned());
-        Fleet { id: format!("cache-{i:02}"), kind, zone, weight: 1.0, ready: true }
+        FleetCapacity { id: format!("cache-{i:02}"), kind, zone, weight: 1.0, ready: true }
     };
     (0..45).map(node).collect()
 }
 
-fn ask(node: usize, effect: Effect) -> Ask {
+fn ask(node: usize, effect: Effect) -> OverrideRequest {
     let (author, reason) = ("figures".to_owned(), "to measure".to_owned());
-    Ask {
+    OverrideRequest {
         scope: Scope::Node(format!("cache-{node:02}")),
         effect,
         until: 1_000 * SECOND,
@@ -173,16 +178,16 @@
     }
 }
 
-fn kept(book: &Book, events: usize) -> BookChange {
+fn kept(book: &OverrideSet, events: usize) -> OverrideWrite {
     let mut events: Vec<_> = book.history().take(events).cloned().collect();
     events.reverse();
     let (next, revision, history) = (book.next_id(), book.revision(), book.policy().history);
-    BookChange { live: book.live().cloned().collect(), events, next, revision, history }
+    OverrideWrite { live: book.live().cloned().collect(), events, next, revision, history }
 }
 
 fn store() {
     let file = File::new("store.redb");
-    let mut book = Book::new(Policy::default());
+    let mut book = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet();
     let held = StateStore::open(&file.0).expect("a store");
     let (changes, mut times) = (500, Vec::new());
@@ -207,7 +212,7 @@
     let size = std::fs::metadata(&file.0).map_or(0, |m| m.len());
     let begun = Instant::now();
     let held = StateStore::open(&file.0).expect("a store");
-    let read = held.read_book(Policy::default()).expect("read");
+    let read = held.read_book(OverrideLimits::default()).expect("read");
     let took = begun.elapsed();
     println!(
         "| start with {} events, {} MB on disk | {:.0} ms |",
@@ -219,29 +224,29 @@
 
 // ---- live overrides at a proxy ----
 
-fn stated(i: usize, imposed: Imposed) -> Stated {
-    let member = Member {
+fn stated(i: usize, imposed: Imposed) -> SourcedEndpoint {
+    let member = Endpoint {
         id: format!("cache-{i:05}"),
         addr: None,
         zone: "rajkot".into(),
         kind: "std-1c".into(),
         cell: 0,
-        state: NodeState::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started: 0,
     };
-    Stated { member, listed: 1, shared: true, imposed }
+    SourcedEndpoint { member, listed: 1, shared: true, imposed }
 }
 
 fn overrides() {
     println!("| nodes, each with an override | an idle tick | a tick that ends one |\n| --- | --- | --- |");
     for count in [45, 1_000, 10_000] {
-        let mut merge = Merge::new(MergeLimits::default());
+        let mut merge = EndpointMerger::new(MergeLimits::default());
         let one = |i: usize| {
             let weights = vec![((1_000 + i as u64) * SECOND, 0.5)];
             stated(i, Imposed { weights, ..Imposed::default() })
         };
-        let _ = merge.control("one", News::Whole((0..count).map(one).collect()), SECOND);
+        let _ = merge.control("one", WatchEvent::Whole((0..count).map(one).collect()), SECOND);
         assert!(!merge.is_lost(Source::Control));
         let idle = Instant::now();
         for i in 0..20u64 {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -7,7 +7,7 @@
 use rushquay::net::rollout_source::RolloutSource;
 use rushquay::net::subscription::ControlSource;
 use rushquay_control_service::read_settings;
-use rushquay_endpoints::check_list;
+use rushquay_endpoints::validate_list;
 use rushquay_envoy::{Bootstrap, Members, Routes, Source};
 use rushquay_load_assignment::effective::effective;
 use rushquay_routing::{Action, Clusters, PathMatch, Table};
@@ -55,7 +55,7 @@
     let root: Value =
         serde_json::from_str(&text).map_err(|e| format!("{name}: (file): expected JSON: {e}"))?;
     if root.get("servers").is_some() {
-        let list = check_list(&text).map_err(|e| format!("{name}: {e}"))?;
+        let list = validate_list(&text).map_err(|e| format!("{name}: {e}"))?;
         return Ok(format!(
             "{name}: good (a node list, version {}, {} nodes)",
             list.version,
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -6,7 +6,7 @@
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, Zoned};
-use rushquay_policy::{Floor, Policy};
+use rushquay_policy::{FallbackPolicy, Policy};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -188,8 +188,8 @@
 
 fn checked(ask: &Value) -> Result<Value, String> {
     let floor = match &ask["floor"] {
-        Value::Null => Floor::Nobody,
-        told => Floor::read(told).map_err(|e| e.to_string())?,
+        Value::Null => FallbackPolicy::Nobody,
+        told => FallbackPolicy::read(told).map_err(|e| e.to_string())?,
     };
     let policy = Policy::of(&ask["settings"], floor).map_err(|e| e.to_string())?;
     Ok(policy.document())
--- a/src/cli/state.rs
+++ b/src/cli/state.rs
@@ -1,8 +1,8 @@
 //! `rushquay control state`: what a control service keeps, as text and back.
 
 use clap::Subcommand;
-use rushquay_overrides::{Book, Policy};
-use rushquay_state::{dump, newest_file, restore, Saved, StateStore};
+use rushquay_overrides::{OverrideLimits, OverrideSet};
+use rushquay_state::{dump, newest_file, restore, StateStore, StoredState};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -63,12 +63,12 @@
     Ok(())
 }
 
-fn read(file: &Path) -> Result<(Saved, Book, BTreeMap<String, Value>), String> {
+fn read(file: &Path) -> Result<(StoredState, OverrideSet, BTreeMap<String, Value>), String> {
     if !file.exists() {
         return Err(format!("{}: no such file; name the one that --state names", file.display()));
     }
     // All events that there are, whatever a service's settings say.
-    let policy = Policy { history: usize::MAX, ..Policy::default() };
+    let policy = OverrideLimits { history: usize::MAX, ..OverrideLimits::default() };
     let read = |s: StateStore| Ok((s.read()?, s.read_book(policy)?, s.read_records()?));
     StateStore::open(&newest_file(file)).and_then(read).map_err(|e| e.to_string())
 }
--- a/src/host/files.rs
+++ b/src/host/files.rs
@@ -3,7 +3,7 @@
 use super::HostSettings;
 use ring::digest::{Context, SHA256};
 use rushquay_config_version::Digest;
-use rushquay_supervisor::{Record, RecordError};
+use rushquay_supervisor::{RecordError, SupervisorRecord};
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File};
 use std::io::{self, Read, Write as _};
@@ -138,10 +138,10 @@
     ///
     /// # Errors
     /// A record that can't be read.
-    pub fn read_record(&self) -> Result<Option<Record>, FileError> {
+    pub fn read_record(&self) -> Result<Option<SupervisorRecord>, FileError> {
         let path = self.record();
         match fs::read_to_string(&path) {
-            Ok(text) => Record::read(&text).map(Some).map_err(|e| FileError::Record(path, e)),
+            Ok(text) => SupervisorRecord::read(&text).map(Some).map_err(|e| FileError::Record(path, e)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(e) => Err(FileError::Io(path, e)),
         }
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// A disk that doesn't take it.
-    pub fn keep_record(&self, record: &Record) -> Result<(), String> {
+    pub fn keep_record(&self, record: &SupervisorRecord) -> Result<(), String> {
         let (path, new) = (self.record(), self.dir.join("record.new"));
         let keep = || {
             let mut file = File::create(&new)?;
--- a/src/host/follow.rs
+++ b/src/host/follow.rs
@@ -3,11 +3,11 @@
 
 use super::say;
 use crate::net::subscription::ControlSource;
-use rushquay_config_version::Assignment;
+use rushquay_config_version::ConfigAssignment;
 use rushquay_lease::Epoch;
 use rushquay_xds::client::Outage;
-use rushquay_xds_grpc::{run, ClientOptions, Notice, Tls, TlsFiles};
-use rushquay_xds_resources::{Follow, FollowConfig, Said};
+use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Tls, TlsFiles};
+use rushquay_xds_resources::{ControlFollower, FollowerConfig, FollowerEvent};
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::sync::{mpsc, Notify};
@@ -22,7 +22,7 @@
     epoch: u64,
     news: Arc<Notify>,
     tells: impl FnMut() -> Option<String> + 'static,
-    told: mpsc::UnboundedSender<(u64, Assignment)>,
+    told: mpsc::UnboundedSender<(u64, ConfigAssignment)>,
 ) {
     let tls = match &source.tls {
         None => None,
@@ -44,7 +44,7 @@
         wake: Some(news),
     };
     let millis = |ms: u64| ms.saturating_mul(1_000_000);
-    let mut follow = Follow::new(FollowConfig {
+    let mut follow = ControlFollower::new(FollowerConfig {
         addresses: source.addresses.len(),
         clusters: Vec::new(),
         collections: false,
@@ -56,24 +56,24 @@
     follow.settings(&name, |_| Ok(()), tells);
     let begin = Instant::now();
     let mut outage = Outage::default();
-    let notice = |_: &Follow, notice: Notice<Said>| match notice {
-        Notice::Connected(addr) => {
+    let notice = |_: &ControlFollower, notice: ClientEvent<FollowerEvent>| match notice {
+        ClientEvent::Connected(addr) => {
             outage.over();
             say(format_args!("control service at {addr}: connected"));
         }
-        Notice::News(said) => {
+        ClientEvent::News(said) => {
             if let Some(given) = said.settings {
                 // The receiver is gone only when the host ends.
                 let _ = told.send((Epoch::of(&said.process).0, given));
             }
         }
-        Notice::Refused(why) => say(format_args!("control service: refused an answer: {why}")),
-        Notice::Lost(addr, why) => {
+        ClientEvent::Refused(why) => say(format_args!("control service: refused an answer: {why}")),
+        ClientEvent::Lost(addr, why) => {
             if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
                 say(format_args!("control service at {addr}: {why}; what runs stays (failure {n})"));
             }
         }
-        Notice::Ahead(..) => {}
+        ClientEvent::Ahead(..) => {}
     };
     run(options, &mut follow, fastrand::f64, move || begin.elapsed().as_nanos() as u64, notice).await;
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -11,8 +11,8 @@
 pub use settings::HostSettings;
 
 use processes::Processes;
-use rushquay_config_version::{Assignment, Digest, Generation};
-use rushquay_supervisor::{Act, Host, Pulse, Record, Target};
+use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest};
+use rushquay_supervisor::{Action, Heartbeat, Supervisor, SupervisorRecord, Target};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io::Write as _;
@@ -39,15 +39,15 @@
 
 /// What the settings themselves say is to run.
 fn own(program: Digest) -> Target {
-    Target { program, generation: Generation::base().digest(), given: None }
+    Target { program, generation: ConfigVersion::base().digest(), given: None }
 }
 
 struct Running {
     files: Files,
-    host: RefCell<Host>,
+    host: RefCell<Supervisor>,
     processes: RefCell<Processes>,
     /// What stands on the disk.
-    kept: RefCell<Record>,
+    kept: RefCell<SupervisorRecord>,
     /// When keeping failed last.
     failed: Cell<Option<Instant>>,
     begin: Instant,
@@ -72,19 +72,19 @@
     let own = own(settings.program);
     let record = match files.read_record() {
         Ok(Some(record)) => record,
-        Ok(None) => Record::new(own.clone()),
+        Ok(None) => SupervisorRecord::new(own.clone()),
         Err(why) => {
             // Danger: begun anew, what runs would be taken for a stray. It serves, so it is what is good.
             say(format_args!("{why}; going on from what runs"));
             let runs = found.iter().max_by_key(|f| f.id).map(|f| f.program);
-            Record::new(runs.map_or(own.clone(), |program| Target { program, ..own.clone() }))
+            SupervisorRecord::new(runs.map_or(own.clone(), |program| Target { program, ..own.clone() }))
         }
     };
     for one in &found {
         say(format_args!("found process {} of program {:?}", one.id.pid, one.program));
     }
     let epoch = record.epoch;
-    let host = Host::new(settings.terms, own, record.clone(), &found, 0);
+    let host = Supervisor::new(settings.terms, own, record.clone(), &found, 0);
     let processes = Processes::new(&settings, &files, &found);
     let _ = std::fs::remove_file(&socket_path);
     let socket =
@@ -103,7 +103,7 @@
         news: Arc::default(),
     });
     say(format_args!("host of {}, program {:?} by its own file", settings.name, settings.program));
-    let (told, mut telling) = mpsc::unbounded_channel::<(u64, Assignment)>();
+    let (told, mut telling) = mpsc::unbounded_channel::<(u64, ConfigAssignment)>();
     if let Some(control) = settings.control.clone() {
         let reports = running.clone();
         let tells = move || Some(reports.report());
@@ -126,7 +126,7 @@
         tokio::select! {
             () = &mut stop => break,
             got = socket.recv(&mut bytes) => {
-                if let Some(pulse) = got.ok().and_then(|n| Pulse::read(&bytes[..n])) {
+                if let Some(pulse) = got.ok().and_then(|n| Heartbeat::read(&bytes[..n])) {
                     running.host.borrow_mut().pulse(pulse.pid, pulse.yes, running.now());
                 }
             }
@@ -150,7 +150,7 @@
     }
 
     /// A control service says what is to run. Obeyed once it is kept.
-    fn told(&self, epoch: u64, given: &Assignment) {
+    fn told(&self, epoch: u64, given: &ConfigAssignment) {
         let before = self.host.borrow().clone();
         if !self.host.borrow_mut().told(epoch, given) {
             return say(format_args!("word of epoch {epoch} is over and changes nothing"));
@@ -220,17 +220,17 @@
         }
     }
 
-    fn act(&self, act: Act) {
+    fn act(&self, act: Action) {
         match act {
-            Act::End(id) => {
+            Action::End(id) => {
                 say(format_args!("process {} is told to end", id.pid));
                 self.processes.borrow().signal(id, false);
             }
-            Act::Kill(id) => {
+            Action::Kill(id) => {
                 say(format_args!("process {} is killed", id.pid));
                 self.processes.borrow().signal(id, true);
             }
-            Act::Start(target) => {
+            Action::Start(target) => {
                 let keeps = self.host.borrow().record().programs();
                 let started = self.processes.borrow_mut().start(&self.files, &target, &keeps);
                 let now = self.now();
--- a/src/host/processes.rs
+++ b/src/host/processes.rs
@@ -4,7 +4,7 @@
 use crate::net::hosted::{GIVEN, HOST, OWN_PROGRAM, PROGRAM};
 use rushquay_config_version::Digest;
 use rushquay_sockets::patiently;
-use rushquay_supervisor::{Found, ProcId, Target};
+use rushquay_supervisor::{FoundProcess, ProcessId, Target};
 use rustix::io::Errno;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// The machine can't say at the moment.
-fn runs(id: ProcId) -> io::Result<bool> {
+fn runs(id: ProcessId) -> io::Result<bool> {
     Ok(look_up(id.pid)? == Presence::Running { start: id.start })
 }
 
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// The machine can't say, also after a while.
-pub fn find(socket: &Path) -> io::Result<Vec<Found>> {
+pub fn find(socket: &Path) -> io::Result<Vec<FoundProcess>> {
     patiently(|| {
         let mut found = Vec::new();
         for entry in std::fs::read_dir("/proc")? {
@@ -84,7 +84,7 @@
 }
 
 /// The process of this number, if a host of this socket has started it and it runs.
-fn hosted(socket: &Path, pid: u32) -> io::Result<Option<Found>> {
+fn hosted(socket: &Path, pid: u32) -> io::Result<Option<FoundProcess>> {
     let environ = match std::fs::read(format!("/proc/{pid}/environ")) {
         Ok(environ) => environ,
         // Another user's is none of this host's.
@@ -93,7 +93,7 @@
     };
     let Some(program) = started_as(socket, &environ) else { return Ok(None) };
     Ok(match look_up(pid)? {
-        Presence::Running { start } => Some(Found { id: ProcId { start, pid }, program }),
+        Presence::Running { start } => Some(FoundProcess { id: ProcessId { start, pid }, program }),
         Presence::Gone => None,
     })
 }
@@ -117,12 +117,12 @@
     own: Digest,
     socket: PathBuf,
     /// Those that this host has started itself; `None`: one before it has.
-    all: BTreeMap<ProcId, Option<Child>>,
+    all: BTreeMap<ProcessId, Option<Child>>,
 }
 
 impl Processes {
     /// With those that were found.
-    pub fn new(settings: &HostSettings, files: &Files, found: &[Found]) -> Self {
+    pub fn new(settings: &HostSettings, files: &Files, found: &[FoundProcess]) -> Self {
         let mut environment = settings.environment.clone();
         environment.insert("PROXY_NAME".into(), settings.name.clone());
         // Where old and new process meet.
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// Why it can't be.
-    pub fn start(&mut self, files: &Files, target: &Target, keeps: &[Digest]) -> Result<ProcId, String> {
+    pub fn start(&mut self, files: &Files, target: &Target, keeps: &[Digest]) -> Result<ProcessId, String> {
         let program = files.program(target.program)?;
         files.hold(keeps);
         let mut command = Command::new(&program);
@@ -164,7 +164,7 @@
         let pid = child.id();
         match patiently(|| look_up(pid)) {
             Ok(Presence::Running { start }) => {
-                let id = ProcId { start, pid };
+                let id = ProcessId { start, pid };
                 self.all.insert(id, Some(child));
                 Ok(id)
             }
@@ -182,7 +182,7 @@
     }
 
     /// Asks a process to end, or kills it.
-    pub fn signal(&self, id: ProcId, kill: bool) {
+    pub fn signal(&self, id: ProcessId, kill: bool) {
         let own_child = self.all.get(&id).is_some_and(Option::is_some);
         // Danger: the machine may have given the number of another's child to somebody else since. One that can't be looked up is
         // killed later, when it has not ended in time.
@@ -196,7 +196,7 @@
     }
 
     /// Those that have ended, and how.
-    pub fn gone(&mut self) -> Vec<(ProcId, String)> {
+    pub fn gone(&mut self) -> Vec<(ProcessId, String)> {
         let mut gone = Vec::new();
         self.all.retain(|id, child| {
             let how = match child {
--- a/src/host/settings.rs
+++ b/src/host/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::net::subscription::ControlSource;
 use rushquay_config_version::Digest;
-use rushquay_supervisor::Terms;
+use rushquay_supervisor::Timeouts;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     /// Its environment, and nothing else.
     pub environment: BTreeMap<String, String>,
     /// Spans.
-    pub terms: Terms,
+    pub terms: Timeouts,
     /// Control services; `None`: its own file says all.
     pub control: Option<ControlSource>,
 }
@@ -86,9 +86,9 @@
         }
         let named = written.environment.get("PROXY_NAME").is_none_or(|n| *n == written.name);
         need(named, "environment.PROXY_NAME: expected what name says")?;
-        let (usual, told) = (Terms::default(), written.terms);
+        let (usual, told) = (Timeouts::default(), written.terms);
         let span = |told: Option<f64>, usual| told.map_or(usual, |s| (s.max(0.0) * 1e9) as u64);
-        let terms = Terms {
+        let terms = Timeouts {
             yes_within: span(told.yes_within_s, usual.yes_within),
             watch: span(told.watch_s, usual.watch),
             hang: span(told.hang_s, usual.hang),
@@ -113,7 +113,7 @@
     #[test]
     fn what_is_wrong_is_named() {
         let good = "name='p0'\ndir='/a'\nprograms='/b'\nprogram='00112233445566778899aabbccddeeff'\n";
-        assert_eq!(HostSettings::parse(good).expect("good").terms, Terms::default());
+        assert_eq!(HostSettings::parse(good).expect("good").terms, Timeouts::default());
         let cases = [
             (good.replace("name='p0'", "name=' '"), "name:"),
             (good.replace("'/a'", "'a'"), "dir:"),
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -10,7 +10,7 @@
 use super::subscription::ControlSource;
 use crate::api::{Nanos, Settings};
 use rushquay_control_service::Clocks;
-use rushquay_endpoints::Members;
+use rushquay_endpoints::EndpointList;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     /// The names of what it knows by number.
     pub names: Names,
     /// The node list as it was last had; may be old.
-    pub known: Option<Members>,
+    pub known: Option<EndpointList>,
     /// A control service to subscribe to; `None`: the proxy follows its own discovery alone.
     pub control: Option<ControlSource>,
     /// Clusters, endpoints and routes in Envoy's form, in place of discovery.
@@ -135,7 +135,7 @@
         let told = root.get("settings").filter(|s| s.is_object()).ok_or("settings is missing")?;
         let (settings, names) = settings_of(told)?;
         let known = match root.get("known").filter(|k| !k.is_null()) {
-            Some(known) => Some(Members::deserialize(known).map_err(|e| format!("known: {e}"))?),
+            Some(known) => Some(EndpointList::deserialize(known).map_err(|e| format!("known: {e}"))?),
             None => None,
         };
         let seed = match &root["seed"] {
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -8,8 +8,8 @@
 use super::subscription::ControlSource;
 use rushquay_endpoints::MergeLimits;
 use rushquay_xds::client::Outage;
-use rushquay_xds_grpc::{run, ClientOptions, Notice, Tls, TlsFiles};
-use rushquay_xds_resources::{Follow, FollowConfig};
+use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Tls, TlsFiles};
+use rushquay_xds_resources::{ControlFollower, FollowerConfig};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -81,7 +81,7 @@
             wake: (rollout.is_some() || policy.is_some()).then(|| news.clone()),
         };
         let millis = |ms: u64| ms.saturating_mul(1_000_000);
-        let mut follow = Follow::new(FollowConfig {
+        let mut follow = ControlFollower::new(FollowerConfig {
             addresses: source.addresses.len(),
             clusters: source.clusters,
             collections: source.collections,
@@ -109,8 +109,8 @@
             &mut follow,
             chance,
             || nodes.now(),
-            |_: &Follow, notice| match notice {
-                Notice::Connected(addr) => {
+            |_: &ControlFollower, notice| match notice {
+                ClientEvent::Connected(addr) => {
                     // Danger: what was asked on the stream before may never be answered.
                     policy.iter().for_each(|p| p.ask_now());
                     match outage.over() {
@@ -121,7 +121,7 @@
                     }
                     quiet.set(Some(Instant::now()));
                 }
-                Notice::News(said) => {
+                ClientEvent::News(said) => {
                     if let Some(news) = said.nodes {
                         nodes.controlled(&said.process, news);
                     }
@@ -131,9 +131,11 @@
                     policy.iter().for_each(|p| p.heard(&said.policy));
                     quiet.set(quiet.get().map(|_| Instant::now()));
                 }
-                Notice::Ahead(ahead, error) => nodes.measured(ahead, error),
-                Notice::Refused(why) => super::log(format_args!("control service: refused an answer: {why}")),
-                Notice::Lost(addr, why) => {
+                ClientEvent::Ahead(ahead, error) => nodes.measured(ahead, error),
+                ClientEvent::Refused(why) => {
+                    super::log(format_args!("control service: refused an answer: {why}"))
+                }
+                ClientEvent::Lost(addr, why) => {
                     if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
                         super::log(format_args!(
                             "control service at {addr}: {why}; the list stays as it is (failure {n})"
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -10,7 +10,9 @@
 use hyper::header::{DATE, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use rushquay_endpoints::{Answer, Cursor, Failure, Follow, Manner, Members, Step};
+use rushquay_endpoints::{
+    CallFailure, CursorUpdate, EndpointList, ListCursor, NextCall, WatchMode, WatchSchedule,
+};
 use rushquay_sockets::connect;
 use rushquay_xds::client::Outage;
 use std::fmt;
@@ -28,7 +30,7 @@
 
 /// What a call brought.
 struct ListAnswer {
-    members: Members,
+    members: EndpointList,
     /// When it was made, in Unix time by discovery's clock; `None`: it does not say.
     date: Option<u64>,
 }
@@ -41,28 +43,28 @@
 
 /// Why a call brought no list.
 struct Failed {
-    how: Failure,
+    how: CallFailure,
     why: String,
 }
 
 impl Failed {
     fn broken(what: &str, why: impl fmt::Display) -> Self {
-        Failed { how: Failure::Broken, why: format!("{what}: {why}") }
+        Failed { how: CallFailure::Broken, why: format!("{what}: {why}") }
     }
 
     fn refused(why: impl fmt::Display) -> Self {
-        Failed { how: Failure::Refused, why: why.to_string() }
+        Failed { how: CallFailure::Refused, why: why.to_string() }
     }
 
     fn silent(why: &str) -> Self {
-        Failed { how: Failure::Silent, why: why.into() }
+        Failed { how: CallFailure::Silent, why: why.into() }
     }
 
     fn kind(&self) -> Kind {
         match self.how {
-            Failure::Refused => Kind::ListRefused,
-            Failure::Silent => Kind::ListSilent,
-            Failure::Broken => Kind::ListBroken,
+            CallFailure::Refused => Kind::ListRefused,
+            CallFailure::Silent => Kind::ListSilent,
+            CallFailure::Broken => Kind::ListBroken,
         }
     }
 }
@@ -70,9 +72,9 @@
 pub struct Discovery {
     addr: SocketAddr,
     /// What to ask for next.
-    cursor: Cursor,
+    cursor: ListCursor,
     /// When to ask for it.
-    follow: Follow,
+    follow: WatchSchedule,
     /// Danger: were these of the clients' budget, a flood of clients would cut the proxy off from the list.
     descriptors: Rc<Descriptors>,
     sender: Option<SendRequest<Body>>,
@@ -81,11 +83,11 @@
 
 impl Discovery {
     /// `version`: of the list that is held.
-    pub fn new(addr: SocketAddr, version: Option<u64>, manner: Manner) -> Self {
+    pub fn new(addr: SocketAddr, version: Option<u64>, manner: WatchMode) -> Self {
         Discovery {
             addr,
-            cursor: Cursor::at(version),
-            follow: Follow::new(manner),
+            cursor: ListCursor::at(version),
+            follow: WatchSchedule::new(manner),
             descriptors: Descriptors::new(DESCRIPTORS),
             sender: None,
             outage: Outage::default(),
@@ -116,7 +118,7 @@
     fn took(&mut self, answer: ListAnswer, nodes: &NodeList) {
         let ListAnswer { members, date } = answer;
         date.into_iter().for_each(|date| nodes.dated(date));
-        if self.cursor.saw(&members) == Answer::Doubted {
+        if self.cursor.saw(&members) == CursorUpdate::Doubted {
             account::count(Kind::ListBroken, 1);
             super::log(format_args!(
                 "discovery at {}: a list of version {} with {} entries is no sequel to the one held, which stays; the \
@@ -154,7 +156,7 @@
         self.follow.moved();
     }
 
-    async fn call(&mut self, step: Step) -> Result<ListAnswer, Failed> {
+    async fn call(&mut self, step: NextCall) -> Result<ListAnswer, Failed> {
         tokio::time::sleep(Duration::from_nanos(step.wait)).await;
         let called = tokio::time::timeout(Duration::from_nanos(step.limit), self.exchange(step.hold)).await;
         called.unwrap_or_else(|_| Err(Failed::silent("no answer in time")))
--- a/src/net/engine.rs
+++ b/src/net/engine.rs
@@ -12,7 +12,7 @@
 use crate::api::*;
 use crate::Balancer;
 use rushquay_admin::Cause;
-use rushquay_endpoints::{Member, Pins};
+use rushquay_endpoints::{Endpoint, Pins};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -123,7 +123,7 @@
     pub fn new(
         acting: Rc<Acting>,
         seed: u64,
-        known: &[Member],
+        known: &[Endpoint],
         upstreams: Rc<Upstreams>,
         clock: Clock,
     ) -> Rc<Self> {
@@ -205,7 +205,7 @@
     }
 
     /// News of the list.
-    pub fn list(&self, kind: ListKind, members: &[Member]) {
+    pub fn list(&self, kind: ListKind, members: &[Endpoint]) {
         let names = &self.acting().names;
         let entries: Vec<(Entry, Option<SocketAddr>)> = members.iter().map(|m| names.entry(m)).collect();
         trace::event(|| Traced::List { entries: entries.len() });
--- a/src/net/envoy/driver.rs
+++ b/src/net/envoy/driver.rs
@@ -7,7 +7,7 @@
 use rushquay_envoy::catalogue::{Catalogue, Choice};
 use rushquay_envoy::session::Ads;
 use rushquay_xds::client::Outage;
-use rushquay_xds_grpc::{run, ClientOptions, Node, Notice, Tls, TlsFiles};
+use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Node, Tls, TlsFiles};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -137,18 +137,18 @@
     let mut outage = Outage::default();
     let clock = shared.clock;
     let notice = |_: &Ads, notice| match notice {
-        Notice::Connected(addr) => {
+        ClientEvent::Connected(addr) => {
             let after = outage.over().map(|n| format!(" after {n} failures")).unwrap_or_default();
             log(format_args!("control service at {addr}: connected{after}"));
         }
-        Notice::News(_) => shared.kick.notify_one(),
-        Notice::Refused(why) => log(format_args!("refused, what stood before goes on: {why}")),
-        Notice::Lost(addr, why) => {
+        ClientEvent::News(_) => shared.kick.notify_one(),
+        ClientEvent::Refused(why) => log(format_args!("refused, what stood before goes on: {why}")),
+        ClientEvent::Lost(addr, why) => {
             if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
                 log(format_args!("control service at {addr}: {why}; all stays as it is (failure {n})"));
             }
         }
-        Notice::Ahead(..) => {}
+        ClientEvent::Ahead(..) => {}
     };
     run(options, &mut session, move || random.f64(), || clock.now(), notice).await;
 }
--- a/src/net/hosted.rs
+++ b/src/net/hosted.rs
@@ -1,8 +1,8 @@
 //! A proxy that a host has started: it gives the host signs of life, and knows which program it is.
 
 use super::log;
-use rushquay_config_version::{Digest, Generation};
-use rushquay_supervisor::Pulse;
+use rushquay_config_version::{ConfigVersion, Digest};
+use rushquay_supervisor::Heartbeat;
 use std::os::unix::net::UnixDatagram;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     }
 
     /// Whether this process is the program that a generation asks for.
-    pub fn is(&self, generation: &Generation) -> bool {
+    pub fn is(&self, generation: &ConfigVersion) -> bool {
         generation.program().unwrap_or(self.own) == self.runs
     }
 
@@ -66,7 +66,7 @@
         let mut tick = interval(EVERY);
         loop {
             tick.tick().await;
-            let pulse = Pulse { pid: std::process::id(), yes: serves() };
+            let pulse = Heartbeat { pid: std::process::id(), yes: serves() };
             let _ = from.send_to(&pulse.bytes(), &socket);
         }
     }
--- a/src/net/layers.rs
+++ b/src/net/layers.rs
@@ -3,8 +3,11 @@
 use super::acting::Acting;
 use super::engine::Engine;
 use super::settings::settings_of;
-use rushquay_config_version::Generation;
-use rushquay_policy::{impose, Acting as Leave, Floor, Imposed, Number, Policy, Stop, Told};
+use rushquay_config_version::ConfigVersion;
+use rushquay_policy::{
+    apply_overlay, ActivePolicy as Leave, FallbackPolicy, Overlay, Policy, PolicyNumber, PolicySet,
+    RejectedClass,
+};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,11 +19,11 @@
     /// By what this process has leave to act.
     pub leave: Leave,
     /// What it was told last.
-    pub last: Option<Told>,
+    pub last: Option<PolicySet>,
     /// The policies that are named there.
-    pub policies: BTreeMap<Number, Policy>,
+    pub policies: BTreeMap<PolicyNumber, Policy>,
     /// What it begins by.
-    pub begin_by: Floor,
+    pub begin_by: FallbackPolicy,
 }
 
 /// What follows for requests.
@@ -36,7 +39,7 @@
 pub struct Layers {
     engine: Rc<Engine>,
     own: Value,
-    over: RefCell<(Generation, Option<Say>)>,
+    over: RefCell<(ConfigVersion, Option<Say>)>,
     refusing: RefCell<Refusing>,
 }
 
@@ -46,7 +49,7 @@
 impl Layers {
     /// The file's settings alone.
     pub fn new(engine: Rc<Engine>, own: Value) -> Rc<Self> {
-        let over = RefCell::new((Generation::base(), None));
+        let over = RefCell::new((ConfigVersion::base(), None));
         Rc::new(Layers { engine, own, over, refusing: RefCell::default() })
     }
 
@@ -70,7 +73,7 @@
     ///
     /// # Errors
     /// The field that can't be obeyed, with its path.
-    pub fn could(&self, generation: &Generation) -> Result<(), String> {
+    pub fn could(&self, generation: &ConfigVersion) -> Result<(), String> {
         self.comes(generation, self.over.borrow().1.as_ref()).map(drop)
     }
 
@@ -78,7 +81,7 @@
     ///
     /// # Errors
     /// The same; all stays as it is.
-    pub fn take(&self, generation: &Generation) -> Result<(), String> {
+    pub fn take(&self, generation: &ConfigVersion) -> Result<(), String> {
         let comes = self.comes(generation, self.over.borrow().1.as_ref())?;
         self.over.borrow_mut().0 = generation.clone();
         self.obey(comes);
@@ -111,14 +114,14 @@
         *self.refusing.borrow_mut() = refusing;
     }
 
-    fn comes(&self, generation: &Generation, say: Option<&Say>) -> Result<Comes, String> {
+    fn comes(&self, generation: &ConfigVersion, say: Option<&Say>) -> Result<Comes, String> {
         let own = generation.over(&self.own).map_err(|e| e.to_string())?;
         let Some(Say { leave, last, policies, begin_by }) = say else {
             return Ok((Some(checked(&own)?), Refusing::default()));
         };
-        match impose(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
-            Imposed::Nobody => Ok((None, Refusing { all: true, classes: Vec::new() })),
-            Imposed::By(met) => {
+        match apply_overlay(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
+            Overlay::Nobody => Ok((None, Refusing { all: true, classes: Vec::new() })),
+            Overlay::By(met) => {
                 let acting = checked(&met.settings)?;
                 let refusing = refusing(&met.stops, &acting.names.classes);
                 Ok((Some(acting), refusing))
@@ -128,7 +131,7 @@
 }
 
 /// What is refused, by class.
-fn refusing(stops: &BTreeSet<Stop>, classes: &[String]) -> Refusing {
+fn refusing(stops: &BTreeSet<RejectedClass>, classes: &[String]) -> Refusing {
     let stopped = |class: &String| stops.iter().any(|s| s.class.as_ref() == Some(class));
     Refusing { all: stops.iter().any(|s| s.class.is_none()), classes: classes.iter().map(stopped).collect() }
 }
--- a/src/net/names.rs
+++ b/src/net/names.rs
@@ -1,7 +1,7 @@
 //! The names that stand on the sockets for what the module knows by number.
 
 use crate::api::{server_id, Entry, State};
-use rushquay_endpoints::{Member, NodeState};
+use rushquay_endpoints::{Endpoint, EndpointState};
 use std::net::SocketAddr;
 
 /// The names that stand on the sockets for what the module knows by number.
@@ -19,7 +19,7 @@
 
 impl Names {
     /// The module's form of a cache node, and where to connect.
-    pub fn entry(&self, m: &Member) -> (Entry, Option<SocketAddr>) {
+    pub fn entry(&self, m: &Endpoint) -> (Entry, Option<SocketAddr>) {
         // A name that the settings do not list is none of those that they do.
         let index =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len()) as u32;
@@ -34,9 +34,9 @@
             kind: index(&self.kinds, &m.kind),
             cell: m.cell,
             state: match m.state {
-                NodeState::Ready => State::Ready,
-                NodeState::Draining => State::Draining,
-                NodeState::Gone => State::Gone,
+                EndpointState::Ready => State::Ready,
+                EndpointState::Draining => State::Draining,
+                EndpointState::Gone => State::Gone,
             },
             weight: m.weight,
             started: m.started,
--- a/src/net/nodes.rs
+++ b/src/net/nodes.rs
@@ -4,7 +4,8 @@
 use crate::api::{server_id, ListKind, ServerId};
 use rushquay_control_service::steady;
 use rushquay_endpoints::{
-    Changes, Member, Members, Merge, MergeLimits, News, NodeState, Pin, Pins, Roll, Source, Starts,
+    Changes, Endpoint, EndpointList, EndpointMerger, EndpointState, ListAssembler, MergeLimits, Pin, Pins,
+    Source, StartTimes, WatchEvent,
 };
 use rushquay_lease::{Nanos, Skew, SECOND};
 use std::cell::{Cell, RefCell};
@@ -14,23 +15,23 @@
 pub struct NodeList {
     engine: Rc<Engine>,
     /// Where a control service is subscribed to.
-    merge: Option<RefCell<Merge>>,
+    merge: Option<RefCell<EndpointMerger>>,
     /// How far the control service's clock is ahead: what it says of time is on that clock.
     skew: Cell<Skew>,
     pins: RefCell<Vec<(Pin, ServerId)>>,
     /// Discovery's list, for a process that takes over.
-    roll: RefCell<Roll>,
+    roll: RefCell<ListAssembler>,
     /// When nodes started, on this process's clock.
-    starts: RefCell<Starts>,
+    starts: RefCell<StartTimes>,
     /// Unix time at the start, and the machine's steady clock then.
     start: (Nanos, Nanos),
 }
 
 impl NodeList {
     /// With `limits` discovery's list is merged with a control service's; without, it goes on as it comes.
-    pub fn new(engine: Rc<Engine>, limits: Option<MergeLimits>, known: Option<&Members>) -> Rc<Self> {
+    pub fn new(engine: Rc<Engine>, limits: Option<MergeLimits>, known: Option<&EndpointList>) -> Rc<Self> {
         let merge = limits.map(|limits| {
-            let mut merge = Merge::new(limits);
+            let mut merge = EndpointMerger::new(limits);
             if let Some(known) = known {
                 // The engine has it from the configuration.
                 let _ = merge.list(Source::Known, known, engine.now());
@@ -38,7 +39,7 @@
             RefCell::new(merge)
         });
         let start = (engine.now(), steady());
-        let mut roll = Roll::default();
+        let mut roll = ListAssembler::default();
         known.iter().for_each(|known| roll.take(known));
         let (skew, pins, roll) = (Cell::default(), RefCell::default(), RefCell::new(roll));
         let starts = RefCell::default();
@@ -70,12 +71,12 @@
     }
 
     /// Discovery's list as a whole.
-    pub fn whole(&self) -> Option<Members> {
+    pub fn whole(&self) -> Option<EndpointList> {
         self.roll.borrow().whole()
     }
 
     /// Discovery has told the whole list, or what changed.
-    pub fn discovered(&self, list: Members) {
+    pub fn discovered(&self, list: EndpointList) {
         self.roll.borrow_mut().take(&list);
         let mut list = list;
         self.starts.borrow_mut().take(&mut list.servers, self.engine.now());
@@ -87,7 +88,7 @@
         let merge = &mut *merge.borrow_mut();
         let changes = merge.list(Source::Discovery, list, self.told_now());
         if list.full {
-            let all: Vec<Member> = merge.nodes().map(|v| self.begun(v.member.clone())).collect();
+            let all: Vec<Endpoint> = merge.nodes().map(|v| self.begun(v.member.clone())).collect();
             self.engine.list(ListKind::Full, &all);
         } else {
             // Also where nothing changed: the module hears that discovery answers.
@@ -115,7 +116,7 @@
     }
 
     /// The control service, as the process named, has told something.
-    pub fn controlled(&self, process: &str, news: News) {
+    pub fn controlled(&self, process: &str, news: WatchEvent) {
         self.with_merge(|merge, now| merge.control(process, news, now));
     }
 
@@ -137,10 +138,10 @@
 
     /// Time has passed.
     pub fn tick(&self) {
-        self.with_merge(Merge::tick);
+        self.with_merge(EndpointMerger::tick);
     }
 
-    fn with_merge(&self, change: impl FnOnce(&mut Merge, Nanos) -> Changes) {
+    fn with_merge(&self, change: impl FnOnce(&mut EndpointMerger, Nanos) -> Changes) {
         let Some(merge) = &self.merge else { return };
         let changes = change(&mut merge.borrow_mut(), self.told_now());
         self.pin(&merge.borrow());
@@ -151,12 +152,12 @@
 
     /// Danger: by a clock that is ahead of this one a node may have started in the future, and would count as cold until
     /// then and for its whole ramp.
-    fn begun(&self, member: Member) -> Member {
-        Member { started: member.started.min(self.engine.now()), ..member }
+    fn begun(&self, member: Endpoint) -> Endpoint {
+        Endpoint { started: member.started.min(self.engine.now()), ..member }
     }
 
     /// Hands on what operators have pinned, where that has changed.
-    fn pin(&self, merge: &Merge) {
+    fn pin(&self, merge: &EndpointMerger) {
         let mut now: Vec<(Pin, ServerId)> =
             merge.pins().map(|(id, pin)| (self.by_own_clock(pin), server_id(id))).collect();
         now.sort_by_key(|(pin, _)| pin.number);
@@ -172,8 +173,8 @@
     }
 
     fn changed(&self, changes: Changes) {
-        let gone = changes.gone.into_iter().map(|m| Member { state: NodeState::Gone, ..m });
-        let entries: Vec<Member> = gone.chain(changes.upserts).map(|m| self.begun(m)).collect();
+        let gone = changes.gone.into_iter().map(|m| Endpoint { state: EndpointState::Gone, ..m });
+        let entries: Vec<Endpoint> = gone.chain(changes.upserts).map(|m| self.begun(m)).collect();
         self.engine.list(ListKind::Delta, &entries);
     }
 }
--- a/src/net/policy.rs
+++ b/src/net/policy.rs
@@ -6,9 +6,10 @@
 use crate::api::Nanos;
 use rushquay_control_service::Clocks;
 use rushquay_policy::{
-    Acting, Boot, Floor, Grant, Holding, HoldingError, Member, Number, Policy as Body, Revision, Told,
+    ActivePolicy, BroadcastError, FallbackPolicy, Incarnation, LeaseGrant, Member, Policy as Body,
+    PolicyBroadcast, PolicyNumber, PolicySet, Revision,
 };
-use rushquay_xds_resources::PolicyText;
+use rushquay_xds_resources::PolicyMessage;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,7 +24,7 @@
 /// What a process tells the one that takes over from it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Handed {
-    member: rushquay_policy::Handed,
+    member: rushquay_policy::MemberSnapshot,
     /// What it acts by, as it was told.
     holding: Option<String>,
 }
@@ -44,13 +45,13 @@
 struct State {
     member: Member,
     /// What it was told last and obeys.
-    held: Option<Holding>,
+    held: Option<PolicyBroadcast>,
     /// What was told to all last.
-    came: Option<Result<Holding, (Revision, String)>>,
+    came: Option<Result<PolicyBroadcast, (Revision, String)>>,
     /// A leave whose policies have not come yet.
-    waits: Option<Grant>,
+    waits: Option<LeaseGrant>,
     /// As it was said to the layers.
-    said: Option<(Acting, Option<Told>)>,
+    said: Option<(ActivePolicy, Option<PolicySet>)>,
 }
 
 /// This process in changes of policy.
@@ -76,9 +77,9 @@
         handed: Option<Handed>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
-        let (boot, now) = (Boot(layers.engine().now()), (clocks.steady)());
+        let (boot, now) = (Incarnation(layers.engine().now()), (clocks.steady)());
         let holding = |text: &str| {
-            let read = Holding::read(text);
+            let read = PolicyBroadcast::read(text);
             read.map_err(|e| super::log(format_args!("the old process's policy is not taken: {e}"))).ok()
         };
         let fresh = Member::new(boot, source.unanswered, now);
@@ -143,7 +144,7 @@
 
     /// Returns once it has leave.
     pub async fn answered(&self) {
-        while !matches!(self.state.borrow().member.acting(self.now()), Acting::Told(_)) {
+        while !matches!(self.state.borrow().member.acting(self.now()), ActivePolicy::Leased(_)) {
             self.answered.notified().await;
         }
     }
@@ -151,7 +152,7 @@
     /// What a process that takes over is to know.
     pub fn handed(&self) -> Handed {
         let state = self.state.borrow();
-        Handed { member: state.member.handed(), holding: state.held.as_ref().map(Holding::text) }
+        Handed { member: state.member.snapshot(), holding: state.held.as_ref().map(PolicyBroadcast::text) }
     }
 
     /// Acts by what there is leave for at this moment. Danger: a timer may come late, and a process that was stopped goes on with the
@@ -169,11 +170,11 @@
     }
 
     /// The control service has said this.
-    pub fn heard(&self, texts: &[PolicyText]) {
+    pub fn heard(&self, texts: &[PolicyMessage]) {
         for text in texts {
             match text {
-                PolicyText::Holding(text) => self.holds(text),
-                PolicyText::Leave(text) => match Grant::read(text) {
+                PolicyMessage::Broadcast(text) => self.holds(text),
+                PolicyMessage::LeaseGrant(text) => match LeaseGrant::read(text) {
                     Ok(grant) => self.granted(&grant),
                     Err(e) => super::log(format_args!("a leave is not taken: {e}")),
                 },
@@ -182,9 +183,9 @@
     }
 
     fn holds(&self, text: &str) {
-        let came = match Holding::read(text) {
+        let came = match PolicyBroadcast::read(text) {
             Ok(holding) => Ok(holding),
-            Err(HoldingError::Beyond { revision, why }) => Err((revision, why)),
+            Err(BroadcastError::Beyond { revision, why }) => Err((revision, why)),
             // It is never in joint, and is fenced in time.
             Err(e) => return super::log(format_args!("what holds of policies is not taken: {e}")),
         };
@@ -195,7 +196,7 @@
         self.ask_now();
     }
 
-    fn granted(&self, grant: &Grant) {
+    fn granted(&self, grant: &LeaseGrant) {
         let new = {
             let state = &mut *self.state.borrow_mut();
             let came = match &state.came {
@@ -239,7 +240,7 @@
             return;
         }
         state.said = Some((leave, last));
-        let policies: BTreeMap<Number, Body> =
+        let policies: BTreeMap<PolicyNumber, Body> =
             state.held.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
         let say = Say { leave, last, policies, begin_by: self.source.floor.clone() };
         let revision = state.member.revision().0;
@@ -248,25 +249,31 @@
             // It was checked before it was taken; a floor may still name what is not here.
             Err(why) => {
                 super::log(format_args!("policy: {} can't be obeyed: {why}; nobody is served", words(leave)));
-                let nobody =
-                    Say { leave: Acting::Nothing, last, policies: BTreeMap::new(), begin_by: Floor::Nobody };
+                let nobody = Say {
+                    leave: ActivePolicy::Denied,
+                    last,
+                    policies: BTreeMap::new(),
+                    begin_by: FallbackPolicy::Nobody,
+                };
                 let _ = self.layers.say(nobody);
             }
         }
     }
 }
 
-fn words(leave: Acting) -> String {
+fn words(leave: ActivePolicy) -> String {
     match leave {
-        Acting::Told(Told::Pure(one)) => format!("policy {} alone", one.0),
-        Acting::Told(Told::Joint(old, new)) => format!("policies {} and {} at once", old.0, new.0),
-        Acting::Floor => "the floor".into(),
-        Acting::Nothing => "nothing".into(),
+        ActivePolicy::Leased(PolicySet::Pure(one)) => format!("policy {} alone", one.0),
+        ActivePolicy::Leased(PolicySet::Joint(old, new)) => {
+            format!("policies {} and {} at once", old.0, new.0)
+        }
+        ActivePolicy::Fallback => "the floor".into(),
+        ActivePolicy::Denied => "nothing".into(),
     }
 }
 
 /// Whether all that is told can be obeyed here, and beside what this proxy begins by.
-fn could(layers: &Layers, holding: &Holding, begin_by: &Floor) -> Result<(), String> {
+fn could(layers: &Layers, holding: &PolicyBroadcast, begin_by: &FallbackPolicy) -> Result<(), String> {
     for (number, body) in &holding.policies {
         let paths = begin_by.looser(&body.settings);
         if !paths.is_empty() {
@@ -277,14 +284,14 @@
             ));
         }
         // Each by itself, and by its floor, as well as what they come to together.
-        let told = Some(Told::Pure(*number));
-        for leave in [Acting::Told(Told::Pure(*number)), Acting::Floor] {
+        let told = Some(PolicySet::Pure(*number));
+        for leave in [ActivePolicy::Leased(PolicySet::Pure(*number)), ActivePolicy::Fallback] {
             let say =
                 Say { leave, last: told, policies: holding.policies.clone(), begin_by: begin_by.clone() };
             layers.could_say(&say)?;
         }
     }
-    let leave = Acting::Told(holding.told);
+    let leave = ActivePolicy::Leased(holding.told);
     let policies = holding.policies.clone();
     layers.could_say(&Say { leave, last: Some(holding.told), policies, begin_by: begin_by.clone() })
 }
--- a/src/net/policy_source.rs
+++ b/src/net/policy_source.rs
@@ -1,7 +1,7 @@
 //! The settings of a proxy's part in changes of policy, checked.
 
 use super::settings_file::read_text;
-use rushquay_policy::{Floor, Unanswered};
+use rushquay_policy::{FallbackPolicy, StartupPolicy};
 use serde::Deserialize;
 use serde_json::Value;
 use std::path::Path;
@@ -13,9 +13,9 @@
     /// It asks for leave so often.
     pub every: Duration,
     /// What it does that has just started, until it is answered.
-    pub unanswered: Unanswered,
+    pub unanswered: StartupPolicy,
     /// What it goes by where it may begin without an answer.
-    pub floor: Floor,
+    pub floor: FallbackPolicy,
 }
 
 #[derive(Deserialize)]
@@ -64,26 +64,26 @@
             return Err("ask_ms: expected milliseconds from 50 to 60000".into());
         }
         let unanswered = match written.floor_after_s {
-            None => Unanswered::Waits,
-            Some(s) if (0.0..=3600.0).contains(&s) => Unanswered::FloorAfter((s * 1e9) as u64),
+            None => StartupPolicy::Waits,
+            Some(s) if (0.0..=3600.0).contains(&s) => StartupPolicy::FloorAfter((s * 1e9) as u64),
             Some(_) => return Err("floor_after_s: expected seconds from 0 to 3600".into()),
         };
         let floor = match (&written.floor, unanswered) {
-            (None, Unanswered::FloorAfter(_)) => {
+            (None, StartupPolicy::FloorAfter(_)) => {
                 return Err("floor: expected the settings that it begins by after floor_after_s".into())
             }
-            (Some(_), Unanswered::Waits) => {
+            (Some(_), StartupPolicy::Waits) => {
                 return Err("floor: expected floor_after_s with it; without, no floor is gone by".into())
             }
-            (None, Unanswered::Waits) => Floor::Nobody,
-            (Some(told), _) => Floor::read(told).map_err(|e| e.to_string())?,
+            (None, StartupPolicy::Waits) => FallbackPolicy::Nobody,
+            (Some(told), _) => FallbackPolicy::read(told).map_err(|e| e.to_string())?,
         };
         Ok(PolicySource { every: Duration::from_millis(written.ask_ms), unanswered, floor })
     }
 
     /// Whether the floor can be laid over a proxy's own settings.
     fn fits(self, own: &Value) -> Result<Self, String> {
-        if let Floor::Settings(settings) = &self.floor {
+        if let FallbackPolicy::Settings(settings) = &self.floor {
             settings.over(own).map_err(|e| format!("floor: {e}"))?;
         }
         Ok(self)
--- a/src/net/pools.rs
+++ b/src/net/pools.rs
@@ -9,7 +9,7 @@
 use super::upstream::{idle_most, Bounds, Upstreams};
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
 use rushquay_admin::Ledger;
-use rushquay_endpoints::{Member, NodeState};
+use rushquay_endpoints::{Endpoint, EndpointState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
 use rushquay_load_assignment::{Breakers, Node, Overload, Standing};
 use rushquay_routing::Table;
@@ -332,11 +332,11 @@
 /// connections may stay.
 fn entry(node: &Node, names: &Names, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
     let (kept, state) = match node.standing {
-        Standing::Serves => (NodeState::Ready, State::Ready),
-        Standing::StandsBy => (NodeState::Ready, State::Draining),
-        Standing::Drains => (NodeState::Draining, State::Draining),
+        Standing::Serves => (EndpointState::Ready, State::Ready),
+        Standing::StandsBy => (EndpointState::Ready, State::Draining),
+        Standing::Drains => (EndpointState::Draining, State::Draining),
     };
-    let (mut entry, addr) = names.entry(&Member {
+    let (mut entry, addr) = names.entry(&Endpoint {
         id: node.id.to_string(),
         addr: Some(node.addr),
         zone: node.zone.to_string(),
--- a/src/net/rollout.rs
+++ b/src/net/rollout.rs
@@ -7,8 +7,8 @@
 use super::rollout_source::RolloutSource;
 use super::tally::Tally;
 use rushquay_admin::Ledger;
-use rushquay_config_version::{Assignment, Digest, Generation, FORM};
-use rushquay_membership::{Figures, Refused, Report};
+use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORM};
+use rushquay_membership::{ProxyStats, RejectedConfig, Report};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     seq: u64,
     acting: Digest,
     change: u64,
-    refused: Option<Refused>,
+    refused: Option<RejectedConfig>,
     /// What it was given last and obeys, as it came.
     given: Option<String>,
     /// What it was given last and can obey as another program alone, which its host is to start.
@@ -78,7 +78,7 @@
     ) -> Rc<Self> {
         let engine = layers.engine().clone();
         let tally = Tally::new(engine.acting().names.classes.len());
-        let base = Generation::base();
+        let base = ConfigVersion::base();
         // Danger: one that says it acts by the base, and is another program than the base has, would pass for gone back.
         let acting = match &hosted {
             Some(hosted) if !hosted.is(&base) => base.with_program(hosted.runs).digest(),
@@ -108,7 +108,7 @@
     }
 
     /// Whether this process is the program that a generation asks for.
-    fn is(&self, generation: &Generation) -> bool {
+    fn is(&self, generation: &ConfigVersion) -> bool {
         match &self.hosted {
             Some(hosted) => hosted.is(generation),
             None => generation.program().is_none(),
@@ -127,7 +127,7 @@
     }
 
     /// Whether this proxy can obey what it is given. What it can't is told with the next report.
-    pub fn obeys(&self, given: &Assignment) -> Result<(), String> {
+    pub fn obeys(&self, given: &ConfigAssignment) -> Result<(), String> {
         let alone = self.hosted.is_none() && given.generation.program().is_some();
         let checked = match alone {
             true => Err("settings.program: no host runs this proxy, and none can replace it".into()),
@@ -140,7 +140,7 @@
             super::log(format_args!("settings {generation:?} of change {} are refused: {why}", given.change));
             let mut state = self.state.borrow_mut();
             state.change = given.change;
-            state.refused = Some(Refused { generation, why: why.chars().take(500).collect() });
+            state.refused = Some(RejectedConfig { generation, why: why.chars().take(500).collect() });
             self.news.notify_one();
         }
         checked
@@ -154,7 +154,7 @@
 
     /// The process before this one was given this. What can't be read or obeyed is left: the control service is asked anyway.
     pub fn handed(&self, given: &str) {
-        match Assignment::read(given) {
+        match ConfigAssignment::read(given) {
             // What is for another program is left to that.
             Ok(given) if self.is(&given.generation) && self.obeys(&given).is_ok() => self.take(&given),
             Ok(_) => {}
@@ -163,7 +163,7 @@
     }
 
     /// Acts by what it is given from the next request on.
-    pub fn take(&self, given: &Assignment) {
+    pub fn take(&self, given: &ConfigAssignment) {
         let digest = given.generation.digest();
         let mut state = self.state.borrow_mut();
         (state.change, state.refused) = (given.change, None);
@@ -202,7 +202,7 @@
             change: state.change,
             refused: state.refused.clone(),
             leaving: self.leaving.get(),
-            figures: Figures {
+            figures: ProxyStats {
                 classes,
                 attempts: self.ledger.attempts.get(),
                 memory,
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -29,7 +29,7 @@
 use crate::api::ColdLeft;
 use hyper::header::HeaderValue;
 use rushquay_admin::{Ledger, Standing};
-use rushquay_endpoints::Manner;
+use rushquay_endpoints::WatchMode;
 use rushquay_handover::{Cold, Holder, Known, Share};
 use rushquay_invariants::{may_serve, NotReady, ServeFacts};
 use rushquay_xds::client::Outage;
@@ -257,8 +257,8 @@
     let acting = Rc::new(Acting::new(config.settings, config.names));
     let settings = &acting.settings;
     let manner = match settings.must_ask {
-        true => Manner::Asked { within: settings.must_ask_in },
-        false => Manner::Pushed { grace: config.drain_grace },
+        true => WatchMode::Asked { within: settings.must_ask_in },
+        false => WatchMode::Pushed { grace: config.drain_grace },
     };
     let upstreams = Upstreams::new(descriptors, ledger.clone(), config.connect_timeout, settings);
     let known = config.known;
--- a/src/net/starting.rs
+++ b/src/net/starting.rs
@@ -5,7 +5,7 @@
 use super::listening::{self, Place};
 use super::policy::Handed;
 use super::server::Server;
-use rushquay_endpoints::Members;
+use rushquay_endpoints::EndpointList;
 use rushquay_handover::{Cold, Share};
 use rushquay_invariants::check_said_serving;
 use std::future::Future;
@@ -85,7 +85,7 @@
 }
 
 /// The later of two lists.
-fn newer(known: Option<Members>, told: Option<Members>) -> Option<Members> {
+fn newer(known: Option<EndpointList>, told: Option<EndpointList>) -> Option<EndpointList> {
     match (known, told) {
         (Some(known), Some(told)) if known.version > told.version => Some(known),
         (known, told) => told.or(known),
--- a/src/net/tally.rs
+++ b/src/net/tally.rs
@@ -2,19 +2,19 @@
 
 use super::acting::Acting;
 use rushquay_admin::End;
-use rushquay_membership::ClassFigures;
+use rushquay_membership::ClassStats;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Counts since the start of the process. The classes of a proxy stay the same while it runs.
 pub struct Tally {
-    classes: RefCell<Vec<ClassFigures>>,
+    classes: RefCell<Vec<ClassStats>>,
 }
 
 impl Tally {
     pub fn new(classes: usize) -> Self {
-        Tally { classes: RefCell::new(vec![ClassFigures::default(); classes]) }
+        Tally { classes: RefCell::new(vec![ClassStats::default(); classes]) }
     }
 
     /// A request of a class that began under these settings has ended so, after this time.
@@ -36,7 +36,7 @@
     }
 
     /// All of it, by the classes' names.
-    pub fn figures(&self, names: &[String]) -> BTreeMap<String, ClassFigures> {
+    pub fn figures(&self, names: &[String]) -> BTreeMap<String, ClassStats> {
         names.iter().cloned().zip(self.classes.borrow().iter().cloned()).collect()
     }
 }
--- a/tests/compatibility/messages.rs
+++ b/tests/compatibility/messages.rs
@@ -3,12 +3,12 @@
 
 use crate::golden::read;
 use rushquay::net::policy::Handed;
-use rushquay_config_version::Assignment;
+use rushquay_config_version::ConfigAssignment;
 use rushquay_handover::{ToNew, ToOld};
 use rushquay_membership::Report;
-use rushquay_policy::{Ask, Grant, Holding, Record as PolicyRecord};
-use rushquay_rollout::Record as RolloutRecord;
-use rushquay_supervisor::{HostReport, Pulse, Record as HostRecord};
+use rushquay_policy::{LeaseGrant, LeaseRequest, PolicyBroadcast, PolicyRecord};
+use rushquay_rollout::RegistryRecord as RolloutRecord;
+use rushquay_supervisor::{Heartbeat, SupervisorRecord as HostRecord, SupervisorReport};
 
 /// Each line of a file is an example.
 fn each_line_comes_back(name: &str, again: impl Fn(&str) -> String) {
@@ -48,13 +48,13 @@
 #[test]
 fn heartbeats_of_a_process_to_its_supervisor_are_unchanged() {
     each_line_comes_back("heartbeat.jsonl", |line| {
-        String::from_utf8(Pulse::read(line.as_bytes()).expect(line).bytes()).expect("text")
+        String::from_utf8(Heartbeat::read(line.as_bytes()).expect(line).bytes()).expect("text")
     });
 }
 
 #[test]
 fn reports_of_supervisors_are_unchanged() {
-    each_line_comes_back("host_report.jsonl", |line| HostReport::read(line).expect(line).text());
+    each_line_comes_back("host_report.jsonl", |line| SupervisorReport::read(line).expect(line).text());
 }
 
 #[test]
@@ -69,22 +69,22 @@
 
 #[test]
 fn settings_assignments_are_unchanged() {
-    each_line_comes_back("assignment.jsonl", |line| Assignment::read(line).expect(line).text());
+    each_line_comes_back("assignment.jsonl", |line| ConfigAssignment::read(line).expect(line).text());
 }
 
 #[test]
 fn lease_requests_for_a_policy_are_unchanged() {
-    each_line_comes_back("policy_lease_request.jsonl", |line| Ask::read(line).expect(line).text());
+    each_line_comes_back("policy_lease_request.jsonl", |line| LeaseRequest::read(line).expect(line).text());
 }
 
 #[test]
 fn lease_grants_for_a_policy_are_unchanged() {
-    each_line_comes_back("policy_lease_grant.jsonl", |line| Grant::read(line).expect(line).text());
+    each_line_comes_back("policy_lease_grant.jsonl", |line| LeaseGrant::read(line).expect(line).text());
 }
 
 #[test]
 fn policy_broadcasts_are_unchanged() {
-    each_line_comes_back("policy_broadcast.jsonl", |line| Holding::read(line).expect(line).text());
+    each_line_comes_back("policy_broadcast.jsonl", |line| PolicyBroadcast::read(line).expect(line).text());
 }
 
 #[test]
