--- a/tests/compatibility/xds_resources.rs
+++ b/tests/compatibility/xds_resources.rs
@@ -6,10 +6,12 @@
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryRequest, Resource};
 use prost::Message as _;
-use rushquay_config_version::Assignment;
-use rushquay_endpoints::{Imposed, Members, Pin, Stated};
+use rushquay_config_version::ConfigAssignment;
+use rushquay_endpoints::{EndpointList, Imposed, Pin, SourcedEndpoint};
 use rushquay_xds::{Kind, Store};
-use rushquay_xds_resources::{declare_changed, declare_settings, leave_name, settings_name, Nodes, POLICY};
+use rushquay_xds_resources::{
+    declare_changed, declare_settings, policy_lease_name, settings_name, EndpointsById, POLICY_RESOURCE,
+};
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
 use std::process::Stdio;
@@ -90,7 +92,7 @@
 /// With operators' overrides on it an endpoint says more.
 #[test]
 fn endpoints_with_overrides_are_unchanged() {
-    let list: Members = serde_json::from_str(NODES).expect("a list");
+    let list: EndpointList = serde_json::from_str(NODES).expect("a list");
     let pin = Pin { number: 4, until: 50, class: Some("read".into()), keys: Some("7f*".into()) };
     let imposed = [
         Imposed { out: (10, 90), ..Imposed::default() },
@@ -106,9 +108,9 @@
     let mut text = String::new();
     for imposed in imposed {
         let member = list.servers[0].clone();
-        let node = Stated { member, listed: 3, shared: true, imposed };
+        let node = SourcedEndpoint { member, listed: 3, shared: true, imposed };
         let mut store = Store::new("golden", 10);
-        let nodes: Nodes = [(node.member.id.clone(), node.clone())].into();
+        let nodes: EndpointsById = [(node.member.id.clone(), node.clone())].into();
         declare_changed(&mut store, "cache-nodes", &nodes, &[node], &[], 0);
         let name = rushquay_xds_resources::endpoint_name("cache-nodes", "rajkot", "a");
         text += &stored(&store, Kind::Endpoint, &name);
@@ -121,10 +123,15 @@
 fn settings_resources_and_names_are_unchanged() {
     let mut store = Store::new("golden", 10);
     let text = crate::golden::read("messages/assignment.jsonl");
-    let assignment = Assignment::read(text.lines().next().expect("an example")).expect("an assignment");
+    let assignment = ConfigAssignment::read(text.lines().next().expect("an example")).expect("an assignment");
     declare_settings(&mut store, "p0.rajkot", &assignment, 0);
     let mut text = stored(&store, Kind::Extension, &settings_name("p0.rajkot"));
-    let _ = writeln!(text, "{POLICY}\n{}\n{}", leave_name("p0.rajkot", 0x1f), settings_name("a/b c"));
+    let _ = writeln!(
+        text,
+        "{POLICY_RESOURCE}\n{}\n{}",
+        policy_lease_name("p0.rajkot", 0x1f),
+        settings_name("a/b c")
+    );
     assert_same("xds/settings.txt", &text);
 }
 
@@ -133,9 +140,9 @@
 fn node_metadata_is_unchanged() {
     let told = vec![
         (rushquay_xds::client::Topic::Report, "report".to_owned()),
-        (rushquay_xds::client::Topic::Leave, "request".to_owned()),
+        (rushquay_xds::client::Topic::PolicyLease, "request".to_owned()),
     ];
-    let node = rushquay_xds_grpc::telling(rushquay_xds_grpc::node("p0", "rushquay"), told);
+    let node = rushquay_xds_grpc::with_metadata(rushquay_xds_grpc::node("p0", "rushquay"), told);
     let mut fields: Vec<(String, Vec<u8>)> = node
         .metadata
         .clone()
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -13,7 +13,7 @@
 
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options, Settings, SourceOption};
-use rushquay_endpoints::Members;
+use rushquay_endpoints::EndpointList;
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
     nodes.iter().map(|n| entry(n, "rajkot", "std-1c", "ready", 1000)).collect()
 }
 
-fn members(version: u64, full: bool, servers: &[Value]) -> Members {
+fn members(version: u64, full: bool, servers: &[Value]) -> EndpointList {
     serde_json::from_value(json!({"version": version, "full": full, "servers": servers})).expect("a list")
 }
 
--- a/tests/control/restarts.rs
+++ b/tests/control/restarts.rs
@@ -39,7 +39,7 @@
         let name = rushquay_xds_resources::endpoint_name("cache-nodes", "rajkot", "b");
         let resource = store.get(rushquay_xds::Kind::Endpoint, &name).cloned();
         resource.is_some_and(|r| {
-            let came = rushquay_xds::client::Came {
+            let came = rushquay_xds::client::ReceivedResource {
                 name: Some(name.clone()),
                 type_url: rushquay_xds::Kind::Endpoint.type_url().into(),
                 body: r.body.to_vec(),
@@ -47,8 +47,8 @@
             };
             let item =
                 rushquay_xds_resources::decode(rushquay_xds::Kind::Endpoint, &came).expect("an endpoint").1;
-            matches!(item, rushquay_xds_resources::Item::Endpoint(s)
-                if s.member.state == rushquay_endpoints::NodeState::Draining)
+            matches!(item, rushquay_xds_resources::DecodedResource::Endpoint(s)
+                if s.member.state == rushquay_endpoints::EndpointState::Draining)
         })
     }
 }
--- a/tests/control/standby.rs
+++ b/tests/control/standby.rs
@@ -3,7 +3,7 @@
 use super::overrides::say_to;
 use super::program::{Folder, Running};
 use super::*;
-use rushquay_control_service::{StandbySettings, StandbyState};
+use rushquay_control_service::{LeadershipState, StandbySettings};
 use rushquay_etcd_standin::Etcd;
 use std::path::Path;
 
@@ -29,7 +29,7 @@
     start(Options { admin: Some(any), settings, ..options(source) }).await.expect("a control service")
 }
 
-fn state(service: &ControlService) -> StandbyState {
+fn state(service: &ControlService) -> LeadershipState {
     service.standby().expect("one of several")
 }
 
--- a/tests/envoy/rig.rs
+++ b/tests/envoy/rig.rs
@@ -83,7 +83,7 @@
     /// Ends at once, streams and all.
     pub async fn kill(mut self) {
         drop(self.stop.take());
-        self.hub.stand_by();
+        self.hub.suspend();
         self.done.abort();
         let _ = (&mut self.done).await;
     }
--- a/tests/faults/rig.rs
+++ b/tests/faults/rig.rs
@@ -6,13 +6,13 @@
 use super::LONG;
 use rushquay::net::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options as ControlOptions, Settings, SourceOption};
-use rushquay_endpoints::NodeState;
+use rushquay_endpoints::EndpointState;
 use rushquay_fault_relay::{Cut, Lane, Options, Relay, Script};
 use rushquay_history::{Books, Breach, Entry, Nanos, Tolerance};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
-use rushquay_xds::client::Came;
+use rushquay_xds::client::ReceivedResource;
 use rushquay_xds::Kind;
-use rushquay_xds_resources::{decode, endpoint_name, Item};
+use rushquay_xds_resources::{decode, endpoint_name, DecodedResource};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -160,13 +160,13 @@
         let declared =
             hub.store().get(Kind::Endpoint, &endpoint_name("cache-nodes", "rajkot", node)).cloned();
         let draining = declared.is_some_and(|r| {
-            let came = Came {
+            let came = ReceivedResource {
                 name: Some(r.name.to_string()),
                 type_url: Kind::Endpoint.type_url().into(),
                 body: r.body.to_vec(),
-                ..Came::default()
+                ..ReceivedResource::default()
             };
-            matches!(decode(Kind::Endpoint, &came), Ok((_, Item::Endpoint(s))) if s.member.state == NodeState::Draining)
+            matches!(decode(Kind::Endpoint, &came), Ok((_, DecodedResource::Endpoint(s))) if s.member.state == EndpointState::Draining)
         });
         let taken = draining && hub.subscribers().iter().any(|s| s.has_all(Kind::Endpoint));
         if taken {
--- a/tests/faults/wire.rs
+++ b/tests/faults/wire.rs
@@ -1,6 +1,6 @@
 //! Taps on the legs of a proxy, which enter in the books what came from it and what reached it.
 
-use rushquay_endpoints::{Members, NodeState};
+use rushquay_endpoints::{EndpointList, EndpointState};
 use rushquay_fault_relay::{Lane, Passage, Tap};
 use rushquay_history::{Answer, Effect, Entry, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
@@ -214,11 +214,11 @@
         if m.status != 200 {
             return;
         }
-        let Ok(list) = serde_json::from_slice::<Members>(&m.body) else { return };
+        let Ok(list) = serde_json::from_slice::<EndpointList>(&m.body) else { return };
         for member in &list.servers {
             let node = member.id.clone();
             let entry = match member.state {
-                NodeState::Ready => {
+                EndpointState::Ready => {
                     self.drained.remove(&node);
                     Entry::Ready { node }
                 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -535,7 +535,7 @@
     let mut bytes = [0; 1024];
     let mut says_yes = || {
         let n = host.recv(&mut bytes).expect("a sign of life");
-        rushquay_supervisor::Pulse::read(&bytes[..n]).expect("one that can be read").yes
+        rushquay_supervisor::Heartbeat::read(&bytes[..n]).expect("one that can be read").yes
     };
     // The first may come before it accepts; they come five times a second.
     assert!((0..25).any(|_| says_yes()), "it never says yes");
