--- a/crates/core/admin/src/call.rs
+++ b/crates/core/admin/src/command.rs
@@ -7,7 +7,7 @@
 
 /// What an operator may call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCommand {
     /// Whether this process can serve.
     Status,
     /// The figures.
@@ -16,7 +16,7 @@
 
 /// Why a line is no call; the text is the answer's.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum NotACall {
+pub enum CommandError {
     /// Neither STATUS nor METRICS.
     #[error("unknown call; send STATUS or METRICS")]
     Unknown,
@@ -40,30 +40,30 @@
     /// Not whole yet.
     Partial,
     /// Whole.
-    Whole(Result<Call, NotACall>),
+    Whole(Result<AdminCommand, CommandError>),
 }
 
-impl Call {
+impl AdminCommand {
     /// Reads what has come; `ended`: the caller sends nothing more.
     pub fn read(came: &[u8], ended: bool) -> Line {
         let Some(end) = came.iter().position(|b| *b == b'\n') else {
             let plain = came.iter().all(|b| plain(*b) || *b == b'\r');
             return match (plain, came.len() >= LINE_MOST, ended) {
-                (false, ..) => Line::Whole(Err(NotACall::Binary)),
-                (_, true, _) => Line::Whole(Err(NotACall::Long)),
-                (.., true) => Line::Whole(Err(NotACall::Cut)),
+                (false, ..) => Line::Whole(Err(CommandError::Binary)),
+                (_, true, _) => Line::Whole(Err(CommandError::Long)),
+                (.., true) => Line::Whole(Err(CommandError::Cut)),
                 _ => Line::Partial,
             };
         };
         let line = came[..end].strip_suffix(b"\r").unwrap_or(&came[..end]);
         Line::Whole(match line {
-            _ if end + 1 < came.len() => Err(NotACall::More),
-            _ if end >= LINE_MOST => Err(NotACall::Long),
-            line if !line.iter().all(|b| plain(*b)) => Err(NotACall::Binary),
+            _ if end + 1 < came.len() => Err(CommandError::More),
+            _ if end >= LINE_MOST => Err(CommandError::Long),
+            line if !line.iter().all(|b| plain(*b)) => Err(CommandError::Binary),
             line => match line.trim_ascii() {
-                b"STATUS" => Ok(Call::Status),
-                b"METRICS" => Ok(Call::Metrics),
-                _ => Err(NotACall::Unknown),
+                b"STATUS" => Ok(AdminCommand::Status),
+                b"METRICS" => Ok(AdminCommand::Metrics),
+                _ => Err(CommandError::Unknown),
             },
         })
     }
--- a/crates/core/admin/src/waiting.rs
+++ b/crates/core/admin/src/connection_slots.rs
@@ -9,16 +9,16 @@
 /// The places of callers. Danger: callers that send nothing, or half a line, would keep a true one out for as long as they
 /// stay; a true one sends its line at once, so whoever has waited for longest gives way.
 #[derive(Debug)]
-pub struct Places {
+pub struct ConnectionSlots {
     most: usize,
     next: u64,
     waiting: VecDeque<Ticket>,
 }
 
-impl Places {
+impl ConnectionSlots {
     /// So many callers at once, at least one.
     pub fn new(most: usize) -> Self {
-        Places { most: most.max(1), next: 0, waiting: VecDeque::new() }
+        ConnectionSlots { most: most.max(1), next: 0, waiting: VecDeque::new() }
     }
 
     /// A caller has come; also tells who has to go for it.
--- a/crates/core/admin/src/figures.rs
+++ b/crates/core/admin/src/exposition.rs
@@ -1,13 +1,17 @@
 //! The figures as text. Each line is `name value` or `name{lane="class"} value`.
 
-use crate::{End, Ledger, Tally};
+use crate::{LabelCounter, RequestMetrics, RequestOutcome};
 use rushquay_invariants::Label;
 use std::fmt::Write as _;
 
 /// All figures, a line each, and the line that ends them.
-pub fn figures(ledger: &Ledger) -> String {
+pub fn figures(ledger: &RequestMetrics) -> String {
     let mut text = String::new();
-    for (name, end) in [("completed", End::Completed), ("rejected", End::Rejected), ("failed", End::Failed)] {
+    for (name, end) in [
+        ("completed", RequestOutcome::Completed),
+        ("rejected", RequestOutcome::Rejected),
+        ("failed", RequestOutcome::Failed),
+    ] {
         for (number, class) in ledger.classes().iter().enumerate() {
             let (class, value) = (escaped(class), ledger.ended(number, end));
             let _ = writeln!(text, "proxy_{name}{{lane=\"{class}\"}} {value}");
@@ -35,7 +39,7 @@
 }
 
 /// A figure by label: those that were counted, and the total.
-fn by_label<L: Label>(text: &mut String, name: &str, label: &str, tally: &Tally<L>) {
+fn by_label<L: Label>(text: &mut String, name: &str, label: &str, tally: &LabelCounter<L>) {
     for (value, count) in tally.counted() {
         let _ = writeln!(text, "proxy_{name}{{{label}=\"{}\"}} {count}", value.name());
     }
--- a/crates/core/admin/src/tally.rs
+++ b/crates/core/admin/src/label_counter.rs
@@ -1,29 +1,29 @@
 //! Figures that are counted by label.
 
-use crate::Count;
+use crate::Counter;
 use rushquay_invariants::Label;
 use std::fmt;
 use std::marker::PhantomData;
 
 /// A count for each value of a label. One thread counts and others read.
-pub struct Tally<L> {
-    counts: Vec<Count>,
+pub struct LabelCounter<L> {
+    counts: Vec<Counter>,
     label: PhantomData<fn() -> L>,
 }
 
-impl<L: Label> Default for Tally<L> {
+impl<L: Label> Default for LabelCounter<L> {
     fn default() -> Self {
-        Tally { counts: L::ALL.iter().map(|_| Count::default()).collect(), label: PhantomData }
+        LabelCounter { counts: L::ALL.iter().map(|_| Counter::default()).collect(), label: PhantomData }
     }
 }
 
-impl<L: Label> fmt::Debug for Tally<L> {
+impl<L: Label> fmt::Debug for LabelCounter<L> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_map().entries(self.counted().map(|(label, count)| (label.name(), count))).finish()
     }
 }
 
-impl<L: Label> Tally<L> {
+impl<L: Label> LabelCounter<L> {
     /// One more of a value.
     pub fn one_more(&self, label: L) {
         self.counts[label.index()].one_more();
@@ -36,7 +36,7 @@
 
     /// How many were counted in all.
     pub fn total(&self) -> u64 {
-        self.counts.iter().map(Count::get).sum()
+        self.counts.iter().map(Counter::get).sum()
     }
 
     /// The values that were counted, each with its count.
--- a/crates/core/admin/src/ledger.rs
+++ b/crates/core/admin/src/request_metrics.rs
@@ -1,13 +1,13 @@
 //! The account that each request passes through exactly once at its end, and each attempt when it has been written whole.
 
-use crate::{Cause, NodeCloseCause, Tally, TurnedAway};
+use crate::{Cause, LabelCounter, NodeCloseCause, TurnedAway};
 use rushquay_invariants::{CloseCause, SendDenied, Violation};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
 /// How a request that was taken ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// It was served.
     Completed,
     /// It was refused.
@@ -18,9 +18,9 @@
 
 /// A number that one thread moves and others read.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     /// What it stands at.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -43,7 +43,7 @@
 
 /// What a process may answer on STATUS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServingState {
     /// It has not come so far that it could serve.
     Starting,
     /// It can serve.
@@ -55,49 +55,49 @@
 /// The figures of one class.
 #[derive(Debug, Default)]
 struct Class {
-    completed: Count,
-    rejected: Count,
-    failed: Count,
+    completed: Counter,
+    rejected: Counter,
+    failed: Counter,
 }
 
 /// The account of one process, from 0 at its start. Threads other than the proxy's read it at any time.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct RequestMetrics {
     names: Vec<String>,
     classes: Vec<Class>,
-    taken: Count,
-    gone: Count,
-    pending: Count,
+    taken: Counter,
+    gone: Counter,
+    pending: Counter,
     /// Attempts whose last byte has been written.
-    pub attempts: Count,
+    pub attempts: Counter,
     /// Cache nodes in the list.
-    pub members: Count,
+    pub members: Counter,
     /// Of these, those that the proxy avoids now.
-    pub unavailable: Count,
+    pub unavailable: Counter,
     /// Further attempts, by how the one before ended.
-    pub retries: Tally<Cause>,
+    pub retries: LabelCounter<Cause>,
     /// Refused requests, by how their last attempt ended.
-    pub refusals: Tally<Cause>,
+    pub refusals: LabelCounter<Cause>,
     /// Failed requests, by how their last attempt ended.
-    pub failures: Tally<Cause>,
+    pub failures: LabelCounter<Cause>,
     /// Requests and connections that were turned away before a class was known, by reason.
-    pub turned_away: Tally<TurnedAway>,
+    pub turned_away: LabelCounter<TurnedAway>,
     /// Attempts that were denied at their last look, by reason.
-    pub denied: Tally<SendDenied>,
+    pub denied: LabelCounter<SendDenied>,
     /// Clients' connections that ended, by reason.
-    pub closes: Tally<CloseCause>,
+    pub closes: LabelCounter<CloseCause>,
     /// Connections to nodes that ended, by reason.
-    pub node_closes: Tally<NodeCloseCause>,
+    pub node_closes: LabelCounter<NodeCloseCause>,
     /// Rules that were broken.
-    pub violations: Tally<Violation>,
-    standing: Count,
+    pub violations: LabelCounter<Violation>,
+    standing: Counter,
 }
 
-impl Ledger {
+impl RequestMetrics {
     /// An empty account of requests of these classes.
     pub fn new(classes: &[String]) -> Arc<Self> {
         let figures = classes.iter().map(|_| Class::default()).collect();
-        Arc::new(Ledger { names: classes.to_vec(), classes: figures, ..Ledger::default() })
+        Arc::new(RequestMetrics { names: classes.to_vec(), classes: figures, ..RequestMetrics::default() })
     }
 
     /// A request of this class has been taken; past the last class it is counted as pending alone.
@@ -113,7 +113,7 @@
     }
 
     /// How many requests of a class ended so.
-    pub fn ended(&self, class: usize, end: End) -> u64 {
+    pub fn ended(&self, class: usize, end: RequestOutcome) -> u64 {
         self.classes.get(class).map_or(0, |c| c.count(end).get())
     }
 
@@ -133,26 +133,26 @@
     }
 
     /// What the process answers on STATUS from now on.
-    pub fn stand(&self, standing: Standing) {
+    pub fn stand(&self, standing: ServingState) {
         self.standing.set(standing as u64);
     }
 
     /// What the process answers on STATUS.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> ServingState {
         match self.standing.get() {
-            n if n == Standing::Serving as u64 => Standing::Serving,
-            n if n == Standing::Draining as u64 => Standing::Draining,
-            _ => Standing::Starting,
+            n if n == ServingState::Serving as u64 => ServingState::Serving,
+            n if n == ServingState::Draining as u64 => ServingState::Draining,
+            _ => ServingState::Starting,
         }
     }
 }
 
 impl Class {
-    fn count(&self, end: End) -> &Count {
+    fn count(&self, end: RequestOutcome) -> &Counter {
         match end {
-            End::Completed => &self.completed,
-            End::Rejected => &self.rejected,
-            End::Failed => &self.failed,
+            RequestOutcome::Completed => &self.completed,
+            RequestOutcome::Rejected => &self.rejected,
+            RequestOutcome::Failed => &self.failed,
         }
     }
 }
@@ -160,14 +160,14 @@
 /// A request in the account. It ends when it is dropped: as was said last, or, if nothing was, since its client had gone.
 #[derive(Debug)]
 pub struct Entry {
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     class: usize,
-    end: Option<End>,
+    end: Option<RequestOutcome>,
 }
 
 impl Entry {
     /// Its final answer is known; it is pending for as long as the answer is passed on.
-    pub fn answered(&mut self, end: End) {
+    pub fn answered(&mut self, end: RequestOutcome) {
         self.end = Some(end);
     }
 }
--- a/crates/core/admin/tests/operate.rs
+++ b/crates/core/admin/tests/operate.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use rushquay_admin::{
-    figures, Call, Cause, End, Entry, Ledger, Line, NotACall, Places, Standing, TurnedAway, LINE_MOST,
+    figures, AdminCommand, Cause, CommandError, ConnectionSlots, Entry, Line, RequestMetrics, RequestOutcome,
+    ServingState, TurnedAway, LINE_MOST,
 };
 use rushquay_invariants::{CloseCause, Violation};
 
@@ -12,29 +13,29 @@
 
 #[test]
 fn calls_are_read_and_everything_else_is_named() {
-    let whole = |line: &[u8]| Call::read(line, false);
+    let whole = |line: &[u8]| AdminCommand::read(line, false);
     for line in [&b"STATUS\n"[..], b"STATUS\r\n", b" STATUS \n"] {
-        assert_eq!(whole(line), Line::Whole(Ok(Call::Status)));
+        assert_eq!(whole(line), Line::Whole(Ok(AdminCommand::Status)));
     }
-    assert_eq!(whole(b"METRICS\n"), Line::Whole(Ok(Call::Metrics)));
+    assert_eq!(whole(b"METRICS\n"), Line::Whole(Ok(AdminCommand::Metrics)));
     for partial in [&b""[..], b"S", b"STATUS", b"STATUS\r"] {
         assert_eq!(whole(partial), Line::Partial, "{partial:?}");
     }
-    assert_eq!(Call::read(b"STATUS", true), Line::Whole(Err(NotACall::Cut)));
-    assert_eq!(whole(b"status\n"), Line::Whole(Err(NotACall::Unknown)));
-    assert_eq!(whole(b"\n"), Line::Whole(Err(NotACall::Unknown)));
-    assert_eq!(whole(b"STATUS\nSTATUS\n"), Line::Whole(Err(NotACall::More)));
-    assert_eq!(whole(b"\x16\x03\x01"), Line::Whole(Err(NotACall::Binary)));
-    assert_eq!(whole(b"STAT\0US\n"), Line::Whole(Err(NotACall::Binary)));
-    assert_eq!(whole(&[b'A'; LINE_MOST]), Line::Whole(Err(NotACall::Long)));
+    assert_eq!(AdminCommand::read(b"STATUS", true), Line::Whole(Err(CommandError::Cut)));
+    assert_eq!(whole(b"status\n"), Line::Whole(Err(CommandError::Unknown)));
+    assert_eq!(whole(b"\n"), Line::Whole(Err(CommandError::Unknown)));
+    assert_eq!(whole(b"STATUS\nSTATUS\n"), Line::Whole(Err(CommandError::More)));
+    assert_eq!(whole(b"\x16\x03\x01"), Line::Whole(Err(CommandError::Binary)));
+    assert_eq!(whole(b"STAT\0US\n"), Line::Whole(Err(CommandError::Binary)));
+    assert_eq!(whole(&[b'A'; LINE_MOST]), Line::Whole(Err(CommandError::Long)));
     let mut long = vec![b'A'; LINE_MOST];
     long.push(b'\n');
-    assert_eq!(whole(&long), Line::Whole(Err(NotACall::Long)));
+    assert_eq!(whole(&long), Line::Whole(Err(CommandError::Long)));
 }
 
 #[test]
 fn a_true_caller_always_finds_a_place() {
-    let mut places = Places::new(3);
+    let mut places = ConnectionSlots::new(3);
     let mute: Vec<_> = (0..3).map(|_| places.come().0).collect();
     let (caller, gives_way) = places.come();
     assert_eq!(gives_way, Some(mute[0]), "whoever has waited for longest");
@@ -48,9 +49,9 @@
 
 #[test]
 fn figures_stand_a_line_each_and_end_with_a_dot() {
-    let ledger = Ledger::new(&names(&["read", "a\"b\\c\nd"]));
-    ledger.take(0).answered(End::Completed);
-    ledger.take(1).answered(End::Failed);
+    let ledger = RequestMetrics::new(&names(&["read", "a\"b\\c\nd"]));
+    ledger.take(0).answered(RequestOutcome::Completed);
+    ledger.take(1).answered(RequestOutcome::Failed);
     let _open = ledger.take(0);
     ledger.attempts.one_more();
     ledger.members.set(12);
@@ -96,9 +97,9 @@
 
 #[test]
 fn a_process_stands_as_it_said_last() {
-    let ledger = Ledger::new(&[]);
-    assert_eq!(ledger.standing(), Standing::Starting);
-    for standing in [Standing::Serving, Standing::Draining, Standing::Starting] {
+    let ledger = RequestMetrics::new(&[]);
+    assert_eq!(ledger.standing(), ServingState::Starting);
+    for standing in [ServingState::Serving, ServingState::Draining, ServingState::Starting] {
         ledger.stand(standing);
         assert_eq!(ledger.standing(), standing);
     }
@@ -108,12 +109,16 @@
 #[derive(Clone, Debug)]
 enum Step {
     Take(usize),
-    Answer(usize, End),
+    Answer(usize, RequestOutcome),
     Drop(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let end = prop_oneof![Just(End::Completed), Just(End::Rejected), Just(End::Failed)];
+    let end = prop_oneof![
+        Just(RequestOutcome::Completed),
+        Just(RequestOutcome::Rejected),
+        Just(RequestOutcome::Failed)
+    ];
     prop_oneof![
         (0usize..4).prop_map(Step::Take),
         (0usize..16, end).prop_map(|(n, end)| Step::Answer(n, end)),
@@ -127,8 +132,8 @@
     /// Danger: a request counted twice, or not at all, makes the figures untrue for good.
     #[test]
     fn what_was_taken_is_pending_or_ended_once(steps in prop::collection::vec(step(), 0..200)) {
-        let ledger = Ledger::new(&names(&["a", "b", "c"]));
-        let mut open: Vec<(Entry, usize, Option<End>)> = Vec::new();
+        let ledger = RequestMetrics::new(&names(&["a", "b", "c"]));
+        let mut open: Vec<(Entry, usize, Option<RequestOutcome>)> = Vec::new();
         // By class and end, as a second book; class 3 is none that the ledger knows.
         let mut ended = [[0u64; 3]; 3];
         let (mut taken, mut gone) = (0, 0);
@@ -158,7 +163,7 @@
             prop_assert_eq!(ledger.taken(), all + gone + ledger.pending());
             prop_assert_eq!((ledger.taken(), ledger.pending(), ledger.gone()), (taken, open.len() as u64, gone));
             for (class, ends) in ended.iter().enumerate() {
-                for end in [End::Completed, End::Rejected, End::Failed] {
+                for end in [RequestOutcome::Completed, RequestOutcome::Rejected, RequestOutcome::Failed] {
                     prop_assert_eq!(ledger.ended(class, end), ends[end as usize]);
                 }
             }
--- a/crates/core/admission/src/lib.rs
+++ b/crates/core/admission/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doing {
+pub enum ConnectionActivity {
     /// It came some time ago and has sent nothing.
     Mute,
     /// It has begun a request and stopped.
@@ -47,14 +47,14 @@
 
 impl Evidence {
     /// What it says at this time.
-    pub fn doing(&self, now: Nanos) -> Doing {
+    pub fn doing(&self, now: Nanos) -> ConnectionActivity {
         let past = |from: Nanos| now.saturating_sub(from);
         match (self.begun, self.asked) {
-            (true, _) if past(self.moved) < STOPPED => Doing::Writing,
-            (true, _) => Doing::Stopped,
-            (false, 0) if past(self.since) < SOON => Doing::Fresh,
-            (false, 0) => Doing::Mute,
-            (false, _) => Doing::Idle,
+            (true, _) if past(self.moved) < STOPPED => ConnectionActivity::Writing,
+            (true, _) => ConnectionActivity::Stopped,
+            (false, 0) if past(self.since) < SOON => ConnectionActivity::Fresh,
+            (false, 0) => ConnectionActivity::Mute,
+            (false, _) => ConnectionActivity::Idle,
         }
     }
 
@@ -66,7 +66,7 @@
 
 /// Why room is wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum SlotRequest {
     /// A connection has come for which there is no place.
     Place,
     /// Clients hold many places: one is freed ahead of time, if it is of no use.
@@ -78,23 +78,27 @@
 /// Danger: a flood of connections that say nothing must push out one another, and not those that ask; but what has just
 /// come and is about to ask must not go before those that have their answer. A slow client that still writes is no part of a
 /// flood, unless such clients hold half of all places: then those who stopped first go first, whatever they are.
-pub fn order(connections: &[Evidence], now: Nanos, places: usize, want: Want) -> Vec<usize> {
-    let doing: Vec<Doing> = connections.iter().map(|c| c.doing(now)).collect();
-    let count = |of: &[Doing]| doing.iter().filter(|d| of.contains(d)).count();
-    let flood = count(&[Doing::Mute, Doing::Stopped, Doing::Fresh]) > places / FLOOD_PART;
-    let crowded = count(&[Doing::Writing]) > places / WRITING_PART;
-    if want == Want::Slack && flood {
+pub fn order(connections: &[Evidence], now: Nanos, places: usize, want: SlotRequest) -> Vec<usize> {
+    let doing: Vec<ConnectionActivity> = connections.iter().map(|c| c.doing(now)).collect();
+    let count = |of: &[ConnectionActivity]| doing.iter().filter(|d| of.contains(d)).count();
+    let flood = count(&[ConnectionActivity::Mute, ConnectionActivity::Stopped, ConnectionActivity::Fresh])
+        > places / FLOOD_PART;
+    let crowded = count(&[ConnectionActivity::Writing]) > places / WRITING_PART;
+    if want == SlotRequest::Slack && flood {
         return Vec::new();
     }
     let rank = |n: usize| match doing[n] {
-        Doing::Mute | Doing::Stopped => 0,
-        Doing::Fresh if flood => 0,
-        Doing::Writing if crowded => 1,
-        Doing::Idle => 2,
-        Doing::Fresh => 3,
-        Doing::Writing => 4,
+        ConnectionActivity::Mute | ConnectionActivity::Stopped => 0,
+        ConnectionActivity::Fresh if flood => 0,
+        ConnectionActivity::Writing if crowded => 1,
+        ConnectionActivity::Idle => 2,
+        ConnectionActivity::Fresh => 3,
+        ConnectionActivity::Writing => 4,
+    };
+    let spared = |n: usize| {
+        want == SlotRequest::Slack
+            && matches!(doing[n], ConnectionActivity::Fresh | ConnectionActivity::Writing)
     };
-    let spared = |n: usize| want == Want::Slack && matches!(doing[n], Doing::Fresh | Doing::Writing);
     let mut order: Vec<usize> = (0..connections.len()).filter(|n| !spared(*n)).collect();
     order.sort_by_key(|&n| (rank(n), connections[n].moved.max(connections[n].since), n));
     order
@@ -103,7 +107,7 @@
 /// The connections that give way now, the first one first: those of [`order`] up to the first that has just come. Danger: sent away for
 /// the next newcomer, which can say no more for itself, one newcomer after another is closed before its request can come. Where none
 /// gives way, the newcomer waits: for [`JUST_CAME`] at the longest if any connection may give way at all.
-pub fn giving_way(connections: &[Evidence], now: Nanos, places: usize, want: Want) -> Vec<usize> {
+pub fn giving_way(connections: &[Evidence], now: Nanos, places: usize, want: SlotRequest) -> Vec<usize> {
     let mut giving = order(connections, now, places, want);
     if let Some(first) = giving.iter().position(|n| connections[*n].just_came(now)) {
         giving.truncate(first);
--- a/crates/core/admission/tests/admission.rs
+++ b/crates/core/admission/tests/admission.rs
@@ -1,7 +1,9 @@
 //! Floods and crowds against true clients, in a plain model of a table of connections.
 
 use proptest::prelude::*;
-use rushquay_admission::{giving_way, order, Doing, Evidence, Nanos, Want, JUST_CAME, SOON, STOPPED};
+use rushquay_admission::{
+    giving_way, order, ConnectionActivity, Evidence, Nanos, SlotRequest, JUST_CAME, SOON, STOPPED,
+};
 
 const MS: Nanos = 1_000_000;
 const NOW: Nanos = 100_000 * MS;
@@ -21,12 +23,12 @@
 #[test]
 fn evidence_says_what_a_connection_does() {
     for (evidence, doing) in [
-        (mute(SOON - 1), Doing::Fresh),
-        (mute(SOON), Doing::Mute),
-        (idle(0), Doing::Idle),
-        (writing(3000 * MS, STOPPED - 1), Doing::Writing),
-        (writing(3000 * MS, STOPPED), Doing::Stopped),
-        (Evidence { asked: 9, ..writing(0, 0) }, Doing::Writing),
+        (mute(SOON - 1), ConnectionActivity::Fresh),
+        (mute(SOON), ConnectionActivity::Mute),
+        (idle(0), ConnectionActivity::Idle),
+        (writing(3000 * MS, STOPPED - 1), ConnectionActivity::Writing),
+        (writing(3000 * MS, STOPPED), ConnectionActivity::Stopped),
+        (Evidence { asked: 9, ..writing(0, 0) }, ConnectionActivity::Writing),
     ] {
         assert_eq!(evidence.doing(NOW), doing, "{evidence:?}");
     }
@@ -41,9 +43,9 @@
         mute(900 * MS),
         writing(3000 * MS, 2000 * MS),
     ];
-    assert_eq!(order(&all, NOW, 100, Want::Place), [4, 3, 2, 1, 0]);
+    assert_eq!(order(&all, NOW, 100, SlotRequest::Place), [4, 3, 2, 1, 0]);
     // Ahead of need only what is of no use is asked to go.
-    assert_eq!(order(&all, NOW, 100, Want::Slack), [4, 3, 2]);
+    assert_eq!(order(&all, NOW, 100, SlotRequest::Slack), [4, 3, 2]);
 }
 
 #[test]
@@ -52,31 +54,34 @@
     for flood in [1, 30] {
         let mut all = vec![writing(300 * MS, 50 * MS), idle(5000 * MS)];
         all.extend(std::iter::repeat_n(newcomer, flood));
-        let idle_goes = giving_way(&all, NOW, 100, Want::Place);
+        let idle_goes = giving_way(&all, NOW, 100, SlotRequest::Place);
         assert_eq!(idle_goes, if flood == 1 { vec![1] } else { vec![] }, "{flood}");
-        let later = giving_way(&all, NOW + 1, 100, Want::Place);
-        assert_eq!(later, order(&all, NOW + 1, 100, Want::Place));
+        let later = giving_way(&all, NOW + 1, 100, SlotRequest::Place);
+        assert_eq!(later, order(&all, NOW + 1, 100, SlotRequest::Place));
     }
     // Whoever stopped before goes first all the same.
     let all = [newcomer, mute(JUST_CAME), writing(3000 * MS, STOPPED), idle(0)];
-    assert_eq!(giving_way(&all, NOW, 4, Want::Place), [2, 1]);
+    assert_eq!(giving_way(&all, NOW, 4, SlotRequest::Place), [2, 1]);
 }
 
 #[test]
 fn a_flood_pushes_out_one_another() {
     let mut all = vec![idle(60_000 * MS), writing(1500 * MS, 300 * MS)];
     all.extend((0..30).map(|n| mute(n * MS)));
-    let out = order(&all, NOW, 100, Want::Place);
+    let out = order(&all, NOW, 100, SlotRequest::Place);
     // The oldest of the flood, fresh as it is, before the one that asked a minute ago and the one that still writes.
     assert_eq!((out[0], &out[out.len() - 2..]), (31, &[0, 1][..]));
-    assert!(order(&all, NOW, 100, Want::Slack).is_empty(), "nothing helps against a flood ahead of time");
+    assert!(
+        order(&all, NOW, 100, SlotRequest::Slack).is_empty(),
+        "nothing helps against a flood ahead of time"
+    );
 }
 
 #[test]
 fn a_crowd_of_writers_does_not_empty_the_house_of_those_that_ask() {
     let mut all: Vec<Evidence> = (0..60).map(|n| writing(2000 * MS, n * 10 * MS)).collect();
     all.push(idle(60_000 * MS));
-    let out = order(&all, NOW, 100, Want::Place);
+    let out = order(&all, NOW, 100, SlotRequest::Place);
     assert_eq!((out[0], out[60]), (59, 60), "the one that has sent nothing for longest");
 }
 
@@ -103,7 +108,7 @@
             let true_client = step.is_multiple_of(50);
             if table.len() == PLACES {
                 let evidence: Vec<Evidence> = table.iter().map(|(e, _)| *e).collect();
-                let out = order(&evidence, now, PLACES, Want::Place)[0];
+                let out = order(&evidence, now, PLACES, SlotRequest::Place)[0];
                 lost += usize::from(table.remove(out).1.is_some());
             }
             let begun = true_client || half;
@@ -132,22 +137,22 @@
         all in prop::collection::vec(evidence(), 1..80),
         places in 1usize..100,
     ) {
-        let giving = giving_way(&all, NOW, places, Want::Place);
-        let order_now = order(&all, NOW, places, Want::Place);
+        let giving = giving_way(&all, NOW, places, SlotRequest::Place);
+        let order_now = order(&all, NOW, places, SlotRequest::Place);
         prop_assert_eq!(&giving[..], &order_now[..giving.len()]);
-        prop_assert!(giving.iter().all(|n| !(all[*n].doing(NOW) == Doing::Fresh && NOW - all[*n].since < JUST_CAME)));
-        prop_assert!(!giving_way(&all, NOW + JUST_CAME, places, Want::Place).is_empty());
+        prop_assert!(giving.iter().all(|n| !(all[*n].doing(NOW) == ConnectionActivity::Fresh && NOW - all[*n].since < JUST_CAME)));
+        prop_assert!(!giving_way(&all, NOW + JUST_CAME, places, SlotRequest::Place).is_empty());
     }
 
     /// Danger: a full table of which nobody gives way keeps every new client out.
     #[test]
     fn somebody_always_gives_way_and_nobody_twice(all in prop::collection::vec(evidence(), 1..80), places in 1usize..100) {
-        let mut out = order(&all, NOW, places, Want::Place);
+        let mut out = order(&all, NOW, places, SlotRequest::Place);
         prop_assert_eq!(out.len(), all.len());
         let first = all[out[0]].doing(NOW);
         // A writer goes first only where nobody else is left, or writers hold half of the places.
-        let writers = all.iter().filter(|e| e.doing(NOW) == Doing::Writing).count();
-        prop_assert!(first != Doing::Writing || writers == all.len() || writers > places / 2);
+        let writers = all.iter().filter(|e| e.doing(NOW) == ConnectionActivity::Writing).count();
+        prop_assert!(first != ConnectionActivity::Writing || writers == all.len() || writers > places / 2);
         out.sort_unstable();
         out.dedup();
         prop_assert_eq!(out.len(), all.len());
--- a/crates/core/fleet-budget/src/keep.rs
+++ b/crates/core/fleet-budget/src/keep.rs
@@ -21,18 +21,18 @@
 
 /// Steers the span by what new connections meet.
 #[derive(Clone, Copy, Debug)]
-pub struct Keep {
+pub struct Jitter {
     longest: f64,
     span: f64,
 }
 
-impl Keep {
+impl Jitter {
     /// `longest`: what nodes allow. `proxies`: how many share the nodes; with many the first span is their even part of
     /// what a few would keep. Danger: a hundred that start in one second fill every node before the first of them has
     /// been turned away.
     pub fn new(longest: Nanos, proxies: u32) -> Self {
         let longest = longest as f64;
-        Keep { longest, span: longest * (FEW / f64::from(proxies.max(1))).clamp(LEAST, 1.0) }
+        Jitter { longest, span: longest * (FEW / f64::from(proxies.max(1))).clamp(LEAST, 1.0) }
     }
 
     /// Another longest span.
--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod keep;
 
-pub use keep::Keep;
+pub use keep::Jitter;
 
 /// A span in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/fleet-budget/tests/keep.rs
+++ b/crates/core/fleet-budget/tests/keep.rs
@@ -1,13 +1,13 @@
 //! A hundred proxies and sixty nodes with scarce room for connections, in steps of virtual time.
 
 use proptest::prelude::*;
-use rushquay_fleet_budget::{Keep, Nanos};
+use rushquay_fleet_budget::{Jitter, Nanos};
 
 const MS: Nanos = 1_000_000;
 const LONGEST: Nanos = 11_000 * MS;
 
 struct World {
-    keeps: Vec<Keep>,
+    keeps: Vec<Jitter>,
     /// When each proxy last used its connection to each node; 0: it has none.
     used: Vec<Vec<Nanos>>,
     /// How many requests it has carried.
@@ -20,7 +20,7 @@
 
 impl World {
     fn new(proxies: usize, nodes: usize, room: usize, seed: u64) -> Self {
-        let keeps = vec![Keep::new(LONGEST, proxies as u32); proxies];
+        let keeps = vec![Jitter::new(LONGEST, proxies as u32); proxies];
         let (used, open) = (vec![vec![0; nodes]; proxies], vec![0; nodes]);
         let uses = vec![vec![0; nodes]; proxies];
         World { keeps, used, uses, open, room, now: MS, random: fastrand::Rng::with_seed(seed) }
@@ -103,17 +103,17 @@
 fn the_span_comes_back_when_there_is_room_again() {
     let mut world = World::new(100, 60, 20, 3);
     world.play(20_000 * MS, 16, true);
-    let short = world.keeps.iter().map(Keep::span).max();
+    let short = world.keeps.iter().map(Jitter::span).max();
     world.room = 100;
     world.play(60_000 * MS, 16, true);
-    let long = world.keeps.iter().map(Keep::span).min();
+    let long = world.keeps.iter().map(Jitter::span).min();
     assert!(long > short, "{short:?} with room for 20, {long:?} with room for 100");
 }
 
 proptest! {
     #[test]
     fn the_span_stays_between_its_bounds(proxies in 0u32..10_000, met in prop::collection::vec(any::<bool>(), 0..400)) {
-        let mut keep = Keep::new(LONGEST, proxies);
+        let mut keep = Jitter::new(LONGEST, proxies);
         for taken in met {
             let before = keep.span();
             if taken { keep.taken() } else { keep.turned_away() }
--- a/crates/core/handover/src/holder.rs
+++ b/crates/core/handover/src/incumbent.rs
@@ -1,6 +1,6 @@
 //! The old side: the process that listens, and may have to hand that on.
 
-use crate::{Known, Share, ToNew, ToOld, FORMS};
+use crate::{HandoverState, IncumbentMessage, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 
 /// A connection of a process that wants to take over; its number is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// This, with the listening socket.
-    WithListener(ToNew),
+    WithListener(IncumbentMessage),
     /// This alone, and the connection goes on.
-    And(ToNew),
+    And(IncumbentMessage),
     /// This alone, and then the connection ends.
-    Only(ToNew),
+    Only(IncumbentMessage),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,24 +27,24 @@
 
 /// The process that listens.
 #[derive(Debug)]
-pub struct Holder {
-    whole: Share,
+pub struct Incumbent {
+    whole: ResourceShare,
     state: State,
     /// What it may hold while the process before it still runs.
-    beside: Option<Share>,
+    beside: Option<ResourceShare>,
     /// It listens no more.
     closed: bool,
 }
 
-impl Holder {
+impl Incumbent {
     /// With the limits of the whole proxy.
-    pub fn new(whole: Share) -> Self {
-        Holder { whole, state: State::Alone, beside: None, closed: false }
+    pub fn new(whole: ResourceShare) -> Self {
+        Incumbent { whole, state: State::Alone, beside: None, closed: false }
     }
 
     /// One that holds so much while the process runs that it takes over from.
-    pub fn beside(whole: Share, share: Share) -> Self {
-        Holder { beside: Some(share), ..Holder::new(whole) }
+    pub fn beside(whole: ResourceShare, share: ResourceShare) -> Self {
+        Incumbent { beside: Some(share), ..Incumbent::new(whole) }
     }
 
     /// The process before it has ended.
@@ -53,7 +53,7 @@
     }
 
     /// What this process may hold now.
-    pub fn share(&self) -> Share {
+    pub fn share(&self) -> ResourceShare {
         match (self.state, self.beside) {
             (State::Alone, Some(share)) => share,
             (State::Alone, None) => self.whole,
@@ -71,13 +71,13 @@
     pub fn said(
         &mut self,
         by: Peer,
-        what: &ToOld,
+        what: &SuccessorMessage,
         held: usize,
-        known: impl FnOnce() -> Known,
+        known: impl FnOnce() -> HandoverState,
     ) -> Option<Reply> {
         match what {
-            ToOld::Hello { forms } => Some(self.hello(by, forms, held, known)),
-            ToOld::Ready => {
+            SuccessorMessage::Hello { forms } => Some(self.hello(by, forms, held, known)),
+            SuccessorMessage::Ready => {
                 // One that was not offered anything can't take over.
                 if self.state != State::Offered(by) {
                     return None;
@@ -85,26 +85,32 @@
                 self.state = State::Succeeded(by);
                 // Danger: a new process that says yes before this is known here has the old one told to end as if it had no
                 // successor.
-                Some(Reply::And(ToNew::Heard))
+                Some(Reply::And(IncumbentMessage::Heard))
             }
         }
     }
 
-    fn hello(&mut self, by: Peer, forms: &[u32], held: usize, known: impl FnOnce() -> Known) -> Reply {
-        let Some(form) = FORMS.into_iter().filter(|f| forms.contains(f)).max() else {
-            return Reply::Only(ToNew::Unknown { forms: FORMS.to_vec() });
+    fn hello(
+        &mut self,
+        by: Peer,
+        forms: &[u32],
+        held: usize,
+        known: impl FnOnce() -> HandoverState,
+    ) -> Reply {
+        let Some(form) = PROTOCOL_VERSIONS.into_iter().filter(|f| forms.contains(f)).max() else {
+            return Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() });
         };
         if self.closed {
-            return Reply::Only(ToNew::Unknown { forms: Vec::new() });
+            return Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() });
         }
         // Danger: two new processes that each hold the other half, and the old one its own, are over the limits.
         if self.state != State::Alone || self.beside.is_some() {
-            return Reply::Only(ToNew::Busy);
+            return Reply::Only(IncumbentMessage::Busy);
         }
         self.state = State::Offered(by);
-        let Share { sockets, memory } = self.whole.beside(self.whole.kept(), held);
-        let Known { list, settings, policy, cold } = known();
-        Reply::WithListener(ToNew::Offer { form, sockets, memory, list, settings, policy, cold })
+        let ResourceShare { sockets, memory } = self.whole.beside(self.whole.kept(), held);
+        let HandoverState { list, settings, policy, cold } = known();
+        Reply::WithListener(IncumbentMessage::Offer { form, sockets, memory, list, settings, policy, cold })
     }
 
     /// This process has been told to end and listens no more. Danger: a socket that it hands on from then on may be closed
--- a/crates/core/handover/src/lib.rs
+++ b/crates/core/handover/src/lib.rs
@@ -2,12 +2,15 @@
 //! next, and how they divide what the two may hold together. No I/O and no clock: the adapter carries the messages and the
 //! listening socket, and says when time has run out.
 
-mod claimant;
-mod form;
-mod holder;
-mod share;
+mod incumbent;
+mod messages;
+mod resource_share;
+mod successor;
 
-pub use claimant::{Claimant, Heard, Step, Trouble};
-pub use form::{BadMessage, Cold, Known, Offer, ToNew, ToOld, FORMS, MESSAGE_MOST};
-pub use holder::{Holder, Peer, Reply};
-pub use share::Share;
+pub use incumbent::{Incumbent, Peer, Reply};
+pub use messages::{
+    HandoverState, IncumbentMessage, MessageError, Offer, SlowStartAllowance, SuccessorMessage,
+    MAX_MESSAGE_BYTES, PROTOCOL_VERSIONS,
+};
+pub use resource_share::ResourceShare;
+pub use successor::{HandoverError, Heard, Step, Successor};
--- a/crates/core/handover/src/form.rs
+++ b/crates/core/handover/src/messages.rs
@@ -1,21 +1,21 @@
 //! What old and new process say, as JSON behind its length in four bytes, most significant first.
 
-use crate::Share;
+use crate::ResourceShare;
 use rushquay_endpoints::EndpointList;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use thiserror::Error;
 
 /// The forms of the hand-over that this version speaks, the newest last. A form that changes its messages gets a new number.
-pub const FORMS: [u32; 1] = [1];
+pub const PROTOCOL_VERSIONS: [u32; 1] = [1];
 
 /// A message holds at most so many bytes: a list of a thousand nodes takes a fifth.
-pub const MESSAGE_MOST: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// What a new process says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
-pub enum ToOld {
+pub enum SuccessorMessage {
     /// It wants to take over.
     Hello {
         /// The forms that it speaks.
@@ -28,7 +28,7 @@
 /// What an old process says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
-pub enum ToNew {
+pub enum IncumbentMessage {
     /// The listening socket comes with this.
     Offer {
         /// The form in which the hand-over goes on.
@@ -47,7 +47,7 @@
         policy: Option<String>,
         /// What the old process might still have sent to nodes that are cold, and now leaves to the new one.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        cold: Vec<Cold>,
+        cold: Vec<SlowStartAllowance>,
     },
     /// It has heard that the new process serves.
     Heard,
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     /// What the new process may hold while the old one runs.
-    pub share: Share,
+    pub share: ResourceShare,
     /// The node list of the old process, where it had one that can be used.
     pub list: Option<EndpointList>,
     /// What the old process was given to act by.
@@ -72,12 +72,12 @@
     /// What the old process acts by of policies.
     pub policy: Option<String>,
     /// What the old process left to be sent to cold nodes.
-    pub cold: Vec<Cold>,
+    pub cold: Vec<SlowStartAllowance>,
 }
 
 /// What may still be sent to a node that is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
+pub struct SlowStartAllowance {
     /// The node, by the number that its name has in both processes.
     pub node: u64,
     /// When its process started, Unix time in nanoseconds.
@@ -88,7 +88,7 @@
 
 /// What an old process tells of what it knows.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct HandoverState {
     /// Its node list, in discovery's form; null: it has none.
     pub list: Value,
     /// The settings that it was given to act by, as they came.
@@ -96,14 +96,14 @@
     /// What it acts by of policies.
     pub policy: Option<String>,
     /// What it leaves to be sent to cold nodes.
-    pub cold: Vec<Cold>,
+    pub cold: Vec<SlowStartAllowance>,
 }
 
 /// Why a message can't be used.
 #[derive(Debug, Error)]
-pub enum BadMessage {
+pub enum MessageError {
     /// Longer than any message is.
-    #[error("a message of {0} bytes, at most {MESSAGE_MOST} are taken; is the other side a rushquay?")]
+    #[error("a message of {0} bytes, at most {MAX_MESSAGE_BYTES} are taken; is the other side a rushquay?")]
     Long(usize),
     /// No message of a known form.
     #[error("not a message of the hand-over: {0}; is the other side a rushquay?")]
@@ -123,14 +123,14 @@
 ///
 /// # Errors
 /// More than a message holds.
-pub(crate) fn length(head: [u8; 4]) -> Result<usize, BadMessage> {
+pub(crate) fn length(head: [u8; 4]) -> Result<usize, MessageError> {
     match u32::from_be_bytes(head) as usize {
-        long if long > MESSAGE_MOST => Err(BadMessage::Long(long)),
+        long if long > MAX_MESSAGE_BYTES => Err(MessageError::Long(long)),
         length => Ok(length),
     }
 }
 
-impl ToOld {
+impl SuccessorMessage {
     /// The bytes to write.
     pub fn bytes(&self) -> Vec<u8> {
         framed(self)
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// Anything that is no such message.
-    pub fn read(body: &[u8]) -> Result<Self, BadMessage> {
+    pub fn read(body: &[u8]) -> Result<Self, MessageError> {
         Ok(serde_json::from_slice(body)?)
     }
 
@@ -148,12 +148,12 @@
     ///
     /// # Errors
     /// More than a message holds.
-    pub fn length(head: [u8; 4]) -> Result<usize, BadMessage> {
+    pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
         length(head)
     }
 }
 
-impl ToNew {
+impl IncumbentMessage {
     /// The bytes to write.
     pub fn bytes(&self) -> Vec<u8> {
         framed(self)
@@ -163,7 +163,7 @@
     ///
     /// # Errors
     /// Anything that is no such message.
-    pub fn read(body: &[u8]) -> Result<Self, BadMessage> {
+    pub fn read(body: &[u8]) -> Result<Self, MessageError> {
         Ok(serde_json::from_slice(body)?)
     }
 
@@ -171,13 +171,13 @@
     ///
     /// # Errors
     /// More than a message holds.
-    pub fn length(head: [u8; 4]) -> Result<usize, BadMessage> {
+    pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
         length(head)
     }
 }
 
 /// What an old process left for cold nodes. Danger: a figure that is none would be a leave without end.
-pub(crate) fn cold(told: Vec<Cold>) -> Vec<Cold> {
+pub(crate) fn cold(told: Vec<SlowStartAllowance>) -> Vec<SlowStartAllowance> {
     told.into_iter().filter(|c| c.left.is_finite() && (0.0..1e9).contains(&c.left)).collect()
 }
 
--- a/crates/core/handover/src/claimant.rs
+++ b/crates/core/handover/src/successor.rs
@@ -1,7 +1,7 @@
 //! The new side: a process that starts, and looks for one to take over from.
 
-use crate::form::{cold, list};
-use crate::{Offer, Share, ToNew, ToOld, FORMS};
+use crate::messages::{cold, list};
+use crate::{IncumbentMessage, Offer, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 use thiserror::Error;
 
 /// So often a process that is told of another new one asks again, before it gives up.
@@ -17,7 +17,7 @@
     /// An answer; `listener`: with it came a socket that listens where this process is to.
     Answer {
         /// What was said.
-        said: ToNew,
+        said: IncumbentMessage,
         /// Whether the right socket came along.
         listener: bool,
     },
@@ -36,7 +36,7 @@
 
 /// Why a process can't start.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Trouble {
+pub enum HandoverError {
     /// Two new ones at once.
     #[error("another new version is coming up beside the old one; wait for its yes, or end it, and start this one again")]
     Another,
@@ -44,32 +44,33 @@
 
 /// A process that starts.
 #[derive(Debug, Default)]
-pub struct Claimant {
+pub struct Successor {
     asked: u32,
 }
 
-impl Claimant {
+impl Successor {
     /// What to say first.
-    pub fn hello(&self) -> ToOld {
-        ToOld::Hello { forms: FORMS.to_vec() }
+    pub fn hello(&self) -> SuccessorMessage {
+        SuccessorMessage::Hello { forms: PROTOCOL_VERSIONS.to_vec() }
     }
 
     /// What to do after this.
     ///
     /// # Errors
     /// Another new process has been coming up for as long as this one has asked.
-    pub fn heard(&mut self, heard: Heard) -> Result<Step, Trouble> {
+    pub fn heard(&mut self, heard: Heard) -> Result<Step, HandoverError> {
         self.asked += 1;
         match heard {
             Heard::Answer {
-                said: ToNew::Offer { form, sockets, memory, list: told, settings, policy, cold: left },
+                said:
+                    IncumbentMessage::Offer { form, sockets, memory, list: told, settings, policy, cold: left },
                 listener: true,
-            } if FORMS.contains(&form) => {
-                let (share, list, cold) = (Share { sockets, memory }, list(told), cold(left));
+            } if PROTOCOL_VERSIONS.contains(&form) => {
+                let (share, list, cold) = (ResourceShare { sockets, memory }, list(told), cold(left));
                 Ok(Step::Take(Offer { share, list, settings, policy, cold }))
             }
-            Heard::Answer { said: ToNew::Busy, .. } if self.asked < ASK_MOST => Ok(Step::AskAgain),
-            Heard::Answer { said: ToNew::Busy, .. } => Err(Trouble::Another),
+            Heard::Answer { said: IncumbentMessage::Busy, .. } if self.asked < ASK_MOST => Ok(Step::AskAgain),
+            Heard::Answer { said: IncumbentMessage::Busy, .. } => Err(HandoverError::Another),
             Heard::Answer { .. } | Heard::Nobody | Heard::Nothing => Ok(Step::Listen),
         }
     }
--- a/crates/core/handover/tests/handover.rs
+++ b/crates/core/handover/tests/handover.rs
@@ -2,31 +2,34 @@
 
 use proptest::prelude::*;
 use rushquay_handover::{
-    BadMessage, Claimant, Cold, Heard, Holder, Known, Offer, Peer, Reply, Share, Step, ToNew, ToOld, Trouble,
-    FORMS, MESSAGE_MOST,
+    HandoverError, HandoverState, Heard, Incumbent, IncumbentMessage, MessageError, Offer, Peer, Reply,
+    ResourceShare, SlowStartAllowance, Step, Successor, SuccessorMessage, MAX_MESSAGE_BYTES,
+    PROTOCOL_VERSIONS,
 };
 use serde_json::{json, Value};
 
-const WHOLE: Share = Share { sockets: 384, memory: 48 << 20 };
+const WHOLE: ResourceShare = ResourceShare { sockets: 384, memory: 48 << 20 };
 
-fn nothing() -> Known {
-    Known::default()
+fn nothing() -> HandoverState {
+    HandoverState::default()
 }
 
-fn hello() -> ToOld {
-    Claimant::default().hello()
+fn hello() -> SuccessorMessage {
+    Successor::default().hello()
 }
 
-fn offered(reply: Option<Reply>) -> Share {
+fn offered(reply: Option<Reply>) -> ResourceShare {
     match reply {
-        Some(Reply::WithListener(ToNew::Offer { sockets, memory, .. })) => Share { sockets, memory },
+        Some(Reply::WithListener(IncumbentMessage::Offer { sockets, memory, .. })) => {
+            ResourceShare { sockets, memory }
+        }
         other => panic!("no offer: {other:?}"),
     }
 }
 
 #[test]
 fn the_budget_is_divided_and_comes_back() {
-    let mut old = Holder::new(WHOLE);
+    let mut old = Incumbent::new(WHOLE);
     let new = offered(old.said(Peer(1), &hello(), 100, nothing));
     assert_eq!((old.share().sockets + new.sockets, old.share().memory + new.memory), (384, 48 << 20));
     assert!(!old.lost(Peer(1)), "it had not said yes");
@@ -35,8 +38,11 @@
     let new = offered(old.said(Peer(2), &hello(), 300, nothing));
     assert_eq!(new.sockets, 84);
     assert!(!old.succeeded());
-    assert_eq!(old.said(Peer(2), &ToOld::Ready, 0, nothing), Some(Reply::And(ToNew::Heard)));
-    assert_eq!(old.said(Peer(2), &ToOld::Ready, 0, nothing), None, "told twice");
+    assert_eq!(
+        old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing),
+        Some(Reply::And(IncumbentMessage::Heard))
+    );
+    assert_eq!(old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing), None, "told twice");
     assert!(old.succeeded());
     assert!(old.lost(Peer(2)), "it had taken the place where new processes ask");
     assert!(!old.succeeded(), "the successor is gone, so it has to serve alone");
@@ -44,25 +50,25 @@
 
 #[test]
 fn a_second_new_process_waits_and_gives_up_plainly() {
-    let mut old = Holder::new(WHOLE);
+    let mut old = Incumbent::new(WHOLE);
     offered(old.said(Peer(1), &hello(), 0, nothing));
-    assert_eq!(old.said(Peer(2), &hello(), 0, nothing), Some(Reply::Only(ToNew::Busy)));
+    assert_eq!(old.said(Peer(2), &hello(), 0, nothing), Some(Reply::Only(IncumbentMessage::Busy)));
     // Nobody takes over without an offer.
-    old.said(Peer(2), &ToOld::Ready, 0, nothing);
+    old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing);
     assert!(!old.succeeded());
-    let mut second = Claimant::default();
-    let busy = || Heard::Answer { said: ToNew::Busy, listener: false };
+    let mut second = Successor::default();
+    let busy = || Heard::Answer { said: IncumbentMessage::Busy, listener: false };
     let mut asked = 0;
     while second.heard(busy()) == Ok(Step::AskAgain) {
         asked += 1;
     }
     assert!(asked > 10);
-    assert_eq!(second.heard(busy()), Err(Trouble::Another));
+    assert_eq!(second.heard(busy()), Err(HandoverError::Another));
 }
 
 #[test]
 fn what_cannot_be_used_leads_back_to_listening() {
-    let offer = |form, list| ToNew::Offer {
+    let offer = |form, list| IncumbentMessage::Offer {
         form,
         sockets: 9,
         memory: 8,
@@ -71,8 +77,8 @@
         policy: None,
         cold: Vec::new(),
     };
-    let share = Share { sockets: 9, memory: 8 };
-    let heard = |said, listener| Claimant::default().heard(Heard::Answer { said, listener });
+    let share = ResourceShare { sockets: 9, memory: 8 };
+    let heard = |said, listener| Successor::default().heard(Heard::Answer { said, listener });
     assert_eq!(
         heard(offer(1, Value::Null), true),
         Ok(Step::Take(Offer { share, list: None, settings: None, policy: None, cold: Vec::new() }))
@@ -83,9 +89,9 @@
         "no socket, or one for another address"
     );
     assert_eq!(heard(offer(99, Value::Null), true), Ok(Step::Listen), "a form that was never asked for");
-    assert_eq!(heard(ToNew::Unknown { forms: vec![99] }, false), Ok(Step::Listen));
-    assert_eq!(Claimant::default().heard(Heard::Nothing), Ok(Step::Listen));
-    assert_eq!(Claimant::default().heard(Heard::Nobody), Ok(Step::Listen));
+    assert_eq!(heard(IncumbentMessage::Unknown { forms: vec![99] }, false), Ok(Step::Listen));
+    assert_eq!(Successor::default().heard(Heard::Nothing), Ok(Step::Listen));
+    assert_eq!(Successor::default().heard(Heard::Nobody), Ok(Step::Listen));
     let node = json!({"id": "a", "addr": "10.0.0.1:80", "state": "draining"});
     let good = json!({"version": 7, "full": true, "servers": [node]});
     let Ok(Step::Take(Offer { list: Some(list), .. })) = heard(offer(1, good), true) else {
@@ -106,22 +112,22 @@
 
 #[test]
 fn forms_that_nobody_shares_are_named() {
-    let mut old = Holder::new(WHOLE);
-    let reply = old.said(Peer(1), &ToOld::Hello { forms: vec![2, 3] }, 0, nothing);
-    assert_eq!(reply, Some(Reply::Only(ToNew::Unknown { forms: FORMS.to_vec() })));
+    let mut old = Incumbent::new(WHOLE);
+    let reply = old.said(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, nothing);
+    assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() })));
     assert_eq!(old.share(), WHOLE);
     // Of several, the newest that both know.
-    let reply = old.said(Peer(2), &ToOld::Hello { forms: vec![9, 1] }, 0, nothing);
-    assert!(matches!(reply, Some(Reply::WithListener(ToNew::Offer { form: 1, .. }))));
+    let reply = old.said(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, nothing);
+    assert!(matches!(reply, Some(Reply::WithListener(IncumbentMessage::Offer { form: 1, .. }))));
 }
 
 #[test]
 fn a_second_upgrade_waits_until_the_first_old_process_has_gone() {
     // Danger: three processes with a half each are over the limits.
-    let part = Share { sockets: 100, memory: 20 << 20 };
-    let mut new = Holder::beside(WHOLE, part);
+    let part = ResourceShare { sockets: 100, memory: 20 << 20 };
+    let mut new = Incumbent::beside(WHOLE, part);
     assert_eq!(new.share(), part);
-    assert_eq!(new.said(Peer(1), &hello(), 0, nothing), Some(Reply::Only(ToNew::Busy)));
+    assert_eq!(new.said(Peer(1), &hello(), 0, nothing), Some(Reply::Only(IncumbentMessage::Busy)));
     new.alone();
     assert_eq!(new.share(), WHOLE);
     assert_eq!(offered(new.said(Peer(1), &hello(), 0, nothing)), WHOLE.beside(WHOLE.kept(), 0));
@@ -129,20 +135,20 @@
 
 #[test]
 fn a_process_that_listens_no_more_hands_nothing_on() {
-    let mut old = Holder::new(WHOLE);
+    let mut old = Incumbent::new(WHOLE);
     offered(old.said(Peer(1), &hello(), 0, nothing));
     old.close();
-    old.said(Peer(1), &ToOld::Ready, 0, nothing);
+    old.said(Peer(1), &SuccessorMessage::Ready, 0, nothing);
     assert!(old.succeeded(), "what was handed on before is the other's own");
     assert!(!old.lost(Peer(1)), "one that listens no more takes nothing back");
     let reply = old.said(Peer(2), &hello(), 0, nothing);
-    assert_eq!(reply, Some(Reply::Only(ToNew::Unknown { forms: Vec::new() })));
+    assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() })));
 }
 
 #[test]
 fn messages_come_back_as_they_went_and_spoilt_ones_are_named() {
-    let cold = vec![Cold { node: u64::MAX, started: 1_700_000_000_000_000_000, left: 2.5 }];
-    let offer = ToNew::Offer {
+    let cold = vec![SlowStartAllowance { node: u64::MAX, started: 1_700_000_000_000_000_000, left: 2.5 }];
+    let offer = IncumbentMessage::Offer {
         form: 1,
         sockets: 3,
         memory: 4,
@@ -151,18 +157,25 @@
         policy: None,
         cold,
     };
-    for message in [offer, ToNew::Heard, ToNew::Busy, ToNew::Unknown { forms: vec![1, 2] }] {
+    for message in [
+        offer,
+        IncumbentMessage::Heard,
+        IncumbentMessage::Busy,
+        IncumbentMessage::Unknown { forms: vec![1, 2] },
+    ] {
         let bytes = message.bytes();
-        let length = ToNew::length([bytes[0], bytes[1], bytes[2], bytes[3]]).expect("a length");
+        let length = IncumbentMessage::length([bytes[0], bytes[1], bytes[2], bytes[3]]).expect("a length");
         assert_eq!(length, bytes.len() - 4);
-        assert_eq!(ToNew::read(&bytes[4..]).expect("a message"), message);
+        assert_eq!(IncumbentMessage::read(&bytes[4..]).expect("a message"), message);
     }
-    for message in [hello(), ToOld::Ready] {
-        assert_eq!(ToOld::read(&message.bytes()[4..]).expect("a message"), message);
+    for message in [hello(), SuccessorMessage::Ready] {
+        assert_eq!(SuccessorMessage::read(&message.bytes()[4..]).expect("a message"), message);
     }
-    assert!(matches!(ToOld::length([255; 4]), Err(BadMessage::Long(n)) if n > MESSAGE_MOST));
-    assert!(matches!(ToOld::read(b"{\"say\":\"what\"}"), Err(BadMessage::Spoilt(_))));
-    assert!(ToNew::read(b"GET / HTTP/1.1").is_err());
+    assert!(
+        matches!(SuccessorMessage::length([255; 4]), Err(MessageError::Long(n)) if n > MAX_MESSAGE_BYTES)
+    );
+    assert!(matches!(SuccessorMessage::read(b"{\"say\":\"what\"}"), Err(MessageError::Spoilt(_))));
+    assert!(IncumbentMessage::read(b"GET / HTTP/1.1").is_err());
 }
 
 #[derive(Clone, Debug)]
@@ -186,20 +199,20 @@
     /// Danger: together the processes of one proxy must stay within its limits, whatever comes when.
     #[test]
     fn all_processes_together_stay_within_the_limits(events in prop::collection::vec(event(), 0..80)) {
-        let mut old = Holder::new(WHOLE);
-        let mut offers: Vec<(u64, Share)> = Vec::new();
+        let mut old = Incumbent::new(WHOLE);
+        let mut offers: Vec<(u64, ResourceShare)> = Vec::new();
         let mut ready: Option<u64> = None;
         for event in events {
             match event {
                 Event::Hello(p, held) => match old.said(Peer(p), &hello(), held, nothing) {
-                    Some(Reply::WithListener(ToNew::Offer { sockets, memory, .. })) => {
+                    Some(Reply::WithListener(IncumbentMessage::Offer { sockets, memory, .. })) => {
                         prop_assert!(sockets + held.max(WHOLE.kept().sockets) <= WHOLE.sockets.max(held));
-                        offers.push((p, Share { sockets, memory }));
+                        offers.push((p, ResourceShare { sockets, memory }));
                     }
-                    reply => prop_assert_eq!(reply, Some(Reply::Only(ToNew::Busy))),
+                    reply => prop_assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Busy))),
                 },
                 Event::Ready(p) => {
-                    old.said(Peer(p), &ToOld::Ready, 0, nothing);
+                    old.said(Peer(p), &SuccessorMessage::Ready, 0, nothing);
                     if offers.iter().any(|o| o.0 == p) {
                         ready = Some(p);
                     }
@@ -212,7 +225,7 @@
             }
             prop_assert!(offers.len() <= 1);
             prop_assert_eq!(old.succeeded(), ready.is_some());
-            let sum = offers.iter().fold(old.share(), |sum, (_, s)| Share {
+            let sum = offers.iter().fold(old.share(), |sum, (_, s)| ResourceShare {
                 sockets: sum.sockets + s.sockets,
                 memory: sum.memory + s.memory,
             });
@@ -228,18 +241,21 @@
 /// is told nothing goes by its own file.
 #[test]
 fn settings_are_handed_on_between_versions_that_know_them() {
-    let mut old = Holder::new(WHOLE);
-    let known = || Known { settings: Some("by these".into()), ..Known::default() };
+    let mut old = Incumbent::new(WHOLE);
+    let known = || HandoverState { settings: Some("by these".into()), ..HandoverState::default() };
     let Some(Reply::WithListener(offer)) = old.said(Peer(1), &hello(), 0, known) else { panic!("no offer") };
     let bytes = offer.bytes();
-    let taken = Claimant::default().heard(Heard::Answer { said: offer, listener: true });
+    let taken = Successor::default().heard(Heard::Answer { said: offer, listener: true });
     assert!(matches!(taken, Ok(Step::Take(Offer { settings: Some(s), .. })) if s == "by these"));
     // As the version before wrote it, and as one that is to come may.
     let text = String::from_utf8(bytes[4..].to_vec()).expect("JSON");
     let before = text.replace(",\"settings\":\"by these\"", "");
     assert_ne!(before, text);
-    let said = ToNew::read(before.as_bytes()).expect("read");
-    assert!(matches!(said, ToNew::Offer { settings: None, .. }));
+    let said = IncumbentMessage::read(before.as_bytes()).expect("read");
+    assert!(matches!(said, IncumbentMessage::Offer { settings: None, .. }));
     let more = text.replacen('{', "{\"later\":[],", 1);
-    assert!(matches!(ToNew::read(more.as_bytes()).expect("read"), ToNew::Offer { settings: Some(_), .. }));
+    assert!(matches!(
+        IncumbentMessage::read(more.as_bytes()).expect("read"),
+        IncumbentMessage::Offer { settings: Some(_), .. }
+    ));
 }
--- a/crates/core/xds-resources/src/lib.rs
+++ b/crates/core/xds-resources/src/lib.rs
@@ -7,13 +7,13 @@
 
 mod decode;
 mod encode;
-mod follow;
+mod follower;
 mod names;
 mod settings;
 
 pub use decode::{decode, DecodeError, DecodedResource, PolicyMessage};
 pub use encode::{declare, declare_changed, ClusterNames, EndpointsById};
-pub use follow::{ControlFollower, FollowerConfig, FollowerEvent};
+pub use follower::{ControlFollower, FollowerConfig, FollowerEvent};
 pub use names::{
     assignment_name, collection_name, endpoint_name, policy_lease_name, settings_name, POLICY_RESOURCE,
 };
--- a/crates/testing/fault-injection/src/deed.rs
+++ b/crates/testing/fault-injection/src/action.rs
@@ -1,7 +1,7 @@
 //! What a rule comes to once all chance in it is drawn; this is what a trace holds and a replay performs.
 
 use crate::script::Act;
-use crate::{Dice, Nanos, MILLI};
+use crate::{Nanos, RuleRng, MILLI};
 use serde::{Deserialize, Serialize};
 
 /// How a connection is ended.
@@ -42,7 +42,7 @@
 /// One act with all its figures drawn. Times are nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Deed {
+pub enum FaultAction {
     /// What comes after this point waits once.
     Pause(Nanos),
     /// Each byte from this point on takes so much longer.
@@ -78,20 +78,20 @@
 /// Longest run of bytes that one garbling may touch: its draws stand in the trace.
 pub(crate) const GARBLE_MOST: u64 = 4096;
 
-impl Deed {
+impl FaultAction {
     /// Draws what is left to chance in an act of a rule, for its `n`-th time on a connection. `None`: it is no matter
     /// of a connection.
-    pub(crate) fn draw(act: &Act, dice: Dice, rule: &str, n: u64) -> Option<Deed> {
+    pub(crate) fn draw(act: &Act, dice: RuleRng, rule: &str, n: u64) -> Option<FaultAction> {
         let millis = |ms: u64, jitter: u64| {
             let part = dice.part(&format!("{rule}/jitter"), n);
             ms * MILLI + (part * (jitter * MILLI) as f64) as Nanos
         };
         Some(match act {
-            Act::Pause { ms, jitter_ms } => Deed::Pause(millis(*ms, *jitter_ms)),
-            Act::Delay { ms, jitter_ms } => Deed::Delay(millis(*ms, *jitter_ms)),
-            Act::Throttle { bytes_per_s } => Deed::Throttle(*bytes_per_s),
-            Act::Cut(how) => Deed::Cut(*how),
-            Act::HalfClose => Deed::HalfClose,
+            Act::Pause { ms, jitter_ms } => FaultAction::Pause(millis(*ms, *jitter_ms)),
+            Act::Delay { ms, jitter_ms } => FaultAction::Delay(millis(*ms, *jitter_ms)),
+            Act::Throttle { bytes_per_s } => FaultAction::Throttle(*bytes_per_s),
+            Act::Cut(how) => FaultAction::Cut(*how),
+            Act::HalfClose => FaultAction::HalfClose,
             Act::Garble { bytes, with } => {
                 let draw = |i: u64| {
                     let drawn = dice.draw(&format!("{rule}/garble/{i}"), n);
@@ -101,17 +101,17 @@
                         Garble::Digits => (drawn % 9) as u8 + 1,
                     }
                 };
-                Deed::Garble(*with, (0..(*bytes).min(GARBLE_MOST)).map(draw).collect())
+                FaultAction::Garble(*with, (0..(*bytes).min(GARBLE_MOST)).map(draw).collect())
             }
-            Act::Drop { bytes } => Deed::Drop(*bytes),
-            Act::Duplicate { bytes } => Deed::Duplicate(*bytes),
-            Act::Insert { text } => Deed::Insert(text.clone()),
-            Act::Split { bytes, gap_ms } => Deed::Split(*bytes, gap_ms * MILLI),
-            Act::Merge { bytes, within_ms } => Deed::Merge(*bytes, within_ms * MILLI),
-            Act::Freeze => Deed::Freeze(None),
-            Act::Refuse => Deed::Refuse,
-            Act::Stall => Deed::Stall,
-            Act::Reorder { by } => Deed::Reorder(*by),
+            Act::Drop { bytes } => FaultAction::Drop(*bytes),
+            Act::Duplicate { bytes } => FaultAction::Duplicate(*bytes),
+            Act::Insert { text } => FaultAction::Insert(text.clone()),
+            Act::Split { bytes, gap_ms } => FaultAction::Split(*bytes, gap_ms * MILLI),
+            Act::Merge { bytes, within_ms } => FaultAction::Merge(*bytes, within_ms * MILLI),
+            Act::Freeze => FaultAction::Freeze(None),
+            Act::Refuse => FaultAction::Refuse,
+            Act::Stall => FaultAction::Stall,
+            Act::Reorder { by } => FaultAction::Reorder(*by),
             Act::Listener(_) => return None,
         })
     }
--- a/crates/testing/fault-injection/src/machine/armed.rs
+++ b/crates/testing/fault-injection/src/connection/armed.rs
@@ -1,11 +1,11 @@
 //! A rule on one connection: where it stands, and what it has counted.
 
 use super::lane::{In, Quiet};
-use crate::deed::Deed;
-use crate::places::{Found, Part, Text};
+use crate::action::FaultAction;
+use crate::protocol_position::{Found, Part, Text};
 use crate::rules::{millis, Planned, Shared};
 use crate::script::{Act, At, Nth, Place};
-use crate::{Dice, Lane, Nanos};
+use crate::{Direction, Nanos, RuleRng};
 use std::sync::Arc;
 
 #[derive(Debug)]
@@ -17,13 +17,13 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Armed {
+pub(super) struct ActiveRule {
     pub name: String,
-    pub lane: Lane,
+    pub lane: Direction,
     pub at: At,
     pub source: Source,
     /// Still to be seen.
-    seen: Option<(Lane, Text)>,
+    seen: Option<(Direction, Text)>,
     text: Option<Text>,
     /// Places of its kind so far.
     candidates: u64,
@@ -32,14 +32,14 @@
     pub until: Option<Nanos>,
 }
 
-impl Armed {
+impl ActiveRule {
     pub fn rule(shared: &Arc<Shared>) -> Self {
         let rule = &shared.rule;
         let text = match &rule.at {
             At::Place(Place::Text(pattern, _), ..) => Some(Text::new(pattern)),
             _ => None,
         };
-        Armed {
+        ActiveRule {
             name: rule.name.clone(),
             lane: rule.lane,
             at: rule.at.clone(),
@@ -55,10 +55,10 @@
     pub fn planned(planned: Planned) -> Self {
         let p = &planned.performed;
         let at = match p.deed {
-            Deed::Refuse | Deed::Stall => At::Connect,
+            FaultAction::Refuse | FaultAction::Stall => At::Connect,
             _ => At::Place(Place::Offset(p.offset), Nth::Only(1), 0),
         };
-        Armed {
+        ActiveRule {
             name: p.rule.clone(),
             lane: p.lane,
             at,
@@ -72,7 +72,7 @@
     }
 
     /// Whether it must be shown each byte of this lane.
-    pub fn watches(&self, lane: Lane) -> bool {
+    pub fn watches(&self, lane: Direction) -> bool {
         !self.done
             && match &self.seen {
                 Some((of, _)) if *of == lane => true,
@@ -123,7 +123,7 @@
     /// so-many-th time.
     pub fn shown(
         &mut self,
-        lane: Lane,
+        lane: Direction,
         (byte, after): (u8, u64),
         (places, quiet): (&[Found], Quiet),
         due: &mut Vec<(u64, u64)>,
@@ -193,7 +193,7 @@
     }
 
     /// Whether it acts this time, and what it does then.
-    pub fn draw(&self, dice: Dice, n: u64) -> Option<Deed> {
+    pub fn draw(&self, dice: RuleRng, n: u64) -> Option<FaultAction> {
         match &self.source {
             Source::Planned(planned) => Some(planned.performed.deed.clone()),
             Source::Rule(shared) => {
@@ -202,7 +202,7 @@
                 if !acts || !shared.take() {
                     return None;
                 }
-                Deed::draw(&rule.act, dice, &rule.name, n)
+                FaultAction::draw(&rule.act, dice, &rule.name, n)
             }
         }
     }
--- a/crates/testing/fault-injection/src/machine/mod.rs
+++ b/crates/testing/fault-injection/src/connection/mod.rs
@@ -4,12 +4,12 @@
 mod lane;
 mod out;
 
-use crate::deed::{Cut, Deed};
-use crate::places::{Found, Http1, Http2, Methods, Resp};
+use crate::action::{Cut, FaultAction};
+use crate::protocol_position::{Found, Http1, Http2, Methods, Resp};
 use crate::rules::{millis, Performed, Plan, RuleSet};
 use crate::script::At;
-use crate::{Dice, Lane, Nanos};
-use armed::Armed;
+use crate::{Direction, Nanos, RuleRng};
+use armed::ActiveRule;
 use lane::{Due, In};
 use out::{Both, Item, Next, Shape};
 
@@ -46,10 +46,10 @@
 pub struct Connection {
     listener: String,
     ordinal: u64,
-    dice: Dice,
+    dice: RuleRng,
     start: Nanos,
     lanes: [In; 2],
-    rules: Vec<Armed>,
+    rules: Vec<ActiveRule>,
     methods: Methods,
     places: Vec<Found>,
     due: Vec<(u64, u64)>,
@@ -68,25 +68,31 @@
     /// run.
     pub fn new(listener: &str, ordinal: u64, rules: &RuleSet, now: Nanos) -> Self {
         let matching = rules.rules.iter().filter(|r| r.rule.matches(listener, ordinal));
-        Self::with(listener, ordinal, rules.dice(listener, ordinal), matching.map(Armed::rule).collect(), now)
+        Self::with(
+            listener,
+            ordinal,
+            rules.dice(listener, ordinal),
+            matching.map(ActiveRule::rule).collect(),
+            now,
+        )
     }
 
     /// The same connection of a run that is played again: what its trace says is done, and nothing else. With `ordered`
     /// each deed waits for those before it, also on other connections.
     pub fn replay(listener: &str, ordinal: u64, plan: &Plan, ordered: bool, now: Nanos) -> Self {
-        let rules = plan.of(listener, ordinal).into_iter().map(Armed::planned).collect();
-        let mut connection = Self::with(listener, ordinal, Dice::new(0), rules, now);
+        let rules = plan.of(listener, ordinal).into_iter().map(ActiveRule::planned).collect();
+        let mut connection = Self::with(listener, ordinal, RuleRng::new(0), rules, now);
         if ordered {
             connection.turns = Some(0);
         }
         connection.gates();
-        for lane in Lane::BOTH {
+        for lane in Direction::BOTH {
             connection.fire(lane, now);
         }
         connection
     }
 
-    fn with(listener: &str, ordinal: u64, dice: Dice, rules: Vec<Armed>, now: Nanos) -> Self {
+    fn with(listener: &str, ordinal: u64, dice: RuleRng, rules: Vec<ActiveRule>, now: Nanos) -> Self {
         let mut connection = Connection {
             listener: listener.to_owned(),
             ordinal,
@@ -111,14 +117,14 @@
         }
         connection.connect();
         if !planned {
-            for lane in Lane::BOTH {
+            for lane in Direction::BOTH {
                 connection.fire(lane, now);
             }
         }
         connection
     }
 
-    fn arm(&mut self, mut rule: Armed) {
+    fn arm(&mut self, mut rule: ActiveRule) {
         let index = self.rules.len();
         let fresh = self.lanes.iter().all(|l| l.offset == 0);
         let protocol = rule.needs_http1() || rule.needs_http2() || rule.needs_resp();
@@ -126,12 +132,12 @@
             // Where its messages begin is not known in the midst of a stream.
             rule.done = true;
         } else if rule.needs_http1() {
-            for lane in Lane::BOTH {
-                let answers = lane == Lane::Down;
+            for lane in Direction::BOTH {
+                let answers = lane == Direction::Down;
                 self.lanes[lane.index()].http1.get_or_insert_with(|| Http1::new(answers));
             }
         } else if rule.needs_http2() {
-            let client = rule.lane == Lane::Up;
+            let client = rule.lane == Direction::Up;
             self.lanes[rule.lane.index()].http2.get_or_insert_with(|| Http2::new(client));
         } else if rule.needs_resp() {
             self.lanes[rule.lane.index()].resp.get_or_insert_with(Resp::default);
@@ -165,13 +171,13 @@
             self.rules[i].done = true;
             let Some(deed) = self.rules[i].draw(self.dice, 1) else { continue };
             self.opening = match deed {
-                Deed::Refuse => Opening::Refuse,
-                Deed::Stall => Opening::Stall,
-                Deed::Pause(span) => Opening::Lead(span),
+                FaultAction::Refuse => Opening::Refuse,
+                FaultAction::Stall => Opening::Stall,
+                FaultAction::Pause(span) => Opening::Lead(span),
                 _ => continue,
             };
             let rule = self.rules[i].name.clone();
-            self.note(Lane::Up, 0, None, rule, deed);
+            self.note(Direction::Up, 0, None, rule, deed);
         }
     }
 
@@ -181,7 +187,7 @@
     }
 
     /// How many bytes may be read in this direction now; 0: none until something has been sent.
-    pub fn wants(&self, lane: Lane) -> usize {
+    pub fn wants(&self, lane: Direction) -> usize {
         let l = &self.lanes[lane.index()];
         if self.cut.is_some() || l.ended {
             return 0;
@@ -194,7 +200,7 @@
 
     /// Bytes have come in, in any pieces. Returns how many of them were taken; the rest is to be offered again once
     /// something has been sent. Danger: a rule may make much out of one byte, so that room is looked for at each.
-    pub fn offer(&mut self, lane: Lane, bytes: &[u8], now: Nanos) -> usize {
+    pub fn offer(&mut self, lane: Direction, bytes: &[u8], now: Nanos) -> usize {
         let at = lane.index();
         if !self.lanes[at].closed && !self.watched(lane) {
             let room = bytes.len().min(self.wants(lane));
@@ -227,18 +233,18 @@
     }
 
     /// Bytes that one direction holds.
-    pub fn held(&self, lane: Lane) -> usize {
+    pub fn held(&self, lane: Direction) -> usize {
         let l = &self.lanes[lane.index()];
         l.out.held + l.held()
     }
 
     /// Whether single bytes of this direction matter.
-    fn watched(&self, lane: Lane) -> bool {
+    fn watched(&self, lane: Direction) -> bool {
         self.lanes[lane.index()].changes() || self.rules.iter().any(|r| r.watches(lane) || r.needs_http1())
     }
 
     /// Looks at a byte: the places that it shows, and which rules are to act there.
-    fn look(&mut self, lane: Lane, byte: u8) {
+    fn look(&mut self, lane: Direction, byte: u8) {
         let at = lane.index();
         let mut places = std::mem::take(&mut self.places);
         places.clear();
@@ -254,7 +260,7 @@
     }
 
     /// Lets go what has come, but for what may yet turn out to lie behind a place.
-    fn decide(&mut self, lane: Lane, now: Nanos) {
+    fn decide(&mut self, lane: Direction, now: Nanos) {
         let l = &self.lanes[lane.index()];
         let hold = self.rules.iter().filter(|r| r.lane == lane).map(|r| r.holds(l)).max().unwrap_or(0);
         let upto = l.offset.saturating_sub(hold as u64).max(l.released);
@@ -262,7 +268,7 @@
     }
 
     /// Decides up to this offset, with what is to happen on the way.
-    fn release(&mut self, lane: Lane, upto: u64, now: Nanos) {
+    fn release(&mut self, lane: Direction, upto: u64, now: Nanos) {
         let at = lane.index();
         while !self.lanes[at].closed {
             self.fire(lane, now);
@@ -276,7 +282,7 @@
     }
 
     /// Does what is to be done where the decided part of a direction ends.
-    fn fire(&mut self, lane: Lane, now: Nanos) {
+    fn fire(&mut self, lane: Direction, now: Nanos) {
         let at = lane.index();
         while let Some(entry) = self.lanes[at].scheduled.first_entry() {
             if *entry.key() > self.lanes[at].released || self.lanes[at].closed {
@@ -297,7 +303,7 @@
     }
 
     /// Does a deed at the end of the decided part of a direction.
-    fn perform(&mut self, lane: Lane, rule: usize, deed: Deed, now: Nanos) {
+    fn perform(&mut self, lane: Direction, rule: usize, deed: FaultAction, now: Nanos) {
         let (name, turn, other) =
             (self.rules[rule].name.clone(), self.rules[rule].turn(), self.rules[rule].other());
         let l = &mut self.lanes[lane.index()];
@@ -305,44 +311,48 @@
             l.out.items.push_back(Item::Turn(turn));
         }
         match deed.clone() {
-            Deed::Pause(span) => l.out.items.push_back(Item::Pause(span)),
-            Deed::Delay(span) => l.delay = Some((name.clone(), span)),
-            Deed::Throttle(rate) => l.out.items.push_back(Item::Shape(name.clone(), Shape::Throttle(rate))),
-            Deed::Split(n, gap) => l.out.items.push_back(Item::Shape(name.clone(), Shape::Split(n, gap))),
-            Deed::Merge(n, within) => {
+            FaultAction::Pause(span) => l.out.items.push_back(Item::Pause(span)),
+            FaultAction::Delay(span) => l.delay = Some((name.clone(), span)),
+            FaultAction::Throttle(rate) => {
+                l.out.items.push_back(Item::Shape(name.clone(), Shape::Throttle(rate)))
+            }
+            FaultAction::Split(n, gap) => {
+                l.out.items.push_back(Item::Shape(name.clone(), Shape::Split(n, gap)))
+            }
+            FaultAction::Merge(n, within) => {
                 l.out.items.push_back(Item::Shape(name.clone(), Shape::Merge(n, within)));
             }
-            Deed::Garble(with, draws) => l.garble(with, draws),
-            Deed::Drop(bytes) => l.drop(bytes),
-            Deed::Duplicate(bytes) => l.duplicate(bytes, now),
-            Deed::Insert(text) => l.insert(&text, now),
-            Deed::HalfClose => {
+            FaultAction::Garble(with, draws) => l.garble(with, draws),
+            FaultAction::Drop(bytes) => l.drop(bytes),
+            FaultAction::Duplicate(bytes) => l.duplicate(bytes, now),
+            FaultAction::Insert(text) => l.insert(&text, now),
+            FaultAction::HalfClose => {
                 l.out.items.push_back(Item::End);
                 l.closed = true;
             }
-            Deed::Cut(how) => {
+            FaultAction::Cut(how) => {
                 // Noted when it is done: until then the other direction goes on.
                 l.out.items.push_back(Item::Both { rule: name, both: Both::Cut(how), other, turn });
                 l.closed = true;
                 return;
             }
-            Deed::Freeze(span) => {
+            FaultAction::Freeze(span) => {
                 l.out.items.push_back(Item::Both { rule: name, both: Both::Freeze(span), other, turn });
                 return;
             }
-            Deed::Refuse | Deed::Stall | Deed::Reorder(_) => return,
+            FaultAction::Refuse | FaultAction::Stall | FaultAction::Reorder(_) => return,
         }
         let offset = self.lanes[lane.index()].released;
         self.note(lane, offset, None, name, deed);
     }
 
-    fn note(&mut self, lane: Lane, offset: u64, other: Option<u64>, rule: String, deed: Deed) {
+    fn note(&mut self, lane: Direction, offset: u64, other: Option<u64>, rule: String, deed: FaultAction) {
         let (listener, connection) = (self.listener.clone(), self.ordinal);
         self.performed.push(Performed { listener, connection, lane, offset, other, rule, deed });
     }
 
     /// A direction's input has ended in order.
-    pub fn ended(&mut self, lane: Lane, now: Nanos) {
+    pub fn ended(&mut self, lane: Direction, now: Nanos) {
         let at = lane.index();
         if std::mem::replace(&mut self.lanes[at].ended, true) || self.lanes[at].closed {
             return;
@@ -384,29 +394,36 @@
     }
 
     /// Does a deed where a direction's output stands.
-    fn at_once(&mut self, lane: Lane, rule: String, deed: Deed, until: Option<Nanos>, now: Nanos) {
+    fn at_once(
+        &mut self,
+        lane: Direction,
+        rule: String,
+        deed: FaultAction,
+        until: Option<Nanos>,
+        now: Nanos,
+    ) {
         let other = self.lanes[lane.other().index()].out.reached();
         let l = &mut self.lanes[lane.index()];
         let offset = l.out.sent;
         let name = rule.clone();
         match deed {
-            Deed::Pause(span) => l.out.wait = l.out.wait.max(now + span),
-            Deed::Delay(span) => l.delay = Some((name, span)),
-            Deed::Throttle(rate) => l.out.shape(name, Shape::Throttle(rate)),
-            Deed::Split(n, gap) => l.out.shape(name, Shape::Split(n, gap)),
-            Deed::Merge(n, within) => l.out.shape(name, Shape::Merge(n, within)),
-            Deed::HalfClose => {
+            FaultAction::Pause(span) => l.out.wait = l.out.wait.max(now + span),
+            FaultAction::Delay(span) => l.delay = Some((name, span)),
+            FaultAction::Throttle(rate) => l.out.shape(name, Shape::Throttle(rate)),
+            FaultAction::Split(n, gap) => l.out.shape(name, Shape::Split(n, gap)),
+            FaultAction::Merge(n, within) => l.out.shape(name, Shape::Merge(n, within)),
+            FaultAction::HalfClose => {
                 l.out.clear();
                 l.out.items.push_back(Item::End);
                 l.closed = true;
             }
-            Deed::Cut(how) => {
+            FaultAction::Cut(how) => {
                 self.cut = Some(how);
                 return self.note(lane, offset, Some(other), rule, deed);
             }
-            Deed::Freeze(_) => {
+            FaultAction::Freeze(_) => {
                 self.frozen.push((name, until));
-                let deed = Deed::Freeze(until.map(|u| u - now));
+                let deed = FaultAction::Freeze(until.map(|u| u - now));
                 return self.note(lane, offset, Some(other), rule, deed);
             }
             _ => return,
@@ -415,7 +432,7 @@
     }
 
     /// What may be done in a direction now.
-    pub fn transmit(&mut self, lane: Lane, now: Nanos) -> Transmit<'_> {
+    pub fn transmit(&mut self, lane: Direction, now: Nanos) -> Transmit<'_> {
         let at = lane.index();
         self.wakes[at] = None;
         loop {
@@ -446,7 +463,7 @@
     }
 
     /// Does what stands at the front of a direction and concerns both, once the other is where it must be.
-    fn both(&mut self, lane: Lane, now: Nanos) -> bool {
+    fn both(&mut self, lane: Direction, now: Nanos) -> bool {
         let sent = self.lanes[lane.other().index()].out.reached();
         let out = &mut self.lanes[lane.index()].out;
         let Some(Item::Both { other, .. }) = out.items.front() else { return false };
@@ -458,11 +475,11 @@
         let deed = match both {
             Both::Cut(how) => {
                 self.cut = Some(how);
-                Deed::Cut(how)
+                FaultAction::Cut(how)
             }
             Both::Freeze(span) => {
                 self.frozen.push((rule.clone(), span.map(|s| now + s)));
-                Deed::Freeze(span)
+                FaultAction::Freeze(span)
             }
         };
         if let Some(turn) = turn {
@@ -473,12 +490,12 @@
     }
 
     /// So many of the bytes of [`Transmit::Write`] were written.
-    pub fn sent(&mut self, lane: Lane, n: usize, now: Nanos) {
+    pub fn sent(&mut self, lane: Direction, n: usize, now: Nanos) {
         self.lanes[lane.index()].out.sent(n, now);
     }
 
     /// The direction was ended.
-    pub fn finished(&mut self, lane: Lane) {
+    pub fn finished(&mut self, lane: Direction) {
         self.lanes[lane.index()].out.finished = true;
     }
 
@@ -511,7 +528,7 @@
 
     /// Turns that it will not take any more, since it has ended.
     pub fn turns_left(&self) -> impl Iterator<Item = u64> + '_ {
-        self.rules.iter().filter_map(Armed::turn)
+        self.rules.iter().filter_map(ActiveRule::turn)
     }
 
     /// The next turn, in a replay in order.
@@ -536,10 +553,9 @@
             self.rules.iter_mut().filter(|r| r.name == name).for_each(|r| r.done = true);
         }
         for shared in &rules.rules {
-            let known =
-                |r: &Armed| matches!(&r.source, armed::Source::Rule(s) if std::sync::Arc::ptr_eq(s, shared));
+            let known = |r: &ActiveRule| matches!(&r.source, armed::Source::Rule(s) if std::sync::Arc::ptr_eq(s, shared));
             if shared.rule.matches(&self.listener, self.ordinal) && !self.rules.iter().any(known) {
-                let mut armed = Armed::rule(shared);
+                let mut armed = ActiveRule::rule(shared);
                 armed.done = armed.at == At::Connect;
                 self.arm(armed);
             }
@@ -563,7 +579,7 @@
     /// Ends it now.
     pub fn cut_now(&mut self, how: Cut, now: Nanos) {
         if self.cut.is_none() {
-            self.at_once(Lane::Up, COMMAND.into(), Deed::Cut(how), None, now);
+            self.at_once(Direction::Up, COMMAND.into(), FaultAction::Cut(how), None, now);
         }
     }
 
@@ -571,13 +587,13 @@
     pub fn pause(&mut self, paused: bool, now: Nanos) {
         match paused {
             true if self.frozen.iter().any(|(name, _)| name == COMMAND) => {}
-            true => self.at_once(Lane::Up, COMMAND.into(), Deed::Freeze(None), None, now),
+            true => self.at_once(Direction::Up, COMMAND.into(), FaultAction::Freeze(None), None, now),
             false => self.frozen.retain(|(name, _)| name != COMMAND),
         }
     }
 
     /// Bytes that came in this direction, and those of them that have gone out.
-    pub fn counts(&self, lane: Lane) -> (u64, u64) {
+    pub fn counts(&self, lane: Direction) -> (u64, u64) {
         let l = &self.lanes[lane.index()];
         (l.offset, l.out.sent)
     }
@@ -587,9 +603,9 @@
         for rule in &mut self.rules {
             rule.done |= rule.spent() && !matches!(rule.at, At::Window(..));
         }
-        let idle = |p: fn(&Armed) -> bool| !self.rules.iter().any(p);
+        let idle = |p: fn(&ActiveRule) -> bool| !self.rules.iter().any(p);
         let (no_http1, no_http2, no_resp) =
-            (idle(Armed::needs_http1), idle(Armed::needs_http2), idle(Armed::needs_resp));
+            (idle(ActiveRule::needs_http1), idle(ActiveRule::needs_http2), idle(ActiveRule::needs_resp));
         for lane in &mut self.lanes {
             if no_http1 {
                 lane.http1 = None;
--- a/crates/testing/fault-injection/src/machine/out.rs
+++ b/crates/testing/fault-injection/src/connection/out.rs
@@ -1,6 +1,6 @@
 //! What is on its way out of one direction: bytes, and what is to happen between them.
 
-use crate::deed::Cut;
+use crate::action::Cut;
 use crate::{Nanos, HELD_MOST};
 use std::collections::VecDeque;
 
--- a/crates/testing/fault-injection/src/datagram.rs
+++ b/crates/testing/fault-injection/src/datagram.rs
@@ -1,9 +1,9 @@
 //! Datagrams of one sender: dropped, doubled, spoilt, late, out of order.
 
-use crate::deed::{garbled, Deed};
+use crate::action::{garbled, FaultAction};
 use crate::rules::{Performed, RuleSet};
 use crate::script::{Act, At, Rule};
-use crate::{Dice, Lane, Nanos};
+use crate::{Direction, Nanos, RuleRng};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 pub struct Flow {
     listener: String,
     ordinal: u64,
-    dice: Dice,
+    dice: RuleRng,
     rules: Vec<(Rule, Arc<crate::rules::Shared>)>,
     counts: [u64; 2],
     held: [VecDeque<Held>; 2],
@@ -59,7 +59,7 @@
     }
 
     /// What is done to the datagram of this number in a direction.
-    fn deeds(&mut self, lane: Lane, number: u64) -> Vec<(String, Deed)> {
+    fn deeds(&mut self, lane: Direction, number: u64) -> Vec<(String, FaultAction)> {
         if let Some(planned) = &self.planned {
             let here = planned.iter().filter(|p| p.lane == lane && p.offset == number);
             return here.map(|p| (p.rule.clone(), p.deed.clone())).collect();
@@ -72,7 +72,9 @@
                 && (rule.chance >= 1.0 || self.dice.part(&rule.name, number) < rule.chance)
                 && !matches!(rule.act, Act::Listener(_))
                 && shared.take();
-            if let Some(deed) = acts.then(|| Deed::draw(&rule.act, self.dice, &rule.name, number)).flatten() {
+            if let Some(deed) =
+                acts.then(|| FaultAction::draw(&rule.act, self.dice, &rule.name, number)).flatten()
+            {
                 deeds.push((rule.name.clone(), deed));
             }
         }
@@ -80,7 +82,7 @@
     }
 
     /// A datagram has come.
-    pub fn offer(&mut self, lane: Lane, datagram: &[u8], now: Nanos) {
+    pub fn offer(&mut self, lane: Direction, datagram: &[u8], now: Nanos) {
         let at = lane.index();
         self.counts[at] += 1;
         let number = self.counts[at];
@@ -88,11 +90,11 @@
         let mut data = datagram.to_vec();
         for (rule, deed) in self.deeds(lane, number) {
             match &deed {
-                Deed::Drop(_) => copies = 0,
-                Deed::Duplicate(_) => copies += copies.min(1),
-                Deed::Pause(span) => due = now + span,
-                Deed::Reorder(by) => behind = Some((*by, now + REORDER_WITHIN)),
-                Deed::Garble(with, draws) => {
+                FaultAction::Drop(_) => copies = 0,
+                FaultAction::Duplicate(_) => copies += copies.min(1),
+                FaultAction::Pause(span) => due = now + span,
+                FaultAction::Reorder(by) => behind = Some((*by, now + REORDER_WITHIN)),
+                FaultAction::Garble(with, draws) => {
                     let bytes = data.iter_mut().zip(draws);
                     bytes.for_each(|(byte, draw)| *byte = garbled(*with, *draw, *byte));
                 }
@@ -124,7 +126,7 @@
     }
 
     /// The next datagram that may go on. One that was overtaken comes behind the last that had to pass it.
-    pub fn take(&mut self, lane: Lane, now: Nanos) -> Option<Vec<u8>> {
+    pub fn take(&mut self, lane: Direction, now: Nanos) -> Option<Vec<u8>> {
         let held = &mut self.held[lane.index()];
         let free = |h: &Held| h.due <= now && h.behind.is_none();
         let late = |h: &Held| h.behind.is_some_and(|(left, until)| left == 0 || until <= now);
--- a/crates/testing/fault-injection/src/lib.rs
+++ b/crates/testing/fault-injection/src/lib.rs
@@ -6,19 +6,19 @@
 //! reads, so that a run can be had again from its seed, and exactly from its [`Trace`].
 #![forbid(unsafe_code)]
 
+mod action;
+mod connection;
 mod datagram;
-mod deed;
-mod dice;
-mod machine;
-mod places;
+mod protocol_position;
+mod rng;
 mod rules;
 mod script;
 mod trace;
 
+pub use action::{Cut, FaultAction, Garble, ListenerState};
+pub use connection::{Connection, Opening, Transmit, HELD_MOST};
 pub use datagram::Flow;
-pub use deed::{Cut, Deed, Garble, ListenerState};
-pub use dice::Dice;
-pub use machine::{Connection, Opening, Transmit, HELD_MOST};
+pub use rng::RuleRng;
 pub use rules::{Performed, Plan, Planned, RuleSet};
 pub use script::{Act, At, HttpPart, Listener, Nth, Place, Rule, Script, ScriptError, Transport};
 pub use trace::{Trace, TraceError};
@@ -34,29 +34,29 @@
 /// One of the two directions of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Lane {
+pub enum Direction {
     /// From who connected to the target.
     Up,
     /// From the target back.
     Down,
 }
 
-impl Lane {
+impl Direction {
     /// Both, the upward one first.
-    pub const BOTH: [Lane; 2] = [Lane::Up, Lane::Down];
+    pub const BOTH: [Direction; 2] = [Direction::Up, Direction::Down];
 
     /// The opposite one.
-    pub fn other(self) -> Lane {
+    pub fn other(self) -> Direction {
         match self {
-            Lane::Up => Lane::Down,
-            Lane::Down => Lane::Up,
+            Direction::Up => Direction::Down,
+            Direction::Down => Direction::Up,
         }
     }
 
     fn index(self) -> usize {
         match self {
-            Lane::Up => 0,
-            Lane::Down => 1,
+            Direction::Up => 0,
+            Direction::Down => 1,
         }
     }
 }
--- a/crates/testing/fault-injection/src/dice.rs
+++ b/crates/testing/fault-injection/src/rng.rs
@@ -6,19 +6,19 @@
 /// Draws that depend on the seed and on what they are for, and on nothing that was drawn before. Danger: with one
 /// sequence for all, whichever connection the kernel served first would get the first draw.
 #[derive(Clone, Copy, Debug)]
-pub struct Dice {
+pub struct RuleRng {
     seed: u64,
 }
 
-impl Dice {
+impl RuleRng {
     /// Draws of this seed.
     pub fn new(seed: u64) -> Self {
-        Dice { seed }
+        RuleRng { seed }
     }
 
     /// For a connection of a listener, by its ordinal.
-    pub(crate) fn of(self, listener: &str, ordinal: u64) -> Dice {
-        Dice { seed: self.hash(listener, ordinal) }
+    pub(crate) fn of(self, listener: &str, ordinal: u64) -> RuleRng {
+        RuleRng { seed: self.hash(listener, ordinal) }
     }
 
     /// The `n`-th draw under this name.
--- a/crates/testing/fault-injection/src/rules.rs
+++ b/crates/testing/fault-injection/src/rules.rs
@@ -1,8 +1,8 @@
 //! The rules of a run, shared by its connections, and the plan that a trace makes in their place.
 
-use crate::deed::Deed;
+use crate::action::FaultAction;
 use crate::script::Rule;
-use crate::{Dice, Lane, Nanos};
+use crate::{Direction, Nanos, RuleRng};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
     /// The connection's ordinal there, from 1.
     pub connection: u64,
     /// The direction.
-    pub lane: Lane,
+    pub lane: Direction,
     /// So many bytes had come in before it.
     pub offset: u64,
     /// For what ends or stops both directions: how many bytes of the other one had gone out, and one more where it had
@@ -27,7 +27,7 @@
     /// The rule.
     pub rule: String,
     /// What was done.
-    pub deed: Deed,
+    pub deed: FaultAction,
 }
 
 /// What a connection is to do in a replay.
@@ -123,8 +123,8 @@
         shared.rule.most.map(|_| shared.acted.load(Ordering::Relaxed))
     }
 
-    pub(crate) fn dice(&self, listener: &str, ordinal: u64) -> Dice {
-        Dice::new(self.seed).of(listener, ordinal)
+    pub(crate) fn dice(&self, listener: &str, ordinal: u64) -> RuleRng {
+        RuleRng::new(self.seed).of(listener, ordinal)
     }
 }
 
--- a/crates/testing/fault-injection/src/script/mod.rs
+++ b/crates/testing/fault-injection/src/script/mod.rs
@@ -4,8 +4,8 @@
 
 pub use read::ScriptError;
 
-use crate::deed::{Cut, Garble, ListenerState};
-use crate::Lane;
+use crate::action::{Cut, Garble, ListenerState};
+use crate::Direction;
 use std::net::SocketAddr;
 
 /// A checked script.
@@ -51,9 +51,9 @@
     /// Ordinals of connections at their listener, from 1, both ends included.
     pub connections: (u64, u64),
     /// Only from where this text has ended on that lane.
-    pub seen: Option<(Lane, Vec<u8>)>,
+    pub seen: Option<(Direction, Vec<u8>)>,
     /// The direction that it looks at and acts on.
-    pub lane: Lane,
+    pub lane: Direction,
     /// Where.
     pub at: At,
     /// How likely it is each time, from 0 to 1.
--- a/crates/testing/fault-injection/src/script/read.rs
+++ b/crates/testing/fault-injection/src/script/read.rs
@@ -1,8 +1,8 @@
 //! Reads a script (TOML). Each error names the line and the field.
 
 use super::{Act, At, FramePart, HttpPart, Listener, Nth, Place, RespPart, Rule, Script, Transport};
-use crate::deed::{Cut, Garble, ListenerState, GARBLE_MOST};
-use crate::Lane;
+use crate::action::{Cut, Garble, ListenerState, GARBLE_MOST};
+use crate::Direction;
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     connections: Option<Spanned<String>>,
     seen: Option<RawSeen>,
     #[serde(default = "up")]
-    lane: Lane,
+    lane: Direction,
     at: Spanned<RawAt>,
     #[serde(default = "always")]
     chance: Spanned<f64>,
@@ -64,8 +64,8 @@
     act: Spanned<RawAct>,
 }
 
-fn up() -> Lane {
-    Lane::Up
+fn up() -> Direction {
+    Direction::Up
 }
 
 fn always() -> Spanned<f64> {
@@ -76,7 +76,7 @@
 #[serde(deny_unknown_fields)]
 struct RawSeen {
     #[serde(default = "up")]
-    lane: Lane,
+    lane: Direction,
     text: Spanned<String>,
 }
 
--- a/crates/testing/fault-injection/tests/common/mod.rs
+++ b/crates/testing/fault-injection/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use rushquay_fault_injection::{
-    Connection, Cut, Lane, Nanos, Performed, Plan, RuleSet, Script, Trace, Transmit, MILLI,
+    Connection, Cut, Direction, Nanos, Performed, Plan, RuleSet, Script, Trace, Transmit, MILLI,
 };
 
 /// What came of a connection.
@@ -52,17 +52,17 @@
         now += step;
         c.tick(now);
         let mut moved = false;
-        for lane in Lane::BOTH {
+        for lane in Direction::BOTH {
             let i = lane as usize;
             // The answer begins once the question has gone through.
-            let may = lane == Lane::Up || taken[0] == up.len();
+            let may = lane == Direction::Up || taken[0] == up.len();
             let n = pieces.next().min(c.wants(lane)).min(inputs[i].len() - taken[i]);
             if may && n > 0 {
                 let n = c.offer(lane, &inputs[i][taken[i]..taken[i] + n], now);
                 taken[i] += n;
                 moved |= n > 0;
-                if taken[i] == inputs[i].len() && lane == Lane::Down {
-                    c.ended(Lane::Down, now);
+                if taken[i] == inputs[i].len() && lane == Direction::Down {
+                    c.ended(Direction::Down, now);
                 }
             }
             loop {
--- a/crates/testing/fault-injection/tests/machine.rs
+++ b/crates/testing/fault-injection/tests/machine.rs
@@ -4,7 +4,9 @@
 
 use common::*;
 use proptest::prelude::*;
-use rushquay_fault_injection::{Connection, Cut, Deed, Lane, Opening, Transmit, HELD_MOST, MILLI};
+use rushquay_fault_injection::{
+    Connection, Cut, Direction, FaultAction, Opening, Transmit, HELD_MOST, MILLI,
+};
 
 fn message(body: &[u8], chunked: bool) -> Vec<u8> {
     let mut m = b"HTTP/1.1 200 OK\r\n".to_vec();
@@ -72,15 +74,16 @@
 }
 
 /// One of two runs did in this direction what the other did, as far as it got; both got as far if the direction cut both of them.
-fn alike(one: &Run, two: &Run, lane: Lane) -> Result<(), String> {
-    let deeds = |run: &Run| -> Vec<(u64, String, Deed)> {
+fn alike(one: &Run, two: &Run, lane: Direction) -> Result<(), String> {
+    let deeds = |run: &Run| -> Vec<(u64, String, FaultAction)> {
         let here = run.performed.iter().filter(|p| p.lane == lane);
         here.map(|p| (p.offset, p.rule.clone(), p.deed.clone())).collect()
     };
     let (one_did, two_did) = (deeds(one), deeds(two));
     let (out, other) = (&one.out[lane as usize], &two.out[lane as usize]);
-    let cuts =
-        |did: &[(u64, String, Deed)]| did.last().is_some_and(|(_, _, deed)| matches!(deed, Deed::Cut(_)));
+    let cuts = |did: &[(u64, String, FaultAction)]| {
+        did.last().is_some_and(|(_, _, deed)| matches!(deed, FaultAction::Cut(_)))
+    };
     let same = match cuts(&one_did) && cuts(&two_did) {
         true => one_did == two_did && out == other,
         false => {
@@ -127,7 +130,7 @@
         if let (None, None) = (first.cut, second.cut) {
             prop_assert_eq!(&first, &second, "{}", text);
         }
-        for lane in Lane::BOTH {
+        for lane in Direction::BOTH {
             alike(&first, &second, lane).map_err(|what| TestCaseError::fail(format!("{what}: {text}")))?;
         }
         let third = drive(again(&first.performed, ordinal), &up, &down, &mut Pieces(two, 3), step * MILLI);
@@ -141,8 +144,8 @@
         let mut c = fresh(&rules, ordinal);
         let block = b"ab\r\n".repeat(2048);
         for now in 0..200 {
-            let taken = c.offer(Lane::Up, &block, now);
-            prop_assert!(taken <= block.len() && c.held(Lane::Up) <= HELD_MOST + 4096, "{}: {}", text, c.held(Lane::Up));
+            let taken = c.offer(Direction::Up, &block, now);
+            prop_assert!(taken <= block.len() && c.held(Direction::Up) <= HELD_MOST + 4096, "{}: {}", text, c.held(Direction::Up));
         }
     }
 }
@@ -192,7 +195,7 @@
 }
 
 /// Takes all that can be written.
-fn drain(c: &mut Connection, lane: Lane, now: u64) -> Vec<u8> {
+fn drain(c: &mut Connection, lane: Direction, now: u64) -> Vec<u8> {
     let mut out = Vec::new();
     loop {
         let n = match c.transmit(lane, now) {
@@ -210,25 +213,25 @@
 fn a_frozen_link_holds_both_ways_and_lets_go() {
     let rules = rules("[[rule]]\nname = 'z'\nat = { from_ms = 10, to_ms = 30 }\ndo = { freeze = true }");
     let mut c = fresh(&rules, 1);
-    c.offer(Lane::Up, b"one", 0);
-    assert_eq!((drain(&mut c, Lane::Up, 0), c.wake()), (b"one".to_vec(), Some(10 * MILLI)));
+    c.offer(Direction::Up, b"one", 0);
+    assert_eq!((drain(&mut c, Direction::Up, 0), c.wake()), (b"one".to_vec(), Some(10 * MILLI)));
     c.tick(10 * MILLI);
-    c.offer(Lane::Up, b"two", 11 * MILLI);
-    c.offer(Lane::Down, b"back", 11 * MILLI);
-    assert_eq!(drain(&mut c, Lane::Up, 12 * MILLI), b"");
-    assert_eq!((drain(&mut c, Lane::Down, 12 * MILLI), c.wake()), (b"".to_vec(), Some(30 * MILLI)));
+    c.offer(Direction::Up, b"two", 11 * MILLI);
+    c.offer(Direction::Down, b"back", 11 * MILLI);
+    assert_eq!(drain(&mut c, Direction::Up, 12 * MILLI), b"");
+    assert_eq!((drain(&mut c, Direction::Down, 12 * MILLI), c.wake()), (b"".to_vec(), Some(30 * MILLI)));
     c.tick(30 * MILLI);
-    assert_eq!(drain(&mut c, Lane::Up, 30 * MILLI), b"two");
-    assert_eq!(drain(&mut c, Lane::Down, 30 * MILLI), b"back");
+    assert_eq!(drain(&mut c, Direction::Up, 30 * MILLI), b"two");
+    assert_eq!(drain(&mut c, Direction::Down, 30 * MILLI), b"back");
     // One that comes meanwhile is frozen too; one that comes later is not.
     let mut later = Connection::new("l", 2, &rules, 20 * MILLI);
     later.tick(20 * MILLI);
-    later.offer(Lane::Up, b"x", 20 * MILLI);
-    assert_eq!(drain(&mut later, Lane::Up, 20 * MILLI), b"");
+    later.offer(Direction::Up, b"x", 20 * MILLI);
+    assert_eq!(drain(&mut later, Direction::Up, 20 * MILLI), b"");
     let mut free = Connection::new("l", 3, &rules, 40 * MILLI);
     free.tick(40 * MILLI);
-    free.offer(Lane::Up, b"x", 40 * MILLI);
-    assert_eq!(drain(&mut free, Lane::Up, 40 * MILLI), b"x");
+    free.offer(Direction::Up, b"x", 40 * MILLI);
+    assert_eq!(drain(&mut free, Direction::Up, 40 * MILLI), b"x");
 }
 
 /// What a clock or a command cut is cut at the same bytes of both directions in the replay, though these now come in
@@ -237,21 +240,21 @@
 fn a_cut_by_the_clock_is_replayed_at_its_offsets() {
     let rules = rules("[[rule]]\nname = 'c'\nlane = 'down'\nat = { after_ms = 10 }\ndo = { cut = 'rst' }");
     let mut c = fresh(&rules, 1);
-    c.offer(Lane::Up, b"question one", 0);
-    c.offer(Lane::Down, b"answer", 0);
-    assert_eq!(drain(&mut c, Lane::Up, 1).len() + drain(&mut c, Lane::Down, 1).len(), 18);
-    c.offer(Lane::Up, b", question two", 5);
-    assert_eq!(drain(&mut c, Lane::Up, 6).len(), 14);
+    c.offer(Direction::Up, b"question one", 0);
+    c.offer(Direction::Down, b"answer", 0);
+    assert_eq!(drain(&mut c, Direction::Up, 1).len() + drain(&mut c, Direction::Down, 1).len(), 18);
+    c.offer(Direction::Up, b", question two", 5);
+    assert_eq!(drain(&mut c, Direction::Up, 6).len(), 14);
     c.tick(10 * MILLI);
     assert_eq!(c.cut(), Some(Cut::Rst));
     let performed = c.take_performed();
     assert_eq!((performed[0].offset, performed[0].other), (6, Some(26)));
     let mut c = again(&performed, 1);
-    c.offer(Lane::Down, b"answer and more", 0);
-    assert_eq!((drain(&mut c, Lane::Down, 0), c.cut()), (b"answer".to_vec(), None));
-    c.offer(Lane::Up, b"question one, question two, question three", 99);
-    assert_eq!((drain(&mut c, Lane::Up, 99).len(), c.cut()), (26, None));
-    assert_eq!((drain(&mut c, Lane::Down, 99), c.cut()), (b"".to_vec(), Some(Cut::Rst)));
+    c.offer(Direction::Down, b"answer and more", 0);
+    assert_eq!((drain(&mut c, Direction::Down, 0), c.cut()), (b"answer".to_vec(), None));
+    c.offer(Direction::Up, b"question one, question two, question three", 99);
+    assert_eq!((drain(&mut c, Direction::Up, 99).len(), c.cut()), (26, None));
+    assert_eq!((drain(&mut c, Direction::Down, 99), c.cut()), (b"".to_vec(), Some(Cut::Rst)));
     assert_eq!(c.take_performed(), performed);
 }
 
@@ -266,38 +269,38 @@
     let plan = rushquay_fault_injection::Plan::new(performed);
     let mut first = Connection::replay("l", 1, &plan, true, 0);
     let mut second = Connection::replay("l", 2, &plan, true, 0);
-    first.offer(Lane::Up, b"abc", 0);
-    assert_eq!(drain(&mut first, Lane::Up, 0), b"ab");
-    second.offer(Lane::Up, b"abc", 0);
-    assert_eq!((drain(&mut second, Lane::Up, 0), second.take_passed()), (b"ab!c".to_vec(), vec![0]));
-    assert_eq!(drain(&mut first, Lane::Up, 0), b"");
+    first.offer(Direction::Up, b"abc", 0);
+    assert_eq!(drain(&mut first, Direction::Up, 0), b"ab");
+    second.offer(Direction::Up, b"abc", 0);
+    assert_eq!((drain(&mut second, Direction::Up, 0), second.take_passed()), (b"ab!c".to_vec(), vec![0]));
+    assert_eq!(drain(&mut first, Direction::Up, 0), b"");
     first.turn(1);
-    assert_eq!((drain(&mut first, Lane::Up, 0), first.take_passed()), (b"!c".to_vec(), vec![1]));
+    assert_eq!((drain(&mut first, Direction::Up, 0), first.take_passed()), (b"!c".to_vec(), vec![1]));
 }
 
 #[test]
 fn rules_may_come_and_go_on_a_live_connection() {
     let mut rules = rules("[[rule]]\nname = 'slow'\nat = { offset = 0 }\ndo = { pause_ms = 5 }");
     let mut c = fresh(&rules, 1);
-    assert_eq!(drain(&mut c, Lane::Up, 0), b"");
-    c.offer(Lane::Up, b"abc", 0);
-    assert_eq!(drain(&mut c, Lane::Up, 5 * MILLI), b"abc");
+    assert_eq!(drain(&mut c, Direction::Up, 0), b"");
+    c.offer(Direction::Up, b"abc", 0);
+    assert_eq!(drain(&mut c, Direction::Up, 5 * MILLI), b"abc");
     rules.add(
         common::rules("[[rule]]\nname = 'f'\nat = { from_ms = 0 }\ndo = { freeze = true }").rules().cloned(),
     );
     c.update(&rules);
     c.tick(6 * MILLI);
-    c.offer(Lane::Up, b"def", 6 * MILLI);
-    assert_eq!(drain(&mut c, Lane::Up, 6 * MILLI), b"");
+    c.offer(Direction::Up, b"def", 6 * MILLI);
+    assert_eq!(drain(&mut c, Direction::Up, 6 * MILLI), b"");
     assert!(rules.lift("f"));
     c.update(&rules);
-    assert_eq!(drain(&mut c, Lane::Up, 6 * MILLI), b"def");
+    assert_eq!(drain(&mut c, Direction::Up, 6 * MILLI), b"def");
     c.pause(true, 7 * MILLI);
-    c.offer(Lane::Up, b"ghi", 7 * MILLI);
-    assert_eq!(drain(&mut c, Lane::Up, 7 * MILLI), b"");
+    c.offer(Direction::Up, b"ghi", 7 * MILLI);
+    assert_eq!(drain(&mut c, Direction::Up, 7 * MILLI), b"");
     c.pause(false, 7 * MILLI);
-    assert_eq!(drain(&mut c, Lane::Up, 7 * MILLI), b"ghi");
+    assert_eq!(drain(&mut c, Direction::Up, 7 * MILLI), b"ghi");
     c.cut_now(Cut::Silence, 8 * MILLI);
-    assert_eq!((c.cut(), c.wants(Lane::Up)), (Some(Cut::Silence), 0));
-    assert!(c.take_performed().iter().any(|p| p.deed == Deed::Cut(Cut::Silence) && p.offset == 9));
+    assert_eq!((c.cut(), c.wants(Direction::Up)), (Some(Cut::Silence), 0));
+    assert!(c.take_performed().iter().any(|p| p.deed == FaultAction::Cut(Cut::Silence) && p.offset == 9));
 }
--- a/crates/testing/fault-injection/tests/script.rs
+++ b/crates/testing/fault-injection/tests/script.rs
@@ -1,6 +1,6 @@
 //! What a script may say, and how it is told what it may not.
 
-use rushquay_fault_injection::{Flow, Lane, Plan, RuleSet, Script, Trace, TraceError, MILLI};
+use rushquay_fault_injection::{Direction, Flow, Plan, RuleSet, Script, Trace, TraceError, MILLI};
 
 fn fault(rule: &str) -> (usize, String, String) {
     let listeners = "[[listener]]\nname = 'a'\nlisten = '127.0.0.1:0'\ntarget = '127.0.0.1:1'\n\
@@ -80,11 +80,11 @@
 fn ten(flow: &mut Flow) -> Vec<Vec<u8>> {
     let mut out = Vec::new();
     for i in 0..10u8 {
-        flow.offer(Lane::Up, &[b'0' + i], u64::from(i));
-        out.extend(std::iter::from_fn(|| flow.take(Lane::Up, u64::from(i))));
+        flow.offer(Direction::Up, &[b'0' + i], u64::from(i));
+        out.extend(std::iter::from_fn(|| flow.take(Direction::Up, u64::from(i))));
     }
     while let Some(wake) = flow.wake() {
-        out.extend(flow.take(Lane::Up, wake));
+        out.extend(flow.take(Direction::Up, wake));
     }
     out
 }
@@ -127,7 +127,7 @@
 fn a_flood_of_datagrams_is_held_to_a_bound() {
     let (mut flow, _) = flow("do = { pause_ms = 1000 }");
     for _ in 0..10_000 {
-        flow.offer(Lane::Up, b"x", 0);
+        flow.offer(Direction::Up, b"x", 0);
     }
     assert_eq!(flow.dropped(), 10_000 - 256);
     assert_eq!(flow.wake(), Some(1000 * MILLI));
--- a/crates/testing/fault-relay/src/connection.rs
+++ b/crates/testing/fault-relay/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::{Command, Joined, Shared};
 use crate::tap::Passage;
-use rushquay_fault_injection::{Connection, Cut, Lane, Opening, Transmit};
+use rushquay_fault_injection::{Connection, Cut, Direction, Opening, Transmit};
 use socket2::SockRef;
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -158,10 +158,10 @@
 
 impl Relaying<'_, '_> {
     /// Where a direction's bytes come from.
-    fn source(&self, lane: Lane) -> &TcpStream {
+    fn source(&self, lane: Direction) -> &TcpStream {
         match lane {
-            Lane::Up => &self.near,
-            Lane::Down => &self.far,
+            Direction::Up => &self.near,
+            Direction::Down => &self.far,
         }
     }
 
@@ -173,7 +173,7 @@
             let now = self.shared.now();
             self.machine.tick(now);
             let mut moved = false;
-            for lane in Lane::BOTH {
+            for lane in Direction::BOTH {
                 let i = lane as usize;
                 match self.write(lane, &mut blocked[i]) {
                     Ok(wrote) => moved |= wrote,
@@ -216,11 +216,11 @@
                 tokio::task::yield_now().await;
                 continue;
             }
-            let reads = |lane: Lane| {
+            let reads = |lane: Direction| {
                 let i = lane as usize;
                 pending[i].is_empty() && !ended[i] && self.machine.wants(lane) > 0
             };
-            let (read_near, read_far) = (reads(Lane::Up), reads(Lane::Down));
+            let (read_near, read_far) = (reads(Direction::Up), reads(Direction::Down));
             let wake = self.machine.wake().map(|at| self.shared.moment(at));
             let command = tokio::select! {
                 biased;
@@ -248,14 +248,14 @@
     }
 
     /// Writes what may be written; whether anything was.
-    fn write(&mut self, lane: Lane, blocked: &mut bool) -> io::Result<bool> {
+    fn write(&mut self, lane: Direction, blocked: &mut bool) -> io::Result<bool> {
         let mut wrote = false;
         *blocked = false;
         loop {
             let now = self.shared.now();
             let sink = match lane {
-                Lane::Up => &self.far,
-                Lane::Down => &self.near,
+                Direction::Up => &self.far,
+                Direction::Down => &self.near,
             };
             let offset = self.machine.counts(lane).1;
             let n = match self.machine.transmit(lane, now) {
@@ -289,7 +289,7 @@
     }
 
     /// Reads once; `None` if there is nothing.
-    fn read(&mut self, lane: Lane, into: &mut Pending) -> io::Result<Option<usize>> {
+    fn read(&mut self, lane: Direction, into: &mut Pending) -> io::Result<Option<usize>> {
         let read = self.source(lane).try_read(&mut into.data[..]);
         let passage = |offset| Passage {
             listener: self.listener,
--- a/crates/testing/fault-relay/src/lib.rs
+++ b/crates/testing/fault-relay/src/lib.rs
@@ -14,14 +14,14 @@
 #![forbid(unsafe_code)]
 
 mod admin;
+mod byte_counters;
 mod connection;
-mod ledger;
 mod listener;
 mod shared;
 mod tap;
 mod udp;
 
-pub use rushquay_fault_injection::{Cut, Deed, Lane, ListenerState, Performed, Script, Trace};
+pub use rushquay_fault_injection::{Cut, Direction, FaultAction, ListenerState, Performed, Script, Trace};
 pub use shared::Live;
 pub use tap::{Passage, Tap};
 
@@ -305,7 +305,7 @@
     }
 
     /// Bytes that have gone through a listener in a direction, on all connections.
-    pub fn passed(&self, listener: &str, lane: Lane) -> u64 {
+    pub fn passed(&self, listener: &str, lane: Direction) -> u64 {
         self.shared.passed(listener, lane)
     }
 
--- a/crates/testing/fault-relay/src/shared.rs
+++ b/crates/testing/fault-relay/src/shared.rs
@@ -1,8 +1,8 @@
 //! What all connections of a relay share: the clock, the rules, the trace, and who is connected.
 
-use crate::ledger::Ledger;
+use crate::byte_counters::Ledger;
 use crate::{Options, RelayError, Tap};
-use rushquay_fault_injection::{Connection, Cut, Flow, Lane, Nanos, Performed, Plan, RuleSet, Trace};
+use rushquay_fault_injection::{Connection, Cut, Direction, Flow, Nanos, Performed, Plan, RuleSet, Trace};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
@@ -191,7 +191,7 @@
         }
     }
 
-    pub fn count(&self, listener: &str, lane: Lane, bytes: u64) {
+    pub fn count(&self, listener: &str, lane: Direction, bytes: u64) {
         let mut passed = lock(&self.passed);
         if let Some(counts) = passed.get_mut(listener) {
             counts[lane as usize] += bytes;
@@ -202,7 +202,7 @@
         }
     }
 
-    pub fn passed(&self, listener: &str, lane: Lane) -> u64 {
+    pub fn passed(&self, listener: &str, lane: Direction) -> u64 {
         let open: u64 = lock(&self.connections)
             .iter()
             .filter(|((l, _), _)| l == listener)
@@ -249,7 +249,7 @@
 impl Joined<'_> {
     /// Takes down how far the connection is.
     pub fn count(&self, machine: &Connection) {
-        for lane in Lane::BOTH {
+        for lane in Direction::BOTH {
             let (came, went) = machine.counts(lane);
             self.counts[2 * lane as usize].store(came, Relaxed);
             self.counts[2 * lane as usize + 1].store(went, Relaxed);
@@ -260,7 +260,7 @@
 impl Drop for Joined<'_> {
     fn drop(&mut self) {
         lock(&self.shared.connections).remove(&self.key);
-        for lane in Lane::BOTH {
+        for lane in Direction::BOTH {
             let went = self.counts[2 * lane as usize + 1].load(Relaxed);
             self.shared.count(&self.key.0, lane, went);
         }
--- a/crates/testing/fault-relay/src/tap.rs
+++ b/crates/testing/fault-relay/src/tap.rs
@@ -1,6 +1,6 @@
 //! A look at what comes in and goes out.
 
-use rushquay_fault_injection::Lane;
+use rushquay_fault_injection::Direction;
 use std::time::Instant;
 
 /// Where and when something came in.
@@ -11,7 +11,7 @@
     /// The connection's ordinal there.
     pub connection: u64,
     /// The direction.
-    pub lane: Lane,
+    pub lane: Direction,
     /// Bytes of this direction before these.
     pub offset: u64,
     /// When it was read.
--- a/crates/testing/fault-relay/src/udp.rs
+++ b/crates/testing/fault-relay/src/udp.rs
@@ -1,7 +1,7 @@
 //! A relay of datagrams: each sender is a connection, with a socket of its own towards the target.
 
 use crate::shared::Shared;
-use rushquay_fault_injection::{Flow, Lane, ListenerState};
+use rushquay_fault_injection::{Direction, Flow, ListenerState};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,21 +70,21 @@
     let mut data = vec![0; LONGEST];
     loop {
         let now = shared.now();
-        while let Some(datagram) = flow.take(Lane::Up, now) {
+        while let Some(datagram) = flow.take(Direction::Up, now) {
             let _ = far.send(&datagram).await;
         }
-        while let Some(datagram) = flow.take(Lane::Down, now) {
+        while let Some(datagram) = flow.take(Direction::Down, now) {
             let _ = near.send_to(&datagram, from).await;
         }
         shared.note(flow.take_performed());
         let wake = flow.wake().map_or(QUIET, |at| Duration::from_nanos(at.saturating_sub(now)));
         tokio::select! {
             datagram = came.recv() => match datagram {
-                Some(datagram) => flow.offer(Lane::Up, &datagram, shared.now()),
+                Some(datagram) => flow.offer(Direction::Up, &datagram, shared.now()),
                 None => return,
             },
             read = far.recv(&mut data) => if let Ok(n) = read {
-                flow.offer(Lane::Down, &data[..n], shared.now());
+                flow.offer(Direction::Down, &data[..n], shared.now());
             },
             () = tokio::time::sleep(wake) => if flow.wake().is_none() {
                 return;
--- a/crates/testing/fault-relay/tests/sockets/faults.rs
+++ b/crates/testing/fault-relay/tests/sockets/faults.rs
@@ -1,7 +1,7 @@
 //! Each kind of fault, as both ends see it.
 
 use super::*;
-use rushquay_fault_relay::{Lane, ListenerState};
+use rushquay_fault_relay::{Direction, ListenerState};
 use std::time::Instant;
 
 #[tokio::test]
@@ -199,12 +199,12 @@
     let mut cut = 0;
     for (i, near) in all.iter_mut().enumerate() {
         let mut pure = rushquay_fault_injection::Connection::new("l", i as u64 + 1, &set, 0);
-        pure.offer(Lane::Down, b"answer", 0);
+        pure.offer(Direction::Down, b"answer", 0);
         let mut due = Vec::new();
-        while let rushquay_fault_injection::Transmit::Write(bytes) = pure.transmit(Lane::Down, 0) {
+        while let rushquay_fault_injection::Transmit::Write(bytes) = pure.transmit(Direction::Down, 0) {
             let n = bytes.len();
             due.extend_from_slice(bytes);
-            pure.sent(Lane::Down, n, 0);
+            pure.sent(Direction::Down, n, 0);
         }
         let mut got = vec![0; due.len()];
         within("an answer came", near.read_exact(&mut got)).await.expect("read");
--- a/crates/testing/fault-relay/tests/sockets/replays.rs
+++ b/crates/testing/fault-relay/tests/sockets/replays.rs
@@ -1,7 +1,7 @@
 //! Runs of one seed, and traces played again.
 
 use super::*;
-use rushquay_fault_relay::{Lane, Trace};
+use rushquay_fault_relay::{Direction, Trace};
 use std::sync::{Arc, Mutex};
 
 /// What both ends of all connections saw.
@@ -169,5 +169,5 @@
     near.write_all(b"abcdef").await.expect("written");
     near.shutdown().await.expect("ended");
     assert_eq!(rest(&mut far).await, (b"adef".to_vec(), true));
-    assert_eq!(tap.0.lock().expect("a lock")[Lane::Up as usize], b"abcdef");
+    assert_eq!(tap.0.lock().expect("a lock")[Direction::Up as usize], b"abcdef");
 }
--- a/crates/testing/fleet-harness/src/clients.rs
+++ b/crates/testing/fleet-harness/src/clients.rs
@@ -7,7 +7,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rushquay_history::{Answer, Books, Effect, Entry, MILLI};
+use rushquay_history::{Answer, Effect, Entry, History, MILLI};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -137,9 +137,9 @@
     }
 
     /// Enters what they saw.
-    pub fn enter(&self, books: &mut Books, begin: Instant) {
+    pub fn enter(&self, books: &mut History, begin: Instant) {
         for (at, entry) in &self.seen.lock().unwrap_or_else(PoisonError::into_inner).entries {
-            books.enter((*at - begin).as_nanos() as u64, entry.clone());
+            books.record((*at - begin).as_nanos() as u64, entry.clone());
         }
     }
 }
--- a/crates/testing/fleet-harness/src/history.rs
+++ b/crates/testing/fleet-harness/src/event_log.rs
@@ -23,18 +23,18 @@
 
 /// All that was seen, in order. Clones are the same history.
 #[derive(Clone, Debug)]
-pub struct History {
+pub struct EventLog {
     begin: Instant,
     lines: Arc<Mutex<Vec<Line>>>,
 }
 
-impl Default for History {
+impl Default for EventLog {
     fn default() -> Self {
-        History { begin: Instant::now(), lines: Arc::default() }
+        EventLog { begin: Instant::now(), lines: Arc::default() }
     }
 }
 
-impl History {
+impl EventLog {
     /// Notes something now.
     pub fn note(&self, who: &str, what: impl Into<String>) {
         let line = Line { at: self.begin.elapsed(), who: who.to_owned(), what: what.into() };
--- a/crates/testing/fleet-harness/src/fleet.rs
+++ b/crates/testing/fleet-harness/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::http::call;
 use crate::process::{hosted, kill};
-use crate::{Clients, Count, Ended, History, Process, LONG};
+use crate::{Clients, Count, Ended, EventLog, Process, LONG};
 use hyper::Method;
 use rushquay_fault_relay::{Cut, ListenerState, Options, Relay, Script};
-use rushquay_history::{Books, Breach, Entry, Tolerance, MILLI};
+use rushquay_history::{Entry, History, Tolerance, Violation, MILLI};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -127,7 +127,7 @@
     /// Discovery.
     pub discovery: Discovery,
     /// What was seen.
-    pub history: History,
+    pub history: EventLog,
     shape: Shape,
     /// The digest of the program itself, where hosts run it.
     own: OnceLock<String>,
@@ -159,7 +159,7 @@
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("rqh-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
-        let history = History::default();
+        let history = EventLog::default();
         println!("seed {}", shape.seed);
         let mut nodes = Vec::new();
         for zone in ZONES.into_iter().chain([SPARE]) {
@@ -596,16 +596,17 @@
     }
 
     /// What the four rules say of all that was seen at both ends.
-    pub fn audit(&self) -> Vec<Breach> {
-        let (mut books, begin) = (Books::default(), self.history.begin());
+    pub fn audit(&self) -> Vec<Violation> {
+        let (mut books, begin) = (History::default(), self.history.begin());
         self.clients.values().for_each(|c| c.enter(&mut books, begin));
         for (_, node) in &self.nodes {
             let at = |at: Instant| at.saturating_duration_since(begin).as_nanos() as u64;
             let (name, id) = (node.id.clone(), |id: &String| id.clone());
             let sent = node.sent();
-            sent.iter().for_each(|(t, i)| books.enter(at(*t), Entry::Sent { id: id(i), node: name.clone() }));
+            sent.iter()
+                .for_each(|(t, i)| books.record(at(*t), Entry::Sent { id: id(i), node: name.clone() }));
             let ran = node.ran();
-            ran.iter().for_each(|(t, i)| books.enter(at(*t), Entry::Ran { id: id(i), node: name.clone() }));
+            ran.iter().for_each(|(t, i)| books.record(at(*t), Entry::Ran { id: id(i), node: name.clone() }));
         }
         // Times at the ends are by processes that may wait for a core.
         let tolerance = Tolerance { late: 2000 * MILLI, drain: 2500 * MILLI, crossing: 1000 * MILLI };
--- a/crates/testing/fleet-harness/src/lib.rs
+++ b/crates/testing/fleet-harness/src/lib.rs
@@ -1,5 +1,5 @@
 //! Many processes of the program on loopback: proxies in several data centres, control services on one store, stand-in nodes and
-//! discovery, a relay on every leg between them, clients that ask all the while, and one [`History`] of what was seen from
+//! discovery, a relay on every leg between them, clients that ask all the while, and one [`EventLog`] of what was seen from
 //! outside. For tests of what they do together while parts of the system fail.
 //!
 //! The same seed gives the same fleet, the same requests and the same draws of faults. What is asserted is what must hold
@@ -9,9 +9,9 @@
 mod broken;
 mod changes;
 mod clients;
+mod event_log;
 mod fleet;
 mod held;
-mod history;
 mod http;
 mod process;
 mod shim;
@@ -20,9 +20,9 @@
 pub use broken::{told, Broken, Part};
 pub use changes::{in_order, phase, start, words};
 pub use clients::{Clients, Count, Ended};
+pub use event_log::{EventLog, Line};
 pub use fleet::{Control, Fleet, Proxy, Shape, SPARE, ZONES};
 pub use held::{two_at_once, Held};
-pub use history::{History, Line};
 pub use http::call;
 pub use process::{skewed, Process};
 pub use shim::Faults;
--- a/crates/testing/fleet-harness/src/process.rs
+++ b/crates/testing/fleet-harness/src/process.rs
@@ -1,6 +1,6 @@
 //! A process of the program: started, stopped, woken, ended and killed by its id, and its log in the history.
 
-use crate::{History, LONG};
+use crate::{EventLog, LONG};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 pub struct Process {
     name: String,
     child: Child,
-    history: History,
+    history: EventLog,
     lines: Receiver<String>,
     stopped: bool,
 }
@@ -38,7 +38,7 @@
         program: &Path,
         args: &[&str],
         variables: &[(&str, &str)],
-        history: &History,
+        history: &EventLog,
     ) -> Self {
         let mut command = Command::new(program);
         command.env_clear().args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
--- a/crates/testing/history/src/lib.rs
+++ b/crates/testing/history/src/lib.rs
@@ -3,7 +3,7 @@
 //! entries are made by the ends, or by taps on the way.
 #![forbid(unsafe_code)]
 
-mod audit;
+mod check;
 
 use std::collections::BTreeMap;
 
@@ -102,7 +102,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Breach {
+pub enum Violation {
     /// No request is lost.
     #[error("{0} has no final answer")]
     Unanswered(String),
@@ -153,7 +153,7 @@
 
 /// What was seen of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct History {
     requests: BTreeMap<String, Request>,
     /// By node: when it was told to drain, and when to serve again.
     told: BTreeMap<String, Vec<(Nanos, bool)>>,
@@ -173,9 +173,9 @@
     requests.entry(id).or_default()
 }
 
-impl Books {
+impl History {
     /// Enters something that was seen at this time. Entries may come in any order.
-    pub fn enter(&mut self, at: Nanos, entry: Entry) {
+    pub fn record(&mut self, at: Nanos, entry: Entry) {
         self.entries += 1;
         let requests = &mut self.requests;
         match entry {
--- a/crates/testing/history/tests/audit.rs
+++ b/crates/testing/history/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The checker is itself checked: books without a fault show none, and each seeded breach is found, with its request.
 
 use proptest::prelude::*;
-use rushquay_history::{Answer, Books, Breach, Effect, Entry, Nanos, Tolerance, MILLI};
+use rushquay_history::{Answer, Effect, Entry, History, Nanos, Tolerance, Violation, MILLI};
 
 const TOLERANCE: Tolerance = Tolerance { late: 50 * MILLI, drain: 550 * MILLI, crossing: 5 * MILLI };
 const WITHIN: Nanos = 400 * MILLI;
@@ -64,14 +64,14 @@
     all
 }
 
-fn books(entries: impl IntoIterator<Item = (Nanos, Entry)>) -> Books {
-    let mut books = Books::default();
-    entries.into_iter().for_each(|(at, entry)| books.enter(at, entry));
+fn books(entries: impl IntoIterator<Item = (Nanos, Entry)>) -> History {
+    let mut books = History::default();
+    entries.into_iter().for_each(|(at, entry)| books.record(at, entry));
     books
 }
 
 /// Breaks one rule for the `i`-th exchange; what is to be found, or `None` where it can't be broken there.
-fn spoil(kind: usize, i: usize, e: &Exchange, all: &mut Vec<(Nanos, Entry)>) -> Option<Breach> {
+fn spoil(kind: usize, i: usize, e: &Exchange, all: &mut Vec<(Nanos, Entry)>) -> Option<Violation> {
     let of = id(i);
     let over = e.at + e.took;
     let is_final = |entry: &Entry| matches!(entry, Entry::Final { id, .. } if *id == of);
@@ -82,41 +82,41 @@
     Some(match kind {
         0 if !e.excused => {
             all.retain(|(_, entry)| !is_final(entry));
-            Breach::Unanswered(of)
+            Violation::Unanswered(of)
         }
         1 if !e.excused => {
             all.push((over + 1, Entry::Final { id: of.clone(), answer: Answer::Failed, by: None }));
-            Breach::Answers(of, 2)
+            Violation::Answers(of, 2)
         }
         2 if !e.excused => {
             let late = e.at + WITHIN + TOLERANCE.late + 1;
             all.iter_mut().filter(|(_, entry)| is_final(entry)).for_each(|(at, _)| *at = late);
-            Breach::Late { id: of, by: TOLERANCE.late + 1 }
+            Violation::Late { id: of, by: TOLERANCE.late + 1 }
         }
         3 if !e.excused => {
             let by = TOLERANCE.crossing + 1;
             all.push((over + by, Entry::Sent { id: of.clone(), node: "a".into() }));
-            Breach::SentAfterFinal { id: of, node: "a".into(), by }
+            Violation::SentAfterFinal { id: of, node: "a".into(), by }
         }
         4 if e.effect != Effect::Safe => {
             let node = ran?;
             all.push((over, Entry::Ran { id: of.clone(), node }));
-            Breach::Doubled(of, 2)
+            Violation::Doubled(of, 2)
         }
         5 if e.effect == Effect::Unsafe && e.answer == Answer::Refused && !e.excused => {
             all.push((e.at + 1, Entry::Ran { id: of.clone(), node: "b".into() }));
-            Breach::RefusedAfterRun(of, "b".into())
+            Violation::RefusedAfterRun(of, "b".into())
         }
         6 if e.answer == Answer::Served && !e.excused => {
             let by = ran?;
             all.retain(|(_, entry)| !matches!(entry, Entry::Ran { id, .. } if *id == of));
-            Breach::Forged(of, by)
+            Violation::Forged(of, by)
         }
         7 => {
             let at = 10_000 * MILLI + TOLERANCE.drain + 1;
             all.push((at, Entry::Sent { id: of.clone(), node: "d".into() }));
             let by = TOLERANCE.drain + 1;
-            Breach::SentToDrained { id: of, node: "d".into(), by }
+            Violation::SentToDrained { id: of, node: "d".into(), by }
         }
         8 => {
             all.retain(|(_, entry)| !matches!(entry, Entry::Asked { id, .. } if *id == of));
@@ -124,7 +124,7 @@
                 Entry::Sent { id, node } if *id == of => Some(node.clone()),
                 _ => None,
             });
-            Breach::Unasked(of, node?)
+            Violation::Unasked(of, node?)
         }
         _ => return None,
     })
@@ -152,7 +152,7 @@
             let found = books(all).audit(TOLERANCE);
             prop_assert!(found.contains(&breach), "{:?} is not in {:?}", breach, found);
             // Nothing is said of other requests.
-            let own = |b: &Breach| b.to_string().starts_with(&format!("{} ", id(i)));
+            let own = |b: &Violation| b.to_string().starts_with(&format!("{} ", id(i)));
             prop_assert!(found.iter().all(own), "{:?}", found);
         }
     }
@@ -189,7 +189,7 @@
     ];
     assert_eq!(books(exact.clone()).audit(TOLERANCE), vec![]);
     let mut later = books(exact);
-    later.enter(WITHIN + TOLERANCE.drain + 1, Entry::Sent { id: "r".into(), node: "a".into() });
+    later.record(WITHIN + TOLERANCE.drain + 1, Entry::Sent { id: "r".into(), node: "a".into() });
     // The first word of the drain counts, not a repeat of it.
-    assert!(later.audit(TOLERANCE).iter().any(|b| matches!(b, Breach::SentToDrained { .. })));
+    assert!(later.audit(TOLERANCE).iter().any(|b| matches!(b, Violation::SentToDrained { .. })));
 }
--- a/crates/testing/node-model/src/kept.rs
+++ b/crates/testing/node-model/src/dedup_window.rs
@@ -5,15 +5,15 @@
 use std::num::NonZeroUsize;
 
 /// The kept set.
-pub struct Kept {
+pub struct DedupWindow {
     keys: LruCache<u64, Nanos>,
     lasts: Nanos,
 }
 
-impl Kept {
+impl DedupWindow {
     /// For so many keys, each for so long after it was stored.
     pub fn new(room: NonZeroUsize, lasts: Nanos) -> Self {
-        Kept { keys: LruCache::new(room), lasts }
+        DedupWindow { keys: LruCache::new(room), lasts }
     }
 
     /// Whether the key is there; it is then the last that goes.
@@ -60,7 +60,7 @@
 
     #[test]
     fn the_least_recently_used_goes_first_and_what_is_old_is_gone() {
-        let mut kept = Kept::new(NonZeroUsize::new(2).expect("not zero"), 100);
+        let mut kept = DedupWindow::new(NonZeroUsize::new(2).expect("not zero"), 100);
         kept.store(1, 0);
         kept.store(2, 10);
         assert!(kept.has(1, 20));
--- a/crates/testing/node-model/src/lib.rs
+++ b/crates/testing/node-model/src/lib.rs
@@ -6,15 +6,15 @@
 //! time, where [`Timeline`] orders what happens, and may stand behind real sockets.
 #![forbid(unsafe_code)]
 
-mod kept;
+mod dedup_window;
 mod node;
 mod pressure;
 mod settings;
 mod timeline;
 mod work;
 
-pub use kept::Kept;
-pub use node::{Answer, Counts, Fault, Job, Node, Out, Say};
+pub use dedup_window::DedupWindow;
+pub use node::{Answer, Counts, Fault, Node, NodeEvent, Out, Request};
 pub use settings::{Cold, Fall, KeptSettings, Mode, NodeSettings, SettingsError};
 pub use timeline::Timeline;
 pub use work::Work;
--- a/crates/testing/node-model/src/node.rs
+++ b/crates/testing/node-model/src/node.rs
@@ -2,13 +2,13 @@
 
 use crate::pressure::Pressure;
 use crate::settings::nanos;
-use crate::{Chance, Kept, Mode, Nanos, NodeSettings, SettingsError, Timeline};
+use crate::{Chance, DedupWindow, Mode, Nanos, NodeSettings, SettingsError, Timeline};
 use rand::RngExt as _;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// A request as a node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Job {
+pub struct Request {
     /// Its number, never used twice at one node.
     pub id: u64,
     /// Its key.
@@ -41,11 +41,11 @@
 
 /// What a node says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum NodeEvent {
     /// An answer to this request.
     Answer(u64, Answer),
     /// This request needs the origin; [`Node::fetched`] tells what came of it.
-    Fetch(Job),
+    Fetch(Request),
     /// This request had its effect, whoever hears of it.
     Ran(u64),
     /// It fell over, pushed while cold: from here on nothing comes.
@@ -58,7 +58,7 @@
     /// When.
     pub at: Nanos,
     /// What.
-    pub say: Say,
+    pub say: NodeEvent,
 }
 
 /// Something that happens to a node.
@@ -106,7 +106,7 @@
 }
 
 struct Running {
-    job: Job,
+    job: Request,
     stage: Stage,
     hit: bool,
     /// Its client has gone.
@@ -124,14 +124,14 @@
 pub struct Node {
     settings: NodeSettings,
     started: Nanos,
-    kept: Option<Kept>,
+    kept: Option<DedupWindow>,
     due: Timeline<Due>,
     running: BTreeMap<u64, Running>,
     /// Waiting for the origin.
     fetching: BTreeMap<u64, Running>,
-    waiting: VecDeque<(Job, Stage, bool)>,
+    waiting: VecDeque<(Request, Stage, bool)>,
     /// At its door while it is paused.
-    door: VecDeque<Job>,
+    door: VecDeque<Request>,
     tokens: HashMap<u64, Nanos>,
     pressure: Option<Pressure>,
     paused_until: Nanos,
@@ -151,7 +151,7 @@
     /// Settings out of range.
     pub fn new(settings: NodeSettings, started: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
-        let kept = settings.kept.map(|k| Kept::new(k.keys, nanos(k.lasts_ms)));
+        let kept = settings.kept.map(|k| DedupWindow::new(k.keys, nanos(k.lasts_ms)));
         let pressure = settings.fall.map(|f| Pressure::new(nanos(f.for_ms)));
         let false_misses = settings.false_misses;
         Ok(Node {
@@ -237,7 +237,7 @@
     }
 
     /// A request has come.
-    pub fn arrive(&mut self, now: Nanos, job: Job, chance: &mut Chance, out: &mut Vec<Out>) {
+    pub fn arrive(&mut self, now: Nanos, job: Request, chance: &mut Chance, out: &mut Vec<Out>) {
         self.advance(now, chance, out);
         self.counts.came += 1;
         if self.down {
@@ -250,10 +250,10 @@
         self.take(now, job, chance, out);
     }
 
-    fn take(&mut self, now: Nanos, job: Job, chance: &mut Chance, out: &mut Vec<Out>) {
+    fn take(&mut self, now: Nanos, job: Request, chance: &mut Chance, out: &mut Vec<Out>) {
         if self.pushed_over(now) {
             self.vanish();
-            out.push(Out { at: now, say: Say::Fell });
+            out.push(Out { at: now, say: NodeEvent::Fell });
             return;
         }
         if self.running.len() < self.settings.cores {
@@ -262,7 +262,7 @@
             self.waiting.push_back((job, Stage::Looking, false));
         } else {
             self.counts.full += 1;
-            out.push(Out { at: now, say: Say::Answer(job.id, Answer::Full) });
+            out.push(Out { at: now, say: NodeEvent::Answer(job.id, Answer::Full) });
         }
     }
 
@@ -275,7 +275,7 @@
         warmth < 1.0 && over.is_some_and(|multiple| multiple > fall.multiple)
     }
 
-    fn begin(&mut self, now: Nanos, job: Job, stage: Stage, left: bool, chance: &mut Chance) {
+    fn begin(&mut self, now: Nanos, job: Request, stage: Stage, left: bool, chance: &mut Chance) {
         let work = match stage {
             Stage::Looking => self.settings.work.draw(chance),
             Stage::Passing { .. } => self.settings.fetched_work.draw(chance),
@@ -299,7 +299,7 @@
                 } else if self.settings.mode == Mode::Aside {
                     self.say(now, &running, Answer::Missing, out);
                 } else {
-                    out.push(Out { at: now, say: Say::Fetch(running.job) });
+                    out.push(Out { at: now, say: NodeEvent::Fetch(running.job) });
                     self.fetching.insert(id, running);
                 }
             }
@@ -318,12 +318,12 @@
             // It was worked on for nobody.
             self.counts.late += 1;
         } else {
-            out.push(Out { at: now, say: Say::Answer(running.job.id, answer) });
+            out.push(Out { at: now, say: NodeEvent::Answer(running.job.id, answer) });
         }
     }
 
     /// Whether a read finds its key. Writes go to where the value is.
-    fn looked(&mut self, now: Nanos, job: &Job, chance: &mut Chance) -> bool {
+    fn looked(&mut self, now: Nanos, job: &Request, chance: &mut Chance) -> bool {
         if job.write || self.settings.mode == Mode::All {
             return false;
         }
@@ -349,7 +349,7 @@
             None => true,
         };
         if ran {
-            out.push(Out { at: now, say: Say::Ran(job.id) });
+            out.push(Out { at: now, say: NodeEvent::Ran(job.id) });
         }
         match chance.random::<f64>() < self.resets {
             true => Answer::Reset,
@@ -400,10 +400,12 @@
                 let inside = self.running.keys().chain(self.fetching.keys()).copied();
                 let inside = inside.chain(self.waiting.iter().map(|(job, ..)| job.id));
                 let broken: Vec<u64> = inside.chain(self.door.iter().map(|job| job.id)).collect();
-                out.extend(broken.into_iter().map(|id| Out { at: now, say: Say::Answer(id, Answer::Reset) }));
+                out.extend(
+                    broken.into_iter().map(|id| Out { at: now, say: NodeEvent::Answer(id, Answer::Reset) }),
+                );
                 self.vanish();
                 (self.down, self.started, self.done, self.paused_until) = (false, now, 0, 0);
-                self.kept.iter_mut().for_each(Kept::clear);
+                self.kept.iter_mut().for_each(DedupWindow::clear);
                 self.tokens.clear();
                 self.pressure = self.settings.fall.map(|f| Pressure::new(nanos(f.for_ms)));
             }
--- a/crates/testing/node-model/tests/node.rs
+++ b/crates/testing/node-model/tests/node.rs
@@ -1,7 +1,9 @@
 //! What a node does when things go wrong.
 
 use rand::SeedableRng;
-use rushquay_node_model::{Answer, Chance, Fault, Job, Nanos, Node, NodeSettings, Out, Say, MILLI, SECOND};
+use rushquay_node_model::{
+    Answer, Chance, Fault, Nanos, Node, NodeEvent, NodeSettings, Out, Request, MILLI, SECOND,
+};
 
 const SETTINGS: &str = "
 cores = 2
@@ -30,7 +32,7 @@
 
     fn ask(&mut self, ms: f64, key: u64, write: bool, token: Option<u64>) -> u64 {
         self.next += 1;
-        let job = Job { id: self.next, key, write, token };
+        let job = Request { id: self.next, key, write, token };
         self.node.arrive(at(ms), job, &mut self.chance, &mut self.out);
         self.next
     }
@@ -50,14 +52,14 @@
     /// What was said of a request, and when.
     fn answer(&self, id: u64) -> Option<(f64, Answer)> {
         self.out.iter().find_map(|o| match o.say {
-            Say::Answer(of, answer) if of == id => Some((o.at as f64 / MILLI as f64, answer)),
+            NodeEvent::Answer(of, answer) if of == id => Some((o.at as f64 / MILLI as f64, answer)),
             _ => None,
         })
     }
 
     fn fetches(&self) -> Vec<u64> {
         let of = |o: &Out| match o.say {
-            Say::Fetch(job) => Some(job.id),
+            NodeEvent::Fetch(job) => Some(job.id),
             _ => None,
         };
         self.out.iter().filter_map(of).collect()
--- a/crates/testing/node-model/tests/queues.rs
+++ b/crates/testing/node-model/tests/queues.rs
@@ -2,7 +2,9 @@
 
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1};
-use rushquay_node_model::{Chance, Job, Mode, Nanos, Node, NodeSettings, Out, Say, Timeline, Work, MILLI};
+use rushquay_node_model::{
+    Chance, Mode, Nanos, Node, NodeEvent, NodeSettings, Out, Request, Timeline, Work, MILLI,
+};
 use std::collections::HashMap;
 
 fn settings(cores: usize, work: Work) -> NodeSettings {
@@ -29,7 +31,7 @@
     let (mut out, mut came, mut sum, mut at) = (Vec::new(), HashMap::new(), 0.0, 0.0);
     let mut take = |out: &mut Vec<Out>, came: &mut HashMap<u64, Nanos>| {
         for o in out.drain(..) {
-            if let Say::Answer(id, _) = o.say {
+            if let NodeEvent::Answer(id, _) = o.say {
                 sum += (o.at - came.remove(&id).expect("it came")) as f64;
             }
         }
@@ -39,7 +41,7 @@
         at += gap / rate * 1e9;
         let now = at as Nanos;
         came.insert(id, now);
-        node.arrive(now, Job { id, key: id, write: false, token: None }, &mut chance, &mut out);
+        node.arrive(now, Request { id, key: id, write: false, token: None }, &mut chance, &mut out);
         take(&mut out, &mut came);
     }
     node.advance(Nanos::MAX, &mut chance, &mut out);
--- a/crates/testing/scenario-runner/src/figures.rs
+++ b/crates/testing/scenario-runner/src/figures.rs
@@ -1,7 +1,7 @@
 //! What came of a rehearsal.
 
 use hdrhistogram::Histogram;
-use rushquay_history::Breach;
+use rushquay_history::Violation;
 use serde::Serialize;
 
 /// Outcomes of one class.
@@ -49,7 +49,7 @@
     /// Nodes that fell over.
     pub fell: Vec<String>,
     /// Broken rules.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// A digest of all that happened, in order: the same for the same scenario.
     pub digest: u64,
     /// Things that happened.
--- a/crates/testing/scenario-runner/src/world.rs
+++ b/crates/testing/scenario-runner/src/world.rs
@@ -7,8 +7,10 @@
 use hdrhistogram::Histogram;
 use rand::SeedableRng as _;
 use rushquay::api::{self, Action, Event, ListKind, Settings, State, Status};
-use rushquay_history::{Books, Entry, Tolerance};
-use rushquay_node_model::{Answer, Chance, Fault, Job, Nanos, Node, Out, Say, Timeline, MILLI, SECOND};
+use rushquay_history::{Entry, History, Tolerance};
+use rushquay_node_model::{
+    Answer, Chance, Fault, Nanos, Node, NodeEvent, Out, Request, Timeline, MILLI, SECOND,
+};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -146,7 +148,7 @@
     timeline: Timeline<Due>,
     chance: Chance,
     traffic: Traffic,
-    books: Books,
+    books: History,
     figures: Figures,
     number: u64,
     /// When each node, and last the origin, is looked at next. Danger: put in anew with each request, these looks would
@@ -255,7 +257,7 @@
             timeline: Timeline::default(),
             chance: Chance::seed_from_u64(scenario.seed),
             traffic,
-            books: Books::default(),
+            books: History::default(),
             figures,
             number: 0,
             looks: vec![Nanos::MAX; all.len() + 1],
@@ -343,7 +345,7 @@
                 let id = self.new_number();
                 self.fetches.insert(id, (node, job, process));
                 let mut out = Vec::new();
-                let fetch = Job { id, key, write, token: None };
+                let fetch = Request { id, key, write, token: None };
                 self.origin.arrive(self.now, fetch, &mut self.chance, &mut out);
                 self.origin_said(out);
             }
@@ -398,7 +400,7 @@
             Effect::Keyed => rushquay_history::Effect::Keyed,
             Effect::Unsafe => rushquay_history::Effect::Unsafe,
         };
-        self.books.enter(self.now, Entry::Asked { id: id.to_string(), effect, within: patience });
+        self.books.record(self.now, Entry::Asked { id: id.to_string(), effect, within: patience });
         let asked = Asked {
             proxy,
             class,
@@ -441,7 +443,7 @@
         let (class, key, token, tries, began, until) =
             (asked.class, asked.key, asked.token, asked.tries, asked.began, asked.until);
         let by = by.map(|node| self.ids[node].clone());
-        self.books.enter(now, Entry::Final { id: request.to_string(), answer, by });
+        self.books.record(now, Entry::Final { id: request.to_string(), answer, by });
         let figures = &mut self.figures.classes[class];
         match answer {
             Served => {
@@ -530,7 +532,7 @@
             self.ended(number, Status::Moot, None);
             return;
         }
-        self.books.enter(self.now, Entry::Sent { id: request.to_string(), node: self.ids[node].clone() });
+        self.books.record(self.now, Entry::Sent { id: request.to_string(), node: self.ids[node].clone() });
         let wait = if timeout == 0 { left } else { timeout.min(left) };
         self.timeline.put(self.now + wait, Due::TimedOut(number));
         if self.nodes[node].is_down() {
@@ -589,7 +591,7 @@
         let token = (told.effect == Effect::Keyed).then_some(asked.token);
         let (request, key, write) = (a.request, asked.key, told.write);
         // Which repeats are dropped is the whole group's matter, and not one node's.
-        let job = Job { id: attempt, key, write, token: None };
+        let job = Request { id: attempt, key, write, token: None };
         self.jobs.insert(attempt, (request, token));
         self.second().nodes[node] += 1;
         let mut out = Vec::new();
@@ -601,8 +603,8 @@
         let way = self.way();
         for Out { at, say } in out {
             match say {
-                Say::Ran(attempt) => self.ran(node, attempt),
-                Say::Answer(attempt, answer) => {
+                NodeEvent::Ran(attempt) => self.ran(node, attempt),
+                NodeEvent::Answer(attempt, answer) => {
                     let (status, hit) = match answer {
                         Answer::Served { hit, .. } => (Word::Ok, Some(hit)),
                         Answer::Missing => (Word::Missing, Some(false)),
@@ -616,11 +618,11 @@
                     self.jobs.remove(&attempt);
                     self.timeline.put(at + way, Due::Comes { attempt, status, hit });
                 }
-                Say::Fetch(Job { id: job, key, write, .. }) => {
+                NodeEvent::Fetch(Request { id: job, key, write, .. }) => {
                     let process = self.nodes[node].started();
                     self.timeline.put(at + way, Due::FetchReaches { node, job, key, write, process });
                 }
-                Say::Fell => {
+                NodeEvent::Fell => {
                     let mark = format!("{} fell over", self.ids[node]);
                     self.mark(mark);
                     self.figures.fell.push(self.ids[node].clone());
@@ -645,13 +647,13 @@
             // A client's own repeat, under another id, is answered from what the first one did: it counts once for each.
             self.ran_for.insert(request, node);
         }
-        self.books.enter(self.now, Entry::Ran { id: request.to_string(), node: self.ids[node].clone() });
+        self.books.record(self.now, Entry::Ran { id: request.to_string(), node: self.ids[node].clone() });
     }
 
     fn origin_said(&mut self, out: Vec<Out>) {
         let way = self.way();
         for Out { at, say } in out {
-            if let Say::Answer(fetch, answer) = say {
+            if let NodeEvent::Answer(fetch, answer) = say {
                 if let Some((node, job, process)) = self.fetches.remove(&fetch) {
                     let well = matches!(answer, Answer::Served { .. });
                     self.timeline.put(at + way, Due::FetchAnswered { node, job, well, process });
@@ -789,7 +791,7 @@
             } else {
                 Entry::Ready { node: id }
             };
-            self.books.enter(self.now, entry);
+            self.books.record(self.now, entry);
             self.listed[node] = (state, started);
         }
         let entry = api::Entry { started, ..self.entry(node, state) };
--- a/examples/control_figures.rs
+++ b/examples/control_figures.rs
@@ -12,7 +12,7 @@
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse,
 };
 use prost::Message;
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_control_service::{start, Options, Settings, SourceOption};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Load, Node};
 use rushquay_xds::Kind;
--- a/examples/defective.rs
+++ b/examples/defective.rs
@@ -1,9 +1,9 @@
 //! Versions of the program that are no good, for the tests of hosts and of staged changes: the same library, and a defect that the
 //! last bytes of the file name, so that each has a digest of its own. `--defect WORDS` behind the mark `#defect:`.
 
-use rushquay::net::config::Config;
-use rushquay::net::server;
-use rushquay::net::signals::SignalFlag;
+use rushquay::proxy::config::Config;
+use rushquay::proxy::server;
+use rushquay::proxy::signals::SignalFlag;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/examples/envoy_figures.rs
+++ b/examples/envoy_figures.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use http_body_util::BodyExt;
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_envoy::catalogue::{Catalogue, Choice};
 use rushquay_envoy::resource::{decode, message_of, Item, Resource};
 use rushquay_envoy::text::{encode, parse};
--- a/examples/skewed.rs
+++ b/examples/skewed.rs
@@ -3,9 +3,9 @@
 //! start on (the wall clock alone). Arguments: none for a proxy, or those of `rushquay control`: `--listen`, `--admin`, `--discovery`,
 //! `--config`.
 
-use rushquay::net::config::Config;
-use rushquay::net::server;
-use rushquay::net::signals::SignalFlag;
+use rushquay::proxy::config::Config;
+use rushquay::proxy::server;
+use rushquay::proxy::signals::SignalFlag;
 use rushquay_control_service::{read_settings, start_by, steady, Clocks, Options, SourceOption};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/examples/state_figures.rs
+++ b/examples/state_figures.rs
@@ -7,7 +7,7 @@
 //! - `cargo run --release --locked --example state_figures -- overrides`: what ten thousand live overrides cost a proxy, and what
 //!   pins cost a request.
 
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_endpoints::{
     Endpoint, EndpointMerger, EndpointState, Imposed, MergeLimits, Pin, Pins, Source, SourcedEndpoint,
     WatchEvent,
--- a/src/bin/ravenlug-drill.rs
+++ b/src/bin/simulator-adapter.rs
@@ -130,7 +130,7 @@
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("ravenlug-drill: {e}");
+            eprintln!("simulator-adapter: {e}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,11 +1,11 @@
 //! `rushquay check FILE`: reads a file as the program would, and names file, field and what was expected.
 
-use rushquay::host::HostSettings;
-use rushquay::net::config::Config;
-use rushquay::net::envoy::{read_bootstrap, EnvoySource};
-use rushquay::net::policy_source::PolicySource;
-use rushquay::net::rollout_source::RolloutSource;
-use rushquay::net::subscription::ControlSource;
+use rushquay::proxy::config::Config;
+use rushquay::proxy::envoy::{read_bootstrap, EnvoySource};
+use rushquay::proxy::policy_source::PolicySource;
+use rushquay::proxy::rollout_source::RolloutSource;
+use rushquay::proxy::subscription::ControlSource;
+use rushquay::supervisor::HostSettings;
 use rushquay_control_service::read_settings;
 use rushquay_endpoints::validate_list;
 use rushquay_envoy::{Bootstrap, Members, Routes, Source};
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -1,6 +1,6 @@
 //! `rushquay demo`: a small installation on loopback, a drain, and how soon each proxy left the node.
 
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options, Settings, SourceOption};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Load, Node, Outcomes};
 use std::future::Future;
--- a/src/cli/host.rs
+++ b/src/cli/host.rs
@@ -2,7 +2,7 @@
 
 use super::ending;
 use clap::{Args, Subcommand};
-use rushquay::host::{add, digest, find, run as host, Files, HostSettings};
+use rushquay::supervisor::{add, digest, find, run as host, Files, HostSettings};
 use std::path::PathBuf;
 
 #[derive(Args)]
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -10,8 +10,8 @@
 mod state;
 
 use clap::{Parser, Subcommand};
-use rushquay::net;
-use rushquay::net::signals::SignalFlag;
+use rushquay::proxy;
+use rushquay::proxy::signals::SignalFlag;
 use rushquay_control_service::{read_settings, start, Options, Settings, SourceOption};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -173,7 +173,7 @@
         Command::Host(args) => host::run(args),
         Command::Demo { once } => threads()?.block_on(async { demo::demo(once, ending()?).await }),
         Command::Account { every, logs } => {
-            print!("{}", net::account::table(&logs, every)?);
+            print!("{}", proxy::account::table(&logs, every)?);
             Ok(())
         }
         Command::Check { file: Some(file), .. } => {
@@ -200,13 +200,13 @@
     let run = async {
         // Danger: until it is handled this signal ends the process.
         let hangup = SignalFlag::hang_up()?;
-        let envoy = envoy.map(|path| (net::config::ENVOY, path.display().to_string()));
-        let mut config = net::config::Config::from_env_and(envoy.as_slice())?;
+        let envoy = envoy.map(|path| (proxy::config::ENVOY, path.display().to_string()));
+        let mut config = proxy::config::Config::from_env_and(envoy.as_slice())?;
         if let Some(path) = control {
             config.control =
-                Some(net::subscription::ControlSource::read(&path).map_err(|e| format!("--control: {e}"))?);
+                Some(proxy::subscription::ControlSource::read(&path).map_err(|e| format!("--control: {e}"))?);
         }
-        net::server::run(config, ending()?, hangup, |_| {}).await
+        proxy::server::run(config, ending()?, hangup, |_| {}).await
     };
     tokio::task::LocalSet::new().block_on(&runtime, run)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod allowance;
 pub mod api;
-pub mod host;
 pub mod logic;
-pub mod net;
+pub mod proxy;
+pub mod supervisor;
 pub mod wire;
 
 pub use logic::Balancer;
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,7 +14,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            rushquay::net::log(failure.text);
+            rushquay::proxy::log(failure.text);
             ExitCode::from(failure.status)
         }
     }
--- a/src/net/accepting.rs
+++ b/src/proxy/accepting.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use super::descriptors::Permit;
 use super::server::Server;
-use rushquay_admission::{giving_way, Evidence, Want};
+use rushquay_admission::{giving_way, Evidence, SlotRequest};
 use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept;
 use std::convert::Infallible;
@@ -54,7 +54,7 @@
             super::log(format_args!("accept: {why} (failure {n})"));
         }
         if !self.front.yield_idle() {
-            self.yield_client(Want::Slack);
+            self.yield_client(SlotRequest::Slack);
         }
         sleep(SHORTAGE_WAIT).await;
     }
@@ -69,7 +69,7 @@
             // them none to ask on.
             let staying = self.clients.borrow().iter().filter(|c| !c.closing()).count();
             if staying > self.clients_most() / 2 {
-                self.yield_client(Want::Slack);
+                self.yield_client(SlotRequest::Slack);
             }
         }
     }
@@ -105,12 +105,12 @@
         match lingers {
             Some(client) => client.hurry.notify_one(),
             None if self.one_leaves() => {}
-            None => self.yield_client(Want::Place),
+            None => self.yield_client(SlotRequest::Place),
         }
     }
 
     /// Asks a client's connection to end, if one is to give way; of several alike one that has sent nothing more.
-    fn yield_client(&self, want: Want) {
+    fn yield_client(&self, want: SlotRequest) {
         let (clients, now) = (self.clients.borrow(), Instant::now());
         let leaves = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
         let idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !leaves(c)).collect();
--- a/src/net/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,6 +1,8 @@
 //! Answers operators on a thread of its own: one line to a connection. It reads the ledger and nothing else of the proxy.
 
-use rushquay_admin::{figures, Call, Ledger, Line, Places, Standing, Ticket, LINE_MOST};
+use rushquay_admin::{
+    figures, AdminCommand, ConnectionSlots, Line, RequestMetrics, ServingState, Ticket, LINE_MOST,
+};
 use rushquay_sockets::{accept as accept_one, patiently, RetryStream};
 use rushquay_xds::client::Outage;
 use std::cell::RefCell;
@@ -42,7 +44,7 @@
     ///
     /// # Errors
     /// An address that can't be listened on, or a thread that can't be had, in words that name the setting.
-    pub fn start(addr: SocketAddr, ledger: Arc<Ledger>) -> Result<Self, String> {
+    pub fn start(addr: SocketAddr, ledger: Arc<RequestMetrics>) -> Result<Self, String> {
         let failed = |e: std::io::Error| format!("PROXY_ADMIN_ADDR (admin_addr): {addr}: {e}");
         let listener = patiently(|| std::net::TcpListener::bind(addr)).map_err(failed)?;
         listener.set_nonblocking(true).map_err(failed)?;
@@ -77,16 +79,17 @@
 }
 
 struct Callers {
-    places: Places,
+    places: ConnectionSlots,
     calls: HashMap<Ticket, AbortHandle>,
 }
 
-async fn accept(listener: std::net::TcpListener, ledger: Arc<Ledger>) {
+async fn accept(listener: std::net::TcpListener, ledger: Arc<RequestMetrics>) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => return super::log(format_args!("operators: {e}")),
     };
-    let callers = Rc::new(RefCell::new(Callers { places: Places::new(PLACES), calls: HashMap::new() }));
+    let callers =
+        Rc::new(RefCell::new(Callers { places: ConnectionSlots::new(PLACES), calls: HashMap::new() }));
     let mut shortage = Outage::default();
     loop {
         let stream = match accept_one(&listener).await {
@@ -117,7 +120,7 @@
 }
 
 /// Answers one call, if one comes.
-async fn answer(stream: TcpStream, ledger: &Ledger) {
+async fn answer(stream: TcpStream, ledger: &RequestMetrics) {
     let mut stream = RetryStream::new(stream);
     let mut came = Vec::with_capacity(LINE_MOST);
     let line = timeout(LINE_WITHIN, async {
@@ -125,7 +128,7 @@
             let mut part = [0; LINE_MOST];
             let Ok(n) = stream.read(&mut part).await else { return None };
             came.extend_from_slice(&part[..n]);
-            match Call::read(&came, n == 0) {
+            match AdminCommand::read(&came, n == 0) {
                 Line::Partial => {}
                 // Nothing was asked.
                 Line::Whole(_) if came.is_empty() => return None,
@@ -136,10 +139,14 @@
     let Ok(Some(read)) = line.await else { return };
     let text = match (read, ledger.standing()) {
         (Err(e), _) => format!("-ERR {e}\n"),
-        (Ok(Call::Metrics), _) => format!("+OK\n{}", figures(ledger)),
-        (Ok(Call::Status), Standing::Serving) => "+OK serving\n".into(),
-        (Ok(Call::Status), Standing::Starting) => "-ERR starting: no cache node takes requests yet\n".into(),
-        (Ok(Call::Status), Standing::Draining) => "-ERR draining: this process was told to end\n".into(),
+        (Ok(AdminCommand::Metrics), _) => format!("+OK\n{}", figures(ledger)),
+        (Ok(AdminCommand::Status), ServingState::Serving) => "+OK serving\n".into(),
+        (Ok(AdminCommand::Status), ServingState::Starting) => {
+            "-ERR starting: no cache node takes requests yet\n".into()
+        }
+        (Ok(AdminCommand::Status), ServingState::Draining) => {
+            "-ERR draining: this process was told to end\n".into()
+        }
     };
     let _ = timeout(TAKE_WITHIN, async {
         if stream.write_all(text.as_bytes()).await.is_err() || stream.shutdown().await.is_err() {
--- a/src/net/answer.rs
+++ b/src/proxy/answer.rs
@@ -2,7 +2,7 @@
 
 use super::Body;
 use hyper::Response;
-use rushquay_admin::End;
+use rushquay_admin::RequestOutcome;
 use std::time::Duration;
 
 /// The final answer of a request.
@@ -17,11 +17,11 @@
 
 impl Answer {
     /// How the request ends with it.
-    pub fn end(&self) -> End {
+    pub fn end(&self) -> RequestOutcome {
         match self {
-            Answer::Served(_) => End::Completed,
-            Answer::Refused(_) => End::Rejected,
-            Answer::Failed | Answer::Overdue => End::Failed,
+            Answer::Served(_) => RequestOutcome::Completed,
+            Answer::Refused(_) => RequestOutcome::Rejected,
+            Answer::Failed | Answer::Overdue => RequestOutcome::Failed,
         }
     }
 }
--- a/src/net/envoy/driver.rs
+++ b/src/proxy/envoy/driver.rs
@@ -1,8 +1,8 @@
 //! The thread that follows what is declared: the stream, files and look-ups go into the catalogue, changes come out.
 
 use super::{admin, files, lookup, EnvoySource, FiguresAsked, Handover, Me, Resolver};
-use crate::net::clock::Clock;
-use crate::net::log;
+use crate::proxy::clock::Clock;
+use crate::proxy::log;
 use prost::Message as _;
 use rushquay_envoy::catalogue::{Catalogue, Choice};
 use rushquay_envoy::session::Ads;
--- a/src/net/envoy/files.rs
+++ b/src/proxy/envoy/files.rs
@@ -62,7 +62,7 @@
         Err(why) => {
             let why = format!("{}: {why}", path.display());
             if this.last != Some(Err(why.clone())) {
-                crate::net::log(format_args!("refused, what stood before goes on: {why}"));
+                crate::proxy::log(format_args!("refused, what stood before goes on: {why}"));
                 shared.catalogue.borrow_mut().refuse(kind, why.clone());
                 this.last = Some(Err(why));
             }
--- a/src/net/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -130,9 +130,9 @@
 mod tests {
     use super::*;
     use crate::api::Settings;
-    use crate::net::descriptors::Descriptors;
-    use crate::net::names::Names;
-    use rushquay_admin::Ledger;
+    use crate::proxy::descriptors::Descriptors;
+    use crate::proxy::names::Names;
+    use rushquay_admin::RequestMetrics;
     use rushquay_control_service::Clocks;
     use std::net::IpAddr;
     use std::sync::atomic::{AtomicUsize, Ordering};
@@ -177,7 +177,7 @@
             };
             let clock = Clock::by(&Clocks::default());
             let (settings, names) = (Settings::default(), Names::default());
-            let pools = Pools::new(settings, names, 1, Descriptors::new(10), Ledger::new(&[]), clock);
+            let pools = Pools::new(settings, names, 1, Descriptors::new(10), RequestMetrics::new(&[]), clock);
             let ips =
                 |list: &[&str]| list.iter().map(|ip| ip.parse().expect("an address")).collect::<Vec<_>>();
             let answers: Answers = Arc::new(Mutex::new(Ok(ips(&["127.0.0.1", "127.0.0.2", "::1"]))));
--- a/src/net/handover.rs
+++ b/src/proxy/handover.rs
@@ -1,7 +1,10 @@
 //! Carries the hand-over of the listening socket between an old and a new process through a Unix socket in `$TMPDIR`.
 
 use super::log;
-use rushquay_handover::{Claimant, Heard, Holder, Known, Offer, Peer, Reply, Share, Step, ToNew, ToOld};
+use rushquay_handover::{
+    HandoverState, Heard, Incumbent, IncumbentMessage, Offer, Peer, Reply, ResourceShare, Step, Successor,
+    SuccessorMessage,
+};
 use rushquay_sockets::{classify, ErrorClass, RetryStream};
 use rushquay_xds::client::Outage;
 use rustix::net::{
@@ -44,9 +47,9 @@
     /// Tells it that this process serves, and returns once it knows, or has ended, or has let its time pass.
     pub async fn ready(&mut self) {
         let told = async {
-            self.0.write_all(&ToOld::Ready.bytes()).await?;
+            self.0.write_all(&SuccessorMessage::Ready.bytes()).await?;
             // It says nothing but that.
-            let mut heard = vec![0; ToNew::Heard.bytes().len()];
+            let mut heard = vec![0; IncumbentMessage::Heard.bytes().len()];
             self.0.read_exact(&mut heard).await.map(drop)
         };
         match timeout(ANSWER_WITHIN, told).await {
@@ -76,7 +79,7 @@
 /// # Errors
 /// Another new process is just doing that.
 pub async fn look(place: &Path, listen: SocketAddr) -> Result<Found, String> {
-    let mut claimant = Claimant::default();
+    let mut claimant = Successor::default();
     loop {
         let hello = claimant.hello();
         let (heard, came) = match timeout(ANSWER_WITHIN, ask(place, listen, &hello)).await {
@@ -93,7 +96,7 @@
                 (Heard::Nothing, None)
             }
         };
-        if let Heard::Answer { said: ToNew::Unknown { forms }, .. } = &heard {
+        if let Heard::Answer { said: IncumbentMessage::Unknown { forms }, .. } = &heard {
             log(format_args!("the old process hands nothing over in a form known here (its own: {forms:?})"));
         }
         match (claimant.heard(heard).map_err(|e| e.to_string())?, came) {
@@ -109,7 +112,7 @@
 async fn ask(
     place: &Path,
     listen: SocketAddr,
-    hello: &ToOld,
+    hello: &SuccessorMessage,
 ) -> io::Result<(Heard, Option<(TcpListener, RetryStream<UnixStream>)>)> {
     let mut stream = RetryStream::new(meet_there(place).await?);
     stream.write_all(&hello.bytes()).await?;
@@ -117,9 +120,9 @@
     let socket = stream.get_ref();
     let fd = socket.async_io(Interest::READABLE, || again(|| receive(socket, &mut head))).await?;
     let spoilt = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-    let mut body = vec![0; ToNew::length(head).map_err(spoilt)?];
+    let mut body = vec![0; IncumbentMessage::length(head).map_err(spoilt)?];
     stream.read_exact(&mut body).await?;
-    let said = ToNew::read(&body).map_err(spoilt)?;
+    let said = IncumbentMessage::read(&body).map_err(spoilt)?;
     // Danger: a socket of another address, or none that listens, would have this process serve nobody.
     let listener = fd.map(socket2::Socket::from).filter(|socket| {
         let at = socket.local_addr().ok().and_then(|a| a.as_socket());
@@ -202,14 +205,14 @@
     /// Descriptors that it holds.
     fn held(&self) -> usize;
     /// What a process that takes over is to know.
-    fn known(&self) -> Known;
+    fn known(&self) -> HandoverState;
     /// From now on it may hold so much.
-    fn hold(&self, share: Share);
+    fn hold(&self, share: ResourceShare);
 }
 
 /// The readiness to hand over.
 pub struct Keeper {
-    machine: RefCell<Holder>,
+    machine: RefCell<Incumbent>,
     listener: RefCell<Option<Rc<TcpListener>>>,
     me: Rc<dyn Listening>,
     peers: Cell<usize>,
@@ -227,7 +230,7 @@
     pub fn start(
         place: Option<&Path>,
         listener: Rc<TcpListener>,
-        machine: Holder,
+        machine: Incumbent,
         me: Rc<dyn Listening>,
     ) -> Rc<Self> {
         let keeper = Rc::new(Keeper {
@@ -363,7 +366,7 @@
 }
 
 /// The next thing that a new process says; `None`: it has ended.
-async fn hear(stream: &mut RetryStream<UnixStream>) -> io::Result<Option<ToOld>> {
+async fn hear(stream: &mut RetryStream<UnixStream>) -> io::Result<Option<SuccessorMessage>> {
     let mut head = [0; 4];
     match stream.read_exact(&mut head).await {
         Err(e) if matches!(e.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset) => {
@@ -372,7 +375,7 @@
         read => read?,
     };
     let spoilt = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-    let mut body = vec![0; ToOld::length(head).map_err(spoilt)?];
+    let mut body = vec![0; SuccessorMessage::length(head).map_err(spoilt)?];
     stream.read_exact(&mut body).await?;
-    ToOld::read(&body).map(Some).map_err(spoilt)
+    SuccessorMessage::read(&body).map(Some).map_err(spoilt)
 }
--- a/src/net/mod.rs
+++ b/src/proxy/mod.rs
@@ -53,7 +53,7 @@
 mod upstream;
 
 use body::{Body, BODY_MOST};
-use rushquay_admin::Ledger;
+use rushquay_admin::RequestMetrics;
 use rushquay_invariants::{Label as _, Violation};
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -72,7 +72,7 @@
 }
 
 /// Counts a rule that was broken, and says so.
-fn violation(ledger: &Ledger, violation: Violation, what: &str) {
+fn violation(ledger: &RequestMetrics, violation: Violation, what: &str) {
     ledger.violations.one_more(violation);
     log(format_args!("rule broken: {}: {what}", violation.name()));
 }
--- a/src/net/pools.rs
+++ b/src/proxy/pools.rs
@@ -8,7 +8,7 @@
 use super::names::Names;
 use super::upstream::{idle_most, Bounds, Upstreams};
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
-use rushquay_admin::Ledger;
+use rushquay_admin::RequestMetrics;
 use rushquay_endpoints::{Endpoint, EndpointState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
 use rushquay_load_assignment::{Breakers, Node, Overload, Standing};
@@ -73,7 +73,7 @@
     /// The one clock of all clusters, and of who tells of their changes.
     clock: Clock,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     clusters: RefCell<HashMap<Arc<str>, Rc<Cluster>>>,
     splits: RefCell<HashMap<Arc<str>, Split>>,
     table: RefCell<Option<Arc<Table>>>,
@@ -87,7 +87,7 @@
         names: Names,
         seed: u64,
         descriptors: Rc<Descriptors>,
-        ledger: Arc<Ledger>,
+        ledger: Arc<RequestMetrics>,
         clock: Clock,
     ) -> Rc<Self> {
         Rc::new(Pools {
--- a/src/net/responding.rs
+++ b/src/proxy/responding.rs
@@ -20,7 +20,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode, Version};
-use rushquay_admin::{Cause, End, Entry, TurnedAway};
+use rushquay_admin::{Cause, Entry, RequestOutcome, TurnedAway};
 use rushquay_invariants::Violation;
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 
 impl Account<'_> {
     /// It ends so.
-    fn ended(&mut self, end: End) {
+    fn ended(&mut self, end: RequestOutcome) {
         self.entry.answered(end);
         if let Some(rollout) = &self.server.rollout {
             rollout.tally.count(&self.acting, self.class, end, self.since.elapsed());
@@ -67,7 +67,7 @@
 
     /// It is failed before it was judged, which says nothing of old and new versions.
     fn failed(&mut self, cause: Cause) {
-        self.entry.answered(End::Failed);
+        self.entry.answered(RequestOutcome::Failed);
         self.server.ledger.failures.one_more(cause);
     }
 }
@@ -151,7 +151,7 @@
         };
         if let Some(wait) = policy.and_then(|p| p.refuses(class)) {
             self.ledger.refusals.one_more(Cause::Policy);
-            account.ended(End::Rejected);
+            account.ended(RequestOutcome::Rejected);
             return carrying(respond_with(Answer::Refused(wait)), account);
         }
         // Danger: nodes and the bookkeeping of repeats know a request by its id; a second one that bears it is
@@ -182,7 +182,7 @@
         shorten(&mut asked.request.remaining, waited);
         self.end_in_time(&mut asked);
         if self.has_gone(&mut asked, client, may_ask).await {
-            account.entry.answered(End::Failed);
+            account.entry.answered(RequestOutcome::Failed);
             return plain(StatusCode::BAD_GATEWAY, GONE);
         }
         let upload = asked.job.upload().cloned();
--- a/src/net/rollout.rs
+++ b/src/proxy/rollout.rs
@@ -6,7 +6,7 @@
 use super::layers::Layers;
 use super::rollout_source::RolloutSource;
 use super::tally::Tally;
-use rushquay_admin::Ledger;
+use rushquay_admin::RequestMetrics;
 use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORM};
 use rushquay_membership::{ProxyStats, RejectedConfig, Report};
 use std::cell::{Cell, RefCell};
@@ -57,7 +57,7 @@
     boot: u64,
     engine: Rc<Engine>,
     layers: Rc<Layers>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     /// How its requests end.
     pub tally: Tally,
     state: RefCell<State>,
@@ -73,7 +73,7 @@
         source: RolloutSource,
         hosted: Option<Hosted>,
         layers: Rc<Layers>,
-        ledger: Arc<Ledger>,
+        ledger: Arc<RequestMetrics>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let engine = layers.engine().clone();
--- a/src/net/server.rs
+++ b/src/proxy/server.rs
@@ -28,9 +28,9 @@
 use super::{BODY_MOST, BUFFER_MOST};
 use crate::api::ColdLeft;
 use hyper::header::HeaderValue;
-use rushquay_admin::{Ledger, Standing};
+use rushquay_admin::{RequestMetrics, ServingState};
 use rushquay_endpoints::WatchMode;
-use rushquay_handover::{Cold, Holder, Known, Share};
+use rushquay_handover::{HandoverState, Incumbent, ResourceShare, SlowStartAllowance};
 use rushquay_invariants::{may_serve, NotReady, ServeFacts};
 use rushquay_xds::client::Outage;
 use std::cell::{Cell, RefCell};
@@ -77,7 +77,7 @@
     pub left: Notify,
     /// Connections are numbered for the trace.
     connections: Cell<u64>,
-    pub ledger: Arc<Ledger>,
+    pub ledger: Arc<RequestMetrics>,
     /// Its part in changes; `None`: it has none.
     pub rollout: Option<Rc<Rollout>>,
     /// Its part in changes of policy; `None`: it has none.
@@ -97,7 +97,7 @@
 ) -> Result<(), String> {
     let mut stop = std::pin::pin!(stop);
     let mut config = config;
-    let whole = Share { sockets: config.sockets, memory: config.memory };
+    let whole = ResourceShare { sockets: config.sockets, memory: config.memory };
     let meeting = handover::meeting_place(config.listen);
     let beginning = Beginning::find(&mut config, meeting.as_deref(), whole).await?;
     let is_beside = beginning.is_beside();
@@ -106,7 +106,7 @@
     super::account::start();
     trace::start();
     trace::event(|| Event::State { state: "starting" });
-    let ledger = Ledger::new(&config.names.classes);
+    let ledger = RequestMetrics::new(&config.names.classes);
     let operators = config.admin.map(|admin| Operators::start(admin, ledger.clone())).transpose()?;
     if let Some(operators) = &operators {
         super::log(format_args!("operators at {}", operators.addr));
@@ -133,7 +133,7 @@
     };
     // Danger: a starter that hears of the address takes the process for started, and nothing that may fail comes behind.
     told(bound);
-    let left = |c: Cold| ColdLeft { server: c.node, started: c.started, left: c.left };
+    let left = |c: SlowStartAllowance| ColdLeft { server: c.node, started: c.started, left: c.left };
     front.take_cold(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
     tokio::task::spawn_local(stalls::watch());
     let sweeper = front.clone();
@@ -193,7 +193,7 @@
         }
     };
     let listener = Rc::new(listener);
-    let holder = if is_beside { Holder::beside(whole, share) } else { Holder::new(whole) };
+    let holder = if is_beside { Incumbent::beside(whole, share) } else { Incumbent::new(whole) };
     let keeper = Keeper::start(meeting.as_deref(), listener.clone(), holder, server.clone());
     server.succeed(predecessor, is_beside, keeper.clone()).await;
     // Danger: whoever is told yes may at once end the old process, or start the next version. Both must find all ready.
@@ -212,7 +212,7 @@
 
 /// How many connections there is room for. Danger: each may come to hold a body and what is read ahead of it. So many are
 /// taken as there is memory for, even if all of them do.
-fn capacity(share: Share, own: usize) -> usize {
+fn capacity(share: ResourceShare, own: usize) -> usize {
     let room = share.memory.saturating_sub(OWN_MEMORY) / (BODY_MOST + 2 * BUFFER_MOST);
     share.sockets.saturating_sub(own).min(room).max(8)
 }
@@ -222,15 +222,15 @@
         self.own + self.descriptors.taken()
     }
 
-    fn known(&self) -> Known {
+    fn known(&self) -> HandoverState {
         let settings = self.rollout.as_ref().and_then(|r| r.given());
-        let cold = |c: ColdLeft| Cold { node: c.server, started: c.started, left: c.left };
+        let cold = |c: ColdLeft| SlowStartAllowance { node: c.server, started: c.started, left: c.left };
         let cold = self.front.give_cold().into_iter().map(cold).collect();
         let policy = self.policy.as_ref().map(|p| p.handed().text());
-        Known { list: self.front.list(), settings, policy, cold }
+        HandoverState { list: self.front.list(), settings, policy, cold }
     }
 
-    fn hold(&self, share: Share) {
+    fn hold(&self, share: ResourceShare) {
         self.descriptors.resize(capacity(share, self.own));
         while self.descriptors.taken() > self.descriptors.most() && self.front.yield_idle() {}
     }
@@ -248,7 +248,7 @@
     config: Config,
     clock: Clock,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     hangup: SignalFlag,
     handed: Option<Handed>,
 ) -> Result<Begun, String> {
@@ -294,9 +294,9 @@
         self.ledger.members.set(listed as u64);
         self.ledger.unavailable.set(avoided as u64);
         self.ledger.stand(match self.readiness() {
-            Err(NotReady::Draining) => Standing::Draining,
-            Ok(()) if self.serving.get() => Standing::Serving,
-            _ => Standing::Starting,
+            Err(NotReady::Draining) => ServingState::Draining,
+            Ok(()) if self.serving.get() => ServingState::Serving,
+            _ => ServingState::Starting,
         });
     }
 
--- a/src/net/socket.rs
+++ b/src/proxy/socket.rs
@@ -2,7 +2,7 @@
 //! shortages of the system's buffers end here.
 
 use super::descriptors::Permit;
-use rushquay_admin::Ledger;
+use rushquay_admin::RequestMetrics;
 use rushquay_invariants::{check_sent, may_send, SendDenied, SendFacts, Sent, Violation};
 use rushquay_sockets::{classify, ErrorClass};
 use socket2::SockRef;
@@ -56,7 +56,7 @@
     shortage: RefCell<Option<Pin<Box<Sleep>>>>,
     shortages: Cell<u32>,
     /// Where messages that have been written whole are counted.
-    ledger: Option<Arc<Ledger>>,
+    ledger: Option<Arc<RequestMetrics>>,
     _permit: Permit,
 }
 
@@ -66,11 +66,11 @@
     }
 
     /// One whose messages are attempts at nodes.
-    pub fn counted(stream: TcpStream, permit: Permit, ledger: Arc<Ledger>) -> Rc<Self> {
+    pub fn counted(stream: TcpStream, permit: Permit, ledger: Arc<RequestMetrics>) -> Rc<Self> {
         Self::made(stream, permit, Some(ledger))
     }
 
-    fn made(stream: TcpStream, permit: Permit, ledger: Option<Arc<Ledger>>) -> Rc<Self> {
+    fn made(stream: TcpStream, permit: Permit, ledger: Option<Arc<RequestMetrics>>) -> Rc<Self> {
         // Without it a small answer waits for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
--- a/src/net/socket/tests.rs
+++ b/src/proxy/socket/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::descriptors::Descriptors;
+use crate::proxy::descriptors::Descriptors;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
--- a/src/net/starting.rs
+++ b/src/proxy/starting.rs
@@ -6,7 +6,7 @@
 use super::policy::Handed;
 use super::server::Server;
 use rushquay_endpoints::EndpointList;
-use rushquay_handover::{Cold, Share};
+use rushquay_handover::{ResourceShare, SlowStartAllowance};
 use rushquay_invariants::check_said_serving;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     /// The settings that it was given to act by.
     pub settings: Option<String>,
     /// What it left to be sent to cold nodes.
-    pub cold: Vec<Cold>,
+    pub cold: Vec<SlowStartAllowance>,
     /// What it acted by of policies.
     pub policy: Option<Handed>,
 }
@@ -41,7 +41,7 @@
     /// That address.
     pub bound: SocketAddr,
     /// What it may hold at first.
-    pub share: Share,
+    pub share: ResourceShare,
     /// The process that hands over to it.
     pub predecessor: Option<Link>,
     pub inherited: Inherited,
@@ -52,7 +52,11 @@
     ///
     /// # Errors
     /// An address that can't be listened on, or another new process that is just taking over.
-    pub async fn find(config: &mut Config, meeting: Option<&Path>, whole: Share) -> Result<Self, String> {
+    pub async fn find(
+        config: &mut Config,
+        meeting: Option<&Path>,
+        whole: ResourceShare,
+    ) -> Result<Self, String> {
         let found = match meeting {
             Some(meeting) => handover::look(meeting, config.listen).await?,
             None => Found::None,
--- a/src/net/tally.rs
+++ b/src/proxy/tally.rs
@@ -1,7 +1,7 @@
 //! What this proxy counts for the comparison of old and new: how requests ended, by class, and how long that took.
 
 use super::acting::Acting;
-use rushquay_admin::End;
+use rushquay_admin::RequestOutcome;
 use rushquay_membership::ClassStats;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,20 +18,20 @@
     }
 
     /// A request of a class that began under these settings has ended so, after this time.
-    pub fn count(&self, under: &Acting, class: usize, end: End, took: Duration) {
+    pub fn count(&self, under: &Acting, class: usize, end: RequestOutcome, took: Duration) {
         let mut classes = self.classes.borrow_mut();
         let Some(figures) = classes.get_mut(class) else { return };
         let took = took.as_nanos() as u64;
         match end {
-            End::Completed => {
+            RequestOutcome::Completed => {
                 figures.took(took);
                 match took > under.aim(class) {
                     true => figures.late += 1,
                     false => figures.served += 1,
                 }
             }
-            End::Rejected => figures.refused += 1,
-            End::Failed => figures.failed += 1,
+            RequestOutcome::Rejected => figures.refused += 1,
+            RequestOutcome::Failed => figures.failed += 1,
         }
     }
 
--- a/src/net/upstream.rs
+++ b/src/proxy/upstream.rs
@@ -14,8 +14,8 @@
 use hyper::header::{HeaderValue, CONNECTION, HOST};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use rushquay_admin::{Ledger, NodeCloseCause};
-use rushquay_fleet_budget::Keep;
+use rushquay_admin::{NodeCloseCause, RequestMetrics};
+use rushquay_fleet_budget::Jitter;
 use rushquay_invariants::{may_send, NodeStanding, SendDenied, SendFacts};
 use rushquay_load_assignment::{Breakers, Importance, Trip};
 use rushquay_sockets::{connect, ConnectError};
@@ -64,7 +64,7 @@
     uses: u32,
     /// Why it would end now.
     cause: Cell<NodeCloseCause>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     _counted: [Counted; 2],
 }
 
@@ -169,10 +169,10 @@
 pub struct Upstreams {
     nodes: RefCell<FxHashMap<ServerId, Node>>,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestMetrics>,
     bounds: RefCell<Bounds>,
     /// For how long idle connections are kept, by machine kind: what one holds, another may not.
-    keeps: RefCell<FxHashMap<u32, Keep>>,
+    keeps: RefCell<FxHashMap<u32, Jitter>>,
     open: Rc<Cell<u32>>,
     epochs: Cell<u64>,
     /// How many nodes take work. Danger: counted at each request, thousands that take none would slow them all.
@@ -192,7 +192,7 @@
 impl Upstreams {
     pub fn new(
         descriptors: Rc<Descriptors>,
-        ledger: Arc<Ledger>,
+        ledger: Arc<RequestMetrics>,
         connect_timeout: Duration,
         settings: &Settings,
     ) -> Rc<Self> {
@@ -202,7 +202,7 @@
     }
 
     /// With bounds of its own.
-    pub fn bounded(descriptors: Rc<Descriptors>, ledger: Arc<Ledger>, bounds: Bounds) -> Rc<Self> {
+    pub fn bounded(descriptors: Rc<Descriptors>, ledger: Arc<RequestMetrics>, bounds: Bounds) -> Rc<Self> {
         let (nodes, open, epochs, ready) = Default::default();
         let keeps = RefCell::default();
         Rc::new(Upstreams {
@@ -218,7 +218,7 @@
     }
 
     /// Where all is counted.
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &RequestMetrics {
         &self.ledger
     }
 
@@ -230,9 +230,9 @@
     }
 
     /// Steers for how long idle connections to nodes of a kind are kept.
-    fn steer(&self, kind: u32, step: impl FnOnce(&mut Keep)) {
+    fn steer(&self, kind: u32, step: impl FnOnce(&mut Jitter)) {
         let bounds = self.bounds.borrow();
-        let first = || Keep::new(bounds.idle_most.as_nanos() as Nanos, bounds.proxies);
+        let first = || Jitter::new(bounds.idle_most.as_nanos() as Nanos, bounds.proxies);
         step(self.keeps.borrow_mut().entry(kind).or_insert_with(first));
     }
 
@@ -481,10 +481,10 @@
             // Danger: a node whose table of connections is full closes a new one with such an answer, and serves
             // those that it has. To be told so is to have no connection, which is not to meet a full queue.
             account::count(Kind::TurnedAway, 1);
-            self.steer(kind, Keep::turned_away);
+            self.steer(kind, Jitter::turned_away);
             ended.status = Status::ConnectFailed;
         } else if !reused {
-            self.steer(kind, Keep::taken);
+            self.steer(kind, Jitter::taken);
         }
         let mut uses = 0;
         self.steer(kind, |keep| uses = keep.uses());
--- a/src/net/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -8,7 +8,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_lack_of_descriptors_is_not_the_nodes_fault() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let (none, ledger) = (Descriptors::new(0), Ledger::new(&[]));
+    let (none, ledger) = (Descriptors::new(0), RequestMetrics::new(&[]));
     let upstreams = Upstreams::new(none, ledger, Duration::from_secs(30), &Settings::default());
     let entry = Entry { server: 1, ..Entry::default() };
     upstreams.update(true, &[(entry, node.local_addr().ok())]);
--- a/src/host/settings.rs
+++ b/src/supervisor/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a host, checked.
 
-use crate::net::subscription::ControlSource;
+use crate::proxy::subscription::ControlSource;
 use rushquay_config_version::Digest;
 use rushquay_supervisor::Timeouts;
 use serde::Deserialize;
@@ -80,7 +80,8 @@
         need(written.programs.is_absolute(), "programs: expected a path from the root")?;
         let program =
             written.program.parse().map_err(|e| format!("program: {e}; see rushquay host digest"))?;
-        if let Some(name) = written.environment.keys().find(|n| crate::net::hosted::ALL.contains(&n.as_str()))
+        if let Some(name) =
+            written.environment.keys().find(|n| crate::proxy::hosted::ALL.contains(&n.as_str()))
         {
             return Err(format!("environment.{name}: the host sets it itself"));
         }
--- a/tests/compatibility/decisions.rs
+++ b/tests/compatibility/decisions.rs
@@ -170,7 +170,7 @@
 
 impl<'a> Play<'a> {
     fn new(site: &'a Site, seed: u64) -> Self {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_ravenlug-drill"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"));
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("started");
         let input = BufWriter::new(child.stdin.take().expect("its input"));
         let output = BufReader::new(child.stdout.take().expect("its output"));
--- a/tests/compatibility/messages.rs
+++ b/tests/compatibility/messages.rs
@@ -2,9 +2,9 @@
 //! has to be the same to the byte, so that a field under another name, or one that is lost, is seen.
 
 use crate::golden::read;
-use rushquay::net::policy::Handed;
+use rushquay::proxy::policy::Handed;
 use rushquay_config_version::ConfigAssignment;
-use rushquay_handover::{ToNew, ToOld};
+use rushquay_handover::{IncumbentMessage, SuccessorMessage};
 use rushquay_membership::Report;
 use rushquay_policy::{LeaseGrant, LeaseRequest, PolicyBroadcast, PolicyRecord};
 use rushquay_rollout::RegistryRecord as RolloutRecord;
@@ -29,14 +29,14 @@
 #[test]
 fn handover_messages_of_the_new_process_are_unchanged() {
     each_line_comes_back("handover_to_old.jsonl", |line| {
-        unframed(ToOld::read(line.as_bytes()).expect(line).bytes())
+        unframed(SuccessorMessage::read(line.as_bytes()).expect(line).bytes())
     });
 }
 
 #[test]
 fn handover_messages_of_the_old_process_are_unchanged() {
     each_line_comes_back("handover_to_new.jsonl", |line| {
-        unframed(ToNew::read(line.as_bytes()).expect(line).bytes())
+        unframed(IncumbentMessage::read(line.as_bytes()).expect(line).bytes())
     });
 }
 
--- a/tests/control/link.rs
+++ b/tests/control/link.rs
@@ -1,6 +1,6 @@
 //! A link to a control service that can be cut, also in the middle of a message: a relay under a few rules.
 
-use rushquay_fault_relay::{Cut, Lane, Relay};
+use rushquay_fault_relay::{Cut, Direction, Relay};
 use std::net::SocketAddr;
 
 pub struct Link {
@@ -46,7 +46,7 @@
 
     /// Bytes that have come from the target.
     pub fn passed(&self) -> u64 {
-        self.relay.control().passed("l", Lane::Down)
+        self.relay.control().passed("l", Direction::Down)
     }
 
     /// Whether [`Link::cut_after`] has cut.
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -11,7 +11,7 @@
 mod restarts;
 mod standby;
 
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options, Settings, SourceOption};
 use rushquay_endpoints::EndpointList;
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
--- a/tests/envoy/rig.rs
+++ b/tests/envoy/rig.rs
@@ -6,11 +6,11 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::{HeaderMap, Request};
 use hyper_util::rt::TokioIo;
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_envoy::resource::message_of;
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::Notes;
-use rushquay_fleet_harness::{Faults, History, Process};
+use rushquay_fleet_harness::{EventLog, Faults, Process};
 use rushquay_test_servers::{proxy_config, Node};
 use rushquay_xds::server::Variant;
 use rushquay_xds::{version_of, Declared, Kind, Store};
@@ -216,7 +216,7 @@
         variables.push(("PROXY_CONFIG".into(), config.display().to_string()));
         let variables: Vec<(&str, &str)> = variables.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
         let program = Path::new(env!("CARGO_BIN_EXE_rushquay"));
-        let process = Process::start("proxy", program, &[], &variables, &History::default());
+        let process = Process::start("proxy", program, &[], &variables, &EventLog::default());
         let addr = process.says("rushquay: listening on ").parse().expect("an address");
         FaultyProxy { addr, folder, _process: process }
     }
--- a/tests/faults/matrix.rs
+++ b/tests/faults/matrix.rs
@@ -68,7 +68,7 @@
 async fn storms_on_several_legs() {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     let (storms, seed) = (number("RUSHQUAY_STORMS").unwrap_or(32), number("RUSHQUAY_SEED").unwrap_or(SEED));
-    let dice = rushquay_fault_injection::Dice::new(seed);
+    let dice = rushquay_fault_injection::RuleRng::new(seed);
     let storm = |i: u64| {
         let mut cells: Vec<Cell> = Vec::new();
         for (n, leg) in Leg::ALL.into_iter().enumerate() {
--- a/tests/faults/rig.rs
+++ b/tests/faults/rig.rs
@@ -4,11 +4,11 @@
 use super::client::{Client, Ordinals};
 use super::wire::{Wire, WITHIN};
 use super::LONG;
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_control_service::{start, ControlService, Options as ControlOptions, Settings, SourceOption};
 use rushquay_endpoints::EndpointState;
-use rushquay_fault_relay::{Cut, Lane, Options, Relay, Script};
-use rushquay_history::{Books, Breach, Entry, Nanos, Tolerance};
+use rushquay_fault_relay::{Cut, Direction, Options, Relay, Script};
+use rushquay_history::{Entry, History, Nanos, Tolerance, Violation};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use rushquay_xds::client::ReceivedResource;
 use rushquay_xds::Kind;
@@ -27,7 +27,7 @@
 
 /// What came of a cell.
 pub struct Outcome {
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// How often the fault acted.
     pub acted: usize,
     /// Requests that were owed an answer, and those served, refused and failed.
@@ -215,20 +215,20 @@
     async fn outcome(mut self, acted: usize, told: [Duration; 2]) -> Outcome {
         let trace = self.relay.trace();
         let seen = self.wire.seen();
-        let mut books = Books::default();
+        let mut books = History::default();
         let at = |when: Instant| when.saturating_duration_since(self.start).as_nanos() as Nanos;
         for (when, entry) in seen.entries {
-            books.enter(at(when), entry);
+            books.record(at(when), entry);
         }
         for node in &self.nodes {
             for (when, id) in node.ran() {
-                books.enter(at(when), Entry::Ran { id, node: node.id.clone() });
+                books.record(at(when), Entry::Ran { id, node: node.id.clone() });
             }
         }
         // A client whose own side was broken is owed nothing more; one that had only ended its sending is.
         let broke = |p: &&rushquay_fault_relay::Performed| match p.deed {
-            rushquay_fault_relay::Deed::Cut(_) => true,
-            rushquay_fault_relay::Deed::HalfClose => p.lane == Lane::Down,
+            rushquay_fault_relay::FaultAction::Cut(_) => true,
+            rushquay_fault_relay::FaultAction::HalfClose => p.lane == Direction::Down,
             _ => false,
         };
         let excused: BTreeSet<u64> = trace
@@ -240,7 +240,7 @@
             .collect();
         for (connection, id) in seen.unanswered {
             if excused.contains(&connection) {
-                books.enter(0, Entry::Excused { id });
+                books.record(0, Entry::Excused { id });
             }
         }
         // Where the way to a node changes the bytes of a request, what it ran is another request.
@@ -248,7 +248,7 @@
             .performed
             .iter()
             .filter(|p| {
-                p.lane == Lane::Up && self.cells.iter().any(|c| c.name() == p.rule && c.kind.spoils())
+                p.lane == Direction::Up && self.cells.iter().any(|c| c.name() == p.rule && c.kind.spoils())
             })
             .map(|p| (p.listener.clone(), p.connection))
             .collect();
@@ -256,7 +256,7 @@
             seen.attempts.iter().any(|(node, c, of)| of == id && spoilt.contains(&(node.clone(), *c)))
         };
         let breaches = books.audit(TOLERANCE).into_iter().filter(|b| match b {
-            Breach::Doubled(id, _) | Breach::Forged(id, _) => !touched(id) && !self.answer_spoilt(b),
+            Violation::Doubled(id, _) | Violation::Forged(id, _) => !touched(id) && !self.answer_spoilt(b),
             _ => true,
         });
         let outcome = Outcome {
@@ -281,9 +281,9 @@
     }
 
     /// Whether a node's name itself was changed on its way back.
-    fn answer_spoilt(&self, breach: &Breach) -> bool {
+    fn answer_spoilt(&self, breach: &Violation) -> bool {
         let spoils = |c: &Cell| c.kind.spoils() && matches!(c.leg, Leg::Node | Leg::Origin);
-        self.cells.iter().any(spoils) && matches!(breach, Breach::Forged(..))
+        self.cells.iter().any(spoils) && matches!(breach, Violation::Forged(..))
     }
 }
 
--- a/tests/faults/wire.rs
+++ b/tests/faults/wire.rs
@@ -1,7 +1,7 @@
 //! Taps on the legs of a proxy, which enter in the books what came from it and what reached it.
 
 use rushquay_endpoints::{EndpointList, EndpointState};
-use rushquay_fault_relay::{Lane, Passage, Tap};
+use rushquay_fault_relay::{Direction, Passage, Tap};
 use rushquay_history::{Answer, Effect, Entry, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, PoisonError};
@@ -152,7 +152,7 @@
 
     fn passed(&self, p: Passage<'_>, bytes: &[u8], out: bool) {
         // What is looked at: where the proxy is at this end.
-        let answers = p.lane == Lane::Down;
+        let answers = p.lane == Direction::Down;
         let matters = match (p.listener, out) {
             ("client", out) => out != answers,
             ("discovery", out) => out && answers,
--- a/tests/leave.rs
+++ b/tests/leave.rs
@@ -4,7 +4,7 @@
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper_util::rt::TokioIo;
-use rushquay::net::local::LocalProxy;
+use rushquay::proxy::local::LocalProxy;
 use rushquay_control_service::{start_by, Clocks, Options, PolicySettings, Settings, SourceOption};
 use rushquay_test_servers::{entry, proxy_config, Discovery, Node};
 use serde_json::json;
