--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -1,7 +1,7 @@
 //! The invariants.
 
 use rushquay_fleet_harness::{call, Asked, Fleet, Process, StrictClients};
-use rushquay_history::{Books, Effect, Entry, Tolerance, MILLI};
+use rushquay_history::{Effect, Entry, History, Tolerance, MILLI};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -94,24 +94,28 @@
 }
 
 /// The books of effects and drains. Answers are the strict clients' to judge.
-fn books(fleet: &Fleet, asked: &BTreeMap<String, Asked>, drains: &[Drain]) -> Vec<rushquay_history::Breach> {
-    let mut books = Books::default();
+fn books(
+    fleet: &Fleet,
+    asked: &BTreeMap<String, Asked>,
+    drains: &[Drain],
+) -> Vec<rushquay_history::Violation> {
+    let mut books = History::default();
     let begin = fleet.history.begin();
     let at = |at: Instant| at.saturating_duration_since(begin).as_nanos() as u64;
     for (id, one) in asked {
         let effect = if one.writes { Effect::Keyed } else { Effect::Safe };
         let within = one.within.as_nanos() as u64;
-        books.enter(at(one.at), Entry::Asked { id: id.clone(), effect, within });
-        books.enter(at(one.at), Entry::Excused { id: id.clone() });
+        books.record(at(one.at), Entry::Asked { id: id.clone(), effect, within });
+        books.record(at(one.at), Entry::Excused { id: id.clone() });
     }
     for (_, node) in &fleet.nodes {
         let name = || node.id.clone();
-        node.sent().into_iter().for_each(|(t, id)| books.enter(at(t), Entry::Sent { id, node: name() }));
-        node.ran().into_iter().for_each(|(t, id)| books.enter(at(t), Entry::Ran { id, node: name() }));
+        node.sent().into_iter().for_each(|(t, id)| books.record(at(t), Entry::Sent { id, node: name() }));
+        node.ran().into_iter().for_each(|(t, id)| books.record(at(t), Entry::Ran { id, node: name() }));
     }
     for drain in drains {
-        books.enter(at(drain.from), Entry::Drained { node: drain.node.clone() });
-        drain.to.iter().for_each(|to| books.enter(at(*to), Entry::Ready { node: drain.node.clone() }));
+        books.record(at(drain.from), Entry::Drained { node: drain.node.clone() });
+        drain.to.iter().for_each(|to| books.record(at(*to), Entry::Ready { node: drain.node.clone() }));
     }
     books.audit(Tolerance { late: 0, drain: DRAIN_MOST, crossing: 0 })
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -3,8 +3,8 @@
 mod rig;
 
 use rig::*;
-use rushquay_handover::{ToNew, ToOld};
-use rushquay_history::{Answer, Books, Effect, Entry, Tolerance, MILLI};
+use rushquay_handover::{IncumbentMessage, SuccessorMessage};
+use rushquay_history::{Answer, Effect, Entry, History, Tolerance, MILLI};
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use serde_json::{json, Value};
 use std::io::{IoSliceMut, Read, Write};
@@ -59,22 +59,22 @@
     }
 
     /// Says hello as a new process would; returns the offer, and the connection that holds it.
-    fn hello(&self) -> (ToNew, UnixStream) {
+    fn hello(&self) -> (IncumbentMessage, UnixStream) {
         let mut stream = UnixStream::connect(self.meeting()).expect("somebody there");
         stream.set_read_timeout(Some(LONG)).expect("time-out");
-        stream.write_all(&ToOld::Hello { forms: vec![1] }.bytes()).expect("written");
+        stream.write_all(&SuccessorMessage::Hello { forms: vec![1] }.bytes()).expect("written");
         let mut head = [0; 4];
         stream.read_exact(&mut head).expect("a length");
-        let mut body = vec![0; ToNew::length(head).expect("a length")];
+        let mut body = vec![0; IncumbentMessage::length(head).expect("a length")];
         stream.read_exact(&mut body).expect("a message");
-        (ToNew::read(&body).expect("a message"), stream)
+        (IncumbentMessage::read(&body).expect("a message"), stream)
     }
 
     /// Says hello and takes the listening socket, as a new process would.
     fn handed(&self) -> TcpListener {
         let mut stream = UnixStream::connect(self.meeting()).expect("somebody there");
         stream.set_read_timeout(Some(LONG)).expect("time-out");
-        stream.write_all(&ToOld::Hello { forms: vec![1] }.bytes()).expect("written");
+        stream.write_all(&SuccessorMessage::Hello { forms: vec![1] }.bytes()).expect("written");
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let mut head = [0; 4];
@@ -97,7 +97,7 @@
 /// What all sides saw.
 #[derive(Clone)]
 struct Seen {
-    books: Arc<Mutex<Books>>,
+    books: Arc<Mutex<History>>,
     start: Instant,
 }
 
@@ -108,7 +108,7 @@
 
     fn enter(&self, entry: Entry) {
         let at = self.start.elapsed().as_nanos() as u64;
-        self.books.lock().expect("whole").enter(at, entry);
+        self.books.lock().expect("whole").record(at, entry);
     }
 }
 
@@ -268,11 +268,11 @@
     let mut old = place.start(&servers);
     old.yes();
     let (offer, held) = place.hello();
-    let ToNew::Offer { sockets, memory, list, .. } = offer else { panic!("no offer") };
+    let IncumbentMessage::Offer { sockets, memory, list, .. } = offer else { panic!("no offer") };
     assert_eq!((sockets, memory), (256, 96 << 20), "half of the limits");
     assert_eq!(list["servers"][0]["id"], "c1");
     // Meanwhile nobody else is offered anything.
-    assert_eq!(place.hello().0, ToNew::Busy);
+    assert_eq!(place.hello().0, IncumbentMessage::Busy);
     drop(held);
     let mut client = old.client();
     client.ask("read", "");
@@ -338,7 +338,7 @@
     let there = UnixListener::bind(place.meeting()).expect("bound");
     let other = std::thread::spawn(move || {
         let (mut peer, _) = there.accept().expect("accepted");
-        peer.write_all(&ToNew::Unknown { forms: vec![7] }.bytes()).expect("written");
+        peer.write_all(&IncumbentMessage::Unknown { forms: vec![7] }.bytes()).expect("written");
         while peer.read(&mut [0; 64]).is_ok_and(|n| n > 0) {}
     });
     let mut new = place.start(&servers);
@@ -415,7 +415,7 @@
     let mut old = start();
     old.yes();
     let left = || {
-        let (ToNew::Offer { cold, .. }, _) = place.hello() else { panic!("no offer") };
+        let (IncumbentMessage::Offer { cold, .. }, _) = place.hello() else { panic!("no offer") };
         assert_eq!(cold.len(), 1, "one node is cold");
         cold[0].left
     };
@@ -439,7 +439,7 @@
         assert!(old.child.wait().expect("ended").success());
         old = new;
     }
-    let (ToNew::Offer { cold, .. }, _) = place.hello() else { panic!("no offer") };
+    let (IncumbentMessage::Offer { cold, .. }, _) = place.hello() else { panic!("no offer") };
     assert!(cold[0].left < 0.2, "{cold:?}");
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn converse(input: impl AsRef<[u8]>) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_ravenlug-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
