--- a/crates/testing/fault-injection/src/connection/armed.rs
+++ b/crates/testing/fault-injection/src/connection/active_rule.rs
@@ -1,6 +1,6 @@
 //! A rule on one connection: where it stands, and what it has counted.
 
-use super::lane::{In, Quiet};
+use super::direction::{In, Quiet};
 use crate::action::FaultAction;
 use crate::protocol_position::{Found, Part, Text};
 use crate::rules::{millis, Planned, Shared};
--- a/crates/testing/fault-injection/src/connection/lane.rs
+++ b/crates/testing/fault-injection/src/connection/direction.rs
@@ -1,6 +1,6 @@
 //! One direction on its way in: its places, what is held back until it is decided, and what changes its bytes.
 
-use super::out::Out;
+use super::output::Out;
 use crate::action::{garbled, Garble};
 use crate::protocol_position::{Found, Http1, Http2, Methods, Resp};
 use crate::Nanos;
--- a/crates/testing/fault-injection/src/connection/mod.rs
+++ b/crates/testing/fault-injection/src/connection/mod.rs
@@ -1,17 +1,17 @@
 //! One relayed connection as a state machine: bytes, ends and time go in; what to write, to end and to break comes out.
 
-mod armed;
-mod lane;
-mod out;
+mod active_rule;
+mod direction;
+mod output;
 
 use crate::action::{Cut, FaultAction};
 use crate::protocol_position::{Found, Http1, Http2, Methods, Resp};
 use crate::rules::{millis, Performed, Plan, RuleSet};
 use crate::script::At;
 use crate::{Direction, Nanos, RuleRng};
-use armed::ActiveRule;
-use lane::{Due, In};
-use out::{Both, Item, Next, Shape};
+use active_rule::ActiveRule;
+use direction::{Due, In};
+use output::{Both, Item, Next, Shape};
 
 /// Bytes that one direction holds at most, so that a sender that is faster than its receiver is made to wait.
 pub const HELD_MOST: usize = 64 << 10;
@@ -544,7 +544,7 @@
         let gone: Vec<String> = self
             .rules
             .iter()
-            .filter(|r| matches!(&r.source, armed::Source::Rule(s) if !rules.rules.iter().any(|n| std::sync::Arc::ptr_eq(n, s))))
+            .filter(|r| matches!(&r.source, active_rule::Source::Rule(s) if !rules.rules.iter().any(|n| std::sync::Arc::ptr_eq(n, s))))
             .map(|r| r.name.clone())
             .collect();
         for name in gone {
@@ -553,7 +553,7 @@
             self.rules.iter_mut().filter(|r| r.name == name).for_each(|r| r.done = true);
         }
         for shared in &rules.rules {
-            let known = |r: &ActiveRule| matches!(&r.source, armed::Source::Rule(s) if std::sync::Arc::ptr_eq(s, shared));
+            let known = |r: &ActiveRule| matches!(&r.source, active_rule::Source::Rule(s) if std::sync::Arc::ptr_eq(s, shared));
             if shared.rule.matches(&self.listener, self.ordinal) && !self.rules.iter().any(known) {
                 let mut armed = ActiveRule::rule(shared);
                 armed.done = armed.at == At::Connect;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -173,7 +173,7 @@
         Command::Host(args) => host::run(args),
         Command::Demo { once } => threads()?.block_on(async { demo::demo(once, ending()?).await }),
         Command::Account { every, logs } => {
-            print!("{}", proxy::account::table(&logs, every)?);
+            print!("{}", proxy::fleet_stats::table(&logs, every)?);
             Ok(())
         }
         Command::Check { file: Some(file), .. } => {
--- a/src/proxy/accepting.rs
+++ b/src/proxy/acceptor.rs
@@ -1,8 +1,8 @@
 //! Taking connections, and which of them gives way where there is no room.
 
-use super::body::steady;
-use super::client::Client;
+use super::client_connection::Client;
 use super::descriptors::Permit;
+use super::request_body::steady;
 use super::server::Server;
 use rushquay_admission::{giving_way, Evidence, SlotRequest};
 use rushquay_invariants::CloseCause;
--- a/src/proxy/acting.rs
+++ b/src/proxy/active_config.rs
@@ -1,23 +1,23 @@
 //! What a proxy acts by: settings and the names that stand for what is in them. Taken whole, between two requests.
 
-use super::names::Names;
+use super::interner::Interner;
 use crate::api::{Effect, Nanos, Settings};
 use std::time::Duration;
 
 /// Settings in force, with their names.
-pub struct Acting {
+pub struct ActiveConfig {
     /// What the module goes by.
     pub settings: Settings,
     /// What its numbers stand for.
-    pub names: Names,
+    pub names: Interner,
     /// By class: a repeat rests on a group that remembers it.
     keyed: Vec<bool>,
 }
 
-impl Acting {
-    pub fn new(settings: Settings, names: Names) -> Self {
+impl ActiveConfig {
+    pub fn new(settings: Settings, names: Interner) -> Self {
         let keyed = settings.classes.iter().map(|c| c.effect == Effect::Keyed).collect();
-        Acting { settings, names, keyed }
+        ActiveConfig { settings, names, keyed }
     }
 
     /// Whether a repeat of a write of this class rests on a group that remembers it.
@@ -40,7 +40,7 @@
     }
 
     /// For each tenant here the number that it has there; `None`: it was not one.
-    pub fn tenants_before(&self, before: &Names) -> Vec<Option<usize>> {
+    pub fn tenants_before(&self, before: &Interner) -> Vec<Option<usize>> {
         let had = |name: &String| before.tenants.iter().position(|t| t == name);
         self.names.tenants.iter().map(had).collect()
     }
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -32,14 +32,14 @@
 const STACK: usize = 256 << 10;
 
 /// The running listener; dropping it ends it.
-pub struct Operators {
+pub struct AdminListener {
     /// Where it listens.
     pub addr: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Operators {
+impl AdminListener {
     /// Listens for operators.
     ///
     /// # Errors
@@ -65,11 +65,11 @@
         };
         let thread = std::thread::Builder::new().name("operators".into()).stack_size(STACK);
         let thread = thread.spawn(serve).map_err(failed)?;
-        Ok(Operators { addr, stop: Some(stop), thread: Some(thread) })
+        Ok(AdminListener { addr, stop: Some(stop), thread: Some(thread) })
     }
 }
 
-impl Drop for Operators {
+impl Drop for AdminListener {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
--- a/src/proxy/job.rs
+++ b/src/proxy/attempt.rs
@@ -1,7 +1,7 @@
 //! A request as it goes on to nodes, and what its engine holds of an attempt at one of them.
 
-use super::body::{steady, Upload};
 use super::headers::CORRELATION_ID;
+use super::request_body::{steady, Upload};
 use super::socket::Socket;
 use super::Body;
 use crate::api::Status;
@@ -14,22 +14,22 @@
 use std::time::Duration;
 
 /// A client's request as it goes on to any cache node.
-pub struct Job {
+pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: JobBody,
+    pub body: AttemptBody,
 }
 
 /// A request's body.
-pub enum JobBody {
+pub enum AttemptBody {
     /// Held whole.
     Whole(Bytes),
     /// Passed on as it comes.
     Long(Rc<Upload>),
 }
 
-impl Job {
+impl UpstreamRequest {
     /// Its X-Correlation-Id.
     pub fn id(&self) -> &str {
         self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or("")
@@ -38,8 +38,8 @@
     /// Its body, where that is passed on as it comes.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.body {
-            JobBody::Whole(_) => None,
-            JobBody::Long(upload) => Some(upload),
+            AttemptBody::Whole(_) => None,
+            AttemptBody::Long(upload) => Some(upload),
         }
     }
 
@@ -72,7 +72,7 @@
 }
 
 /// What came of an attempt.
-pub struct Ended {
+pub struct AttemptOutcome {
     pub status: Status,
     /// The status of its answer, as it came; 0: none did.
     pub code: u16,
@@ -81,9 +81,9 @@
     pub answer: Option<Response<Body>>,
 }
 
-impl From<Status> for Ended {
+impl From<Status> for AttemptOutcome {
     fn from(status: Status) -> Self {
-        Ended { status, code: 0, hit: None, answer: None }
+        AttemptOutcome { status, code: 0, hit: None, answer: None }
     }
 }
 
--- a/src/proxy/terms.rs
+++ b/src/proxy/attempt_policy.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// The terms of one request.
-pub struct Terms {
+pub struct AttemptPolicy {
     /// What its route says of repeated attempts; `None`: nothing.
     pub retries: Option<Retries>,
     /// Which limits of its cluster hold.
@@ -66,7 +66,7 @@
     }
 }
 
-impl Terms {
+impl AttemptPolicy {
     /// Whether another attempt may be made after these, with the time at which each was sent; `node_since`: since when the
     /// node that it would go to belongs to its group.
     pub fn allow<'a>(
@@ -121,10 +121,10 @@
     use super::*;
     use rushquay_load_assignment::Thresholds;
 
-    fn terms(retries: Option<Retries>, limits: Option<Thresholds>) -> Terms {
+    fn terms(retries: Option<Retries>, limits: Option<Thresholds>) -> AttemptPolicy {
         let breakers = limits.map(|l| Breakers::new([l, l]));
         let (importance, group_since, routes_since) = Default::default();
-        Terms { retries, importance, breakers, group_since, routes_since, one_group: true }
+        AttemptPolicy { retries, importance, breakers, group_since, routes_since, one_group: true }
     }
 
     fn ended(status: Status, code: u16) -> Made {
@@ -133,7 +133,7 @@
         made
     }
 
-    fn allowed(terms: &Terms, earlier: &[Made]) -> bool {
+    fn allowed(terms: &AttemptPolicy, earlier: &[Made]) -> bool {
         terms.allow(earlier.iter().map(|m| (5, m)), false, 0).is_some()
     }
 
@@ -182,13 +182,14 @@
     #[test]
     fn a_refusal_is_harmless_only_where_the_client_meets_the_same_group() {
         let (ran, never) = ([ended(Status::Timeout, 0)], [ended(Status::Full, 0)]);
-        let harmless = |terms: &Terms, made: &[Made; 1]| terms.remembered(made.iter().map(|m| (5, m)));
+        let harmless =
+            |terms: &AttemptPolicy, made: &[Made; 1]| terms.remembered(made.iter().map(|m| (5, m)));
         let one = terms(None, None);
         assert!(harmless(&one, &ran));
         one.routes_since.set(6);
         assert!(!harmless(&one, &ran), "the routes changed while it was out");
         assert!(harmless(&one, &never));
-        let mixed = Terms { one_group: false, ..terms(None, None) };
+        let mixed = AttemptPolicy { one_group: false, ..terms(None, None) };
         assert!(!harmless(&mixed, &ran) && harmless(&mixed, &never));
     }
 }
--- a/src/proxy/front.rs
+++ b/src/proxy/backend.rs
@@ -1,8 +1,8 @@
 //! What stands behind the clients: one decision module on the proxy's own list, or the clusters of Envoy's form.
 
+use super::endpoint_list::NodeList;
 use super::engine::Engine;
-use super::nodes::NodeList;
-use super::pools::Pools;
+use super::load_assignment::Pools;
 use super::upstream::Upstreams;
 use crate::api::ColdLeft;
 use serde_json::Value;
@@ -11,19 +11,19 @@
 
 /// What answers requests.
 #[derive(Clone)]
-pub enum Front {
+pub enum Backend {
     /// All of them go to one module.
     One { engine: Rc<Engine>, upstreams: Rc<Upstreams>, nodes: Rc<NodeList> },
     /// Routes say where each goes.
     Pools(Rc<Pools>),
 }
 
-impl Front {
+impl Backend {
     /// Whether a request could be served now.
     pub fn can_serve(&self) -> bool {
         match self {
-            Front::One { engine, .. } => engine.can_serve(),
-            Front::Pools(pools) => pools.can_serve(),
+            Backend::One { engine, .. } => engine.can_serve(),
+            Backend::Pools(pools) => pools.can_serve(),
         }
     }
 
@@ -31,22 +31,22 @@
     pub fn list(&self) -> Value {
         match self {
             // Nothing in a list can fail to be written.
-            Front::One { nodes, .. } => serde_json::to_value(nodes.whole()).unwrap_or_default(),
-            Front::Pools(_) => Value::Null,
+            Backend::One { nodes, .. } => serde_json::to_value(nodes.whole()).unwrap_or_default(),
+            Backend::Pools(_) => Value::Null,
         }
     }
 
     /// Gives away what may still be sent to cold nodes. Envoy's form does not tell when a node's process started.
     pub fn give_cold(&self) -> Vec<ColdLeft> {
         match self {
-            Front::One { engine, .. } => engine.give_cold(),
-            Front::Pools(_) => Vec::new(),
+            Backend::One { engine, .. } => engine.give_cold(),
+            Backend::Pools(_) => Vec::new(),
         }
     }
 
     /// Takes what the process before this one gave.
     pub fn take_cold(&self, given: &[ColdLeft]) {
-        if let Front::One { engine, .. } = self {
+        if let Backend::One { engine, .. } = self {
             engine.take_cold(given);
         }
     }
@@ -54,32 +54,32 @@
     /// The longest time that a class of requests gives.
     pub fn longest(&self) -> Duration {
         match self {
-            Front::One { engine, .. } => engine.acting().longest(),
-            Front::Pools(pools) => pools.acting().longest(),
+            Backend::One { engine, .. } => engine.acting().longest(),
+            Backend::Pools(pools) => pools.acting().longest(),
         }
     }
 
     /// How many cache nodes are listed, and how many of them are avoided now.
     pub fn members(&self) -> (usize, usize) {
         match self {
-            Front::One { engine, .. } => engine.members(),
-            Front::Pools(pools) => pools.members(),
+            Backend::One { engine, .. } => engine.members(),
+            Backend::Pools(pools) => pools.members(),
         }
     }
 
     /// Closes the connection to a node that has been idle for longest; false if there is none.
     pub fn yield_idle(&self) -> bool {
         match self {
-            Front::One { upstreams, .. } => upstreams.yield_idle(),
-            Front::Pools(pools) => pools.yield_idle(),
+            Backend::One { upstreams, .. } => upstreams.yield_idle(),
+            Backend::Pools(pools) => pools.yield_idle(),
         }
     }
 
     /// Closes idle connections that have ended or stood too long.
     pub fn sweep(&self) {
         match self {
-            Front::One { upstreams, .. } => upstreams.sweep(),
-            Front::Pools(pools) => pools.sweep(),
+            Backend::One { upstreams, .. } => upstreams.sweep(),
+            Backend::Pools(pools) => pools.sweep(),
         }
     }
 }
--- a/src/proxy/client.rs
+++ b/src/proxy/client_connection.rs
@@ -1,8 +1,8 @@
 //! A client's connection, as others see it: what it has asked, whether it is busy, and how it ends.
 
-use super::body::steady;
 use super::descriptors::Permit;
-use super::intake::{Behind, Intake};
+use super::read_buffer::{BufferedInput, ReadBuffer};
+use super::request_body::steady;
 use super::socket::Socket;
 use crate::api;
 use rushquay_admission::Evidence;
@@ -35,7 +35,7 @@
     /// Its number in this process, for the trace.
     pub number: u64,
     pub socket: Rc<Socket>,
-    pub intake: Rc<Intake>,
+    pub intake: Rc<ReadBuffer>,
     pub busy: Cell<bool>,
     /// It speaks HTTP/1.0, where the end of the connection may be the end of an answer.
     pub ends_by_close: Cell<bool>,
@@ -94,8 +94,9 @@
         let behind = self.intake.behind();
         ConnectionFacts {
             answering: self.busy.get(),
-            read_behind: behind == Behind::Request,
-            head_begun: behind == Behind::Part || !self.busy.get() && self.intake.head_since.get().is_some(),
+            read_behind: behind == BufferedInput::Request,
+            head_begun: behind == BufferedInput::Part
+                || !self.busy.get() && self.intake.head_since.get().is_some(),
             unwritten: self.socket.stalled(),
             peer_gone: false,
         }
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -1,13 +1,13 @@
 //! What the platform tells a proxy: the `PROXY_*` variables and the JSON file that they name.
 
 use super::envoy::EnvoySource;
-use super::hosted::Hosted;
-use super::names::Names;
+use super::interner::Interner;
 use super::policy_source::PolicySource;
 use super::rollout_source::RolloutSource;
 use super::settings::{settings_of, whole};
 use super::settings_file::read_text;
 use super::subscription::ControlSource;
+use super::supervised::Supervised;
 use crate::api::{Nanos, Settings};
 use rushquay_control_service::Clocks;
 use rushquay_endpoints::EndpointList;
@@ -63,7 +63,7 @@
     /// The same as the file says it: what changes come is laid over it.
     pub own: Value,
     /// The names of what it knows by number.
-    pub names: Names,
+    pub names: Interner,
     /// The node list as it was last had; may be old.
     pub known: Option<EndpointList>,
     /// A control service to subscribe to; `None`: the proxy follows its own discovery alone.
@@ -77,7 +77,7 @@
     /// The clocks that it goes by, passed in, since two machines' clocks differ: leaves run out by the steady one.
     pub clocks: Clocks,
     /// The host that has started this process; `None`: none has.
-    pub hosted: Option<Hosted>,
+    pub hosted: Option<Supervised>,
 }
 
 impl Config {
@@ -197,7 +197,7 @@
         if control.is_some() && envoy.is_some() {
             return Err(format!("{CONTROL} and {ENVOY} each bring the nodes; give one of the two"));
         }
-        let hosted = Hosted::read(&variable)?;
+        let hosted = Supervised::read(&variable)?;
         Ok(Config {
             name,
             hosted,
--- a/src/proxy/layers.rs
+++ b/src/proxy/config_layers.rs
@@ -1,6 +1,6 @@
 //! What this proxy acts by, in layers: the settings of its file, a generation over them, and a policy over both.
 
-use super::acting::Acting;
+use super::active_config::ActiveConfig;
 use super::engine::Engine;
 use super::settings::settings_of;
 use rushquay_config_version::ConfigVersion;
@@ -15,7 +15,7 @@
 
 /// What a policy says now.
 #[derive(Clone)]
-pub struct Say {
+pub struct PolicyLayer {
     /// By what this process has leave to act.
     pub leave: Leave,
     /// What it was told last.
@@ -28,7 +28,7 @@
 
 /// What follows for requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Refusing {
+pub struct RejectedClasses {
     /// Nobody is served.
     pub all: bool,
     /// By class.
@@ -36,21 +36,21 @@
 }
 
 /// The layers. What is taken is whole, and obeyed from the next request on.
-pub struct Layers {
+pub struct ConfigLayers {
     engine: Rc<Engine>,
     own: Value,
-    over: RefCell<(ConfigVersion, Option<Say>)>,
-    refusing: RefCell<Refusing>,
+    over: RefCell<(ConfigVersion, Option<PolicyLayer>)>,
+    refusing: RefCell<RejectedClasses>,
 }
 
 /// Acted by, and what is refused meanwhile; `None`: nobody is served, and it matters little by what.
-type Comes = (Option<Acting>, Refusing);
+type Comes = (Option<ActiveConfig>, RejectedClasses);
 
-impl Layers {
+impl ConfigLayers {
     /// The file's settings alone.
     pub fn new(engine: Rc<Engine>, own: Value) -> Rc<Self> {
         let over = RefCell::new((ConfigVersion::base(), None));
-        Rc::new(Layers { engine, own, over, refusing: RefCell::default() })
+        Rc::new(ConfigLayers { engine, own, over, refusing: RefCell::default() })
     }
 
     /// What obeys them.
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// The field that can't be obeyed, with its path.
-    pub fn could_say(&self, say: &Say) -> Result<(), String> {
+    pub fn could_say(&self, say: &PolicyLayer) -> Result<(), String> {
         self.comes(&self.over.borrow().0, Some(say)).map(drop)
     }
 
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// The same; all stays as it is.
-    pub fn say(&self, say: Say) -> Result<(), String> {
+    pub fn say(&self, say: PolicyLayer) -> Result<(), String> {
         let comes = self.comes(&self.over.borrow().0, Some(&say))?;
         self.over.borrow_mut().1 = Some(say);
         self.obey(comes);
@@ -109,18 +109,18 @@
 
     fn obey(&self, (acting, refusing): Comes) {
         if let Some(acting) = acting {
-            self.engine.obey(Rc::new(acting));
+            self.engine.apply_config(Rc::new(acting));
         }
         *self.refusing.borrow_mut() = refusing;
     }
 
-    fn comes(&self, generation: &ConfigVersion, say: Option<&Say>) -> Result<Comes, String> {
+    fn comes(&self, generation: &ConfigVersion, say: Option<&PolicyLayer>) -> Result<Comes, String> {
         let own = generation.over(&self.own).map_err(|e| e.to_string())?;
-        let Some(Say { leave, last, policies, begin_by }) = say else {
-            return Ok((Some(checked(&own)?), Refusing::default()));
+        let Some(PolicyLayer { leave, last, policies, begin_by }) = say else {
+            return Ok((Some(checked(&own)?), RejectedClasses::default()));
         };
         match apply_overlay(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
-            Overlay::Nobody => Ok((None, Refusing { all: true, classes: Vec::new() })),
+            Overlay::Nobody => Ok((None, RejectedClasses { all: true, classes: Vec::new() })),
             Overlay::By(met) => {
                 let acting = checked(&met.settings)?;
                 let refusing = refusing(&met.stops, &acting.names.classes);
@@ -131,13 +131,16 @@
 }
 
 /// What is refused, by class.
-fn refusing(stops: &BTreeSet<RejectedClass>, classes: &[String]) -> Refusing {
+fn refusing(stops: &BTreeSet<RejectedClass>, classes: &[String]) -> RejectedClasses {
     let stopped = |class: &String| stops.iter().any(|s| s.class.as_ref() == Some(class));
-    Refusing { all: stops.iter().any(|s| s.class.is_none()), classes: classes.iter().map(stopped).collect() }
+    RejectedClasses {
+        all: stops.iter().any(|s| s.class.is_none()),
+        classes: classes.iter().map(stopped).collect(),
+    }
 }
 
 /// Settings that this proxy can act by; why it can't.
-fn checked(settings: &Value) -> Result<Acting, String> {
+fn checked(settings: &Value) -> Result<ActiveConfig, String> {
     let (settings, names) = settings_of(settings)?;
     for (i, class) in settings.classes.iter().enumerate() {
         let within = |set: &Option<Vec<u32>>, all: &[String]| {
@@ -157,5 +160,5 @@
             return Err(format!("settings.categories[{i}].promise_ns: expected deadline_ns at most"));
         }
     }
-    Ok(Acting::new(settings, names))
+    Ok(ActiveConfig::new(settings, names))
 }
--- a/src/proxy/control.rs
+++ b/src/proxy/control_subscription.rs
@@ -2,9 +2,9 @@
 //! nothing from it: while it is lost the proxy goes on with what it has.
 
 use super::config::Config;
-use super::nodes::NodeList;
-use super::policy::Policy;
-use super::rollout::Rollout;
+use super::endpoint_list::NodeList;
+use super::policy_client::PolicyClient;
+use super::rollout_client::RolloutClient;
 use super::subscription::ControlSource;
 use rushquay_endpoints::MergeLimits;
 use rushquay_xds::client::Outage;
@@ -29,25 +29,25 @@
 /// What a subscription brings beside nodes.
 pub struct Parts {
     /// Changes of settings in stages.
-    pub rollout: Option<Rc<Rollout>>,
+    pub rollout: Option<Rc<RolloutClient>>,
     /// Changes of policy.
-    pub policy: Option<Rc<Policy>>,
+    pub policy: Option<Rc<PolicyClient>>,
     /// Told when one of them has something to tell at once.
     pub news: Arc<Notify>,
 }
 
 /// A subscription that is to be followed.
-pub struct Subscription {
+pub struct ControlSubscription {
     source: ControlSource,
     name: String,
     seed: u64,
 }
 
-impl Subscription {
+impl ControlSubscription {
     /// What the configuration says of one; `None`: there is none.
     pub fn of(config: &Config) -> Option<Self> {
         let source = config.control.clone()?;
-        Some(Subscription { source, name: config.name.clone(), seed: config.seed })
+        Some(ControlSubscription { source, name: config.name.clone(), seed: config.seed })
     }
 
     /// Bounds of the merged list.
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -1,8 +1,8 @@
 //! Follows the list of cache nodes at discovery: one call after another, each when [`Follow`] says.
 
-use super::account::{self, Kind};
 use super::descriptors::Descriptors;
-use super::nodes::NodeList;
+use super::endpoint_list::NodeList;
+use super::fleet_stats::{self, Kind};
 use super::socket::{Io, Socket};
 use super::Body;
 use http_body_util::{BodyExt, Limited};
@@ -119,7 +119,7 @@
         let ListAnswer { members, date } = answer;
         date.into_iter().for_each(|date| nodes.dated(date));
         if self.cursor.saw(&members) == CursorUpdate::Doubted {
-            account::count(Kind::ListBroken, 1);
+            fleet_stats::count(Kind::ListBroken, 1);
             super::log(format_args!(
                 "discovery at {}: a list of version {} with {} entries is no sequel to the one held, which stays; the \
                  whole list is asked for",
@@ -133,12 +133,12 @@
         if let Some(n) = self.outage.over() {
             super::log(format_args!("discovery at {} answers after {n} failures", self.addr));
         }
-        account::count(Kind::ListLines, members.servers.len() as u64);
+        fleet_stats::count(Kind::ListLines, members.servers.len() as u64);
         nodes.discovered(members);
     }
 
     fn failed(&mut self, failed: &Failed, nodes: &NodeList) {
-        account::count(failed.kind(), 1);
+        fleet_stats::count(failed.kind(), 1);
         if let Some(n) = self.outage.failed(&failed.why) {
             super::log(format_args!("discovery at {}: {} (failure {n})", self.addr, failed.why));
         }
@@ -173,7 +173,7 @@
             None => self.connect().await?,
         };
         let path = self.cursor.path(u128::from(hold / 1_000_000));
-        account::count(self.cursor.version().map_or(Kind::ListWhole, |_| Kind::ListWatch), 1);
+        fleet_stats::count(self.cursor.version().map_or(Kind::ListWhole, |_| Kind::ListWatch), 1);
         let request = Request::get(path).header(HOST, self.addr.to_string()).body(Body::default());
         let response = sender.send_request(request.map_err(Failed::refused)?).await;
         let (head, body) = response.map_err(|e| Failed::broken("no answer", e))?.into_parts();
--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -1,13 +1,13 @@
 //! The sole owner of the decision module and of all requests, attempts and timers: events of the network go in,
 //! the module's actions come out. Each request gets one final answer.
 
-use super::account::{self, Kind};
-use super::acting::Acting;
+use super::active_config::ActiveConfig;
 use super::answer::Answer;
+use super::attempt::{AttemptOutcome, Cancellation, Span, UpstreamRequest};
+use super::attempt_policy::{AttemptPolicy, Made};
 use super::clock::{margin, Clock};
-use super::job::{Cancellation, Ended, Job, Span};
-use super::terms::{Made, Terms};
-use super::trace::{self, Event as Traced};
+use super::fleet_stats::{self, Kind};
+use super::request_trace::{self, Event as Traced};
 use super::upstream::Upstreams;
 use crate::api::*;
 use crate::Balancer;
@@ -26,13 +26,13 @@
 const WAY: Nanos = 50_000_000;
 
 /// What a client asks for, in the module's terms; its id is given on arrival.
-pub struct Asked {
+pub struct PendingRequest {
     pub request: Request,
-    pub job: Job,
+    pub job: UpstreamRequest,
     /// The client's time runs from its last byte, which may come so much later.
     pub upload: Nanos,
     /// What its cluster and route say beside; `None`: nothing.
-    pub terms: Option<Rc<Terms>>,
+    pub terms: Option<Rc<AttemptPolicy>>,
 }
 
 struct Attempt {
@@ -56,7 +56,7 @@
     fn ended(&mut self, status: Status, code: u16) {
         self.made.ended(status, code);
         self.status = Some(status);
-        account::outcome(status);
+        fleet_stats::outcome(status);
     }
 }
 
@@ -66,8 +66,8 @@
     keyed: bool,
     /// For how long its class's repeats are remembered; `None`: they need not be.
     remembered: Option<Nanos>,
-    job: Rc<Job>,
-    terms: Option<Rc<Terms>>,
+    job: Rc<UpstreamRequest>,
+    terms: Option<Rc<AttemptPolicy>>,
     deadline: Nanos,
     /// When its client stops waiting.
     client_until: Nanos,
@@ -93,7 +93,8 @@
 
     /// Whether a repeat would still meet the group that remembers its attempts.
     fn harmless(&self) -> bool {
-        let remembered = |t: &Rc<Terms>| t.remembered(self.attempts.iter().map(|a| (a.sent, &a.made)));
+        let remembered =
+            |t: &Rc<AttemptPolicy>| t.remembered(self.attempts.iter().map(|a| (a.sent, &a.made)));
         !self.keyed || self.terms.as_ref().is_none_or(remembered)
     }
 }
@@ -107,7 +108,7 @@
 pub struct Engine {
     clock: Clock,
     /// What new requests begin under.
-    acting: RefCell<Rc<Acting>>,
+    active_config: RefCell<Rc<ActiveConfig>>,
     cancel: bool,
     origin: Option<u32>,
     cold: Nanos,
@@ -121,7 +122,7 @@
 impl Engine {
     /// Starts the module on a list that may be old.
     pub fn new(
-        acting: Rc<Acting>,
+        acting: Rc<ActiveConfig>,
         seed: u64,
         known: &[Endpoint],
         upstreams: Rc<Upstreams>,
@@ -137,7 +138,7 @@
                 next: 1,
                 pending: FxHashMap::default(),
             }),
-            acting: RefCell::new(acting),
+            active_config: RefCell::new(acting),
             upstreams,
             myself: myself.clone(),
             pins: RefCell::default(),
@@ -147,16 +148,16 @@
     }
 
     /// What new requests begin under.
-    pub fn acting(&self) -> Rc<Acting> {
-        self.acting.borrow().clone()
+    pub fn acting(&self) -> Rc<ActiveConfig> {
+        self.active_config.borrow().clone()
     }
 
     /// Goes by these from the next request on: the same classes, data centres and machine kinds on other terms. Requests
     /// that are open end under what they began with.
-    pub fn obey(&self, acting: Rc<Acting>) {
-        let tenants = acting.tenants_before(&self.acting.borrow().names);
+    pub fn apply_config(&self, acting: Rc<ActiveConfig>) {
+        let tenants = acting.tenants_before(&self.active_config.borrow().names);
         self.core.borrow_mut().balancer.obey(acting.settings.clone(), &tenants);
-        *self.acting.borrow_mut() = acting;
+        *self.active_config.borrow_mut() = acting;
     }
 
     /// Operators want these requests at these nodes.
@@ -208,7 +209,7 @@
     pub fn list(&self, kind: ListKind, members: &[Endpoint]) {
         let names = &self.acting().names;
         let entries: Vec<(Entry, Option<SocketAddr>)> = members.iter().map(|m| names.entry(m)).collect();
-        trace::event(|| Traced::List { entries: entries.len() });
+        request_trace::event(|| Traced::List { entries: entries.len() });
         if kind != ListKind::Failed {
             self.upstreams.update(kind != ListKind::Delta, &entries);
         }
@@ -221,8 +222,8 @@
     }
 
     /// A request has come; its answer comes from the ticket.
-    pub fn arrive(&self, asked: Asked) -> Ticket {
-        let Asked { mut request, job, upload, terms } = asked;
+    pub fn arrive(&self, asked: PendingRequest) -> Ticket {
+        let PendingRequest { mut request, job, upload, terms } = asked;
         let core = &mut *self.core.borrow_mut();
         let now = self.clock.now();
         let (answer, answered) = oneshot::channel();
@@ -233,8 +234,8 @@
         let margin = margin(patience);
         request.remaining = patience - margin;
         let deadline = now.saturating_add(request.remaining);
-        let keyed = request.write && self.acting.borrow().keyed(request.class);
-        let remembered = self.acting.borrow().remembered(request.class);
+        let keyed = request.write && self.active_config.borrow().keyed(request.class);
+        let remembered = self.active_config.borrow().remembered(request.class);
         let (job, attempts) = (Rc::new(job), Vec::new());
         let client_until = now.saturating_add(patience);
         let behind_body = job.upload().map(|_| patience.saturating_sub(upload));
@@ -252,7 +253,7 @@
             attempts,
         };
         core.pending.insert(id, pending);
-        account::count(Kind::Arrival, 1);
+        fleet_stats::count(Kind::Arrival, 1);
         self.feed(core, Event::Arrival(request));
         // With half of the margin left a request that the module has left unanswered is failed.
         let guard = Duration::from_nanos(patience - margin / 2);
@@ -264,7 +265,7 @@
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
-            trace::event(|| Traced::Gone { request: pending.job.id() });
+            request_trace::event(|| Traced::Gone { request: pending.job.id() });
             pending.out().for_each(Cancellation::abandoned);
             self.feed(core, Event::Expired(id));
             if self.cancel {
@@ -275,7 +276,7 @@
     }
 
     /// An attempt has ended by itself.
-    fn ended(&self, id: RequestId, number: usize, ended: Ended) {
+    fn ended(&self, id: RequestId, number: usize, ended: AttemptOutcome) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(number) else { return };
@@ -284,12 +285,12 @@
         }
         attempt.ended(ended.status, ended.code);
         let (node, status) = (attempt.server, ended.status);
-        trace::event(|| Traced::Ended { request: pending.job.id(), number, node, status });
+        request_trace::event(|| Traced::Ended { request: pending.job.id(), number, node, status });
         if let Some(response) = ended.answer {
             if let Some(answer) = pending.answer.take() {
-                account::count(Kind::Served, 1);
+                fleet_stats::count(Kind::Served, 1);
                 let (request, status) = (pending.job.id(), response.status().as_u16());
-                trace::event(|| Traced::Answered { request, status, after: None });
+                request_trace::event(|| Traced::Answered { request, status, after: None });
                 let _ = answer.send(Answer::Served(response));
                 pending.out().for_each(Cancellation::answered);
             }
@@ -382,11 +383,11 @@
             (false, _) => Some(cause_of(last)),
         };
         after.into_iter().for_each(|cause| self.upstreams.ledger().retries.one_more(cause));
-        trace::event(|| Traced::Attempt { request: pending.job.id(), number, node: server, after });
-        if account::on() {
+        request_trace::event(|| Traced::Attempt { request: pending.job.id(), number, node: server, after });
+        if fleet_stats::on() {
             let (kind, started) = self.upstreams.kind(server).unwrap_or_default();
             let cold = started > 0 && now < started.saturating_add(self.cold);
-            account::attempt(busy, last, self.origin == Some(kind), cold);
+            fleet_stats::attempt(busy, last, self.origin == Some(kind), cold);
         }
         let begin = pending.repeat_by().map(|by| Duration::from_nanos(by.saturating_sub(now)));
         let client = Duration::from_nanos(pending.client_until.saturating_sub(now));
@@ -438,7 +439,7 @@
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(sender) = pending.answer.take() else { return };
         let last = pending.attempts.last().and_then(|a| a.status);
-        account::unserved(&answer, last);
+        fleet_stats::unserved(&answer, last);
         self.count_unserved(pending.job.id(), &answer, cause_of(last));
         // A client that has just gone needs none.
         let _ = sender.send(answer);
@@ -464,7 +465,7 @@
                 502
             }
         };
-        trace::event(|| Traced::Answered { request, status, after: Some(after) });
+        request_trace::event(|| Traced::Answered { request, status, after: Some(after) });
     }
 
     /// Drops a request that has had its answer and has no attempt out.
--- a/src/proxy/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -12,7 +12,7 @@
 pub use source::{read_bootstrap, EnvoySource};
 
 use super::clock::Clock;
-use super::pools::{ClusterFigures, NodeFigures, Pools};
+use super::load_assignment::{ClusterFigures, NodeFigures, Pools};
 use rushquay_envoy::catalogue::{Batch, Change};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -131,7 +131,7 @@
     use super::*;
     use crate::api::Settings;
     use crate::proxy::descriptors::Descriptors;
-    use crate::proxy::names::Names;
+    use crate::proxy::interner::Interner;
     use rushquay_admin::RequestMetrics;
     use rushquay_control_service::Clocks;
     use std::net::IpAddr;
@@ -176,7 +176,7 @@
                 answer_most: 1 << 20,
             };
             let clock = Clock::by(&Clocks::default());
-            let (settings, names) = (Settings::default(), Names::default());
+            let (settings, names) = (Settings::default(), Interner::default());
             let pools = Pools::new(settings, names, 1, Descriptors::new(10), RequestMetrics::new(&[]), clock);
             let ips =
                 |list: &[&str]| list.iter().map(|ip| ip.parse().expect("an address")).collect::<Vec<_>>();
--- a/src/proxy/draining.rs
+++ b/src/proxy/graceful_shutdown.rs
@@ -1,9 +1,9 @@
 //! The end of a process: what has come is answered, and the door closes behind it.
 
-use super::accepting::YIELD_WITHIN;
+use super::acceptor::YIELD_WITHIN;
 use super::handover::Keeper;
+use super::request_trace::{self, Event};
 use super::server::Server;
-use super::trace::{self, Event};
 use rushquay_admin::TurnedAway;
 use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept_queued;
@@ -37,7 +37,7 @@
         keeper: &Keeper,
     ) {
         super::log("draining");
-        trace::event(|| Event::State { state: "draining" });
+        request_trace::event(|| Event::State { state: "draining" });
         let longest = self.front.longest();
         let start = Instant::now();
         let end = start + longest + END_BEFORE;
@@ -61,7 +61,7 @@
         self.last_answers(end).await;
         // No number was given to a connection that never had a place.
         self.waiting.borrow_mut().drain(..).for_each(|_| self.turned_away(0, TurnedAway::NeverLetIn));
-        trace::event(|| Event::State { state: "ended" });
+        request_trace::event(|| Event::State { state: "ended" });
     }
 
     /// Waits, while a new process has the door, until all clients have left, and `last` at the latest. Danger: an idle connection that
--- a/src/proxy/names.rs
+++ b/src/proxy/interner.rs
@@ -6,7 +6,7 @@
 
 /// The names that stand on the sockets for what the module knows by number.
 #[derive(Default)]
-pub struct Names {
+pub struct Interner {
     /// Of classes.
     pub classes: Vec<String>,
     /// Of tenants.
@@ -17,7 +17,7 @@
     pub kinds: Vec<String>,
 }
 
-impl Names {
+impl Interner {
     /// The module's form of a cache node, and where to connect.
     pub fn entry(&self, m: &Endpoint) -> (Entry, Option<SocketAddr>) {
         // A name that the settings do not list is none of those that they do.
--- a/src/proxy/pools.rs
+++ b/src/proxy/load_assignment.rs
@@ -1,11 +1,11 @@
 //! The clusters that requests are sent to, where they come in Envoy's form: each has a decision module, connections and
 //! limits of its own, and shares nothing with the others but the proxy's descriptors.
 
-use super::acting::Acting;
+use super::active_config::ActiveConfig;
 use super::clock::Clock;
 use super::descriptors::Descriptors;
 use super::engine::Engine;
-use super::names::Names;
+use super::interner::Interner;
 use super::upstream::{idle_most, Bounds, Upstreams};
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
 use rushquay_admin::RequestMetrics;
@@ -68,7 +68,7 @@
 
 /// All clusters, and the routes that lead to them.
 pub struct Pools {
-    acting: Rc<Acting>,
+    acting: Rc<ActiveConfig>,
     seed: u64,
     /// The one clock of all clusters, and of who tells of their changes.
     clock: Clock,
@@ -84,14 +84,14 @@
 impl Pools {
     pub fn new(
         settings: Settings,
-        names: Names,
+        names: Interner,
         seed: u64,
         descriptors: Rc<Descriptors>,
         ledger: Arc<RequestMetrics>,
         clock: Clock,
     ) -> Rc<Self> {
         Rc::new(Pools {
-            acting: Rc::new(Acting::new(Settings { must_ask: false, ..settings }, names)),
+            acting: Rc::new(ActiveConfig::new(Settings { must_ask: false, ..settings }, names)),
             seed,
             clock,
             descriptors,
@@ -103,7 +103,7 @@
         })
     }
 
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &Interner {
         &self.acting.names
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// What all clusters go by.
-    pub fn acting(&self) -> &Acting {
+    pub fn acting(&self) -> &ActiveConfig {
         &self.acting
     }
 
@@ -291,7 +291,7 @@
         }
     }
 
-    fn list(&self, changes: HashMap<Arc<str>, Option<Node>>, names: &Names, settings: &Settings) {
+    fn list(&self, changes: HashMap<Arc<str>, Option<Node>>, names: &Interner, settings: &Settings) {
         // Danger: an address that goes over from one node to another must not belong to both for a moment, so those that
         // go are told first.
         let mut upstream: Vec<(Entry, Option<SocketAddr>)> = Vec::with_capacity(changes.len());
@@ -330,7 +330,7 @@
 
 /// A node for the connections' side, where it is, and its state for the module: one that stands by gets nothing new, but its
 /// connections may stay.
-fn entry(node: &Node, names: &Names, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
+fn entry(node: &Node, names: &Interner, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
     let (kept, state) = match node.standing {
         Standing::Serves => (EndpointState::Ready, State::Ready),
         Standing::StandsBy => (EndpointState::Ready, State::Draining),
--- a/src/proxy/policy.rs
+++ b/src/proxy/policy_client.rs
@@ -1,7 +1,7 @@
 //! This proxy's part in changes of policy: it asks for leave, acts by what it has leave for, and by the floor without
 //! (`docs/design-policy.md`). What is decided stands in `rushquay_policy`; here are the clock, the words and the module's settings.
 
-use super::layers::{Layers, Say};
+use super::config_layers::{ConfigLayers, PolicyLayer};
 use super::policy_source::PolicySource;
 use crate::api::Nanos;
 use rushquay_control_service::Clocks;
@@ -23,13 +23,13 @@
 
 /// What a process tells the one that takes over from it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Handed {
+pub struct PolicyHandover {
     member: rushquay_policy::MemberSnapshot,
     /// What it acts by, as it was told.
     holding: Option<String>,
 }
 
-impl Handed {
+impl PolicyHandover {
     /// As it travels.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
@@ -55,9 +55,9 @@
 }
 
 /// This process in changes of policy.
-pub struct Policy {
+pub struct PolicyClient {
     source: PolicySource,
-    layers: Rc<Layers>,
+    layers: Rc<ConfigLayers>,
     clocks: Clocks,
     state: RefCell<State>,
     /// Until then nothing changes by itself.
@@ -68,13 +68,13 @@
     answered: Notify,
 }
 
-impl Policy {
+impl PolicyClient {
     /// Acts by what the process before this one was told, without its leave, or by nothing yet.
     pub fn new(
         source: PolicySource,
-        layers: Rc<Layers>,
+        layers: Rc<ConfigLayers>,
         clocks: Clocks,
-        handed: Option<Handed>,
+        handed: Option<PolicyHandover>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let (boot, now) = (Incarnation(layers.engine().now()), (clocks.steady)());
@@ -85,16 +85,16 @@
         let fresh = Member::new(boot, source.unanswered, now);
         let (member, held) = match handed {
             None => (fresh, None),
-            Some(Handed { member, holding: None }) => {
+            Some(PolicyHandover { member, holding: None }) => {
                 (Member::take_over(boot, source.unanswered, member, now), None)
             }
-            Some(Handed { member, holding: Some(text) }) => match holding(&text) {
+            Some(PolicyHandover { member, holding: Some(text) }) => match holding(&text) {
                 Some(held) => (Member::take_over(boot, source.unanswered, member, now), Some(held)),
                 None => (fresh, None),
             },
         };
         let state = RefCell::new(State { member, held, came: None, waits: None, said: None });
-        let policy = Rc::new(Policy {
+        let policy = Rc::new(PolicyClient {
             source,
             layers,
             clocks,
@@ -150,9 +150,12 @@
     }
 
     /// What a process that takes over is to know.
-    pub fn handed(&self) -> Handed {
+    pub fn handed(&self) -> PolicyHandover {
         let state = self.state.borrow();
-        Handed { member: state.member.snapshot(), holding: state.held.as_ref().map(PolicyBroadcast::text) }
+        PolicyHandover {
+            member: state.member.snapshot(),
+            holding: state.held.as_ref().map(PolicyBroadcast::text),
+        }
     }
 
     /// Acts by what there is leave for at this moment. Danger: a timer may come late, and a process that was stopped goes on with the
@@ -242,14 +245,14 @@
         state.said = Some((leave, last));
         let policies: BTreeMap<PolicyNumber, Body> =
             state.held.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
-        let say = Say { leave, last, policies, begin_by: self.source.floor.clone() };
+        let say = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
         let revision = state.member.revision().0;
         match self.layers.say(say) {
             Ok(()) => super::log(format_args!("policy: acting by {} (revision {revision})", words(leave))),
             // It was checked before it was taken; a floor may still name what is not here.
             Err(why) => {
                 super::log(format_args!("policy: {} can't be obeyed: {why}; nobody is served", words(leave)));
-                let nobody = Say {
+                let nobody = PolicyLayer {
                     leave: ActivePolicy::Denied,
                     last,
                     policies: BTreeMap::new(),
@@ -273,7 +276,7 @@
 }
 
 /// Whether all that is told can be obeyed here, and beside what this proxy begins by.
-fn could(layers: &Layers, holding: &PolicyBroadcast, begin_by: &FallbackPolicy) -> Result<(), String> {
+fn could(layers: &ConfigLayers, holding: &PolicyBroadcast, begin_by: &FallbackPolicy) -> Result<(), String> {
     for (number, body) in &holding.policies {
         let paths = begin_by.looser(&body.settings);
         if !paths.is_empty() {
@@ -286,12 +289,16 @@
         // Each by itself, and by its floor, as well as what they come to together.
         let told = Some(PolicySet::Pure(*number));
         for leave in [ActivePolicy::Leased(PolicySet::Pure(*number)), ActivePolicy::Fallback] {
-            let say =
-                Say { leave, last: told, policies: holding.policies.clone(), begin_by: begin_by.clone() };
+            let say = PolicyLayer {
+                leave,
+                last: told,
+                policies: holding.policies.clone(),
+                begin_by: begin_by.clone(),
+            };
             layers.could_say(&say)?;
         }
     }
     let leave = ActivePolicy::Leased(holding.told);
     let policies = holding.policies.clone();
-    layers.could_say(&Say { leave, last: Some(holding.told), policies, begin_by: begin_by.clone() })
+    layers.could_say(&PolicyLayer { leave, last: Some(holding.told), policies, begin_by: begin_by.clone() })
 }
--- a/src/proxy/intake.rs
+++ b/src/proxy/read_buffer.rs
@@ -1,8 +1,8 @@
 //! What has come on a client's connection and was not handed on yet, and when it came. A request's time runs from its last byte,
 //! also where it stands behind others that are being answered.
 
+use super::pause_detection;
 use super::socket::Socket;
-use super::stalls;
 use super::BUFFER_MOST;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -27,7 +27,7 @@
 
 /// What stands behind the request that is in work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum BufferedInput {
     /// Nothing was read.
     Nothing,
     /// A part of a head.
@@ -38,7 +38,7 @@
 
 /// What has come on a client's connection.
 #[derive(Default)]
-pub struct Intake {
+pub struct ReadBuffer {
     /// Read and not yet handed on.
     pub held: RefCell<Vec<u8>>,
     /// So many bytes may be handed on: what is left of a head that was looked at and of its body.
@@ -61,7 +61,7 @@
     arrivals: RefCell<VecDeque<Arrival>>,
 }
 
-impl Intake {
+impl ReadBuffer {
     /// So many bytes have come.
     pub fn came(&self, bytes: usize, at: Instant) {
         self.read.set(self.read.get() + bytes as u64);
@@ -71,7 +71,7 @@
         while arrivals.front().is_some_and(|a| end == ALL || a.end < end) {
             arrivals.pop_front();
         }
-        arrivals.push_back(Arrival { end: self.read.get(), at: stalls::earliest(at) });
+        arrivals.push_back(Arrival { end: self.read.get(), at: pause_detection::earliest(at) });
     }
 
     /// So many bytes were handed on.
@@ -105,14 +105,16 @@
     }
 
     /// What stands behind the request in work.
-    pub fn behind(&self) -> Behind {
+    pub fn behind(&self) -> BufferedInput {
         let held = self.held.borrow();
         let pass = usize::try_from(self.pass.get()).unwrap_or(usize::MAX);
-        let Some(rest) = held.get(pass..).filter(|rest| !rest.is_empty()) else { return Behind::Nothing };
+        let Some(rest) = held.get(pass..).filter(|rest| !rest.is_empty()) else {
+            return BufferedInput::Nothing;
+        };
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
         match httparse::Request::new(&mut headers).parse(rest) {
-            Ok(httparse::Status::Partial) if rest.len() < BUFFER_MOST => Behind::Part,
-            _ => Behind::Request,
+            Ok(httparse::Status::Partial) if rest.len() < BUFFER_MOST => BufferedInput::Part,
+            _ => BufferedInput::Request,
         }
     }
 
--- a/src/proxy/gate.rs
+++ b/src/proxy/request_framing.rs
@@ -1,6 +1,6 @@
 //! Hands a client's bytes to hyper one request at a time, and looks at each head before hyper does.
 
-use super::intake::{Intake, ALL, HEADERS_MOST, PART};
+use super::read_buffer::{ReadBuffer, ALL, HEADERS_MOST, PART};
 use super::socket::{Io, Socket};
 use super::BUFFER_MOST;
 use std::io::{self, IoSlice};
@@ -11,14 +11,14 @@
 use tokio::time::Instant;
 
 /// Hyper's end of a client's connection.
-pub struct Gate {
+pub struct RequestFraming {
     io: Io,
-    intake: Rc<Intake>,
+    intake: Rc<ReadBuffer>,
 }
 
-impl Gate {
-    pub fn new(socket: Rc<Socket>, intake: Rc<Intake>) -> Self {
-        Gate { io: Io(socket), intake }
+impl RequestFraming {
+    pub fn new(socket: Rc<Socket>, intake: Rc<ReadBuffer>) -> Self {
+        RequestFraming { io: Io(socket), intake }
     }
 
     /// How many bytes may go on, once the head held is whole or can never be; hyper says what is wrong with it.
@@ -91,7 +91,7 @@
     }
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for RequestFraming {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         ready!(self.poll_head(cx))?;
         let intake = &self.intake;
@@ -109,7 +109,7 @@
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for RequestFraming {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
--- a/src/proxy/responding.rs
+++ b/src/proxy/request_handler.rs
@@ -1,19 +1,19 @@
 //! One request of a client: read, judged, handed to its engine, and answered once.
 
-use super::acting::Acting;
+use super::active_config::ActiveConfig;
 use super::answer::Answer;
-use super::asking::{asked, class_of};
-use super::body::Upload;
-use super::client::Client;
+use super::backend::Backend;
+use super::client_connection::Client;
 use super::clock::margin;
-use super::draining::LAST_WORD;
-use super::engine::{Asked, Engine, Ticket};
-use super::front::Front;
+use super::engine::{Engine, PendingRequest, Ticket};
+use super::graceful_shutdown::LAST_WORD;
 use super::headers::CORRELATION_ID;
+use super::request_body::Upload;
+use super::request_parsing::{asked, class_of};
+use super::request_trace::{self, Event};
 use super::responses::{bad, plain, respond_with};
-use super::routed::{Forward, Routed};
+use super::routing::{Forward, Routed};
 use super::server::Server;
-use super::trace::{self, Event};
 use super::Body;
 use crate::api::Nanos;
 use hyper::body::Incoming;
@@ -51,7 +51,7 @@
 struct Account<'a> {
     server: &'a Server,
     entry: Entry,
-    acting: Rc<Acting>,
+    acting: Rc<ActiveConfig>,
     class: usize,
     since: Instant,
 }
@@ -92,8 +92,8 @@
         };
         let engine = match (&self.front, &forward) {
             (_, Some(forward)) => &forward.cluster.engine,
-            (Front::One { engine, .. }, None) => engine,
-            (Front::Pools(_), None) => {
+            (Backend::One { engine, .. }, None) => engine,
+            (Backend::Pools(_), None) => {
                 self.turned_away(client.number, TurnedAway::NoRoute);
                 return plain(StatusCode::NOT_FOUND, "no such route");
             }
@@ -108,14 +108,14 @@
     /// Counts what is turned away before the class of a request is known.
     pub fn turned_away(&self, connection: u64, reason: TurnedAway) {
         self.ledger.turned_away.one_more(reason);
-        trace::event(|| Event::TurnedAway { connection, reason });
+        request_trace::event(|| Event::TurnedAway { connection, reason });
     }
 
     /// Where a request goes, where routes say so.
     fn route(&self, head: &mut Parts) -> Result<Option<Box<Forward>>, Box<Response<Body>>> {
         match &self.front {
-            Front::One { .. } => Ok(None),
-            Front::Pools(pools) => match pools.route(head, fastrand::f64) {
+            Backend::One { .. } => Ok(None),
+            Backend::Pools(pools) => match pools.route(head, fastrand::f64) {
                 Routed::Answered(answer) => Err(Box::new(answer)),
                 Routed::Forward(forward) => Ok(Some(forward)),
             },
@@ -169,7 +169,7 @@
     /// Hands a request to its engine, and gives what comes of it, unless the client goes before.
     async fn answer(
         &self,
-        mut asked: Asked,
+        mut asked: PendingRequest,
         engine: &Rc<Engine>,
         client: &Client,
         may_ask: bool,
@@ -208,7 +208,7 @@
     }
 
     /// Danger: what this process has not answered when it ends is lost.
-    fn end_in_time(&self, asked: &mut Asked) {
+    fn end_in_time(&self, asked: &mut PendingRequest) {
         let Some(end) = self.end.get() else { return };
         let left = end.saturating_duration_since(Instant::now()).saturating_sub(LAST_WORD);
         let left = left.as_nanos() as Nanos;
@@ -218,7 +218,7 @@
 
     /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the one before it on its
     /// connection was answered. An attempt for it would be for nobody.
-    async fn has_gone(&self, asked: &mut Asked, client: &Client, may_ask: bool) -> bool {
+    async fn has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
         if !client.socket.ended() {
             return false;
         }
@@ -252,8 +252,8 @@
     response
 }
 
-fn trace_read(asked: &Asked, connection: u64, account: &Account<'_>, waited: Duration) {
-    trace::event(|| Event::Read {
+fn trace_read(asked: &PendingRequest, connection: u64, account: &Account<'_>, waited: Duration) {
+    request_trace::event(|| Event::Read {
         request: asked.job.id(),
         connection,
         class: account.acting.names.classes.get(account.class).map_or("", String::as_str),
--- a/src/proxy/asking.rs
+++ b/src/proxy/request_parsing.rs
@@ -1,14 +1,14 @@
 //! A client's request read into the module's terms, and the module's answers as responses.
 
-use super::acting::Acting;
-use super::body::{beginning, Unread, Upload, CLIENT_PATIENCE};
-use super::engine::{Asked, Engine};
+use super::active_config::ActiveConfig;
+use super::attempt::{AttemptBody, UpstreamRequest};
+use super::engine::{Engine, PendingRequest};
 use super::headers::{CORRELATION_ID, TIME_LEFT};
-use super::job::{Job, JobBody};
-use super::names::key;
-use super::policy::Policy;
+use super::interner::key;
+use super::policy_client::PolicyClient;
+use super::request_body::{beginning, Unread, Upload, CLIENT_PATIENCE};
 use super::responses::strip;
-use super::routed::Forward;
+use super::routing::Forward;
 use crate::api::{self, Nanos};
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -40,14 +40,14 @@
 
 /// Reads a request into the module's terms, or says what is wrong with it.
 pub async fn asked(
-    under: &Rc<Acting>,
+    under: &Rc<ActiveConfig>,
     class: usize,
     engine: &Engine,
     head: Parts,
     body: Incoming,
     forward: Option<&Forward>,
-    policy: Option<&Policy>,
-) -> Result<Asked, (StatusCode, &'static str)> {
+    policy: Option<&PolicyClient>,
+) -> Result<PendingRequest, (StatusCode, &'static str)> {
     let (name, key_text) = (class_of(&head, forward), key_of(&head));
     let write = match head.method {
         Method::GET => false,
@@ -91,8 +91,8 @@
     }
     let patience = patience.min(under.settings.classes[class].deadline);
     let (body, upload) = match whole {
-        true => (JobBody::Whole(held), 0),
-        false => (JobBody::Long(Upload::new(held, body, length)), UPLOAD_MOST),
+        true => (AttemptBody::Whole(held), 0),
+        false => (AttemptBody::Long(Upload::new(held, body, length)), UPLOAD_MOST),
     };
     let tenant = head.headers.get(ACCOUNT).and_then(|a| a.to_str().ok());
     let tenant = tenant.and_then(|a| under.names.tenants.iter().position(|t| t == a));
@@ -113,7 +113,12 @@
     // The body is passed on with the length that it has.
     headers.remove(header::CONTENT_LENGTH);
     let terms = forward.map(|f| f.terms.clone());
-    Ok(Asked { request, job: Job { method: head.method, uri, headers, body }, upload, terms })
+    Ok(PendingRequest {
+        request,
+        job: UpstreamRequest { method: head.method, uri, headers, body },
+        upload,
+        terms,
+    })
 }
 
 /// An id is printable and has no blanks: anything else may be read otherwise by who it is passed on to.
--- a/src/proxy/reading.rs
+++ b/src/proxy/response_reader.rs
@@ -1,7 +1,7 @@
 //! What a node answers, read to its end or to the end of what is held.
 
-use super::body::{beginning, NODE_PATIENCE};
-use super::job::Ended;
+use super::attempt::AttemptOutcome;
+use super::request_body::{beginning, NODE_PATIENCE};
 use super::{Body, BODY_MOST};
 use crate::api::Status;
 use hyper::body::{Body as _, Bytes, Incoming};
@@ -42,24 +42,24 @@
 }
 
 /// An answer that was read to its end, or to the end of what is held.
-pub struct Read {
-    pub ended: Ended,
+pub struct ResponseReader {
+    pub ended: AttemptOutcome,
     /// Whether the connection can carry another request behind it.
     pub reusable: bool,
     /// Of a long one: its head, what is held, what still comes, and the length of the whole.
     pub long: Option<(Parts, Bytes, Incoming, Option<u64>)>,
 }
 
-impl Read {
+impl ResponseReader {
     fn spoilt() -> Self {
-        Read { ended: Status::Reset.into(), reusable: false, long: None }
+        ResponseReader { ended: Status::Reset.into(), reusable: false, long: None }
     }
 }
 
 /// Reads an answer to its end, if it is short. Danger: passing on a body while it still comes leaves the client with half an
 /// answer when it breaks, so that is done only with what is too long to be held. What can't be read may have run.
-pub async fn read(response: Response<Incoming>) -> Read {
-    let Some(framing) = framing(&response) else { return Read::spoilt() };
+pub async fn read(response: Response<Incoming>) -> ResponseReader {
+    let Some(framing) = framing(&response) else { return ResponseReader::spoilt() };
     let (head, mut body) = response.into_parts();
     let length = body.size_hint().exact();
     let (held, whole) = match length {
@@ -70,7 +70,7 @@
             let hold = (framing == Framing::Coded).then_some(HOLD_MOST);
             match beginning(&mut body, NODE_PATIENCE, hold).await {
                 Ok(read) => read,
-                Err(_) => return Read::spoilt(),
+                Err(_) => return ResponseReader::spoilt(),
             }
         }
     };
@@ -78,14 +78,14 @@
     let status = match head.status {
         StatusCode::OK => Status::Ok,
         // Only what is served is passed on.
-        _ if !whole => return Read::spoilt(),
+        _ if !whole => return ResponseReader::spoilt(),
         StatusCode::NOT_FOUND => Status::Miss,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Full,
         _ => Status::Error,
     };
     let code = head.status.as_u16();
     let hit = head.headers.get(&LOOKUP).map(|v| v == "hit");
-    let mut ended = Ended { status, code, hit, answer: None };
+    let mut ended = AttemptOutcome { status, code, hit, answer: None };
     let long = match (status, whole) {
         (Status::Ok, false) => Some((head, held, body, length)),
         (Status::Ok, true) => {
@@ -94,5 +94,5 @@
         }
         _ => None,
     };
-    Read { ended, reusable: framing != Framing::Close, long }
+    ResponseReader { ended, reusable: framing != Framing::Close, long }
 }
--- a/src/proxy/rollout.rs
+++ b/src/proxy/rollout_client.rs
@@ -1,11 +1,11 @@
 //! This proxy's part in changes of settings: it takes what the control service gives it, whole or not at all, and tells what it
 //! acts by and how it does.
 
+use super::config_layers::ConfigLayers;
 use super::engine::Engine;
-use super::hosted::Hosted;
-use super::layers::Layers;
+use super::rollout_metrics::RolloutMetrics;
 use super::rollout_source::RolloutSource;
-use super::tally::Tally;
+use super::supervised::Supervised;
 use rushquay_admin::RequestMetrics;
 use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORM};
 use rushquay_membership::{ProxyStats, RejectedConfig, Report};
@@ -51,15 +51,15 @@
 }
 
 /// This process in changes.
-pub struct Rollout {
+pub struct RolloutClient {
     source: RolloutSource,
-    hosted: Option<Hosted>,
+    hosted: Option<Supervised>,
     boot: u64,
     engine: Rc<Engine>,
-    layers: Rc<Layers>,
+    layers: Rc<ConfigLayers>,
     ledger: Arc<RequestMetrics>,
     /// How its requests end.
-    pub tally: Tally,
+    pub tally: RolloutMetrics,
     state: RefCell<State>,
     beats: Rc<Beats>,
     leaving: Cell<bool>,
@@ -67,17 +67,17 @@
     pub news: Arc<Notify>,
 }
 
-impl Rollout {
+impl RolloutClient {
     /// Acts by its own file until it is told otherwise.
     pub fn new(
         source: RolloutSource,
-        hosted: Option<Hosted>,
-        layers: Rc<Layers>,
+        hosted: Option<Supervised>,
+        layers: Rc<ConfigLayers>,
         ledger: Arc<RequestMetrics>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let engine = layers.engine().clone();
-        let tally = Tally::new(engine.acting().names.classes.len());
+        let tally = RolloutMetrics::new(engine.acting().names.classes.len());
         let base = ConfigVersion::base();
         // Danger: one that says it acts by the base, and is another program than the base has, would pass for gone back.
         let acting = match &hosted {
@@ -90,7 +90,7 @@
         let given = hosted.as_ref().and_then(|h| h.given.clone());
         let beats = Rc::new(Beats::default());
         tokio::task::spawn_local(beats.clone().count());
-        let rollout = Rc::new(Rollout {
+        let rollout = Rc::new(RolloutClient {
             source,
             hosted,
             boot,
--- a/src/proxy/tally.rs
+++ b/src/proxy/rollout_metrics.rs
@@ -1,6 +1,6 @@
 //! What this proxy counts for the comparison of old and new: how requests ended, by class, and how long that took.
 
-use super::acting::Acting;
+use super::active_config::ActiveConfig;
 use rushquay_admin::RequestOutcome;
 use rushquay_membership::ClassStats;
 use std::cell::RefCell;
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 /// Counts since the start of the process. The classes of a proxy stay the same while it runs.
-pub struct Tally {
+pub struct RolloutMetrics {
     classes: RefCell<Vec<ClassStats>>,
 }
 
-impl Tally {
+impl RolloutMetrics {
     pub fn new(classes: usize) -> Self {
-        Tally { classes: RefCell::new(vec![ClassStats::default(); classes]) }
+        RolloutMetrics { classes: RefCell::new(vec![ClassStats::default(); classes]) }
     }
 
     /// A request of a class that began under these settings has ended so, after this time.
-    pub fn count(&self, under: &Acting, class: usize, end: RequestOutcome, took: Duration) {
+    pub fn count(&self, under: &ActiveConfig, class: usize, end: RequestOutcome, took: Duration) {
         let mut classes = self.classes.borrow_mut();
         let Some(figures) = classes.get_mut(class) else { return };
         let took = took.as_nanos() as u64;
--- a/src/proxy/routed.rs
+++ b/src/proxy/routing.rs
@@ -1,10 +1,10 @@
 //! What the routes say of a request: where it goes and what is changed on the way, or the answer that it gets at once.
 
 use super::answer::Answer;
-use super::names::key;
-use super::pools::{Cluster, Pools};
+use super::attempt_policy::AttemptPolicy;
+use super::interner::key;
+use super::load_assignment::{Cluster, Pools};
 use super::responses::{plain, respond_with};
-use super::terms::Terms;
 use super::Body;
 use crate::api::Nanos;
 use hyper::body::Bytes;
@@ -34,7 +34,7 @@
     pub class: Option<String>,
     /// Most time for it.
     pub timeout: Option<Nanos>,
-    pub terms: Rc<Terms>,
+    pub terms: Rc<AttemptPolicy>,
     /// Changes of the answer's headers, in order.
     response: Vec<Mutations>,
     _place: Option<Hold>,
@@ -185,7 +185,8 @@
             };
         let (group_since, routes_since) = (cluster.group_since.clone(), self.routes_since());
         let retries = retries.clone();
-        let terms = Rc::new(Terms { retries, importance, breakers, group_since, routes_since, one_group });
+        let terms =
+            Rc::new(AttemptPolicy { retries, importance, breakers, group_since, routes_since, one_group });
         let class = route.class.clone();
         Routed::Forward(Box::new(Forward { cluster, class, timeout, terms, response, _place: place }))
     }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,29 +1,29 @@
 //! The process: what it is made of, when it serves, and what it hands over.
 
-use super::acting::Acting;
-use super::admin::{self, Operators};
-use super::client::Client;
+use super::active_config::ActiveConfig;
+use super::admin::{self, AdminListener};
+use super::backend::Backend;
+use super::client_connection::Client;
 use super::clock::Clock;
 use super::config::Config;
-use super::control;
+use super::config_layers::ConfigLayers;
+use super::control_subscription;
 use super::descriptors::Descriptors;
 use super::discovery::{self, Discovery};
+use super::endpoint_list::NodeList;
 use super::engine::Engine;
 use super::envoy;
-use super::front::Front;
 use super::handover::{self, Keeper, Listening};
-use super::hosted::Hosted;
-use super::layers::Layers;
-use super::listening::{self, Place};
-use super::nodes::NodeList;
-use super::policy::{Handed, Policy};
-use super::pools::Pools;
+use super::listener_socket::{self, Place};
+use super::load_assignment::Pools;
+use super::pause_detection;
+use super::policy_client::{PolicyClient, PolicyHandover};
 use super::reload;
-use super::rollout::Rollout;
+use super::request_trace::{self, Event};
+use super::rollout_client::RolloutClient;
 use super::signals::SignalFlag;
-use super::stalls;
-use super::starting::{Beginning, TakeOver};
-use super::trace::{self, Event};
+use super::startup::{Beginning, TakeOver};
+use super::supervised::Supervised;
 use super::upstream::Upstreams;
 use super::{BODY_MOST, BUFFER_MOST};
 use crate::api::ColdLeft;
@@ -53,7 +53,7 @@
 const OWN_MEMORY: usize = 8 << 20;
 /// A process that serves.
 pub(super) struct Server {
-    pub front: Front,
+    pub front: Backend,
     pub descriptors: Rc<Descriptors>,
     /// Descriptors that are none of the budget.
     own: usize,
@@ -79,9 +79,9 @@
     connections: Cell<u64>,
     pub ledger: Arc<RequestMetrics>,
     /// Its part in changes; `None`: it has none.
-    pub rollout: Option<Rc<Rollout>>,
+    pub rollout: Option<Rc<RolloutClient>>,
     /// Its part in changes of policy; `None`: it has none.
-    pub policy: Option<Rc<Policy>>,
+    pub policy: Option<Rc<PolicyClient>>,
 }
 
 /// Serves until `stop`, then drains; follows another discovery when the file names one at a `hangup`. `told` hears
@@ -103,16 +103,16 @@
     let is_beside = beginning.is_beside();
     let Beginning { listening, bound, share, mut predecessor, inherited } = beginning;
     super::log(format_args!("listening on {bound}"));
-    super::account::start();
-    trace::start();
-    trace::event(|| Event::State { state: "starting" });
+    super::fleet_stats::start();
+    request_trace::start();
+    request_trace::event(|| Event::State { state: "starting" });
     let ledger = RequestMetrics::new(&config.names.classes);
-    let operators = config.admin.map(|admin| Operators::start(admin, ledger.clone())).transpose()?;
+    let operators = config.admin.map(|admin| AdminListener::start(admin, ledger.clone())).transpose()?;
     if let Some(operators) = &operators {
         super::log(format_args!("operators at {}", operators.addr));
     }
     let own = OWN_DESCRIPTORS
-        + config.control.as_ref().map_or(0, |_| control::DESCRIPTORS)
+        + config.control.as_ref().map_or(0, |_| control_subscription::DESCRIPTORS)
         + config.envoy.as_ref().map_or(0, |_| envoy::DESCRIPTORS)
         + operators.as_ref().map_or(0, |_| admin::DESCRIPTORS)
         + meeting.as_ref().map_or(0, |_| handover::DESCRIPTORS);
@@ -127,7 +127,7 @@
             let pools = Pools::new(settings, names, config.seed, descriptors.clone(), ledger.clone(), clock);
             let me = envoy::Me { name: config.name, seed: config.seed, listen: bound, clock };
             envoy::follow(source, pools.clone(), me)?;
-            Begun { front: Front::Pools(pools), rollout: None, policy: None }
+            Begun { front: Backend::Pools(pools), rollout: None, policy: None }
         }
         None => one(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
     };
@@ -135,7 +135,7 @@
     told(bound);
     let left = |c: SlowStartAllowance| ColdLeft { server: c.node, started: c.started, left: c.left };
     front.take_cold(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
-    tokio::task::spawn_local(stalls::watch());
+    tokio::task::spawn_local(pause_detection::watch());
     let sweeper = front.clone();
     tokio::task::spawn_local(async move {
         loop {
@@ -168,7 +168,7 @@
     server.tell_operators();
     if let Some(socket) = host {
         let lives = server.clone();
-        tokio::task::spawn_local(Hosted::live(socket, move || lives.serving.get()));
+        tokio::task::spawn_local(Supervised::live(socket, move || lives.serving.get()));
     }
     let watched = server.clone();
     tokio::task::spawn_local(async move {
@@ -189,7 +189,7 @@
     let listener = match listening {
         Place::Alone(listener) => listener,
         Place::Beside(socket) => {
-            listening::listen(socket).map_err(|e| format!("PROXY_LISTEN: {bound}: {e}"))?
+            listener_socket::listen(socket).map_err(|e| format!("PROXY_LISTEN: {bound}: {e}"))?
         }
     };
     let listener = Rc::new(listener);
@@ -199,7 +199,7 @@
     // Danger: whoever is told yes may at once end the old process, or start the next version. Both must find all ready.
     server.serving.set(true);
     server.tell_operators();
-    trace::event(|| Event::State { state: "serving" });
+    request_trace::event(|| Event::State { state: "serving" });
     let mut accepting = Box::pin(server.clone().accept_all(listener.clone()));
     tokio::select! {
         biased;
@@ -238,9 +238,9 @@
 
 /// What answers requests, and its parts in changes.
 struct Begun {
-    front: Front,
-    rollout: Option<Rc<Rollout>>,
-    policy: Option<Rc<Policy>>,
+    front: Backend,
+    rollout: Option<Rc<RolloutClient>>,
+    policy: Option<Rc<PolicyClient>>,
 }
 
 /// One decision module on the list of the proxy's own discovery, with a control service's where one is subscribed to.
@@ -250,11 +250,11 @@
     descriptors: Rc<Descriptors>,
     ledger: Arc<RequestMetrics>,
     hangup: SignalFlag,
-    handed: Option<Handed>,
+    handed: Option<PolicyHandover>,
 ) -> Result<Begun, String> {
     let discovery = config.discovery.ok_or("discovery is missing, and PROXY_DISCOVERY is not set")?;
-    let subscription = control::Subscription::of(&config);
-    let acting = Rc::new(Acting::new(config.settings, config.names));
+    let subscription = control_subscription::ControlSubscription::of(&config);
+    let acting = Rc::new(ActiveConfig::new(config.settings, config.names));
     let settings = &acting.settings;
     let manner = match settings.must_ask {
         true => WatchMode::Asked { within: settings.must_ask_in },
@@ -269,16 +269,17 @@
     let (moves, moved) = mpsc::unbounded_channel();
     tokio::task::spawn_local(discovery.follow(nodes.clone(), moved));
     let hosted = config.hosted;
-    let (layers, news) = (Layers::new(engine.clone(), config.own), Arc::new(Notify::new()));
+    let (layers, news) = (ConfigLayers::new(engine.clone(), config.own), Arc::new(Notify::new()));
     let rollout =
-        config.rollout.map(|source| Rollout::new(source, hosted, layers.clone(), ledger, news.clone()));
-    let policy = config.policy.map(|source| Policy::new(source, layers, config.clocks, handed, news.clone()));
+        config.rollout.map(|source| RolloutClient::new(source, hosted, layers.clone(), ledger, news.clone()));
+    let policy =
+        config.policy.map(|source| PolicyClient::new(source, layers, config.clocks, handed, news.clone()));
     if let Some(subscription) = subscription {
-        let parts = control::Parts { rollout: rollout.clone(), policy: policy.clone(), news };
+        let parts = control_subscription::Parts { rollout: rollout.clone(), policy: policy.clone(), news };
         tokio::task::spawn_local(subscription.follow(nodes.clone(), parts));
     }
     tokio::task::spawn_local(reload::follow(hangup, moves));
-    Ok(Begun { front: Front::One { engine, upstreams, nodes }, rollout, policy })
+    Ok(Begun { front: Backend::One { engine, upstreams, nodes }, rollout, policy })
 }
 
 impl Server {
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -1,6 +1,6 @@
 //! `settings`, as the platform and generations give them, read for the module.
 
-use super::names::Names;
+use super::interner::Interner;
 use crate::api::Settings;
 use serde_json::Value;
 
@@ -8,12 +8,12 @@
 ///
 /// # Errors
 /// The path of a field, and what is wrong with it.
-pub fn settings_of(told: &Value) -> Result<(Settings, Names), String> {
+pub fn settings_of(told: &Value) -> Result<(Settings, Interner), String> {
     let mut pairs = Vec::new();
     flatten("", told, &mut pairs);
     let settings =
         crate::wire::settings(pairs.iter().map(String::as_str)).map_err(|e| format!("settings: {e}"))?;
-    let names = Names {
+    let names = Interner {
         classes: names(told, "categories")?,
         tenants: names(told, "customers")?,
         zones: names(told, "localities")?,
--- a/src/proxy/starting.rs
+++ b/src/proxy/startup.rs
@@ -2,8 +2,8 @@
 
 use super::config::Config;
 use super::handover::{self, Found, Keeper, Link};
-use super::listening::{self, Place};
-use super::policy::Handed;
+use super::listener_socket::{self, Place};
+use super::policy_client::PolicyHandover;
 use super::server::Server;
 use rushquay_endpoints::EndpointList;
 use rushquay_handover::{ResourceShare, SlowStartAllowance};
@@ -31,7 +31,7 @@
     /// What it left to be sent to cold nodes.
     pub cold: Vec<SlowStartAllowance>,
     /// What it acted by of policies.
-    pub policy: Option<Handed>,
+    pub policy: Option<PolicyHandover>,
 }
 
 /// What a process begins with.
@@ -65,11 +65,11 @@
             Found::Old { listener, offer, link } => {
                 // What the old process was told counts as told to this one.
                 config.known = newer(config.known.take(), offer.list);
-                let policy = offer.policy.and_then(|text| Handed::read(&text));
+                let policy = offer.policy.and_then(|text| PolicyHandover::read(&text));
                 let inherited = Inherited { settings: offer.settings, cold: offer.cold, policy };
                 (Place::Alone(listener), offer.share, Some(link), inherited)
             }
-            Found::None => (listening::bind(config.listen)?, whole, None, Inherited::default()),
+            Found::None => (listener_socket::bind(config.listen)?, whole, None, Inherited::default()),
         };
         let bound = match &listening {
             Place::Alone(listener) => listener.local_addr(),
--- a/src/proxy/hosted.rs
+++ b/src/proxy/supervised.rs
@@ -25,7 +25,7 @@
 
 /// What a host tells a process that it starts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hosted {
+pub struct Supervised {
     /// Where the host hears.
     pub socket: PathBuf,
     /// What this process is.
@@ -36,7 +36,7 @@
     pub given: Option<String>,
 }
 
-impl Hosted {
+impl Supervised {
     /// What the environment says; `None`: no host has started this process.
     ///
     /// # Errors
@@ -48,7 +48,7 @@
             told.parse::<Digest>().map_err(|e| format!("{name}: {e}"))
         };
         let (runs, own) = (digest(PROGRAM)?, digest(OWN_PROGRAM)?);
-        Ok(Some(Hosted { socket: socket.into(), runs, own, given: variable(GIVEN) }))
+        Ok(Some(Supervised { socket: socket.into(), runs, own, given: variable(GIVEN) }))
     }
 
     /// Whether this process is the program that a generation asks for.
--- a/src/proxy/upstream.rs
+++ b/src/proxy/upstream.rs
@@ -1,13 +1,13 @@
 //! Connections to cache nodes and the origin, and one attempt on one of them with its outcome.
 
-use super::account::{self, Kind};
-use super::body::{steady, LongAnswer, Returns};
+use super::attempt::{AttemptBody, AttemptOutcome, Cancellation, Span, UpstreamRequest};
 use super::descriptors::Descriptors;
+use super::fleet_stats::{self, Kind};
 use super::headers::TIME_LEFT;
-use super::job::{Cancellation, Ended, Job, JobBody, Span};
-use super::reading::{read, Read};
+use super::request_body::{steady, LongAnswer, Returns};
+use super::request_trace::{self, Event};
+use super::response_reader::{read, ResponseReader};
 use super::socket::{FirstByte, Io, Socket};
-use super::trace::{self, Event};
 use super::{Body, BODY_MOST, BUFFER_MOST};
 use crate::api::{Entry, Nanos, ServerId, Settings, State, Status};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -128,7 +128,7 @@
     idle: Vec<Idle>,
     /// Since when it belongs to its group; 0: since it came.
     grouped: Nanos,
-    figures: Rc<Figures>,
+    figures: Rc<ConnectionStats>,
 }
 
 impl Node {
@@ -140,7 +140,7 @@
 
 /// What passed at a node.
 #[derive(Default)]
-pub struct Figures {
+pub struct ConnectionStats {
     /// Connections that are open or coming up.
     pub connections: Rc<Cell<u32>>,
     /// Attempts that are out.
@@ -306,7 +306,7 @@
     }
 
     /// What passed at a node.
-    pub fn figures(&self, server: ServerId) -> Option<Rc<Figures>> {
+    pub fn figures(&self, server: ServerId) -> Option<Rc<ConnectionStats>> {
         self.nodes.borrow().get(&server).map(|n| n.figures.clone())
     }
 
@@ -340,7 +340,7 @@
                 i.connection.cause.set(NodeCloseCause::Idle);
                 i.since.elapsed() < most && !i.connection.sender.is_closed()
             });
-            account::count(Kind::ClosedIdle, (before - node.idle.len()) as u64);
+            fleet_stats::count(Kind::ClosedIdle, (before - node.idle.len()) as u64);
         }
     }
 
@@ -355,11 +355,11 @@
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
-        job: &Job,
+        job: &UpstreamRequest,
         span: Span,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let Some(figures) = self.figures(server) else { return Status::Moot.into() };
         let _out = Counted::new(&figures.out);
         let ended = self.timed(server, job, span, cancellation, importance).await;
@@ -374,11 +374,11 @@
     async fn timed(
         self: &Rc<Self>,
         server: ServerId,
-        job: &Job,
+        job: &UpstreamRequest,
         span: Span,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let due = Due::of(&span, steady());
         let until = Instant::now() + span.whole;
         match timeout_at(until, self.exchange(server, job, due, cancellation, importance)).await {
@@ -402,19 +402,19 @@
     }
 
     /// An attempt that must not be written: it says nothing of its node.
-    fn denied(&self, job: &Job, server: ServerId, denied: SendDenied) -> Ended {
-        trace::event(|| Event::Denied { request: job.id(), node: server, denied });
+    fn denied(&self, job: &UpstreamRequest, server: ServerId, denied: SendDenied) -> AttemptOutcome {
+        request_trace::event(|| Event::Denied { request: job.id(), node: server, denied });
         Status::Moot.into()
     }
 
     async fn exchange(
         self: &Rc<Self>,
         server: ServerId,
-        job: &Job,
+        job: &UpstreamRequest,
         due: Due,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         loop {
             let Some(Place { addr, kind, epoch }) = self.open_to(server) else { return Status::Moot.into() };
             let (mut connection, reused) = match self.newest(server) {
@@ -474,13 +474,13 @@
         connection: Connection,
         reused: bool,
         response: Response<hyper::body::Incoming>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let closing = response.headers().get(CONNECTION).is_some_and(|v| v == "close");
-        let Read { mut ended, reusable, long } = read(response).await;
+        let ResponseReader { mut ended, reusable, long } = read(response).await;
         if !reused && ended.status == Status::Full && closing {
             // Danger: a node whose table of connections is full closes a new one with such an answer, and serves
             // those that it has. To be told so is to have no connection, which is not to meet a full queue.
-            account::count(Kind::TurnedAway, 1);
+            fleet_stats::count(Kind::TurnedAway, 1);
             self.steer(kind, Jitter::turned_away);
             ended.status = Status::ConnectFailed;
         } else if !reused {
@@ -574,7 +574,7 @@
             }
         };
         let first = figures.connections.get() == 1;
-        account::count(if first { Kind::HandshakeNew } else { Kind::HandshakeBusy }, 1);
+        fleet_stats::count(if first { Kind::HandshakeNew } else { Kind::HandshakeBusy }, 1);
         let until = Instant::now() + timeout;
         let stream = self.dial(addr, until).await?;
         let socket = Socket::counted(stream, permit, self.ledger.clone());
@@ -618,10 +618,10 @@
     }
 }
 
-fn request(job: &Job, addr: SocketAddr, told_left: Nanos) -> Request<Body> {
+fn request(job: &UpstreamRequest, addr: SocketAddr, told_left: Nanos) -> Request<Body> {
     let mut request = Request::new(match &job.body {
-        JobBody::Whole(bytes) => Body::new(bytes.clone()),
-        JobBody::Long(upload) => Body::upload(upload),
+        AttemptBody::Whole(bytes) => Body::new(bytes.clone()),
+        AttemptBody::Long(upload) => Body::upload(upload),
     });
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -12,11 +12,11 @@
     let upstreams = Upstreams::new(none, ledger, Duration::from_secs(30), &Settings::default());
     let entry = Entry { server: 1, ..Entry::default() };
     upstreams.update(true, &[(entry, node.local_addr().ok())]);
-    let job = Job {
+    let job = UpstreamRequest {
         method: Method::GET,
         uri: Uri::default(),
         headers: HeaderMap::new(),
-        body: JobBody::Whole(Bytes::new()),
+        body: AttemptBody::Whole(Bytes::new()),
     };
     let ended = upstreams
         .attempt(1, &job, Span::of(Duration::from_secs(30)), &Rc::default(), Importance::Default)
--- a/src/proxy/connection.rs
+++ b/src/proxy/upstream_connection.rs
@@ -1,12 +1,12 @@
 //! One client's connection from its first byte to its close.
 
-use super::client::{Busy, Client};
+use super::client_connection::{Busy, Client};
 use super::descriptors::Permit;
-use super::gate::Gate;
-use super::intake::Behind;
+use super::read_buffer::BufferedInput;
+use super::request_framing::RequestFraming;
+use super::request_trace::{self, Event};
 use super::responses::{bad, closing};
 use super::server::Server;
-use super::trace::{self, Event};
 use super::BUFFER_MOST;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -39,7 +39,7 @@
     pub fn connected(self: &Rc<Self>, stream: TcpStream, permit: Permit) {
         let client = Client::new(self.next_connection(), stream, permit);
         self.clients.borrow_mut().push(client.clone());
-        trace::event(|| Event::Connected { connection: client.number });
+        request_trace::event(|| Event::Connected { connection: client.number });
         let server = self.clone();
         tokio::task::spawn_local(async move {
             server.serve(&client).await;
@@ -71,7 +71,7 @@
         });
         // Danger: by default hyper drops the request of a client that has ended its sending and still waits,
         // and lets one connection hold some 400 KB.
-        let gate = Gate::new(client.socket.clone(), client.intake.clone());
+        let gate = RequestFraming::new(client.socket.clone(), client.intake.clone());
         let connection = http1::Builder::new()
             .half_close(true)
             .max_buf_size(BUFFER_MOST)
@@ -100,7 +100,7 @@
                             client.ending.notify_one();
                             tokio::task::yield_now().await;
                         }
-                        Next::AnswerFirst if client.intake.behind() == Behind::Nothing => {
+                        Next::AnswerFirst if client.intake.behind() == BufferedInput::Nothing => {
                             connection.as_mut().graceful_shutdown();
                         }
                         Next::AnswerFirst | Next::Wait => {}
@@ -120,7 +120,7 @@
             return false;
         }
         client.intake.read_ahead(&client.socket);
-        client.intake.behind() == Behind::Nothing
+        client.intake.behind() == BufferedInput::Nothing
     }
 
     /// Notes that a connection has ended, and looks whether something was owed on it.
@@ -131,7 +131,7 @@
             super::violation(&self.ledger, violation, &connection);
         }
         self.ledger.closes.one_more(cause);
-        trace::event(|| Event::Closed { connection: client.number, cause });
+        request_trace::event(|| Event::Closed { connection: client.number, cause });
     }
 
     /// Notes a connection that the end of the process cuts off.
--- a/src/supervisor/settings.rs
+++ b/src/supervisor/settings.rs
@@ -81,7 +81,7 @@
         let program =
             written.program.parse().map_err(|e| format!("program: {e}; see rushquay host digest"))?;
         if let Some(name) =
-            written.environment.keys().find(|n| crate::proxy::hosted::ALL.contains(&n.as_str()))
+            written.environment.keys().find(|n| crate::proxy::supervised::ALL.contains(&n.as_str()))
         {
             return Err(format!("environment.{name}: the host sets it itself"));
         }
--- a/tests/compatibility/messages.rs
+++ b/tests/compatibility/messages.rs
@@ -2,7 +2,7 @@
 //! has to be the same to the byte, so that a field under another name, or one that is lost, is seen.
 
 use crate::golden::read;
-use rushquay::proxy::policy::Handed;
+use rushquay::proxy::policy_client::PolicyHandover;
 use rushquay_config_version::ConfigAssignment;
 use rushquay_handover::{IncumbentMessage, SuccessorMessage};
 use rushquay_membership::Report;
@@ -42,7 +42,7 @@
 
 #[test]
 fn the_policy_that_is_handed_over_is_unchanged() {
-    each_line_comes_back("handover_policy.jsonl", |line| Handed::read(line).expect(line).text());
+    each_line_comes_back("handover_policy.jsonl", |line| PolicyHandover::read(line).expect(line).text());
 }
 
 #[test]
