--- a/examples/defective.rs
+++ b/examples/defective.rs
@@ -2,8 +2,8 @@
 //! last bytes of the file name, so that each has a digest of its own. `--defect WORDS` behind the mark `#defect:`.
 
 use rushquay::proxy::config::Config;
+use rushquay::proxy::process::signals::SignalFlag;
 use rushquay::proxy::server;
-use rushquay::proxy::signals::SignalFlag;
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/examples/skewed.rs
+++ b/examples/skewed.rs
@@ -4,8 +4,8 @@
 //! `--config`.
 
 use rushquay::proxy::config::Config;
+use rushquay::proxy::process::signals::SignalFlag;
 use rushquay::proxy::server;
-use rushquay::proxy::signals::SignalFlag;
 use rushquay_control_service::{read_settings, start_by, steady, Clocks, Options, SourceOption};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,10 +1,10 @@
 //! `rushquay check FILE`: reads a file as the program would, and names file, field and what was expected.
 
 use rushquay::proxy::config::Config;
+use rushquay::proxy::control::policy_settings::PolicySource;
+use rushquay::proxy::control::rollout_settings::RolloutSource;
+use rushquay::proxy::control::settings::ControlSource;
 use rushquay::proxy::envoy::{read_bootstrap, EnvoySource};
-use rushquay::proxy::policy_source::PolicySource;
-use rushquay::proxy::rollout_source::RolloutSource;
-use rushquay::proxy::subscription::ControlSource;
 use rushquay::supervisor::HostSettings;
 use rushquay_control_service::read_settings;
 use rushquay_endpoints::validate_list;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -11,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 use rushquay::proxy;
-use rushquay::proxy::signals::SignalFlag;
+use rushquay::proxy::process::signals::SignalFlag;
 use rushquay_control_service::{read_settings, start, Options, Settings, SourceOption};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -173,7 +173,7 @@
         Command::Host(args) => host::run(args),
         Command::Demo { once } => threads()?.block_on(async { demo::demo(once, ending()?).await }),
         Command::Account { every, logs } => {
-            print!("{}", proxy::fleet_stats::table(&logs, every)?);
+            print!("{}", proxy::observability::fleet_stats::table(&logs, every)?);
             Ok(())
         }
         Command::Check { file: Some(file), .. } => {
@@ -203,8 +203,10 @@
         let envoy = envoy.map(|path| (proxy::config::ENVOY, path.display().to_string()));
         let mut config = proxy::config::Config::from_env_and(envoy.as_slice())?;
         if let Some(path) = control {
-            config.control =
-                Some(proxy::subscription::ControlSource::read(&path).map_err(|e| format!("--control: {e}"))?);
+            config.control = Some(
+                proxy::control::settings::ControlSource::read(&path)
+                    .map_err(|e| format!("--control: {e}"))?,
+            );
         }
         proxy::server::run(config, ending()?, hangup, |_| {}).await
     };
--- a/src/proxy/active_config.rs
+++ b/src/proxy/config/active_config.rs
@@ -1,7 +1,7 @@
 //! What a proxy acts by: settings and the names that stand for what is in them. Taken whole, between two requests.
 
-use super::interner::Interner;
 use crate::api::{Effect, Nanos, Settings};
+use crate::proxy::config::interner::Interner;
 use std::time::Duration;
 
 /// Settings in force, with their names.
--- a/src/proxy/config_layers.rs
+++ b/src/proxy/config/layers.rs
@@ -1,8 +1,8 @@
 //! What this proxy acts by, in layers: the settings of its file, a generation over them, and a policy over both.
 
-use super::active_config::ActiveConfig;
-use super::engine::Engine;
-use super::settings::settings_of;
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::config::settings::settings_of;
+use crate::proxy::engine::Engine;
 use rushquay_config_version::ConfigVersion;
 use rushquay_policy::{
     apply_overlay, ActivePolicy as Leave, FallbackPolicy, Overlay, Policy, PolicyNumber, PolicySet,
--- a/src/proxy/config.rs
+++ b/src/proxy/config/mod.rs
@@ -1,14 +1,21 @@
 //! What the platform tells a proxy: the `PROXY_*` variables and the JSON file that they name.
 
-use super::envoy::EnvoySource;
-use super::interner::Interner;
-use super::policy_source::PolicySource;
-use super::rollout_source::RolloutSource;
-use super::settings::{settings_of, whole};
-use super::settings_file::read_text;
-use super::subscription::ControlSource;
-use super::supervised::Supervised;
+pub(crate) mod active_config;
+pub(crate) mod interner;
+pub(crate) mod layers;
+pub(crate) mod reload;
+pub(crate) mod settings;
+pub(crate) mod settings_file;
+
 use crate::api::{Nanos, Settings};
+use crate::proxy::config::interner::Interner;
+use crate::proxy::config::settings::{settings_of, whole};
+use crate::proxy::config::settings_file::read_text;
+use crate::proxy::control::policy_settings::PolicySource;
+use crate::proxy::control::rollout_settings::RolloutSource;
+use crate::proxy::control::settings::ControlSource;
+use crate::proxy::envoy::EnvoySource;
+use crate::proxy::process::supervised::Supervised;
 use rushquay_control_service::Clocks;
 use rushquay_endpoints::EndpointList;
 use serde::Deserialize;
--- a/src/proxy/reload.rs
+++ b/src/proxy/config/reload.rs
@@ -1,7 +1,7 @@
 //! Reads the settings again when the process is told to, and hands on what of them takes effect.
 
-use super::config::Config;
-use super::signals::SignalFlag;
+use crate::proxy::config::Config;
+use crate::proxy::process::signals::SignalFlag;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -18,7 +18,7 @@
         match discovery_again().await {
             // The receiver is gone only when the proxy ends.
             Ok(discovery) => drop(discovery.map(|discovery| moves.send(discovery))),
-            Err(e) => super::log(format_args!("the settings stay as they are: {e}")),
+            Err(e) => crate::proxy::log(format_args!("the settings stay as they are: {e}")),
         }
     }
 }
--- a/src/proxy/settings.rs
+++ b/src/proxy/config/settings.rs
@@ -1,7 +1,7 @@
 //! `settings`, as the platform and generations give them, read for the module.
 
-use super::interner::Interner;
 use crate::api::Settings;
+use crate::proxy::config::interner::Interner;
 use serde_json::Value;
 
 /// Reads `settings`, with the names in it.
--- /dev/null
+++ b/src/proxy/control/mod.rs
@@ -0,0 +1,9 @@
+//! What a proxy has to do with the control service: its subscription, its part in rollouts and in policies.
+
+pub mod policy_client;
+pub mod policy_settings;
+pub(crate) mod rollout_client;
+pub(crate) mod rollout_metrics;
+pub mod rollout_settings;
+pub mod settings;
+pub(crate) mod subscription;
--- a/src/proxy/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -1,9 +1,9 @@
 //! This proxy's part in changes of policy: it asks for leave, acts by what it has leave for, and by the floor without
 //! (`docs/design-policy.md`). What is decided stands in `rushquay_policy`; here are the clock, the words and the module's settings.
 
-use super::config_layers::{ConfigLayers, PolicyLayer};
-use super::policy_source::PolicySource;
 use crate::api::Nanos;
+use crate::proxy::config::layers::{ConfigLayers, PolicyLayer};
+use crate::proxy::control::policy_settings::PolicySource;
 use rushquay_control_service::Clocks;
 use rushquay_policy::{
     ActivePolicy, BroadcastError, FallbackPolicy, Incarnation, LeaseGrant, Member, Policy as Body,
@@ -38,7 +38,7 @@
     /// Reads it; what can't be read is left: the control service is asked anyway.
     pub fn read(text: &str) -> Option<Self> {
         let read = serde_json::from_str(text);
-        read.map_err(|e| super::log(format_args!("the old process's policy is not taken: {e}"))).ok()
+        read.map_err(|e| crate::proxy::log(format_args!("the old process's policy is not taken: {e}"))).ok()
     }
 }
 
@@ -80,7 +80,8 @@
         let (boot, now) = (Incarnation(layers.engine().now()), (clocks.steady)());
         let holding = |text: &str| {
             let read = PolicyBroadcast::read(text);
-            read.map_err(|e| super::log(format_args!("the old process's policy is not taken: {e}"))).ok()
+            read.map_err(|e| crate::proxy::log(format_args!("the old process's policy is not taken: {e}")))
+                .ok()
         };
         let fresh = Member::new(boot, source.unanswered, now);
         let (member, held) = match handed {
@@ -179,7 +180,7 @@
                 PolicyMessage::Broadcast(text) => self.holds(text),
                 PolicyMessage::LeaseGrant(text) => match LeaseGrant::read(text) {
                     Ok(grant) => self.granted(&grant),
-                    Err(e) => super::log(format_args!("a leave is not taken: {e}")),
+                    Err(e) => crate::proxy::log(format_args!("a leave is not taken: {e}")),
                 },
             }
         }
@@ -190,7 +191,7 @@
             Ok(holding) => Ok(holding),
             Err(BroadcastError::Beyond { revision, why }) => Err((revision, why)),
             // It is never in joint, and is fenced in time.
-            Err(e) => return super::log(format_args!("what holds of policies is not taken: {e}")),
+            Err(e) => return crate::proxy::log(format_args!("what holds of policies is not taken: {e}")),
         };
         self.state.borrow_mut().came = Some(came);
         let waits = self.state.borrow_mut().waits.take();
@@ -248,10 +249,15 @@
         let say = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
         let revision = state.member.revision().0;
         match self.layers.say(say) {
-            Ok(()) => super::log(format_args!("policy: acting by {} (revision {revision})", words(leave))),
+            Ok(()) => {
+                crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)))
+            }
             // It was checked before it was taken; a floor may still name what is not here.
             Err(why) => {
-                super::log(format_args!("policy: {} can't be obeyed: {why}; nobody is served", words(leave)));
+                crate::proxy::log(format_args!(
+                    "policy: {} can't be obeyed: {why}; nobody is served",
+                    words(leave)
+                ));
                 let nobody = PolicyLayer {
                     leave: ActivePolicy::Denied,
                     last,
--- a/src/proxy/policy_source.rs
+++ b/src/proxy/control/policy_settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a proxy's part in changes of policy, checked.
 
-use super::settings_file::read_text;
+use crate::proxy::config::settings_file::read_text;
 use rushquay_policy::{FallbackPolicy, StartupPolicy};
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/proxy/rollout_client.rs
+++ b/src/proxy/control/rollout_client.rs
@@ -1,11 +1,11 @@
 //! This proxy's part in changes of settings: it takes what the control service gives it, whole or not at all, and tells what it
 //! acts by and how it does.
 
-use super::config_layers::ConfigLayers;
-use super::engine::Engine;
-use super::rollout_metrics::RolloutMetrics;
-use super::rollout_source::RolloutSource;
-use super::supervised::Supervised;
+use crate::proxy::config::layers::ConfigLayers;
+use crate::proxy::control::rollout_metrics::RolloutMetrics;
+use crate::proxy::control::rollout_settings::RolloutSource;
+use crate::proxy::engine::Engine;
+use crate::proxy::process::supervised::Supervised;
 use rushquay_admin::RequestMetrics;
 use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORM};
 use rushquay_membership::{ProxyStats, RejectedConfig, Report};
@@ -137,7 +137,10 @@
         };
         if let Err(why) = &checked {
             let generation = given.generation.digest();
-            super::log(format_args!("settings {generation:?} of change {} are refused: {why}", given.change));
+            crate::proxy::log(format_args!(
+                "settings {generation:?} of change {} are refused: {why}",
+                given.change
+            ));
             let mut state = self.state.borrow_mut();
             state.change = given.change;
             state.refused = Some(RejectedConfig { generation, why: why.chars().take(500).collect() });
@@ -158,7 +161,7 @@
             // What is for another program is left to that.
             Ok(given) if self.is(&given.generation) && self.obeys(&given).is_ok() => self.take(&given),
             Ok(_) => {}
-            Err(e) => super::log(format_args!("the old process's settings are not taken: {e}")),
+            Err(e) => crate::proxy::log(format_args!("the old process's settings are not taken: {e}")),
         }
     }
 
@@ -180,7 +183,7 @@
                 return;
             }
             state.acting = digest;
-            super::log(format_args!("acting by settings {digest:?} of change {}", given.change));
+            crate::proxy::log(format_args!("acting by settings {digest:?} of change {}", given.change));
         }
         self.news.notify_one();
     }
--- a/src/proxy/rollout_metrics.rs
+++ b/src/proxy/control/rollout_metrics.rs
@@ -1,6 +1,6 @@
 //! What this proxy counts for the comparison of old and new: how requests ended, by class, and how long that took.
 
-use super::active_config::ActiveConfig;
+use crate::proxy::config::active_config::ActiveConfig;
 use rushquay_admin::RequestOutcome;
 use rushquay_membership::ClassStats;
 use std::cell::RefCell;
--- a/src/proxy/rollout_source.rs
+++ b/src/proxy/control/rollout_settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a proxy's part in changes, checked.
 
-use super::settings_file::read_text;
+use crate::proxy::config::settings_file::read_text;
 use serde::Deserialize;
 use serde_json::Value;
 use std::path::Path;
--- a/src/proxy/subscription.rs
+++ b/src/proxy/control/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a subscription to a control service, checked.
 
-use super::settings_file::read_text;
+use crate::proxy::config::settings_file::read_text;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/src/proxy/control_subscription.rs
+++ b/src/proxy/control/subscription.rs
@@ -1,11 +1,11 @@
 //! The subscription to a control service, where one is configured. It adds to the proxy's own discovery and takes
 //! nothing from it: while it is lost the proxy goes on with what it has.
 
-use super::config::Config;
-use super::endpoint_list::NodeList;
-use super::policy_client::PolicyClient;
-use super::rollout_client::RolloutClient;
-use super::subscription::ControlSource;
+use crate::proxy::config::Config;
+use crate::proxy::control::policy_client::PolicyClient;
+use crate::proxy::control::rollout_client::RolloutClient;
+use crate::proxy::control::settings::ControlSource;
+use crate::proxy::discovery::endpoint_list::NodeList;
 use rushquay_endpoints::MergeLimits;
 use rushquay_xds::client::Outage;
 use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Tls, TlsFiles};
@@ -66,7 +66,7 @@
                 match Tls::read(&files) {
                     Ok(tls) => Some((tls, t.server_name.clone())),
                     // The proxy's own discovery goes on; without TLS nothing is asked.
-                    Err(e) => return super::log(format_args!("no control service is followed: {e}")),
+                    Err(e) => return crate::proxy::log(format_args!("no control service is followed: {e}")),
                 }
             }
         };
@@ -114,8 +114,8 @@
                     // Danger: what was asked on the stream before may never be answered.
                     policy.iter().for_each(|p| p.ask_now());
                     match outage.over() {
-                        None => super::log(format_args!("control service at {addr}: connected")),
-                        Some(n) => super::log(format_args!(
+                        None => crate::proxy::log(format_args!("control service at {addr}: connected")),
+                        Some(n) => crate::proxy::log(format_args!(
                             "control service at {addr}: connected after {n} failures"
                         )),
                     }
@@ -133,11 +133,11 @@
                 }
                 ClientEvent::Ahead(ahead, error) => nodes.measured(ahead, error),
                 ClientEvent::Refused(why) => {
-                    super::log(format_args!("control service: refused an answer: {why}"))
+                    crate::proxy::log(format_args!("control service: refused an answer: {why}"))
                 }
                 ClientEvent::Lost(addr, why) => {
                     if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
-                        super::log(format_args!(
+                        crate::proxy::log(format_args!(
                             "control service at {addr}: {why}; the list stays as it is (failure {n})"
                         ));
                     }
--- a/src/proxy/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The node list of this proxy: its own discovery's alone, or merged with a control service's.
 
-use super::engine::Engine;
 use crate::api::{server_id, ListKind, ServerId};
+use crate::proxy::engine::Engine;
 use rushquay_control_service::steady;
 use rushquay_endpoints::{
     Changes, Endpoint, EndpointList, EndpointMerger, EndpointState, ListAssembler, MergeLimits, Pin, Pins,
@@ -61,7 +61,7 @@
         let mut skew = self.skew.get();
         let before = skew.ahead();
         if skew.measured(ahead, error, steady()) && ahead.abs_diff(before) > SECOND / 2 {
-            super::log(format_args!(
+            crate::proxy::log(format_args!(
                 "control service: its clock is {:+.3} s from this one, within {:.3} s; overrides end by it",
                 ahead as f64 / SECOND as f64,
                 error as f64 / SECOND as f64
@@ -100,7 +100,7 @@
     pub fn dated(&self, date: Nanos) {
         let mut starts = self.starts.borrow_mut();
         if starts.dated(date, self.engine.now()) {
-            super::log(format_args!(
+            crate::proxy::log(format_args!(
                 "this machine's wall clock was {:+.0} s from discovery's at the start; nodes' starts go by discovery's",
                 starts.ahead() as f64 / SECOND as f64
             ));
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,10 +1,12 @@
 //! Follows the list of cache nodes at discovery: one call after another, each when [`Follow`] says.
 
-use super::descriptors::Descriptors;
-use super::endpoint_list::NodeList;
-use super::fleet_stats::{self, Kind};
-use super::socket::{Io, Socket};
-use super::Body;
+pub(crate) mod endpoint_list;
+
+use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::listener::descriptors::Descriptors;
+use crate::proxy::observability::fleet_stats::{self, Kind};
+use crate::proxy::upstream::socket::{Io, Socket};
+use crate::proxy::Body;
 use http_body_util::{BodyExt, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{DATE, HOST};
@@ -120,7 +122,7 @@
         date.into_iter().for_each(|date| nodes.dated(date));
         if self.cursor.saw(&members) == CursorUpdate::Doubted {
             fleet_stats::count(Kind::ListBroken, 1);
-            super::log(format_args!(
+            crate::proxy::log(format_args!(
                 "discovery at {}: a list of version {} with {} entries is no sequel to the one held, which stays; the \
                  whole list is asked for",
                 self.addr,
@@ -131,7 +133,7 @@
         }
         self.follow.answered();
         if let Some(n) = self.outage.over() {
-            super::log(format_args!("discovery at {} answers after {n} failures", self.addr));
+            crate::proxy::log(format_args!("discovery at {} answers after {n} failures", self.addr));
         }
         fleet_stats::count(Kind::ListLines, members.servers.len() as u64);
         nodes.discovered(members);
@@ -140,7 +142,7 @@
     fn failed(&mut self, failed: &Failed, nodes: &NodeList) {
         fleet_stats::count(failed.kind(), 1);
         if let Some(n) = self.outage.failed(&failed.why) {
-            super::log(format_args!("discovery at {}: {} (failure {n})", self.addr, failed.why));
+            crate::proxy::log(format_args!("discovery at {}: {} (failure {n})", self.addr, failed.why));
         }
         self.sender = None;
         if self.follow.failed(failed.how) {
@@ -150,7 +152,7 @@
 
     /// From here on asks at this address, for the whole list first: its versions may be other ones.
     fn move_to(&mut self, addr: SocketAddr) {
-        super::log(format_args!("discovery is now at {addr}"));
+        crate::proxy::log(format_args!("discovery is now at {addr}"));
         (self.addr, self.sender) = (addr, None);
         self.cursor.reset();
         self.follow.moved();
--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -1,15 +1,15 @@
 //! The sole owner of the decision module and of all requests, attempts and timers: events of the network go in,
 //! the module's actions come out. Each request gets one final answer.
 
-use super::active_config::ActiveConfig;
-use super::answer::Answer;
-use super::attempt::{AttemptOutcome, Cancellation, Span, UpstreamRequest};
-use super::attempt_policy::{AttemptPolicy, Made};
-use super::clock::{margin, Clock};
-use super::fleet_stats::{self, Kind};
-use super::request_trace::{self, Event as Traced};
-use super::upstream::Upstreams;
 use crate::api::*;
+use crate::proxy::clock::{margin, Clock};
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::http::answer::Answer;
+use crate::proxy::observability::fleet_stats::{self, Kind};
+use crate::proxy::observability::request_trace::{self, Event as Traced};
+use crate::proxy::upstream::attempt::{AttemptOutcome, Cancellation, Span, UpstreamRequest};
+use crate::proxy::upstream::attempt_policy::{AttemptPolicy, Made};
+use crate::proxy::upstream::Upstreams;
 use crate::Balancer;
 use rushquay_admin::Cause;
 use rushquay_endpoints::{Endpoint, Pins};
@@ -497,7 +497,7 @@
             }
             Ok(Err(_)) => Answer::Failed,
             Err(_) => {
-                super::log("a request was left unanswered until its deadline");
+                crate::proxy::log("a request was left unanswered until its deadline");
                 Answer::Overdue
             }
         }
--- a/src/proxy/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -11,8 +11,8 @@
 pub use lookup::{Resolver, SystemResolver};
 pub use source::{read_bootstrap, EnvoySource};
 
-use super::clock::Clock;
-use super::load_assignment::{ClusterFigures, NodeFigures, Pools};
+use crate::proxy::clock::Clock;
+use crate::proxy::upstream::load_assignment::{ClusterFigures, NodeFigures, Pools};
 use rushquay_envoy::catalogue::{Batch, Change};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -111,7 +111,7 @@
     std::thread::Builder::new().name("clusters".into()).spawn(run).map_err(|e| format!("a thread: {e}"))?;
     let admin = started.recv().map_err(|_| "the thread for clusters has ended".to_string())??;
     if let Some(admin) = admin {
-        super::log(format_args!("admin page at {admin}"));
+        crate::proxy::log(format_args!("admin page at {admin}"));
     }
     tokio::task::spawn_local(async move {
         // Held until this thread's tasks end; then the other thread ends too.
@@ -130,8 +130,8 @@
 mod tests {
     use super::*;
     use crate::api::Settings;
-    use crate::proxy::descriptors::Descriptors;
-    use crate::proxy::interner::Interner;
+    use crate::proxy::config::interner::Interner;
+    use crate::proxy::listener::descriptors::Descriptors;
     use rushquay_admin::RequestMetrics;
     use rushquay_control_service::Clocks;
     use std::net::IpAddr;
--- a/src/proxy/envoy/source.rs
+++ b/src/proxy/envoy/source.rs
@@ -1,6 +1,6 @@
 //! The settings that have clusters, endpoints and routes come in Envoy's form, checked.
 
-use crate::proxy::settings_file::read_text;
+use crate::proxy::config::settings_file::read_text;
 use rushquay_envoy::{bootstrap, Bootstrap};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/src/proxy/answer.rs
+++ b/src/proxy/http/answer.rs
@@ -1,6 +1,6 @@
 //! How a request ends.
 
-use super::Body;
+use crate::proxy::Body;
 use hyper::Response;
 use rushquay_admin::RequestOutcome;
 use std::time::Duration;
--- a/src/proxy/request_framing.rs
+++ b/src/proxy/http/request_framing.rs
@@ -1,8 +1,8 @@
 //! Hands a client's bytes to hyper one request at a time, and looks at each head before hyper does.
 
-use super::read_buffer::{ReadBuffer, ALL, HEADERS_MOST, PART};
-use super::socket::{Io, Socket};
-use super::BUFFER_MOST;
+use crate::proxy::listener::read_buffer::{ReadBuffer, ALL, HEADERS_MOST, PART};
+use crate::proxy::upstream::socket::{Io, Socket};
+use crate::proxy::BUFFER_MOST;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/src/proxy/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -1,21 +1,21 @@
 //! One request of a client: read, judged, handed to its engine, and answered once.
 
-use super::active_config::ActiveConfig;
-use super::answer::Answer;
-use super::backend::Backend;
-use super::client_connection::Client;
-use super::clock::margin;
-use super::engine::{Engine, PendingRequest, Ticket};
-use super::graceful_shutdown::LAST_WORD;
-use super::headers::CORRELATION_ID;
-use super::request_body::Upload;
-use super::request_parsing::{asked, class_of};
-use super::request_trace::{self, Event};
-use super::responses::{bad, plain, respond_with};
-use super::routing::{Forward, Routed};
-use super::server::Server;
-use super::Body;
 use crate::api::Nanos;
+use crate::proxy::clock::margin;
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::engine::{Engine, PendingRequest, Ticket};
+use crate::proxy::http::answer::Answer;
+use crate::proxy::http::headers::CORRELATION_ID;
+use crate::proxy::http::request_body::Upload;
+use crate::proxy::http::request_parsing::{asked, class_of};
+use crate::proxy::http::responses::{bad, plain, respond_with};
+use crate::proxy::http::routing::{Forward, Routed};
+use crate::proxy::listener::client_connection::Client;
+use crate::proxy::listener::graceful_shutdown::LAST_WORD;
+use crate::proxy::observability::request_trace::{self, Event};
+use crate::proxy::server::Server;
+use crate::proxy::upstream::backend::Backend;
+use crate::proxy::Body;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
@@ -201,7 +201,11 @@
             self.ledger.failures.one_more(Cause::Overdue);
         }
         if !long && Instant::now() > late {
-            super::violation(&self.ledger, Violation::AnsweredLate, &format!("connection {}", client.number));
+            crate::proxy::violation(
+                &self.ledger,
+                Violation::AnsweredLate,
+                &format!("connection {}", client.number),
+            );
         }
         account.ended(answer.end());
         respond_with(answer)
--- a/src/proxy/request_parsing.rs
+++ b/src/proxy/http/request_parsing.rs
@@ -1,15 +1,15 @@
 //! A client's request read into the module's terms, and the module's answers as responses.
 
-use super::active_config::ActiveConfig;
-use super::attempt::{AttemptBody, UpstreamRequest};
-use super::engine::{Engine, PendingRequest};
-use super::headers::{CORRELATION_ID, TIME_LEFT};
-use super::interner::key;
-use super::policy_client::PolicyClient;
-use super::request_body::{beginning, Unread, Upload, CLIENT_PATIENCE};
-use super::responses::strip;
-use super::routing::Forward;
 use crate::api::{self, Nanos};
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::config::interner::key;
+use crate::proxy::control::policy_client::PolicyClient;
+use crate::proxy::engine::{Engine, PendingRequest};
+use crate::proxy::http::headers::{CORRELATION_ID, TIME_LEFT};
+use crate::proxy::http::request_body::{beginning, Unread, Upload, CLIENT_PATIENCE};
+use crate::proxy::http::responses::strip;
+use crate::proxy::http::routing::Forward;
+use crate::proxy::upstream::attempt::{AttemptBody, UpstreamRequest};
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
--- a/src/proxy/response_reader.rs
+++ b/src/proxy/http/response_reader.rs
@@ -1,9 +1,9 @@
 //! What a node answers, read to its end or to the end of what is held.
 
-use super::attempt::AttemptOutcome;
-use super::request_body::{beginning, NODE_PATIENCE};
-use super::{Body, BODY_MOST};
 use crate::api::Status;
+use crate::proxy::http::request_body::{beginning, NODE_PATIENCE};
+use crate::proxy::upstream::attempt::AttemptOutcome;
+use crate::proxy::{Body, BODY_MOST};
 use hyper::body::{Body as _, Bytes, Incoming};
 use hyper::header::{HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
--- a/src/proxy/responses.rs
+++ b/src/proxy/http/responses.rs
@@ -1,7 +1,7 @@
 //! The module's answers as responses, and what is turned away.
 
-use super::answer::Answer;
-use super::Body;
+use crate::proxy::http::answer::Answer;
+use crate::proxy::Body;
 use hyper::body::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode, Version};
--- a/src/proxy/routing.rs
+++ b/src/proxy/http/routing.rs
@@ -1,12 +1,12 @@
 //! What the routes say of a request: where it goes and what is changed on the way, or the answer that it gets at once.
 
-use super::answer::Answer;
-use super::attempt_policy::AttemptPolicy;
-use super::interner::key;
-use super::load_assignment::{Cluster, Pools};
-use super::responses::{plain, respond_with};
-use super::Body;
 use crate::api::Nanos;
+use crate::proxy::config::interner::key;
+use crate::proxy::http::answer::Answer;
+use crate::proxy::http::responses::{plain, respond_with};
+use crate::proxy::upstream::attempt_policy::AttemptPolicy;
+use crate::proxy::upstream::load_assignment::{Cluster, Pools};
+use crate::proxy::Body;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::http::request::Parts;
--- a/src/proxy/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -1,9 +1,9 @@
 //! Taking connections, and which of them gives way where there is no room.
 
-use super::client_connection::Client;
-use super::descriptors::Permit;
-use super::request_body::steady;
-use super::server::Server;
+use crate::proxy::http::request_body::steady;
+use crate::proxy::listener::client_connection::Client;
+use crate::proxy::listener::descriptors::Permit;
+use crate::proxy::server::Server;
 use rushquay_admission::{giving_way, Evidence, SlotRequest};
 use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept;
@@ -38,7 +38,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     if let Some(n) = self.shortage.borrow_mut().over() {
-                        super::log(format_args!("connections are accepted again after {n} failures"));
+                        crate::proxy::log(format_args!("connections are accepted again after {n} failures"));
                     }
                     self.waiting.borrow_mut().push_back(stream);
                 }
@@ -51,7 +51,7 @@
     /// away for a newcomer must be of no use: one that has just come, or still writes, is a newcomer too.
     async fn lacks(&self, why: &io::Error) {
         if let Some(n) = self.shortage.borrow_mut().failed(&why.to_string()) {
-            super::log(format_args!("accept: {why} (failure {n})"));
+            crate::proxy::log(format_args!("accept: {why} (failure {n})"));
         }
         if !self.front.yield_idle() {
             self.yield_client(SlotRequest::Slack);
--- a/src/proxy/client_connection.rs
+++ b/src/proxy/listener/client_connection.rs
@@ -1,10 +1,10 @@
 //! A client's connection, as others see it: what it has asked, whether it is busy, and how it ends.
 
-use super::descriptors::Permit;
-use super::read_buffer::{BufferedInput, ReadBuffer};
-use super::request_body::steady;
-use super::socket::Socket;
 use crate::api;
+use crate::proxy::http::request_body::steady;
+use crate::proxy::listener::descriptors::Permit;
+use crate::proxy::listener::read_buffer::{BufferedInput, ReadBuffer};
+use crate::proxy::upstream::socket::Socket;
 use rushquay_admission::Evidence;
 use rushquay_invariants::{CloseCause, ConnectionFacts};
 use std::cell::Cell;
--- a/src/proxy/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -1,9 +1,9 @@
 //! The end of a process: what has come is answered, and the door closes behind it.
 
-use super::acceptor::YIELD_WITHIN;
-use super::handover::Keeper;
-use super::request_trace::{self, Event};
-use super::server::Server;
+use crate::proxy::listener::acceptor::YIELD_WITHIN;
+use crate::proxy::observability::request_trace::{self, Event};
+use crate::proxy::process::handover::Keeper;
+use crate::proxy::server::Server;
 use rushquay_admin::TurnedAway;
 use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept_queued;
@@ -36,7 +36,7 @@
         listener: Rc<TcpListener>,
         keeper: &Keeper,
     ) {
-        super::log("draining");
+        crate::proxy::log("draining");
         request_trace::event(|| Event::State { state: "draining" });
         let longest = self.front.longest();
         let start = Instant::now();
@@ -137,7 +137,7 @@
                     self.clients.borrow().iter().for_each(|c| c.intake.close());
                 }
                 () = sleep_until(end) => {
-                    super::log("ended with clients still connected");
+                    crate::proxy::log("ended with clients still connected");
                     self.clients.borrow().iter().for_each(|c| self.cut_off(c));
                     return;
                 }
--- a/src/proxy/listener_socket.rs
+++ b/src/proxy/listener/listener_socket.rs
@@ -29,7 +29,7 @@
     match socket.bind(&addr.into()) {
         Ok(()) => {
             if let Err(e) = socket.set_reuse_port(true) {
-                super::log(format_args!("the address can't be shared with a later version: {e}"));
+                crate::proxy::log(format_args!("the address can't be shared with a later version: {e}"));
             }
             listen(socket).map(Place::Alone).map_err(failed)
         }
--- a/src/proxy/read_buffer.rs
+++ b/src/proxy/listener/read_buffer.rs
@@ -1,9 +1,9 @@
 //! What has come on a client's connection and was not handed on yet, and when it came. A request's time runs from its last byte,
 //! also where it stands behind others that are being answered.
 
-use super::pause_detection;
-use super::socket::Socket;
-use super::BUFFER_MOST;
+use crate::proxy::listener::pause_detection;
+use crate::proxy::upstream::socket::Socket;
+use crate::proxy::BUFFER_MOST;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
--- a/src/proxy/local.rs
+++ b/src/proxy/local.rs
@@ -1,8 +1,8 @@
 //! A proxy on a thread of its own, for the demo and for tests that look at many at once.
 
-use super::config::Config;
-use super::server;
-use super::signals::SignalFlag;
+use crate::proxy::config::Config;
+use crate::proxy::process::signals::SignalFlag;
+use crate::proxy::server;
 use rushquay_control_service::Clocks;
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
--- a/src/proxy/admin.rs
+++ b/src/proxy/observability/admin.rs
@@ -86,7 +86,7 @@
 async fn accept(listener: std::net::TcpListener, ledger: Arc<RequestMetrics>) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(e) => return super::log(format_args!("operators: {e}")),
+        Err(e) => return crate::proxy::log(format_args!("operators: {e}")),
     };
     let callers =
         Rc::new(RefCell::new(Callers { places: ConnectionSlots::new(PLACES), calls: HashMap::new() }));
@@ -97,7 +97,7 @@
             Err(e) => {
                 // Danger: without descriptors accept fails at once, and again, and again.
                 if let Some(n) = shortage.failed(&e.to_string()) {
-                    super::log(format_args!("operators: accept: {e} (failure {n})"));
+                    crate::proxy::log(format_args!("operators: accept: {e} (failure {n})"));
                 }
                 sleep(ACCEPT_AGAIN).await;
                 continue;
--- a/src/proxy/fleet_stats.rs
+++ b/src/proxy/observability/fleet_stats.rs
@@ -1,8 +1,8 @@
 //! This proxy's account of what it does, a line a second on standard error. Off unless `PROXY_ACCOUNT` is set; while it
 //! is off a count costs a look at a flag.
 
-use super::answer::Answer;
 use crate::api::Status;
+use crate::proxy::http::answer::Answer;
 pub use rushquay_fleet_stats::Kind;
 use rushquay_fleet_stats::{Account, Sum};
 use std::cell::RefCell;
--- a/src/proxy/handover.rs
+++ b/src/proxy/process/handover.rs
@@ -1,6 +1,6 @@
 //! Carries the hand-over of the listening socket between an old and a new process through a Unix socket in `$TMPDIR`.
 
-use super::log;
+use crate::proxy::log;
 use rushquay_handover::{
     HandoverState, Heard, Incumbent, IncumbentMessage, Offer, Peer, Reply, ResourceShare, Step, Successor,
     SuccessorMessage,
--- a/src/proxy/startup.rs
+++ b/src/proxy/process/startup.rs
@@ -1,10 +1,10 @@
 //! The start of a process: what it takes from the one before it, and when it takes that one's place.
 
-use super::config::Config;
-use super::handover::{self, Found, Keeper, Link};
-use super::listener_socket::{self, Place};
-use super::policy_client::PolicyHandover;
-use super::server::Server;
+use crate::proxy::config::Config;
+use crate::proxy::control::policy_client::PolicyHandover;
+use crate::proxy::listener::listener_socket::{self, Place};
+use crate::proxy::process::handover::{self, Found, Keeper, Link};
+use crate::proxy::server::Server;
 use rushquay_endpoints::EndpointList;
 use rushquay_handover::{ResourceShare, SlowStartAllowance};
 use rushquay_invariants::check_said_serving;
@@ -25,7 +25,7 @@
 
 /// What a process takes from the one before it.
 #[derive(Default)]
-pub(super) struct Inherited {
+pub(crate) struct Inherited {
     /// The settings that it was given to act by.
     pub settings: Option<String>,
     /// What it left to be sent to cold nodes.
@@ -35,7 +35,7 @@
 }
 
 /// What a process begins with.
-pub(super) struct Beginning {
+pub(crate) struct Beginning {
     /// Its place at the clients' address.
     pub listening: Place,
     /// That address.
@@ -98,7 +98,7 @@
 
 /// What came of waiting for the moment in which a new process takes the old one's place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TakeOver {
+pub(crate) enum TakeOver {
     /// It may serve.
     Ready,
     /// The old process has ended before.
@@ -110,7 +110,7 @@
 impl Server {
     /// Waits until this process may serve in place of the old one. Danger: what it accepts before that it takes away from the old
     /// one, which could serve it.
-    pub(super) async fn wait_to_take_over(
+    pub(crate) async fn wait_to_take_over(
         &self,
         stop: &mut Pin<&mut impl Future<Output = ()>>,
         predecessor: &mut Option<Link>,
@@ -120,7 +120,7 @@
             () = stop.as_mut() => TakeOver::Stopped,
             () = self.until_ready() => TakeOver::Ready,
             () = ended(predecessor) => {
-                super::log("the old process has ended");
+                crate::proxy::log("the old process has ended");
                 TakeOver::PredecessorGone
             }
         }
@@ -134,7 +134,7 @@
         // Danger: without leave it goes by the floor, and refuses what the old one would serve.
         if let Some(policy) = &self.policy {
             if timeout(LEAVE_WITHIN, policy.answered()).await.is_err() {
-                super::log("no leave yet: it goes by the floor until it is answered");
+                crate::proxy::log("no leave yet: it goes by the floor until it is answered");
             }
         }
         while self.readiness().is_err() {
@@ -143,13 +143,13 @@
     }
 
     /// Tells the old process that this one serves in its place, and has this one hold all that it may once that one has ended.
-    pub(super) async fn succeed(&self, predecessor: Option<Link>, beside: bool, keeper: Rc<Keeper>) {
+    pub(crate) async fn succeed(&self, predecessor: Option<Link>, beside: bool, keeper: Rc<Keeper>) {
         if let Some(mut link) = predecessor {
             self.check_said_serving();
             link.ready().await;
             tokio::task::spawn_local(async move {
                 link.ended().await;
-                super::log("the old process has ended");
+                crate::proxy::log("the old process has ended");
                 keeper.alone();
             });
         } else if beside {
@@ -161,9 +161,9 @@
     }
 
     /// Counts a word that this process serves, given where the guard forbids it.
-    pub(super) fn check_said_serving(&self) {
+    pub(crate) fn check_said_serving(&self) {
         if let Some(violation) = check_said_serving(&self.serve_facts()) {
-            super::violation(&self.ledger, violation, &format!("{:?}", self.serve_facts()));
+            crate::proxy::violation(&self.ledger, violation, &format!("{:?}", self.serve_facts()));
         }
     }
 }
--- a/src/proxy/supervised.rs
+++ b/src/proxy/process/supervised.rs
@@ -1,6 +1,6 @@
 //! A proxy that a host has started: it gives the host signs of life, and knows which program it is.
 
-use super::log;
+use crate::proxy::log;
 use rushquay_config_version::{ConfigVersion, Digest};
 use rushquay_supervisor::Heartbeat;
 use std::os::unix::net::UnixDatagram;
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,32 +1,32 @@
 //! The process: what it is made of, when it serves, and what it hands over.
 
-use super::active_config::ActiveConfig;
-use super::admin::{self, AdminListener};
-use super::backend::Backend;
-use super::client_connection::Client;
-use super::clock::Clock;
-use super::config::Config;
-use super::config_layers::ConfigLayers;
-use super::control_subscription;
-use super::descriptors::Descriptors;
-use super::discovery::{self, Discovery};
-use super::endpoint_list::NodeList;
-use super::engine::Engine;
-use super::envoy;
-use super::handover::{self, Keeper, Listening};
-use super::listener_socket::{self, Place};
-use super::load_assignment::Pools;
-use super::pause_detection;
-use super::policy_client::{PolicyClient, PolicyHandover};
-use super::reload;
-use super::request_trace::{self, Event};
-use super::rollout_client::RolloutClient;
-use super::signals::SignalFlag;
-use super::startup::{Beginning, TakeOver};
-use super::supervised::Supervised;
-use super::upstream::Upstreams;
-use super::{BODY_MOST, BUFFER_MOST};
 use crate::api::ColdLeft;
+use crate::proxy::clock::Clock;
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::config::layers::ConfigLayers;
+use crate::proxy::config::reload;
+use crate::proxy::config::Config;
+use crate::proxy::control::policy_client::{PolicyClient, PolicyHandover};
+use crate::proxy::control::rollout_client::RolloutClient;
+use crate::proxy::control::subscription;
+use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::discovery::{self, Discovery};
+use crate::proxy::engine::Engine;
+use crate::proxy::envoy;
+use crate::proxy::listener::client_connection::Client;
+use crate::proxy::listener::descriptors::Descriptors;
+use crate::proxy::listener::listener_socket::{self, Place};
+use crate::proxy::listener::pause_detection;
+use crate::proxy::observability::admin::{self, AdminListener};
+use crate::proxy::observability::request_trace::{self, Event};
+use crate::proxy::process::handover::{self, Keeper, Listening};
+use crate::proxy::process::signals::SignalFlag;
+use crate::proxy::process::startup::{Beginning, TakeOver};
+use crate::proxy::process::supervised::Supervised;
+use crate::proxy::upstream::backend::Backend;
+use crate::proxy::upstream::load_assignment::Pools;
+use crate::proxy::upstream::Upstreams;
+use crate::proxy::{BODY_MOST, BUFFER_MOST};
 use hyper::header::HeaderValue;
 use rushquay_admin::{RequestMetrics, ServingState};
 use rushquay_endpoints::WatchMode;
@@ -52,7 +52,7 @@
 /// Memory that is no connection's.
 const OWN_MEMORY: usize = 8 << 20;
 /// A process that serves.
-pub(super) struct Server {
+pub(crate) struct Server {
     pub front: Backend,
     pub descriptors: Rc<Descriptors>,
     /// Descriptors that are none of the budget.
@@ -102,17 +102,17 @@
     let beginning = Beginning::find(&mut config, meeting.as_deref(), whole).await?;
     let is_beside = beginning.is_beside();
     let Beginning { listening, bound, share, mut predecessor, inherited } = beginning;
-    super::log(format_args!("listening on {bound}"));
-    super::fleet_stats::start();
+    crate::proxy::log(format_args!("listening on {bound}"));
+    crate::proxy::observability::fleet_stats::start();
     request_trace::start();
     request_trace::event(|| Event::State { state: "starting" });
     let ledger = RequestMetrics::new(&config.names.classes);
     let operators = config.admin.map(|admin| AdminListener::start(admin, ledger.clone())).transpose()?;
     if let Some(operators) = &operators {
-        super::log(format_args!("operators at {}", operators.addr));
+        crate::proxy::log(format_args!("operators at {}", operators.addr));
     }
     let own = OWN_DESCRIPTORS
-        + config.control.as_ref().map_or(0, |_| control_subscription::DESCRIPTORS)
+        + config.control.as_ref().map_or(0, |_| subscription::DESCRIPTORS)
         + config.envoy.as_ref().map_or(0, |_| envoy::DESCRIPTORS)
         + operators.as_ref().map_or(0, |_| admin::DESCRIPTORS)
         + meeting.as_ref().map_or(0, |_| handover::DESCRIPTORS);
@@ -253,7 +253,7 @@
     handed: Option<PolicyHandover>,
 ) -> Result<Begun, String> {
     let discovery = config.discovery.ok_or("discovery is missing, and PROXY_DISCOVERY is not set")?;
-    let subscription = control_subscription::ControlSubscription::of(&config);
+    let subscription = subscription::ControlSubscription::of(&config);
     let acting = Rc::new(ActiveConfig::new(config.settings, config.names));
     let settings = &acting.settings;
     let manner = match settings.must_ask {
@@ -275,7 +275,7 @@
     let policy =
         config.policy.map(|source| PolicyClient::new(source, layers, config.clocks, handed, news.clone()));
     if let Some(subscription) = subscription {
-        let parts = control_subscription::Parts { rollout: rollout.clone(), policy: policy.clone(), news };
+        let parts = subscription::Parts { rollout: rollout.clone(), policy: policy.clone(), news };
         tokio::task::spawn_local(subscription.follow(nodes.clone(), parts));
     }
     tokio::task::spawn_local(reload::follow(hangup, moves));
--- a/src/proxy/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,10 +1,10 @@
 //! A request as it goes on to nodes, and what its engine holds of an attempt at one of them.
 
-use super::headers::CORRELATION_ID;
-use super::request_body::{steady, Upload};
-use super::socket::Socket;
-use super::Body;
 use crate::api::Status;
+use crate::proxy::http::headers::CORRELATION_ID;
+use crate::proxy::http::request_body::{steady, Upload};
+use crate::proxy::upstream::socket::Socket;
+use crate::proxy::Body;
 use hyper::body::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, Response, Uri};
--- a/src/proxy/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,10 +1,10 @@
 //! What stands behind the clients: one decision module on the proxy's own list, or the clusters of Envoy's form.
 
-use super::endpoint_list::NodeList;
-use super::engine::Engine;
-use super::load_assignment::Pools;
-use super::upstream::Upstreams;
 use crate::api::ColdLeft;
+use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::engine::Engine;
+use crate::proxy::upstream::load_assignment::Pools;
+use crate::proxy::upstream::Upstreams;
 use serde_json::Value;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/proxy/upstream_connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,13 +1,13 @@
 //! One client's connection from its first byte to its close.
 
-use super::client_connection::{Busy, Client};
-use super::descriptors::Permit;
-use super::read_buffer::BufferedInput;
-use super::request_framing::RequestFraming;
-use super::request_trace::{self, Event};
-use super::responses::{bad, closing};
-use super::server::Server;
-use super::BUFFER_MOST;
+use crate::proxy::http::request_framing::RequestFraming;
+use crate::proxy::http::responses::{bad, closing};
+use crate::proxy::listener::client_connection::{Busy, Client};
+use crate::proxy::listener::descriptors::Permit;
+use crate::proxy::listener::read_buffer::BufferedInput;
+use crate::proxy::observability::request_trace::{self, Event};
+use crate::proxy::server::Server;
+use crate::proxy::BUFFER_MOST;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -128,7 +128,7 @@
         let facts = ConnectionFacts { peer_gone: client.socket.ended(), ..client.facts() };
         if let Some(violation) = check_closed(&facts, cause) {
             let connection = format!("connection {} ({cause:?}, {facts:?})", client.number);
-            super::violation(&self.ledger, violation, &connection);
+            crate::proxy::violation(&self.ledger, violation, &connection);
         }
         self.ledger.closes.one_more(cause);
         request_trace::event(|| Event::Closed { connection: client.number, cause });
--- a/src/proxy/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -1,13 +1,13 @@
 //! The clusters that requests are sent to, where they come in Envoy's form: each has a decision module, connections and
 //! limits of its own, and shares nothing with the others but the proxy's descriptors.
 
-use super::active_config::ActiveConfig;
-use super::clock::Clock;
-use super::descriptors::Descriptors;
-use super::engine::Engine;
-use super::interner::Interner;
-use super::upstream::{idle_most, Bounds, Upstreams};
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
+use crate::proxy::clock::Clock;
+use crate::proxy::config::active_config::ActiveConfig;
+use crate::proxy::config::interner::Interner;
+use crate::proxy::engine::Engine;
+use crate::proxy::listener::descriptors::Descriptors;
+use crate::proxy::upstream::{idle_most, Bounds, Upstreams};
 use rushquay_admin::RequestMetrics;
 use rushquay_endpoints::{Endpoint, EndpointState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
--- a/src/proxy/upstream.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,15 +1,22 @@
 //! Connections to cache nodes and the origin, and one attempt on one of them with its outcome.
 
-use super::attempt::{AttemptBody, AttemptOutcome, Cancellation, Span, UpstreamRequest};
-use super::descriptors::Descriptors;
-use super::fleet_stats::{self, Kind};
-use super::headers::TIME_LEFT;
-use super::request_body::{steady, LongAnswer, Returns};
-use super::request_trace::{self, Event};
-use super::response_reader::{read, ResponseReader};
-use super::socket::{FirstByte, Io, Socket};
-use super::{Body, BODY_MOST, BUFFER_MOST};
+pub(crate) mod attempt;
+pub(crate) mod attempt_policy;
+pub(crate) mod backend;
+pub(crate) mod connection;
+pub(crate) mod load_assignment;
+pub(crate) mod socket;
+
 use crate::api::{Entry, Nanos, ServerId, Settings, State, Status};
+use crate::proxy::http::headers::TIME_LEFT;
+use crate::proxy::http::request_body::{steady, LongAnswer, Returns};
+use crate::proxy::http::response_reader::{read, ResponseReader};
+use crate::proxy::listener::descriptors::Descriptors;
+use crate::proxy::observability::fleet_stats::{self, Kind};
+use crate::proxy::observability::request_trace::{self, Event};
+use crate::proxy::upstream::attempt::{AttemptBody, AttemptOutcome, Cancellation, Span, UpstreamRequest};
+use crate::proxy::upstream::socket::{FirstByte, Io, Socket};
+use crate::proxy::{Body, BODY_MOST, BUFFER_MOST};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HeaderValue, CONNECTION, HOST};
 use hyper::{Request, Response};
--- a/src/proxy/socket.rs
+++ b/src/proxy/upstream/socket.rs
@@ -1,7 +1,7 @@
 //! One TCP stream under hyper: what has been written to it and whether its peer has gone. Calls that a signal interrupts and
 //! shortages of the system's buffers end here.
 
-use super::descriptors::Permit;
+use crate::proxy::listener::descriptors::Permit;
 use rushquay_admin::RequestMetrics;
 use rushquay_invariants::{check_sent, may_send, SendDenied, SendFacts, Sent, Violation};
 use rushquay_sockets::{classify, ErrorClass};
@@ -235,7 +235,7 @@
     /// Counts a rule that was broken.
     fn broke(&self, violation: Option<Violation>) {
         if let (Some(violation), Some(ledger)) = (violation, &self.ledger) {
-            super::violation(ledger, violation, "an attempt");
+            crate::proxy::violation(ledger, violation, "an attempt");
         }
     }
 
--- a/src/proxy/socket/tests.rs
+++ b/src/proxy/upstream/socket/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::proxy::descriptors::Descriptors;
+use crate::proxy::listener::descriptors::Descriptors;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
--- a/src/supervisor/follow.rs
+++ b/src/supervisor/follow.rs
@@ -2,7 +2,7 @@
 //! of the host's own, so that a proxy that hangs or hears nothing is not what the host depends on.
 
 use super::say;
-use crate::proxy::subscription::ControlSource;
+use crate::proxy::control::settings::ControlSource;
 use rushquay_config_version::ConfigAssignment;
 use rushquay_lease::Epoch;
 use rushquay_xds::client::Outage;
--- a/src/supervisor/processes.rs
+++ b/src/supervisor/processes.rs
@@ -1,7 +1,7 @@
 //! The processes of a host: started, signalled, found again by what the machine says of them.
 
 use super::{Files, HostSettings};
-use crate::proxy::supervised::{GIVEN, HOST, OWN_PROGRAM, PROGRAM};
+use crate::proxy::process::supervised::{GIVEN, HOST, OWN_PROGRAM, PROGRAM};
 use rushquay_config_version::Digest;
 use rushquay_sockets::patiently;
 use rushquay_supervisor::{FoundProcess, ProcessId, Target};
--- a/src/supervisor/settings.rs
+++ b/src/supervisor/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a host, checked.
 
-use crate::proxy::subscription::ControlSource;
+use crate::proxy::control::settings::ControlSource;
 use rushquay_config_version::Digest;
 use rushquay_supervisor::Timeouts;
 use serde::Deserialize;
@@ -81,7 +81,7 @@
         let program =
             written.program.parse().map_err(|e| format!("program: {e}; see rushquay host digest"))?;
         if let Some(name) =
-            written.environment.keys().find(|n| crate::proxy::supervised::ALL.contains(&n.as_str()))
+            written.environment.keys().find(|n| crate::proxy::process::supervised::ALL.contains(&n.as_str()))
         {
             return Err(format!("environment.{name}: the host sets it itself"));
         }
--- a/tests/compatibility/messages.rs
+++ b/tests/compatibility/messages.rs
@@ -2,7 +2,7 @@
 //! has to be the same to the byte, so that a field under another name, or one that is lost, is seen.
 
 use crate::golden::read;
-use rushquay::proxy::policy_client::PolicyHandover;
+use rushquay::proxy::control::policy_client::PolicyHandover;
 use rushquay_config_version::ConfigAssignment;
 use rushquay_handover::{IncumbentMessage, SuccessorMessage};
 use rushquay_membership::Report;
