--- a/src/proxy/config/layers.rs
+++ b/src/proxy/config/layers.rs
@@ -59,13 +59,13 @@
     }
 
     /// What is refused now.
-    pub fn refuses(&self, class: usize) -> bool {
+    pub fn rejects(&self, class: usize) -> bool {
         let refusing = self.refusing.borrow();
         refusing.all || refusing.classes.get(class).is_some_and(|stopped| *stopped)
     }
 
     /// Whether nobody is served.
-    pub fn refuses_all(&self) -> bool {
+    pub fn rejects_all(&self) -> bool {
         self.refusing.borrow().all
     }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The field that can't be obeyed, with its path.
-    pub fn could(&self, generation: &ConfigVersion) -> Result<(), String> {
+    pub fn check_version(&self, generation: &ConfigVersion) -> Result<(), String> {
         self.comes(generation, self.over.borrow().1.as_ref()).map(drop)
     }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// The same; all stays as it is.
-    pub fn take(&self, generation: &ConfigVersion) -> Result<(), String> {
+    pub fn apply_version(&self, generation: &ConfigVersion) -> Result<(), String> {
         let comes = self.comes(generation, self.over.borrow().1.as_ref())?;
         self.over.borrow_mut().0 = generation.clone();
         self.obey(comes);
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// The field that can't be obeyed, with its path.
-    pub fn could_say(&self, say: &PolicyLayer) -> Result<(), String> {
+    pub fn check_policy(&self, say: &PolicyLayer) -> Result<(), String> {
         self.comes(&self.over.borrow().0, Some(say)).map(drop)
     }
 
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// The same; all stays as it is.
-    pub fn say(&self, say: PolicyLayer) -> Result<(), String> {
+    pub fn apply_policy(&self, say: PolicyLayer) -> Result<(), String> {
         let comes = self.comes(&self.over.borrow().0, Some(&say))?;
         self.over.borrow_mut().1 = Some(say);
         self.obey(comes);
--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -65,7 +65,7 @@
     /// It is time to ask.
     due: Cell<bool>,
     news: Arc<Notify>,
-    answered: Notify,
+    lease_granted: Notify,
 }
 
 impl PolicyClient {
@@ -103,9 +103,9 @@
             until: Cell::new(0),
             due: Cell::new(true),
             news,
-            answered: Notify::new(),
+            lease_granted: Notify::new(),
         });
-        policy.look();
+        policy.refresh();
         policy
     }
 
@@ -119,39 +119,39 @@
     }
 
     /// It asks so often.
-    pub fn every(&self) -> Duration {
+    pub fn request_interval(&self) -> Duration {
         self.source.every
     }
 
     /// Asks as soon as it can.
-    pub fn ask_now(&self) {
+    pub fn request_lease_now(&self) {
         self.due.set(true);
         self.news.notify_one();
         // Nobody may be asking; what is due by the clock is done anyway.
-        self.look();
+        self.refresh();
     }
 
     /// The ask that is due.
-    pub fn asks(&self) -> Option<String> {
+    pub fn due_lease_request(&self) -> Option<String> {
         let now = self.now();
         self.due.replace(false).then(|| self.state.borrow_mut().member.ask(now).text())
     }
 
     /// Whether anybody may be served.
-    pub fn serves(&self) -> bool {
-        self.look();
-        !self.layers.refuses_all()
+    pub fn permits_serving(&self) -> bool {
+        self.refresh();
+        !self.layers.rejects_all()
     }
 
     /// Returns once it has leave.
     pub async fn answered(&self) {
         while !matches!(self.state.borrow().member.acting(self.now()), ActivePolicy::Leased(_)) {
-            self.answered.notified().await;
+            self.lease_granted.notified().await;
         }
     }
 
     /// What a process that takes over is to know.
-    pub fn handed(&self) -> PolicyHandover {
+    pub fn handover(&self) -> PolicyHandover {
         let state = self.state.borrow();
         PolicyHandover {
             member: state.member.snapshot(),
@@ -161,20 +161,20 @@
 
     /// Acts by what there is leave for at this moment. Danger: a timer may come late, and a process that was stopped goes on with the
     /// request before the timer.
-    pub fn look(&self) {
+    pub fn refresh(&self) {
         if self.now() >= self.until.get() {
             self.act();
         }
     }
 
     /// Whether a request of a class is refused by what is acted by, and the advised wait.
-    pub fn refuses(&self, class: usize) -> Option<Duration> {
+    pub fn rejects(&self, class: usize) -> Option<Duration> {
         let most = self.layers.engine().acting().settings.max_retry_after;
-        self.layers.refuses(class).then(|| WAIT.min(Duration::from_nanos(most)))
+        self.layers.rejects(class).then(|| WAIT.min(Duration::from_nanos(most)))
     }
 
     /// The control service has said this.
-    pub fn heard(&self, texts: &[PolicyMessage]) {
+    pub fn on_messages(&self, texts: &[PolicyMessage]) {
         for text in texts {
             match text {
                 PolicyMessage::Broadcast(text) => self.holds(text),
@@ -197,7 +197,7 @@
         let waits = self.state.borrow_mut().waits.take();
         waits.iter().for_each(|grant| self.granted(grant));
         // Whoever waits for this one hears the sooner.
-        self.ask_now();
+        self.request_lease_now();
     }
 
     fn granted(&self, grant: &LeaseGrant) {
@@ -229,9 +229,9 @@
         self.act();
         if new {
             // Whoever waits for this one is told at once.
-            self.ask_now();
+            self.request_lease_now();
         }
-        self.answered.notify_one();
+        self.lease_granted.notify_one();
     }
 
     /// Does what there is leave for now.
@@ -248,7 +248,7 @@
             state.held.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
         let say = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
         let revision = state.member.revision().0;
-        match self.layers.say(say) {
+        match self.layers.apply_policy(say) {
             Ok(()) => {
                 crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)))
             }
@@ -264,7 +264,7 @@
                     policies: BTreeMap::new(),
                     begin_by: FallbackPolicy::Nobody,
                 };
-                let _ = self.layers.say(nobody);
+                let _ = self.layers.apply_policy(nobody);
             }
         }
     }
@@ -301,10 +301,15 @@
                 policies: holding.policies.clone(),
                 begin_by: begin_by.clone(),
             };
-            layers.could_say(&say)?;
+            layers.check_policy(&say)?;
         }
     }
     let leave = ActivePolicy::Leased(holding.told);
     let policies = holding.policies.clone();
-    layers.could_say(&PolicyLayer { leave, last: Some(holding.told), policies, begin_by: begin_by.clone() })
+    layers.check_policy(&PolicyLayer {
+        leave,
+        last: Some(holding.told),
+        policies,
+        begin_by: begin_by.clone(),
+    })
 }
--- a/src/proxy/control/rollout_client.rs
+++ b/src/proxy/control/rollout_client.rs
@@ -17,24 +17,24 @@
 use tokio::time::{sleep_until, Instant};
 
 /// It looks at its own clock so often, and a look is late that comes so much after its time.
-const BEAT: Duration = Duration::from_millis(50);
-const LATE: Duration = Duration::from_millis(10);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+const LATE_PROBE_AFTER: Duration = Duration::from_millis(10);
 
 /// Looks at its own clock: all, and those that came late.
 #[derive(Default)]
-struct Beats {
+struct ClockProbe {
     all: Cell<u64>,
     late: Cell<u64>,
 }
 
-impl Beats {
+impl ClockProbe {
     /// Looks for as long as the process runs.
     async fn count(self: Rc<Self>) {
         loop {
-            let due = Instant::now() + BEAT;
+            let due = Instant::now() + PROBE_INTERVAL;
             sleep_until(due).await;
             self.all.set(self.all.get() + 1);
-            self.late.set(self.late.get() + u64::from(due.elapsed() > LATE));
+            self.late.set(self.late.get() + u64::from(due.elapsed() > LATE_PROBE_AFTER));
         }
     }
 }
@@ -59,9 +59,9 @@
     layers: Rc<ConfigLayers>,
     ledger: Arc<RequestMetrics>,
     /// How its requests end.
-    pub tally: RolloutMetrics,
+    pub request_metrics: RolloutMetrics,
     state: RefCell<State>,
-    beats: Rc<Beats>,
+    beats: Rc<ClockProbe>,
     leaving: Cell<bool>,
     /// There is something to tell at once.
     pub news: Arc<Notify>,
@@ -88,7 +88,7 @@
         let (boot, state) = (engine.now(), RefCell::new(state));
         let leaving = Cell::new(false);
         let given = hosted.as_ref().and_then(|h| h.given.clone());
-        let beats = Rc::new(Beats::default());
+        let beats = Rc::new(ClockProbe::default());
         tokio::task::spawn_local(beats.clone().count());
         let rollout = Rc::new(RolloutClient {
             source,
@@ -97,13 +97,13 @@
             engine,
             layers,
             ledger,
-            tally,
+            request_metrics: tally,
             state,
             beats,
             leaving,
             news,
         });
-        given.iter().for_each(|given| rollout.handed(given));
+        given.iter().for_each(|given| rollout.inherit(given));
         rollout
     }
 
@@ -116,24 +116,24 @@
     }
 
     /// It tells of itself so often.
-    pub fn every(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         self.source.every
     }
 
     /// The process was told to end.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.leaving.set(true);
         self.news.notify_one();
     }
 
     /// Whether this proxy can obey what it is given. What it can't is told with the next report.
-    pub fn obeys(&self, given: &ConfigAssignment) -> Result<(), String> {
+    pub fn can_apply(&self, given: &ConfigAssignment) -> Result<(), String> {
         let alone = self.hosted.is_none() && given.generation.program().is_some();
         let checked = match alone {
             true => Err("settings.program: no host runs this proxy, and none can replace it".into()),
             // What another program can obey it says itself, once it runs.
             false if !self.is(&given.generation) => Ok(()),
-            false => self.layers.could(&given.generation),
+            false => self.layers.check_version(&given.generation),
         };
         if let Err(why) = &checked {
             let generation = given.generation.digest();
@@ -150,23 +150,23 @@
     }
 
     /// What it was given last and obeys, or waits for its host to obey: for a process that takes over.
-    pub fn given(&self) -> Option<String> {
+    pub fn assignment_text(&self) -> Option<String> {
         let state = self.state.borrow();
         state.next.clone().or_else(|| state.given.clone())
     }
 
     /// The process before this one was given this. What can't be read or obeyed is left: the control service is asked anyway.
-    pub fn handed(&self, given: &str) {
+    pub fn inherit(&self, given: &str) {
         match ConfigAssignment::read(given) {
             // What is for another program is left to that.
-            Ok(given) if self.is(&given.generation) && self.obeys(&given).is_ok() => self.take(&given),
+            Ok(given) if self.is(&given.generation) && self.can_apply(&given).is_ok() => self.apply(&given),
             Ok(_) => {}
             Err(e) => crate::proxy::log(format_args!("the old process's settings are not taken: {e}")),
         }
     }
 
     /// Acts by what it is given from the next request on.
-    pub fn take(&self, given: &ConfigAssignment) {
+    pub fn apply(&self, given: &ConfigAssignment) {
         let digest = given.generation.digest();
         let mut state = self.state.borrow_mut();
         (state.change, state.refused) = (given.change, None);
@@ -179,7 +179,7 @@
         (state.given, state.next) = (Some(given.text()), None);
         if digest != state.acting {
             // It was checked before it was acknowledged.
-            if self.layers.take(&given.generation).is_err() {
+            if self.layers.apply_version(&given.generation).is_err() {
                 return;
             }
             state.acting = digest;
@@ -193,7 +193,7 @@
         let mut state = self.state.borrow_mut();
         state.seq += 1;
         let (memory, descriptors) = held();
-        let classes = self.tally.figures(&self.engine.acting().names.classes);
+        let classes = self.request_metrics.figures(&self.engine.acting().names.classes);
         let report = Report {
             form: FORM,
             boot: self.boot,
--- a/src/proxy/control/subscription.rs
+++ b/src/proxy/control/subscription.rs
@@ -5,7 +5,7 @@
 use crate::proxy::control::policy_client::PolicyClient;
 use crate::proxy::control::rollout_client::RolloutClient;
 use crate::proxy::control::settings::ControlSource;
-use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::discovery::endpoint_list::EndpointFeed;
 use rushquay_endpoints::MergeLimits;
 use rushquay_xds::client::Outage;
 use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Tls, TlsFiles};
@@ -56,7 +56,7 @@
     }
 
     /// Follows the control service for good.
-    pub async fn follow(self, nodes: Rc<NodeList>, parts: Parts) {
+    pub async fn follow(self, nodes: Rc<EndpointFeed>, parts: Parts) {
         let Parts { rollout, policy, news } = parts;
         let source = self.source;
         let tls = match &source.tls {
@@ -90,11 +90,11 @@
         });
         if let Some(rollout) = &rollout {
             let (checks, tells) = (rollout.clone(), rollout.clone());
-            follow.settings(&name, move |given| checks.obeys(given), move || Some(tells.report()));
+            follow.settings(&name, move |given| checks.can_apply(given), move || Some(tells.report()));
         }
         if let Some(policy) = &policy {
             let tells = policy.clone();
-            follow.policy(&name, policy.boot(), move || tells.asks());
+            follow.policy(&name, policy.boot(), move || tells.due_lease_request());
         }
         let mut random = self.seed ^ 0x5851_f42d_4c95_7f2d;
         let chance = move || {
@@ -112,7 +112,7 @@
             |_: &ControlFollower, notice| match notice {
                 ClientEvent::Connected(addr) => {
                     // Danger: what was asked on the stream before may never be answered.
-                    policy.iter().for_each(|p| p.ask_now());
+                    policy.iter().for_each(|p| p.request_lease_now());
                     match outage.over() {
                         None => crate::proxy::log(format_args!("control service at {addr}: connected")),
                         Some(n) => crate::proxy::log(format_args!(
@@ -126,9 +126,9 @@
                         nodes.controlled(&said.process, news);
                     }
                     if let (Some(given), Some(rollout)) = (said.settings, &rollout) {
-                        rollout.take(&given);
+                        rollout.apply(&given);
                     }
-                    policy.iter().for_each(|p| p.heard(&said.policy));
+                    policy.iter().for_each(|p| p.on_messages(&said.policy));
                     quiet.set(quiet.get().map(|_| Instant::now()));
                 }
                 ClientEvent::Ahead(ahead, error) => nodes.measured(ahead, error),
@@ -159,7 +159,7 @@
         };
         let telling = async {
             let Some(rollout) = &rollout else { return std::future::pending().await };
-            let mut tick = interval(rollout.every());
+            let mut tick = interval(rollout.report_interval());
             tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 tick.tick().await;
@@ -168,11 +168,11 @@
         };
         let asking = async {
             let Some(policy) = &policy else { return std::future::pending().await };
-            let mut tick = interval(policy.every());
+            let mut tick = interval(policy.request_interval());
             tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 tick.tick().await;
-                policy.ask_now();
+                policy.request_lease_now();
             }
         };
         tokio::select! {
--- a/src/proxy/discovery/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Takes news from the sources and hands the module one list.
-pub struct NodeList {
+pub struct EndpointFeed {
     engine: Rc<Engine>,
     /// Where a control service is subscribed to.
     merge: Option<RefCell<EndpointMerger>>,
@@ -27,7 +27,7 @@
     start: (Nanos, Nanos),
 }
 
-impl NodeList {
+impl EndpointFeed {
     /// With `limits` discovery's list is merged with a control service's; without, it goes on as it comes.
     pub fn new(engine: Rc<Engine>, limits: Option<MergeLimits>, known: Option<&EndpointList>) -> Rc<Self> {
         let merge = limits.map(|limits| {
@@ -43,7 +43,7 @@
         known.iter().for_each(|known| roll.take(known));
         let (skew, pins, roll) = (Cell::default(), RefCell::default(), RefCell::new(roll));
         let starts = RefCell::default();
-        Rc::new(NodeList { engine, merge, skew, pins, roll, starts, start })
+        Rc::new(EndpointFeed { engine, merge, skew, pins, roll, starts, start })
     }
 
     /// Unix time by this machine, which never jumps.
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod endpoint_list;
 
-use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::discovery::endpoint_list::EndpointFeed;
 use crate::proxy::listener::descriptors::Descriptors;
 use crate::proxy::observability::fleet_stats::{self, Kind};
 use crate::proxy::upstream::socket::{Io, Socket};
@@ -98,7 +98,7 @@
 
     /// Follows the list for as long as the process lives. An address that comes from `moved` takes the place of the present
     /// one.
-    pub async fn follow(mut self, nodes: Rc<NodeList>, mut moved: mpsc::UnboundedReceiver<SocketAddr>) {
+    pub async fn follow(mut self, nodes: Rc<EndpointFeed>, mut moved: mpsc::UnboundedReceiver<SocketAddr>) {
         loop {
             let step = self.follow.next(fastrand::f64);
             // Danger: a standing watch at the old address says nothing for many seconds, and then that it is gone.
@@ -117,7 +117,7 @@
         }
     }
 
-    fn took(&mut self, answer: ListAnswer, nodes: &NodeList) {
+    fn took(&mut self, answer: ListAnswer, nodes: &EndpointFeed) {
         let ListAnswer { members, date } = answer;
         date.into_iter().for_each(|date| nodes.dated(date));
         if self.cursor.saw(&members) == CursorUpdate::Doubted {
@@ -139,7 +139,7 @@
         nodes.discovered(members);
     }
 
-    fn failed(&mut self, failed: &Failed, nodes: &NodeList) {
+    fn failed(&mut self, failed: &Failed, nodes: &EndpointFeed) {
         fleet_stats::count(failed.kind(), 1);
         if let Some(n) = self.outage.failed(&failed.why) {
             crate::proxy::log(format_args!("discovery at {}: {} (failure {n})", self.addr, failed.why));
--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -181,17 +181,17 @@
     }
 
     /// How many cache nodes are listed, and how many of them the module avoids now.
-    pub fn members(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> (usize, usize) {
         self.core.borrow().balancer.avoided(self.clock.now())
     }
 
     /// Gives away what may still be sent to cold nodes.
-    pub fn give_cold(&self) -> Vec<ColdLeft> {
+    pub fn release_slow_start_allowance(&self) -> Vec<ColdLeft> {
         self.core.borrow_mut().balancer.give_cold(self.clock.now())
     }
 
     /// Takes what the process before this one gave.
-    pub fn take_cold(&self, given: &[ColdLeft]) {
+    pub fn inherit_slow_start_allowance(&self, given: &[ColdLeft]) {
         self.core.borrow_mut().balancer.take_cold(self.clock.now(), given);
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// A request has come; its answer comes from the ticket.
-    pub fn arrive(&self, asked: PendingRequest) -> Ticket {
+    pub fn submit(&self, asked: PendingRequest) -> Ticket {
         let PendingRequest { mut request, job, upload, terms } = asked;
         let core = &mut *self.core.borrow_mut();
         let now = self.clock.now();
--- a/src/proxy/http/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -7,11 +7,11 @@
 use crate::proxy::http::answer::Answer;
 use crate::proxy::http::headers::CORRELATION_ID;
 use crate::proxy::http::request_body::Upload;
-use crate::proxy::http::request_parsing::{asked, class_of};
+use crate::proxy::http::request_parsing::{class_of, parse_request};
 use crate::proxy::http::responses::{bad, plain, respond_with};
 use crate::proxy::http::routing::{Forward, Routed};
 use crate::proxy::listener::client_connection::Client;
-use crate::proxy::listener::graceful_shutdown::LAST_WORD;
+use crate::proxy::listener::graceful_shutdown::FINAL_WRITE_WINDOW;
 use crate::proxy::observability::request_trace::{self, Event};
 use crate::proxy::server::Server;
 use crate::proxy::upstream::backend::Backend;
@@ -36,19 +36,19 @@
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
 /// A request's id, taken while its answer is due.
-struct OpenId<'a> {
+struct OpenRequestId<'a> {
     server: &'a Server,
     id: HeaderValue,
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.server.ids.borrow_mut().remove(&self.id);
+        self.server.open_request_ids.borrow_mut().remove(&self.id);
     }
 }
 
 /// What is counted of a request that was taken.
-struct Account<'a> {
+struct RequestAccounting<'a> {
     server: &'a Server,
     entry: Entry,
     acting: Rc<ActiveConfig>,
@@ -56,25 +56,25 @@
     since: Instant,
 }
 
-impl Account<'_> {
+impl RequestAccounting<'_> {
     /// It ends so.
     fn ended(&mut self, end: RequestOutcome) {
         self.entry.answered(end);
         if let Some(rollout) = &self.server.rollout {
-            rollout.tally.count(&self.acting, self.class, end, self.since.elapsed());
+            rollout.request_metrics.count(&self.acting, self.class, end, self.since.elapsed());
         }
     }
 
     /// It is failed before it was judged, which says nothing of old and new versions.
     fn failed(&mut self, cause: Cause) {
         self.entry.answered(RequestOutcome::Failed);
-        self.server.ledger.failures.one_more(cause);
+        self.server.metrics.failures.one_more(cause);
     }
 }
 
 impl Server {
     /// Answers a request.
-    pub async fn respond(&self, request: Request<Incoming>, client: &Client) -> Response<Body> {
+    pub async fn handle_request(&self, request: Request<Incoming>, client: &Client) -> Response<Body> {
         if request.uri().path() == "/_health" {
             let ready = self.readiness().is_ok();
             return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
@@ -86,15 +86,15 @@
         let forward = match self.route(&mut head) {
             Ok(forward) => forward,
             Err(response) => {
-                self.turned_away(client.number, TurnedAway::ByRoute);
+                self.count_turned_away(client.number, TurnedAway::ByRoute);
                 return *response;
             }
         };
-        let engine = match (&self.front, &forward) {
+        let engine = match (&self.backend, &forward) {
             (_, Some(forward)) => &forward.cluster.engine,
             (Backend::One { engine, .. }, None) => engine,
             (Backend::Pools(_), None) => {
-                self.turned_away(client.number, TurnedAway::NoRoute);
+                self.count_turned_away(client.number, TurnedAway::NoRoute);
                 return plain(StatusCode::NOT_FOUND, "no such route");
             }
         };
@@ -106,14 +106,14 @@
     }
 
     /// Counts what is turned away before the class of a request is known.
-    pub fn turned_away(&self, connection: u64, reason: TurnedAway) {
-        self.ledger.turned_away.one_more(reason);
+    pub fn count_turned_away(&self, connection: u64, reason: TurnedAway) {
+        self.metrics.turned_away.one_more(reason);
         request_trace::event(|| Event::TurnedAway { connection, reason });
     }
 
     /// Where a request goes, where routes say so.
     fn route(&self, head: &mut Parts) -> Result<Option<Box<Forward>>, Box<Response<Body>>> {
-        match &self.front {
+        match &self.backend {
             Backend::One { .. } => Ok(None),
             Backend::Pools(pools) => match pools.route(head, fastrand::f64) {
                 Routed::Answered(answer) => Err(Box::new(answer)),
@@ -135,13 +135,13 @@
         let name = class_of(&head, forward);
         let acting = engine.acting();
         let Some(class) = acting.names.classes.iter().position(|c| c == name) else {
-            self.turned_away(client.number, TurnedAway::UnknownClass);
+            self.count_turned_away(client.number, TurnedAway::UnknownClass);
             return bad(StatusCode::NOT_FOUND, "no such class");
         };
         let policy = self.policy.as_deref();
-        let read = asked(&acting, class, engine, head, body, forward, policy).await;
-        let entry = self.ledger.take(class);
-        let mut account = Account { server: self, entry, acting, class, since: Instant::now() };
+        let read = parse_request(&acting, class, engine, head, body, forward, policy).await;
+        let entry = self.metrics.take(class);
+        let mut account = RequestAccounting { server: self, entry, acting, class, since: Instant::now() };
         let asked = match read {
             Ok(asked) => asked,
             Err((status, why)) => {
@@ -149,21 +149,21 @@
                 return unusable(status, why);
             }
         };
-        if let Some(wait) = policy.and_then(|p| p.refuses(class)) {
-            self.ledger.refusals.one_more(Cause::Policy);
+        if let Some(wait) = policy.and_then(|p| p.rejects(class)) {
+            self.metrics.refusals.one_more(Cause::Policy);
             account.ended(RequestOutcome::Rejected);
-            return carrying(respond_with(Answer::Refused(wait)), account);
+            return with_accounting(respond_with(Answer::Refused(wait)), account);
         }
         // Danger: nodes and the bookkeeping of repeats know a request by its id; a second one that bears it is
         // somebody else's, and must not disturb the first.
         let id = asked.job.headers[CORRELATION_ID].clone();
-        if !self.ids.borrow_mut().insert(id.clone()) {
+        if !self.open_request_ids.borrow_mut().insert(id.clone()) {
             account.failed(Cause::DuplicateId);
             return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
         }
-        let _open = OpenId { server: self, id };
+        let _open = OpenRequestId { server: self, id };
         let response = self.answer(asked, engine, client, may_ask, &mut account).await;
-        carrying(response, account)
+        with_accounting(response, account)
     }
 
     /// Hands a request to its engine, and gives what comes of it, unless the client goes before.
@@ -173,36 +173,36 @@
         engine: &Rc<Engine>,
         client: &Client,
         may_ask: bool,
-        account: &mut Account<'_>,
+        account: &mut RequestAccounting<'_>,
     ) -> Response<Body> {
-        let waited = client.intake.waited(Instant::now());
+        let waited = client.read_buffer.waited(Instant::now());
         let late = Instant::now() + Duration::from_nanos(asked.request.remaining) + LATE_AFTER;
         let late = late.checked_sub(waited).unwrap_or(late);
         trace_read(&asked, client.number, account, waited);
-        shorten(&mut asked.request.remaining, waited);
-        self.end_in_time(&mut asked);
-        if self.has_gone(&mut asked, client, may_ask).await {
+        reduce_remaining(&mut asked.request.remaining, waited);
+        self.cap_to_shutdown(&mut asked);
+        if self.client_has_gone(&mut asked, client, may_ask).await {
             account.entry.answered(RequestOutcome::Failed);
             return plain(StatusCode::BAD_GATEWAY, GONE);
         }
         let upload = asked.job.upload().cloned();
         let (patience, long) = (asked.request.remaining, upload.is_some());
-        let mut ticket: Ticket = engine.arrive(asked);
+        let mut ticket: Ticket = engine.submit(asked);
         let answer = tokio::select! {
             biased;
             answer = ticket.answer() => answer,
             // The engine's guard is made for the slowest upload.
             () = overdue(upload, patience) => Answer::Overdue,
-            () = client.intake.until_gone(&client.socket, may_ask) => {
+            () = client.read_buffer.until_gone(&client.socket, may_ask) => {
                 return plain(StatusCode::BAD_GATEWAY, GONE);
             }
         };
         if matches!(answer, Answer::Overdue) {
-            self.ledger.failures.one_more(Cause::Overdue);
+            self.metrics.failures.one_more(Cause::Overdue);
         }
         if !long && Instant::now() > late {
             crate::proxy::violation(
-                &self.ledger,
+                &self.metrics,
                 Violation::AnsweredLate,
                 &format!("connection {}", client.number),
             );
@@ -212,9 +212,9 @@
     }
 
     /// Danger: what this process has not answered when it ends is lost.
-    fn end_in_time(&self, asked: &mut PendingRequest) {
-        let Some(end) = self.end.get() else { return };
-        let left = end.saturating_duration_since(Instant::now()).saturating_sub(LAST_WORD);
+    fn cap_to_shutdown(&self, asked: &mut PendingRequest) {
+        let Some(end) = self.ends_at.get() else { return };
+        let left = end.saturating_duration_since(Instant::now()).saturating_sub(FINAL_WRITE_WINDOW);
         let left = left.as_nanos() as Nanos;
         asked.request.remaining = asked.request.remaining.min(left);
         asked.upload = asked.upload.min(left);
@@ -222,7 +222,7 @@
 
     /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the one before it on its
     /// connection was answered. An attempt for it would be for nobody.
-    async fn has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
+    async fn client_has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
         if !client.socket.ended() {
             return false;
         }
@@ -231,18 +231,18 @@
         if timeout(within, client.socket.hung_up(may_ask)).await.is_ok() {
             return true;
         }
-        shorten(&mut asked.request.remaining, asks.elapsed());
+        reduce_remaining(&mut asked.request.remaining, asks.elapsed());
         false
     }
 }
 
 /// Takes what has passed off the time that is left.
-fn shorten(remaining: &mut Nanos, passed: Duration) {
+fn reduce_remaining(remaining: &mut Nanos, passed: Duration) {
     *remaining = remaining.saturating_sub(passed.as_nanos() as Nanos);
 }
 
 /// Keeps the account until the answer has been passed on.
-fn carrying(mut response: Response<Body>, account: Account<'_>) -> Response<Body> {
+fn with_accounting(mut response: Response<Body>, account: RequestAccounting<'_>) -> Response<Body> {
     response.body_mut().carry(account.entry);
     response
 }
@@ -256,7 +256,7 @@
     response
 }
 
-fn trace_read(asked: &PendingRequest, connection: u64, account: &Account<'_>, waited: Duration) {
+fn trace_read(asked: &PendingRequest, connection: u64, account: &RequestAccounting<'_>, waited: Duration) {
     request_trace::event(|| Event::Read {
         request: asked.job.id(),
         connection,
--- a/src/proxy/http/request_parsing.rs
+++ b/src/proxy/http/request_parsing.rs
@@ -39,7 +39,7 @@
 }
 
 /// Reads a request into the module's terms, or says what is wrong with it.
-pub async fn asked(
+pub async fn parse_request(
     under: &Rc<ActiveConfig>,
     class: usize,
     engine: &Engine,
@@ -83,7 +83,7 @@
         Unread::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
     })?;
     // The request begins here: by the leave that there is now it goes to its end.
-    policy.iter().for_each(|p| p.look());
+    policy.iter().for_each(|p| p.refresh());
     // Danger: while the body came other settings may have been taken, by which its repeats would be told by a key.
     let under = engine.acting();
     if unkeyed && under.keyed(class as u32) {
--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -34,7 +34,7 @@
         loop {
             self.admit_waiting().await;
             let accepted = accept(&listener).await;
-            self.came.set(Instant::now());
+            self.last_connection_at.set(Instant::now());
             match accepted {
                 Ok((stream, _)) => {
                     if let Some(n) = self.shortage.borrow_mut().over() {
@@ -53,7 +53,7 @@
         if let Some(n) = self.shortage.borrow_mut().failed(&why.to_string()) {
             crate::proxy::log(format_args!("accept: {why} (failure {n})"));
         }
-        if !self.front.yield_idle() {
+        if !self.backend.yield_idle() {
             self.yield_client(SlotRequest::Slack);
         }
         sleep(SHORTAGE_WAIT).await;
@@ -93,7 +93,7 @@
             return None;
         }
         let permit = self.descriptors.take();
-        if permit.is_none() && !self.front.yield_idle() {
+        if permit.is_none() && !self.backend.yield_idle() {
             self.make_place();
         }
         permit
--- a/src/proxy/listener/client_connection.rs
+++ b/src/proxy/listener/client_connection.rs
@@ -35,7 +35,7 @@
     /// Its number in this process, for the trace.
     pub number: u64,
     pub socket: Rc<Socket>,
-    pub intake: Rc<ReadBuffer>,
+    pub read_buffer: Rc<ReadBuffer>,
     pub busy: Cell<bool>,
     /// It speaks HTTP/1.0, where the end of the connection may be the end of an answer.
     pub ends_by_close: Cell<bool>,
@@ -58,7 +58,7 @@
         Rc::new(Client {
             number,
             socket: Socket::new(stream, permit),
-            intake: Rc::default(),
+            read_buffer: Rc::default(),
             busy: Cell::new(false),
             ends_by_close: Cell::new(false),
             came,
@@ -91,12 +91,12 @@
 
     /// What is known of it, for the guard of closes.
     pub fn facts(&self) -> ConnectionFacts {
-        let behind = self.intake.behind();
+        let behind = self.read_buffer.behind();
         ConnectionFacts {
             answering: self.busy.get(),
             read_behind: behind == BufferedInput::Request,
             head_begun: behind == BufferedInput::Part
-                || !self.busy.get() && self.intake.head_since.get().is_some(),
+                || !self.busy.get() && self.read_buffer.head_since.get().is_some(),
             unwritten: self.socket.stalled(),
             peer_gone: false,
         }
@@ -130,7 +130,7 @@
         let at = |then: Instant| {
             steady().saturating_sub(now.saturating_duration_since(then).as_nanos() as api::Nanos)
         };
-        let (asked, begun) = (self.intake.heads.get(), self.intake.head_since.get().is_some());
+        let (asked, begun) = (self.read_buffer.heads.get(), self.read_buffer.head_since.get().is_some());
         Evidence { asked, begun, since: at(self.since.get()), moved: at(self.socket.moved()) }
     }
 
@@ -147,10 +147,10 @@
         }
         let draining = self.cause.get() == Some(CloseCause::Drain);
         let silent = if draining { HEAD_SILENT_DRAINING } else { HEAD_SILENT };
-        let stopped = match self.intake.head_since.get() {
+        let stopped = match self.read_buffer.head_since.get() {
             // Who writes slowly is told from who has stopped by what has come lately.
             Some(since) => over(since, HEAD_WITHIN) || over(since.max(moved), silent),
-            None => self.intake.heads.get() == 0 && over(self.came, ASK_WITHIN),
+            None => self.read_buffer.heads.get() == 0 && over(self.came, ASK_WITHIN),
         };
         if stopped {
             self.end(CloseCause::NoRequest);
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::listener::acceptor::YIELD_WITHIN;
 use crate::proxy::observability::request_trace::{self, Event};
-use crate::proxy::process::handover::Keeper;
+use crate::proxy::process::handover::HandoverServer;
 use crate::proxy::server::Server;
 use rushquay_admin::TurnedAway;
 use rushquay_invariants::CloseCause;
@@ -23,7 +23,7 @@
 /// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
 const END_BEFORE: Duration = Duration::from_millis(600);
 /// So long before the end of the process nothing more is read, and the last answers are written.
-pub const LAST_WORD: Duration = Duration::from_millis(50);
+pub const FINAL_WRITE_WINDOW: Duration = Duration::from_millis(50);
 /// Connections taken from the queue of the door at its closing; no queue is longer.
 const QUEUED_MOST: usize = 4096;
 
@@ -34,22 +34,22 @@
         self: &Rc<Self>,
         accepting: Pin<Box<impl Future<Output = Infallible>>>,
         listener: Rc<TcpListener>,
-        keeper: &Keeper,
+        keeper: &HandoverServer,
     ) {
         crate::proxy::log("draining");
         request_trace::event(|| Event::State { state: "draining" });
-        let longest = self.front.longest();
+        let longest = self.backend.longest();
         let start = Instant::now();
         let end = start + longest + END_BEFORE;
-        self.end.set(Some(end));
+        self.ends_at.set(Some(end));
         self.draining.set(true);
-        self.rollout.iter().for_each(|r| r.leave());
-        self.tell_operators();
-        self.leave_to_successor(keeper, start + longest).await;
+        self.rollout.iter().for_each(|r| r.begin_shutdown());
+        self.publish_status();
+        self.wait_for_successor(keeper, start + longest).await;
         // Danger: where the successor has died nobody else takes what waits at the door.
         let alone = !keeper.succeeded();
         if alone {
-            self.close_door(accepting, &listener, keeper, start, end).await;
+            self.close_listener(accepting, &listener, keeper, start, end).await;
         }
         keeper.close();
         drop(listener);
@@ -58,16 +58,16 @@
             sleep(QUIET_FOR).await;
         }
         self.clients.borrow().iter().for_each(|c| c.end(CloseCause::Drain));
-        self.last_answers(end).await;
+        self.await_last_responses(end).await;
         // No number was given to a connection that never had a place.
-        self.waiting.borrow_mut().drain(..).for_each(|_| self.turned_away(0, TurnedAway::NeverLetIn));
+        self.waiting.borrow_mut().drain(..).for_each(|_| self.count_turned_away(0, TurnedAway::NeverLetIn));
         request_trace::event(|| Event::State { state: "ended" });
     }
 
     /// Waits, while a new process has the door, until all clients have left, and `last` at the latest. Danger: an idle connection that
     /// is closed just as its client asks on it costs that request a turn at the door. Who asks is sent over by the answer; what never
     /// asks goes last.
-    async fn leave_to_successor(self: &Rc<Self>, keeper: &Keeper, last: Instant) {
+    async fn wait_for_successor(self: &Rc<Self>, keeper: &HandoverServer, last: Instant) {
         if !keeper.succeeded() {
             return;
         }
@@ -75,7 +75,7 @@
         let _ = timeout_at(last, self.admit_waiting()).await;
         while keeper.succeeded() && !self.clients.borrow().is_empty() {
             tokio::select! {
-                () = self.left.notified() => {}
+                () = self.client_left.notified() => {}
                 () = keeper.successor_lost() => {}
                 () = sleep_until(last) => return,
             }
@@ -84,16 +84,17 @@
 
     /// Accepts for as long as clients may still come, then takes all that waits at the door. Danger: what waits there is reset with
     /// it, and the runtime may not have heard of it yet.
-    async fn close_door(
+    async fn close_listener(
         self: &Rc<Self>,
         mut accepting: Pin<Box<impl Future<Output = Infallible>>>,
         listener: &TcpListener,
-        keeper: &Keeper,
+        keeper: &HandoverServer,
         start: Instant,
         end: Instant,
     ) {
         loop {
-            let quiet = (start + ACCEPT_FOR).max(self.came.get() + QUIET_FOR).min(start + ACCEPT_MOST);
+            let quiet =
+                (start + ACCEPT_FOR).max(self.last_connection_at.get() + QUIET_FOR).min(start + ACCEPT_MOST);
             if quiet <= Instant::now() {
                 break;
             }
@@ -103,7 +104,7 @@
         }
         drop(accepting);
         // Whoever has no place yet waits until a request is answered, or the process ends.
-        let last = end - 2 * LAST_WORD;
+        let last = end - 2 * FINAL_WRITE_WINDOW;
         let _ = timeout_at(last, self.admit_waiting()).await;
         let mut taken = 0;
         // A new process that said only now that it serves has the door.
@@ -118,7 +119,7 @@
                 (None, None) => return,
                 // It lacks descriptors, which those who leave give back.
                 (None, Some(_)) => {
-                    self.front.yield_idle();
+                    self.backend.yield_idle();
                     sleep(YIELD_WITHIN).await;
                 }
             }
@@ -127,14 +128,14 @@
     }
 
     /// Waits until all clients have left. What has been read of those that have not is answered just before the end.
-    async fn last_answers(&self, end: Instant) {
-        let last_word = end - LAST_WORD;
+    async fn await_last_responses(&self, end: Instant) {
+        let last_word = end - FINAL_WRITE_WINDOW;
         while !self.clients.borrow().is_empty() {
             let reads = Instant::now() < last_word;
             tokio::select! {
-                () = self.left.notified() => {}
+                () = self.client_left.notified() => {}
                 () = sleep_until(last_word), if reads => {
-                    self.clients.borrow().iter().for_each(|c| c.intake.close());
+                    self.clients.borrow().iter().for_each(|c| c.read_buffer.close());
                 }
                 () = sleep_until(end) => {
                     crate::proxy::log("ended with clients still connected");
--- a/src/proxy/listener/listener_socket.rs
+++ b/src/proxy/listener/listener_socket.rs
@@ -10,7 +10,7 @@
 const BACKLOG: i32 = 1024;
 
 /// A place at an address.
-pub enum Place {
+pub enum ListenSocket {
     /// Nobody else listens there.
     Alone(TcpListener),
     /// Another process does; clients come here as well once this listens.
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// An address that can't be listened on.
-pub fn bind(addr: SocketAddr) -> Result<Place, String> {
+pub fn bind(addr: SocketAddr) -> Result<ListenSocket, String> {
     let failed = |e: io::Error| format!("PROXY_LISTEN: {addr}: {e}");
     let socket = patiently(|| socket(addr)).map_err(failed)?;
     // Shared from the start it could not tell whether anybody else is there.
@@ -31,7 +31,7 @@
             if let Err(e) = socket.set_reuse_port(true) {
                 crate::proxy::log(format_args!("the address can't be shared with a later version: {e}"));
             }
-            listen(socket).map(Place::Alone).map_err(failed)
+            listen(socket).map(ListenSocket::Alone).map_err(failed)
         }
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
             let shared = patiently(|| self::socket(addr)).map_err(failed)?;
@@ -39,7 +39,7 @@
             bound.map_err(|e| {
                 format!("PROXY_LISTEN: {addr}: {e}; what listens there shares it with nobody: end it first")
             })?;
-            Ok(Place::Beside(shared))
+            Ok(ListenSocket::Beside(shared))
         }
         Err(e) => Err(failed(e)),
     }
--- a/src/proxy/process/handover.rs
+++ b/src/proxy/process/handover.rs
@@ -211,7 +211,7 @@
 }
 
 /// The readiness to hand over.
-pub struct Keeper {
+pub struct HandoverServer {
     machine: RefCell<Incumbent>,
     listener: RefCell<Option<Rc<TcpListener>>>,
     me: Rc<dyn Listening>,
@@ -224,7 +224,7 @@
     waiting: RefCell<Option<JoinHandle<()>>>,
 }
 
-impl Keeper {
+impl HandoverServer {
     /// Waits at the meeting place, if there is one, for a process to hand over to. Where that can't be done, it says so and
     /// goes on without.
     pub fn start(
@@ -233,7 +233,7 @@
         machine: Incumbent,
         me: Rc<dyn Listening>,
     ) -> Rc<Self> {
-        let keeper = Rc::new(Keeper {
+        let keeper = Rc::new(HandoverServer {
             machine: RefCell::new(machine),
             listener: RefCell::new(Some(listener)),
             me,
--- a/src/proxy/process/startup.rs
+++ b/src/proxy/process/startup.rs
@@ -2,8 +2,8 @@
 
 use crate::proxy::config::Config;
 use crate::proxy::control::policy_client::PolicyHandover;
-use crate::proxy::listener::listener_socket::{self, Place};
-use crate::proxy::process::handover::{self, Found, Keeper, Link};
+use crate::proxy::listener::listener_socket::{self, ListenSocket};
+use crate::proxy::process::handover::{self, Found, HandoverServer, Link};
 use crate::proxy::server::Server;
 use rushquay_endpoints::EndpointList;
 use rushquay_handover::{ResourceShare, SlowStartAllowance};
@@ -35,9 +35,9 @@
 }
 
 /// What a process begins with.
-pub(crate) struct Beginning {
+pub(crate) struct StartupPlan {
     /// Its place at the clients' address.
-    pub listening: Place,
+    pub listening: ListenSocket,
     /// That address.
     pub bound: SocketAddr,
     /// What it may hold at first.
@@ -47,7 +47,7 @@
     pub inherited: Inherited,
 }
 
-impl Beginning {
+impl StartupPlan {
     /// Finds the process to take over from, or takes the address.
     ///
     /// # Errors
@@ -67,24 +67,24 @@
                 config.known = newer(config.known.take(), offer.list);
                 let policy = offer.policy.and_then(|text| PolicyHandover::read(&text));
                 let inherited = Inherited { settings: offer.settings, cold: offer.cold, policy };
-                (Place::Alone(listener), offer.share, Some(link), inherited)
+                (ListenSocket::Alone(listener), offer.share, Some(link), inherited)
             }
             Found::None => (listener_socket::bind(config.listen)?, whole, None, Inherited::default()),
         };
         let bound = match &listening {
-            Place::Alone(listener) => listener.local_addr(),
-            Place::Beside(_) => {
+            ListenSocket::Alone(listener) => listener.local_addr(),
+            ListenSocket::Beside(_) => {
                 share = whole.kept();
                 Ok(config.listen)
             }
         };
         let bound = bound.map_err(|e| format!("PROXY_LISTEN: {}: {e}", config.listen))?;
-        Ok(Beginning { listening, bound, share, predecessor, inherited })
+        Ok(StartupPlan { listening, bound, share, predecessor, inherited })
     }
 
     /// Whether another process serves at the address.
     pub fn is_beside(&self) -> bool {
-        matches!(self.listening, Place::Beside(_)) || self.predecessor.is_some()
+        matches!(self.listening, ListenSocket::Beside(_)) || self.predecessor.is_some()
     }
 }
 
@@ -128,7 +128,7 @@
 
     /// Returns once the guard of serving lets this process say that it serves.
     async fn until_ready(&self) {
-        while !self.front.can_serve() {
+        while !self.backend.can_serve() {
             sleep(SERVE_LOOK).await;
         }
         // Danger: without leave it goes by the floor, and refuses what the old one would serve.
@@ -143,7 +143,7 @@
     }
 
     /// Tells the old process that this one serves in its place, and has this one hold all that it may once that one has ended.
-    pub(crate) async fn succeed(&self, predecessor: Option<Link>, beside: bool, keeper: Rc<Keeper>) {
+    pub(crate) async fn succeed(&self, predecessor: Option<Link>, beside: bool, keeper: Rc<HandoverServer>) {
         if let Some(mut link) = predecessor {
             self.check_said_serving();
             link.ready().await;
@@ -163,7 +163,7 @@
     /// Counts a word that this process serves, given where the guard forbids it.
     pub(crate) fn check_said_serving(&self) {
         if let Some(violation) = check_said_serving(&self.serve_facts()) {
-            crate::proxy::violation(&self.ledger, violation, &format!("{:?}", self.serve_facts()));
+            crate::proxy::violation(&self.metrics, violation, &format!("{:?}", self.serve_facts()));
         }
     }
 }
--- a/src/proxy/process/supervised.rs
+++ b/src/proxy/process/supervised.rs
@@ -57,7 +57,7 @@
     }
 
     /// Gives signs of life for good. Danger: the host may be away, or its socket full; nothing here waits for it.
-    pub async fn live(socket: PathBuf, serves: impl Fn() -> bool) {
+    pub async fn send_heartbeats(socket: PathBuf, serves: impl Fn() -> bool) {
         let from = UnixDatagram::unbound().and_then(|s| s.set_nonblocking(true).map(|()| s));
         let from = match from {
             Ok(from) => from,
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -9,19 +9,19 @@
 use crate::proxy::control::policy_client::{PolicyClient, PolicyHandover};
 use crate::proxy::control::rollout_client::RolloutClient;
 use crate::proxy::control::subscription;
-use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::discovery::endpoint_list::EndpointFeed;
 use crate::proxy::discovery::{self, Discovery};
 use crate::proxy::engine::Engine;
 use crate::proxy::envoy;
 use crate::proxy::listener::client_connection::Client;
 use crate::proxy::listener::descriptors::Descriptors;
-use crate::proxy::listener::listener_socket::{self, Place};
+use crate::proxy::listener::listener_socket::{self, ListenSocket};
 use crate::proxy::listener::pause_detection;
 use crate::proxy::observability::admin::{self, AdminListener};
 use crate::proxy::observability::request_trace::{self, Event};
-use crate::proxy::process::handover::{self, Keeper, Listening};
+use crate::proxy::process::handover::{self, HandoverServer, Listening};
 use crate::proxy::process::signals::SignalFlag;
-use crate::proxy::process::startup::{Beginning, TakeOver};
+use crate::proxy::process::startup::{StartupPlan, TakeOver};
 use crate::proxy::process::supervised::Supervised;
 use crate::proxy::upstream::backend::Backend;
 use crate::proxy::upstream::load_assignment::Pools;
@@ -45,39 +45,39 @@
 use tokio::time::{sleep, Instant};
 
 /// Idle connections to nodes are looked at so often.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 /// Descriptors that are no sockets of the budget: standard streams, the listener, the runtime's own, discovery's.
 const OWN_DESCRIPTORS: usize = 20 + discovery::DESCRIPTORS;
 /// Memory that is no connection's.
 const OWN_MEMORY: usize = 8 << 20;
 /// A process that serves.
 pub(crate) struct Server {
-    pub front: Backend,
+    pub backend: Backend,
     pub descriptors: Rc<Descriptors>,
     /// Descriptors that are none of the budget.
-    own: usize,
+    reserved_descriptors: usize,
     /// It was told to end.
     pub draining: Cell<bool>,
     /// Connections are accepted: beside another process once the guard of serving has let it, else from the start on. A host goes by this
     /// alone. Danger: it kills what does not say yes, and what waits for a node or for leave must be there when that comes.
     serving: Cell<bool>,
     /// When a connection last came.
-    pub came: Cell<Instant>,
+    pub last_connection_at: Cell<Instant>,
     /// When this process ends, once it was told to.
-    pub end: Cell<Option<Instant>>,
+    pub ends_at: Cell<Option<Instant>>,
     pub clients: RefCell<Vec<Rc<Client>>>,
     /// Connections that were accepted and have no place yet.
     pub waiting: RefCell<VecDeque<TcpStream>>,
     /// Failures of accept for lack of descriptors or memory.
     pub shortage: RefCell<Outage>,
     /// The ids of all requests that lack their answer. Their hash is keyed, since clients choose them.
-    pub ids: RefCell<HashSet<HeaderValue>>,
+    pub open_request_ids: RefCell<HashSet<HeaderValue>>,
     /// Told when a client has left.
-    pub left: Notify,
+    pub client_left: Notify,
     /// Connections are numbered for the trace.
     connections: Cell<u64>,
-    pub ledger: Arc<RequestMetrics>,
+    pub metrics: Arc<RequestMetrics>,
     /// Its part in changes; `None`: it has none.
     pub rollout: Option<Rc<RolloutClient>>,
     /// Its part in changes of policy; `None`: it has none.
@@ -99,9 +99,9 @@
     let mut config = config;
     let whole = ResourceShare { sockets: config.sockets, memory: config.memory };
     let meeting = handover::meeting_place(config.listen);
-    let beginning = Beginning::find(&mut config, meeting.as_deref(), whole).await?;
+    let beginning = StartupPlan::find(&mut config, meeting.as_deref(), whole).await?;
     let is_beside = beginning.is_beside();
-    let Beginning { listening, bound, share, mut predecessor, inherited } = beginning;
+    let StartupPlan { listening, bound, share, mut predecessor, inherited } = beginning;
     crate::proxy::log(format_args!("listening on {bound}"));
     crate::proxy::observability::fleet_stats::start();
     request_trace::start();
@@ -121,15 +121,15 @@
     // with what the other does.
     let clock = Clock::by(&config.clocks);
     let host = config.hosted.as_ref().map(|h| h.socket.clone());
-    let Begun { front, rollout, policy } = match config.envoy.clone() {
+    let Components { front, rollout, policy } = match config.envoy.clone() {
         Some(source) => {
             let (settings, names) = (config.settings, config.names);
             let pools = Pools::new(settings, names, config.seed, descriptors.clone(), ledger.clone(), clock);
             let me = envoy::Me { name: config.name, seed: config.seed, listen: bound, clock };
             envoy::follow(source, pools.clone(), me)?;
-            Begun { front: Backend::Pools(pools), rollout: None, policy: None }
+            Components { front: Backend::Pools(pools), rollout: None, policy: None }
         }
-        None => one(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
+        None => single_cluster(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
     };
     // Danger: a starter that hears of the address takes the process for started, and nothing that may fail comes behind.
     told(bound);
@@ -139,44 +139,44 @@
     let sweeper = front.clone();
     tokio::task::spawn_local(async move {
         loop {
-            sleep(SWEEP_EVERY).await;
+            sleep(IDLE_SWEEP_INTERVAL).await;
             sweeper.sweep();
         }
     });
     // What the old process acts by counts before anybody can be asked.
     if let (Some(given), Some(rollout)) = (inherited.settings, &rollout) {
-        rollout.handed(&given);
+        rollout.inherit(&given);
     }
     let server = Rc::new(Server {
-        front,
+        backend: front,
         descriptors,
-        own,
+        reserved_descriptors: own,
         draining: Cell::new(false),
         serving: Cell::new(false),
-        came: Cell::new(Instant::now()),
-        end: Cell::new(None),
+        last_connection_at: Cell::new(Instant::now()),
+        ends_at: Cell::new(None),
         clients: RefCell::default(),
         waiting: RefCell::default(),
         shortage: RefCell::default(),
-        ids: RefCell::default(),
-        left: Notify::new(),
+        open_request_ids: RefCell::default(),
+        client_left: Notify::new(),
         connections: Cell::new(0),
-        ledger: ledger.clone(),
+        metrics: ledger.clone(),
         rollout,
         policy,
     });
-    server.tell_operators();
+    server.publish_status();
     if let Some(socket) = host {
         let lives = server.clone();
-        tokio::task::spawn_local(Supervised::live(socket, move || lives.serving.get()));
+        tokio::task::spawn_local(Supervised::send_heartbeats(socket, move || lives.serving.get()));
     }
     let watched = server.clone();
     tokio::task::spawn_local(async move {
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(STATUS_INTERVAL).await;
             let now = Instant::now();
             watched.clients.borrow().iter().for_each(|c| c.look(now));
-            watched.tell_operators();
+            watched.publish_status();
         }
     });
     if is_beside {
@@ -187,18 +187,18 @@
         }
     }
     let listener = match listening {
-        Place::Alone(listener) => listener,
-        Place::Beside(socket) => {
+        ListenSocket::Alone(listener) => listener,
+        ListenSocket::Beside(socket) => {
             listener_socket::listen(socket).map_err(|e| format!("PROXY_LISTEN: {bound}: {e}"))?
         }
     };
     let listener = Rc::new(listener);
     let holder = if is_beside { Incumbent::beside(whole, share) } else { Incumbent::new(whole) };
-    let keeper = Keeper::start(meeting.as_deref(), listener.clone(), holder, server.clone());
+    let keeper = HandoverServer::start(meeting.as_deref(), listener.clone(), holder, server.clone());
     server.succeed(predecessor, is_beside, keeper.clone()).await;
     // Danger: whoever is told yes may at once end the old process, or start the next version. Both must find all ready.
     server.serving.set(true);
-    server.tell_operators();
+    server.publish_status();
     request_trace::event(|| Event::State { state: "serving" });
     let mut accepting = Box::pin(server.clone().accept_all(listener.clone()));
     tokio::select! {
@@ -219,39 +219,39 @@
 
 impl Listening for Server {
     fn held(&self) -> usize {
-        self.own + self.descriptors.taken()
+        self.reserved_descriptors + self.descriptors.taken()
     }
 
     fn known(&self) -> HandoverState {
-        let settings = self.rollout.as_ref().and_then(|r| r.given());
+        let settings = self.rollout.as_ref().and_then(|r| r.assignment_text());
         let cold = |c: ColdLeft| SlowStartAllowance { node: c.server, started: c.started, left: c.left };
-        let cold = self.front.give_cold().into_iter().map(cold).collect();
-        let policy = self.policy.as_ref().map(|p| p.handed().text());
-        HandoverState { list: self.front.list(), settings, policy, cold }
+        let cold = self.backend.give_cold().into_iter().map(cold).collect();
+        let policy = self.policy.as_ref().map(|p| p.handover().text());
+        HandoverState { list: self.backend.list(), settings, policy, cold }
     }
 
     fn hold(&self, share: ResourceShare) {
-        self.descriptors.resize(capacity(share, self.own));
-        while self.descriptors.taken() > self.descriptors.most() && self.front.yield_idle() {}
+        self.descriptors.resize(capacity(share, self.reserved_descriptors));
+        while self.descriptors.taken() > self.descriptors.most() && self.backend.yield_idle() {}
     }
 }
 
 /// What answers requests, and its parts in changes.
-struct Begun {
+struct Components {
     front: Backend,
     rollout: Option<Rc<RolloutClient>>,
     policy: Option<Rc<PolicyClient>>,
 }
 
 /// One decision module on the list of the proxy's own discovery, with a control service's where one is subscribed to.
-fn one(
+fn single_cluster(
     config: Config,
     clock: Clock,
     descriptors: Rc<Descriptors>,
     ledger: Arc<RequestMetrics>,
     hangup: SignalFlag,
     handed: Option<PolicyHandover>,
-) -> Result<Begun, String> {
+) -> Result<Components, String> {
     let discovery = config.discovery.ok_or("discovery is missing, and PROXY_DISCOVERY is not set")?;
     let subscription = subscription::ControlSubscription::of(&config);
     let acting = Rc::new(ActiveConfig::new(config.settings, config.names));
@@ -265,7 +265,7 @@
     let discovery = Discovery::new(discovery, known.as_ref().map(|known| known.version), manner);
     let listed = known.as_ref().map_or(&[][..], |known| &known.servers);
     let engine = Engine::new(acting, config.seed, listed, upstreams.clone(), clock);
-    let nodes = NodeList::new(engine.clone(), subscription.as_ref().map(|s| s.limits()), known.as_ref());
+    let nodes = EndpointFeed::new(engine.clone(), subscription.as_ref().map(|s| s.limits()), known.as_ref());
     let (moves, moved) = mpsc::unbounded_channel();
     tokio::task::spawn_local(discovery.follow(nodes.clone(), moved));
     let hosted = config.hosted;
@@ -279,7 +279,7 @@
         tokio::task::spawn_local(subscription.follow(nodes.clone(), parts));
     }
     tokio::task::spawn_local(reload::follow(hangup, moves));
-    Ok(Begun { front: Backend::One { engine, upstreams, nodes }, rollout, policy })
+    Ok(Components { front: Backend::One { engine, upstreams, nodes }, rollout, policy })
 }
 
 impl Server {
@@ -290,11 +290,11 @@
     }
 
     /// Brings what operators read up to date where it changes by itself, with time.
-    pub fn tell_operators(&self) {
-        let (listed, avoided) = self.front.members();
-        self.ledger.members.set(listed as u64);
-        self.ledger.unavailable.set(avoided as u64);
-        self.ledger.stand(match self.readiness() {
+    pub fn publish_status(&self) {
+        let (listed, avoided) = self.backend.members();
+        self.metrics.members.set(listed as u64);
+        self.metrics.unavailable.set(avoided as u64);
+        self.metrics.stand(match self.readiness() {
             Err(NotReady::Draining) => ServingState::Draining,
             Ok(()) if self.serving.get() => ServingState::Serving,
             _ => ServingState::Starting,
@@ -309,8 +309,8 @@
     /// What is known of this process, for the guard of serving.
     pub fn serve_facts(&self) -> ServeFacts {
         ServeFacts {
-            node_known: self.front.can_serve(),
-            policy_permits: self.policy.as_ref().is_none_or(|p| p.serves()),
+            node_known: self.backend.can_serve(),
+            policy_permits: self.policy.as_ref().is_none_or(|p| p.permits_serving()),
             draining: self.draining.get(),
         }
     }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,7 +1,7 @@
 //! What stands behind the clients: one decision module on the proxy's own list, or the clusters of Envoy's form.
 
 use crate::api::ColdLeft;
-use crate::proxy::discovery::endpoint_list::NodeList;
+use crate::proxy::discovery::endpoint_list::EndpointFeed;
 use crate::proxy::engine::Engine;
 use crate::proxy::upstream::load_assignment::Pools;
 use crate::proxy::upstream::Upstreams;
@@ -13,7 +13,7 @@
 #[derive(Clone)]
 pub enum Backend {
     /// All of them go to one module.
-    One { engine: Rc<Engine>, upstreams: Rc<Upstreams>, nodes: Rc<NodeList> },
+    One { engine: Rc<Engine>, upstreams: Rc<Upstreams>, nodes: Rc<EndpointFeed> },
     /// Routes say where each goes.
     Pools(Rc<Pools>),
 }
@@ -39,7 +39,7 @@
     /// Gives away what may still be sent to cold nodes. Envoy's form does not tell when a node's process started.
     pub fn give_cold(&self) -> Vec<ColdLeft> {
         match self {
-            Backend::One { engine, .. } => engine.give_cold(),
+            Backend::One { engine, .. } => engine.release_slow_start_allowance(),
             Backend::Pools(_) => Vec::new(),
         }
     }
@@ -47,7 +47,7 @@
     /// Takes what the process before this one gave.
     pub fn take_cold(&self, given: &[ColdLeft]) {
         if let Backend::One { engine, .. } = self {
-            engine.take_cold(given);
+            engine.inherit_slow_start_allowance(given);
         }
     }
 
@@ -62,7 +62,7 @@
     /// How many cache nodes are listed, and how many of them are avoided now.
     pub fn members(&self) -> (usize, usize) {
         match self {
-            Backend::One { engine, .. } => engine.members(),
+            Backend::One { engine, .. } => engine.endpoint_counts(),
             Backend::Pools(pools) => pools.members(),
         }
     }
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -45,7 +45,7 @@
             server.serve(&client).await;
             client.linger().await;
             server.clients.borrow_mut().retain(|c| !Rc::ptr_eq(c, &client));
-            server.left.notify_one();
+            server.client_left.notify_one();
         });
     }
 
@@ -53,14 +53,14 @@
     async fn serve(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| {
             let busy = Busy::new(client);
-            let fault = client.intake.fault.take();
+            let fault = client.read_buffer.fault.take();
             async move {
                 let mut response = match fault {
                     Some(why) => {
-                        self.turned_away(client.number, TurnedAway::BadFraming);
+                        self.count_turned_away(client.number, TurnedAway::BadFraming);
                         bad(StatusCode::BAD_REQUEST, why)
                     }
-                    None => self.respond(request, client).await,
+                    None => self.handle_request(request, client).await,
                 };
                 response.body_mut().carry(busy);
                 if self.is_last(client) {
@@ -71,7 +71,7 @@
         });
         // Danger: by default hyper drops the request of a client that has ended its sending and still waits,
         // and lets one connection hold some 400 KB.
-        let gate = RequestFraming::new(client.socket.clone(), client.intake.clone());
+        let gate = RequestFraming::new(client.socket.clone(), client.read_buffer.clone());
         let connection = http1::Builder::new()
             .half_close(true)
             .max_buf_size(BUFFER_MOST)
@@ -84,7 +84,7 @@
                 biased;
                 ended = connection.as_mut() => {
                     if ended.as_ref().is_err_and(hyper::Error::is_parse) {
-                        self.turned_away(client.number, TurnedAway::Unparsable);
+                        self.count_turned_away(client.number, TurnedAway::Unparsable);
                     }
                     self.closed(client, ended_by(client, ended));
                     return;
@@ -100,7 +100,7 @@
                             client.ending.notify_one();
                             tokio::task::yield_now().await;
                         }
-                        Next::AnswerFirst if client.intake.behind() == BufferedInput::Nothing => {
+                        Next::AnswerFirst if client.read_buffer.behind() == BufferedInput::Nothing => {
                             connection.as_mut().graceful_shutdown();
                         }
                         Next::AnswerFirst | Next::Wait => {}
@@ -113,14 +113,14 @@
     /// Whether the answer that is given now is the last on its connection. Danger: what has been read behind the request would be
     /// dropped unanswered; what has come and was not read is read now.
     fn is_last(&self, client: &Client) -> bool {
-        if client.intake.last.get() {
+        if client.read_buffer.last.get() {
             return true;
         }
         if !self.draining.get() && !client.closing() {
             return false;
         }
-        client.intake.read_ahead(&client.socket);
-        client.intake.behind() == BufferedInput::Nothing
+        client.read_buffer.read_ahead(&client.socket);
+        client.read_buffer.behind() == BufferedInput::Nothing
     }
 
     /// Notes that a connection has ended, and looks whether something was owed on it.
@@ -128,9 +128,9 @@
         let facts = ConnectionFacts { peer_gone: client.socket.ended(), ..client.facts() };
         if let Some(violation) = check_closed(&facts, cause) {
             let connection = format!("connection {} ({cause:?}, {facts:?})", client.number);
-            crate::proxy::violation(&self.ledger, violation, &connection);
+            crate::proxy::violation(&self.metrics, violation, &connection);
         }
-        self.ledger.closes.one_more(cause);
+        self.metrics.closes.one_more(cause);
         request_trace::event(|| Event::Closed { connection: client.number, cause });
     }
 
--- a/src/proxy/upstream/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -141,7 +141,7 @@
     /// How many cache nodes all clusters list, and how many of them are avoided now.
     pub fn members(&self) -> (usize, usize) {
         let clusters = self.clusters.borrow();
-        let each = clusters.values().map(|c| c.engine.members());
+        let each = clusters.values().map(|c| c.engine.endpoint_counts());
         each.fold((0, 0), |(listed, avoided), (l, a)| (listed + l, avoided + a))
     }
 
