--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,9 +1,11 @@
 //! The command line.
 
+mod admin_client;
 mod check;
 mod demo;
 mod events;
 mod host;
+mod output;
 mod overrides;
 mod policy;
 mod rollout;
--- a/src/cli/overrides.rs
+++ b/src/cli/overrides.rs
@@ -1,20 +1,13 @@
 //! `rushquay override`: operators' overrides, over the control service's admin address.
 
+use super::admin_client::{AdminClient, AdminResponse};
+use super::output::{aligned, heading, print_answer, text, time, Render};
 use super::{Failure, NOT_KEPT};
 use clap::{Args, Subcommand};
-use http_body_util::{BodyExt, Full};
-use hyper::body::Bytes;
-use hyper::client::conn::http1;
-use hyper::{Method, Request};
-use hyper_util::rt::TokioIo;
 use jiff::{Timestamp, Zoned};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::TcpStream;
-
-/// A control service that says nothing for so long is not there.
-const ANSWER: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
 pub struct OverrideArgs {
@@ -145,60 +138,80 @@
     }
 }
 
-/// Does what the command says.
+const OVERRIDES: &str = "/v1/overrides";
+
+impl On {
+    /// The scope as the control service reads it.
+    fn scope(self) -> Value {
+        match (self.node, self.kind, self.zone) {
+            (Some(id), ..) => json!({"node": id}),
+            (_, Some(kind), _) => json!({"kind": kind}),
+            (.., Some(zone)) => json!({"zone": zone}),
+            _ => json!("all"),
+        }
+    }
+}
+
+impl What {
+    /// The effect as the control service reads it.
+    fn effect(self) -> Value {
+        match self {
+            What { out: true, .. } => json!("out"),
+            What { weight: Some(factor), .. } => json!({"weight": factor}),
+            What { pin_class, pin_keys, .. } => {
+                let mut pinned = serde_json::Map::new();
+                pinned.extend(pin_class.map(|class| ("class".to_owned(), json!(class))));
+                pinned.extend(pin_keys.map(|keys| ("keys".to_owned(), json!(keys))));
+                json!({"pinned": pinned})
+            }
+        }
+    }
+}
+
+impl SetArgs {
+    /// The request as the control service reads it.
+    fn request(self) -> Result<Value, String> {
+        let until = self.end.at(&Zoned::now())?;
+        Ok(json!({"scope": self.on.scope(), "effect": self.what.effect(), "until": until,
+                  "author": self.author, "reason": self.reason, "force": self.force}))
+    }
+}
+
+/// Runs the command.
 pub async fn run(args: OverrideArgs) -> Result<(), Failure> {
-    let admin = args.admin;
-    let (answer, table): (Value, fn(&Value) -> String) = match args.command {
-        OverrideCommand::List => (call(admin, Method::GET, "/v1/overrides", None, None).await?.1, live_table),
+    let client = AdminClient::new(args.admin);
+    let (response, render): (AdminResponse, Render) = match args.command {
+        OverrideCommand::List => (client.get(OVERRIDES).await?, live_table),
         OverrideCommand::History { limit } => {
-            let path = format!("/v1/overrides/history?limit={limit}");
-            (call(admin, Method::GET, &path, None, None).await?.1, history_table)
+            (client.get(&format!("{OVERRIDES}/history?limit={limit}")).await?, history_table)
         }
         OverrideCommand::Set(set) => {
-            let scope = match (set.on.node, set.on.kind, set.on.zone) {
-                (Some(id), ..) => json!({"node": id}),
-                (_, Some(kind), _) => json!({"kind": kind}),
-                (.., Some(zone)) => json!({"zone": zone}),
-                _ => json!("all"),
-            };
-            let effect = match set.what {
-                What { out: true, .. } => json!("out"),
-                What { weight: Some(factor), .. } => json!({"weight": factor}),
-                What { pin_class, pin_keys, .. } => {
-                    let mut pinned = serde_json::Map::new();
-                    pinned.extend(pin_class.map(|c| ("class".to_owned(), json!(c))));
-                    pinned.extend(pin_keys.map(|k| ("keys".to_owned(), json!(k))));
-                    json!({"pinned": pinned})
-                }
-            };
-            let ask = json!({"scope": scope, "effect": effect, "until": set.end.at(&Zoned::now())?,
-                             "author": set.author, "reason": set.reason, "force": set.force});
-            // What is looked at now is what the change is made on.
-            let (tag, _) = call(admin, Method::GET, "/v1/overrides", None, None).await?;
-            (call(admin, Method::POST, "/v1/overrides", tag, Some(ask)).await?.1, changed)
+            let request = set.request()?;
+            // The revision that is read now is the one that the change is made on.
+            let etag = client.get(OVERRIDES).await?.etag;
+            (client.post(OVERRIDES, etag, request).await?, changed)
         }
         OverrideCommand::Lift { id, author } => {
-            let (tag, _) = call(admin, Method::GET, "/v1/overrides", None, None).await?;
-            let by: String = author
-                .bytes()
-                .map(|b| match b {
-                    b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' => (b as char).to_string(),
-                    other => format!("%{other:02X}"),
-                })
-                .collect();
-            let path = format!("/v1/overrides/{id}?by={by}");
-            (call(admin, Method::DELETE, &path, tag, None).await?.1, changed)
+            let etag = client.get(OVERRIDES).await?.etag;
+            let path = format!("{OVERRIDES}/{id}?by={}", percent_encoded(&author));
+            (client.delete(&path, etag).await?, changed)
         }
     };
-    match args.json {
-        true => println!("{answer:#}"),
-        false => print!("{}", table(&answer)),
-    }
-    kept(&answer)
+    print_answer(&response.body, args.json, render);
+    persisted(&response.body)
+}
+
+/// A value of a query (RFC 3986, 2.1).
+fn percent_encoded(text: &str) -> String {
+    let encoded = |byte: u8| match byte {
+        b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' => (byte as char).to_string(),
+        other => format!("%{other:02X}"),
+    };
+    text.bytes().map(encoded).collect()
 }
 
-/// Whether what was done is kept, where the control service keeps anything.
-fn kept(answer: &Value) -> Result<(), Failure> {
+/// Fails where the control service has a store and the change is not in it.
+fn persisted(answer: &Value) -> Result<(), Failure> {
     match answer["why"].as_str().filter(|why| !why.starts_with("no --state")) {
         None => Ok(()),
         Some(why) => {
@@ -208,65 +221,23 @@
     }
 }
 
-/// Calls the admin address; returns the answer's tag with it.
-pub async fn call(
-    admin: SocketAddr,
-    method: Method,
-    path: &str,
-    tag: Option<String>,
-    body: Option<Value>,
-) -> Result<(Option<String>, Value), String> {
-    let fault = |e: &dyn std::fmt::Display| {
-        format!("control service at {admin}: {e}; --admin names its admin address")
-    };
-    let exchange = async {
-        let stream = TcpStream::connect(admin).await.map_err(|e| fault(&e))?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| fault(&e))?;
-        tokio::spawn(connection);
-        let mut request = Request::builder().method(method).uri(path).header("host", admin.to_string());
-        if let Some(tag) = tag {
-            request = request.header("if-match", tag);
-        }
-        let body = body.map_or_else(String::new, |b| b.to_string());
-        let request = request.header("content-type", "application/json").body(Full::new(Bytes::from(body)));
-        let response =
-            sender.send_request(request.map_err(|e| e.to_string())?).await.map_err(|e| fault(&e))?;
-        let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|e| fault(&e))?.to_bytes();
-        let tag = head.headers.get("etag").and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let answer: Value = serde_json::from_slice(&body)
-            .map_err(|_| format!("{}: {}", head.status, String::from_utf8_lossy(&body).trim()))?;
-        match head.status.is_success() {
-            true => Ok((tag, answer)),
-            false => Err(answer["error"].as_str().map_or_else(|| answer.to_string(), str::to_owned)),
-        }
-    };
-    tokio::time::timeout(ANSWER, exchange).await.map_err(|_| fault(&"no answer"))?
-}
-
-pub fn time(nanos: &Value) -> String {
-    let at = nanos.as_u64().and_then(|n| Timestamp::from_nanosecond(i128::from(n)).ok());
-    at.map_or_else(String::new, |t| t.to_zoned(jiff::tz::TimeZone::system()).strftime("%F %T").to_string())
-}
-
-fn scope(of: &Value) -> String {
-    match of.as_object().and_then(|o| o.iter().next()) {
+fn scope(scope: &Value) -> String {
+    match scope.as_object().and_then(|o| o.iter().next()) {
         Some((what, name)) => format!("{what} {}", name.as_str().unwrap_or("")),
         None => "all".into(),
     }
 }
 
-fn effect(of: &Value) -> String {
-    if let Some(pinned) = of["pinned"].as_object() {
-        let told = pinned.iter().map(|(what, name)| format!(" {what} {}", name.as_str().unwrap_or("")));
-        return "pinned".to_owned() + &told.collect::<String>();
+fn effect(effect: &Value) -> String {
+    if let Some(pinned) = effect["pinned"].as_object() {
+        let parts = pinned.iter().map(|(what, name)| format!(" {what} {}", name.as_str().unwrap_or("")));
+        return "pinned".to_owned() + &parts.collect::<String>();
     }
-    of["weight"].as_f64().map_or_else(|| "out".into(), |factor| format!("weight x {factor}"))
+    effect["weight"].as_f64().map_or_else(|| "out".into(), |factor| format!("weight x {factor}"))
 }
 
 fn live_table(answer: &Value) -> String {
-    let mut rows =
-        vec![["ID", "ON", "WHAT", "UNTIL", "LEFT", "BY", "STANDS", "REASON"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["ID", "ON", "WHAT", "UNTIL", "LEFT", "BY", "STANDS", "REASON"]);
     for o in answer["overrides"].as_array().into_iter().flatten() {
         let left = Duration::from_secs(o["expires_in_s"].as_f64().unwrap_or(0.0) as u64);
         let (nodes, masked) = (o["nodes"].as_u64().unwrap_or(0), o["masked_on"].as_u64().unwrap_or(0));
@@ -295,20 +266,18 @@
 }
 
 fn history_table(answer: &Value) -> String {
-    let mut rows =
-        vec![["AT", "WHAT", "BY", "ID", "ON", "EFFECT", "UNTIL", "REASON"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["AT", "WHAT", "BY", "ID", "ON", "EFFECT", "UNTIL", "REASON"]);
     for e in answer["events"].as_array().into_iter().flatten() {
-        let text = |v: &Value| v.as_str().unwrap_or("").to_owned();
         let o = &e["what"];
         rows.push(vec![
             time(&e["at"]),
-            text(&e["kind"]),
-            text(&e["by"]),
+            text(&e["kind"]).to_owned(),
+            text(&e["by"]).to_owned(),
             o["id"].to_string(),
             scope(&o["scope"]),
             effect(&o["effect"]),
             time(&o["until"]),
-            text(&o["reason"]),
+            text(&o["reason"]).to_owned(),
         ]);
     }
     aligned(&rows)
@@ -329,35 +298,5 @@
     )
 }
 
-pub fn aligned(rows: &[Vec<String>]) -> String {
-    let columns = rows.first().map_or(0, Vec::len);
-    let width = |i: usize| rows.iter().map(|r| r[i].chars().count()).max().unwrap_or(0);
-    let widths: Vec<usize> = (0..columns).map(width).collect();
-    let line = |row: &Vec<String>| {
-        let cells: Vec<String> = row.iter().zip(&widths).map(|(c, w)| format!("{c:<w$}", w = *w)).collect();
-        cells.join("  ").trim_end().to_owned() + "\n"
-    };
-    rows.iter().map(line).collect()
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn ends_are_told_in_human_terms() {
-        let now: Zoned = "2026-12-01T05:00:00+05:30[Asia/Kolkata]".parse().expect("a time");
-        let of = |span: Option<&str>, until: Option<&str>| {
-            let end = End { span: span.map(str::to_owned), until: until.map(str::to_owned) };
-            end.at(&now).map(|n| (n / 1_000_000_000) as i64 - now.timestamp().as_second())
-        };
-        assert_eq!(of(Some("2h"), None), Ok(7200));
-        assert_eq!(of(Some("1h 30m"), None), Ok(5400));
-        assert_eq!(of(None, Some("07:30")), Ok(9000));
-        // That of tomorrow.
-        assert_eq!(of(None, Some("04:30")), Ok(84_600));
-        assert_eq!(of(None, Some("2026-12-01T07:30:00+05:30")), Ok(9000));
-        assert!(of(Some("soon"), None).expect_err("no span").contains("such as 2h"));
-        assert!(of(None, Some("half past")).expect_err("no time").contains("07:30"));
-    }
-}
+mod tests;
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -1,8 +1,8 @@
 //! `rushquay policy`: changes of policy that take hold everywhere or nowhere, over the control service's admin address.
 
-use super::overrides::{aligned, call, time};
+use super::admin_client::{AdminClient, AdminResponse};
+use super::output::{aligned, heading, print_answer, text, time, Render};
 use clap::{Args, Subcommand};
-use hyper::Method;
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, Zoned};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// `propose --wait` looks so often.
-const LOOK: Duration = Duration::from_millis(500);
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
 pub struct PolicyArgs {
@@ -91,7 +91,7 @@
 }
 
 impl BodyArgs {
-    fn ask(&self) -> Result<Value, String> {
+    fn request(&self) -> Result<Value, String> {
         let floor = match &self.floor {
             None => Value::Null,
             Some(word) if word.as_os_str() == "nobody" => "nobody".into(),
@@ -114,57 +114,53 @@
     u64::try_from(at.as_nanosecond()).map_err(|_| expected())
 }
 
-/// Does what the command says.
+const POLICY: &str = "/v1/policy";
+
+/// Runs the command.
 pub async fn run(args: PolicyArgs) -> Result<(), String> {
-    let admin = args.admin;
-    let get = async |path: &str| call(admin, Method::GET, path, None, None).await;
-    let (answer, table): (Value, fn(&Value) -> String) = match args.command {
-        PolicyCommand::Check(body) => (checked(&body.ask()?)?, good),
-        PolicyCommand::Diff(body) => {
-            (call(admin, Method::POST, "/v1/policy/diff", None, Some(body.ask()?)).await?.1, compared)
-        }
+    let client = AdminClient::new(args.admin);
+    let (answer, render): (Value, Render) = match args.command {
+        PolicyCommand::Check(body) => (checked(&body.request()?)?, good),
+        PolicyCommand::Diff(body) => (client.query("/v1/policy/diff", body.request()?).await?.body, compared),
         PolicyCommand::Propose { body, author, reason, wait, anew } => {
-            // What is looked at now is what the change is made on.
-            let (tag, _) = get("/v1/policy").await?;
-            let mut ask = body.ask()?;
-            (ask["author"], ask["reason"], ask["anew"]) = (json!(author), json!(reason), json!(anew));
-            let answer = call(admin, Method::POST, "/v1/policy", tag, Some(ask)).await?.1;
+            // The revision that is read now is the one that the change is made on.
+            let etag = client.get(POLICY).await?.etag;
+            let mut request = body.request()?;
+            (request["author"], request["reason"], request["anew"]) =
+                (json!(author), json!(reason), json!(anew));
+            let answer = client.post(POLICY, etag, request).await?.body;
             if wait {
                 print!("{}", proposed(&answer));
-                return until_decided(admin, &answer["policy"]).await;
+                return until_decided(&client, &answer["policy"]).await;
             }
             (answer, proposed)
         }
-        PolicyCommand::Status => (get("/v1/policy").await?.1, status),
+        PolicyCommand::Status => (client.get(POLICY).await?.body, status),
         PolicyCommand::Abort { author } => {
-            let (tag, _) = get("/v1/policy").await?;
-            let by = Some(json!({"by": author}));
-            (call(admin, Method::POST, "/v1/policy/abort", tag, by).await?.1, aborted)
+            let etag = client.get(POLICY).await?.etag;
+            (client.post("/v1/policy/abort", etag, json!({"by": author})).await?.body, aborted)
         }
         PolicyCommand::History { limit } => {
-            (get(&format!("/v1/policy/history?limit={limit}")).await?.1, history)
+            (client.get(&format!("{POLICY}/history?limit={limit}")).await?.body, history)
         }
         PolicyCommand::Explain { proxy, at } => {
             let now = Timestamp::now().to_zoned(TimeZone::system());
-            let at = at.map(|told| moment(&told, &now)).transpose()?;
-            let at = at.map_or_else(String::new, |at| format!("?at={at}"));
-            (get(&format!("/v1/policy/explain/{proxy}{at}")).await?.1, explained)
+            let at = at.map(|at| moment(&at, &now)).transpose()?;
+            let query = at.map_or_else(String::new, |at| format!("?at={at}"));
+            (client.get(&format!("{POLICY}/explain/{proxy}{query}")).await?.body, explained)
         }
     };
-    match args.json {
-        true => println!("{answer:#}"),
-        false => print!("{}", table(&answer)),
-    }
+    print_answer(&answer, args.json, render);
     Ok(())
 }
 
-async fn until_decided(admin: SocketAddr, policy: &Value) -> Result<(), String> {
+async fn until_decided(client: &AdminClient, policy: &Value) -> Result<(), String> {
     let mut last = String::new();
     loop {
-        let line = match call(admin, Method::GET, "/v1/policy", None, None).await {
+        let line = match client.get(POLICY).await {
             // Nothing is lost by that: whoever leads next decides.
             Err(e) => format!("no answer: {e}"),
-            Ok((_, status)) => {
+            Ok(AdminResponse { body: status, .. }) => {
                 if status["last"]["policy"] == *policy {
                     let words = text(&status["last"]["in_words"]).to_owned();
                     return match status["last"]["ended"]["ended"] == "committed" {
@@ -182,7 +178,7 @@
             println!("{line}");
             last = line;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
 
@@ -199,16 +195,12 @@
     "good by itself; rushquay policy diff tells what it would change\n".into()
 }
 
-fn text(of: &Value) -> &str {
-    of.as_str().unwrap_or("")
-}
-
 fn seconds(of: &Value) -> String {
     format!("{:.1} s", of.as_f64().unwrap_or(0.0))
 }
 
 fn compared(answer: &Value) -> String {
-    let mut rows = vec![["FIELD", "OLD", "UNTIL DECIDED", "NEW"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["FIELD", "OLD", "UNTIL DECIDED", "NEW"]);
     let by_file = |v: &Value| if v.is_null() { "(each file's)".to_owned() } else { v.to_string() };
     for f in answer["fields"].as_array().into_iter().flatten() {
         rows.push(vec![
@@ -275,7 +267,7 @@
     if !answer["last"].is_null() {
         out += &format!("last: policy {} {}\n", answer["last"]["policy"], text(&answer["last"]["in_words"]));
     }
-    let mut rows = vec![["PROXY", "PROCESS", "ACTS BY REVISION"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["PROXY", "PROCESS", "ACTS BY REVISION"]);
     for m in answer["members"].as_array().into_iter().flatten() {
         let acting = match m["acting"].as_u64() {
             Some(0) | None => "none (the floor)".into(),
@@ -287,7 +279,7 @@
 }
 
 fn history(answer: &Value) -> String {
-    let mut rows = vec![["AT", "REVISION", "POLICY", "WHAT", "HOLDS SINCE"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["AT", "REVISION", "POLICY", "WHAT", "HOLDS SINCE"]);
     for e in answer["events"].as_array().into_iter().flatten() {
         let (revision, policy) = (e["revision"].to_string(), e["policy"].to_string());
         rows.push(vec![time(&e["at"]), revision, policy, text(&e["what"]).into(), text(&e["told"]).into()]);
@@ -296,7 +288,7 @@
 }
 
 fn explained(answer: &Value) -> String {
-    let mut rows = vec![["FROM", "UNTIL", "PROCESS", "ACTED BY"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["FROM", "UNTIL", "PROCESS", "ACTED BY"]);
     for a in answer["acted"].as_array().into_iter().flatten() {
         let process = format!("{:x}", a["boot"].as_u64().unwrap_or(0));
         rows.push(vec![time(&a["from"]), time(&a["until"]), process, text(&a["acted_by"]).into()]);
@@ -308,16 +300,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_moment_is_of_today_unless_it_says_otherwise() {
-        let now: Zoned = "2026-12-01T17:00:00+05:30[Asia/Kolkata]".parse().expect("a time");
-        let at = |told: &str| moment(told, &now).map(|n| n / 1_000_000_000);
-        let six = now.timestamp().as_second() as u64 - 11 * 3600 + 120;
-        assert_eq!((at("06:02"), at("2026-12-01 06:02")), (Ok(six), Ok(six)));
-        assert_eq!(at("2026-11-30 06:02"), Ok(six - 86_400));
-        assert!(at("soon").is_err());
-    }
-}
+mod tests;
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -1,15 +1,15 @@
 //! `rushquay rollout`: changes of settings and programs in stages, over the control service's admin address.
 
-use super::overrides::{aligned, call, time};
+use super::admin_client::{AdminClient, AdminResponse};
+use super::output::{aligned, heading, print_answer, text, time, Render};
 use clap::{Args, Subcommand};
-use hyper::Method;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// `watch` looks so often.
-const LOOK: Duration = Duration::from_secs(1);
+/// How often `watch` reads the status.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 /// The control service may be away while it is watched: it says so, and looks on.
 const AWAY: &str = "the control service does not answer; nobody moves meanwhile";
 
@@ -86,10 +86,10 @@
 }
 
 impl ChangeArgs {
-    /// What is asked for, where these settings hold.
-    fn ask(self, hold: Value) -> Result<Value, String> {
+    /// The request as the control service reads it; `current` are the settings that hold now.
+    fn request(self, current: Value) -> Result<Value, String> {
         let mut settings = match &self.settings {
-            None => hold,
+            None => current,
             Some(path) => {
                 serde_json::from_str::<Value>(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))?
             }
@@ -99,61 +99,61 @@
             (Some(program), Some(fields)) => drop(fields.insert("program".into(), json!(program))),
             _ => {}
         }
-        let mut ask = json!({"settings": settings, "author": self.author, "reason": self.reason,
+        let mut request = json!({"settings": settings, "author": self.author, "reason": self.reason,
                              "displace": self.displace});
         if let Some(path) = self.plan {
             let plan: toml::Table =
                 toml::from_str(&read(&path)?).map_err(|e| format!("{}: {e}", path.display()))?;
-            ask["plan"] = serde_json::to_value(plan).map_err(|e| e.to_string())?;
+            request["plan"] = serde_json::to_value(plan).map_err(|e| e.to_string())?;
         }
-        Ok(ask)
+        Ok(request)
     }
 }
 
-/// Does what the command says.
+const ROLLOUT: &str = "/v1/rollout";
+
+/// Holds, resumes or rolls back, on the revision that is read now.
+async fn steer(client: &AdminClient, action: &str, by: ByArgs) -> Result<AdminResponse, String> {
+    let etag = client.get(ROLLOUT).await?.etag;
+    client.post(&format!("{ROLLOUT}/{action}"), etag, json!({"by": by.author})).await
+}
+
+/// Runs the command.
 pub async fn run(args: RolloutArgs) -> Result<(), String> {
-    let admin = args.admin;
-    let get = async |path: &str| call(admin, Method::GET, path, None, None).await;
-    let steer = async |what: &str, by: ByArgs| {
-        // What is looked at now is what the change is made on.
-        let (tag, _) = get("/v1/rollout").await?;
-        let path = format!("/v1/rollout/{what}");
-        call(admin, Method::POST, &path, tag, Some(json!({"by": by.author}))).await
-    };
-    let (answer, table): (Value, fn(&Value) -> String) = match args.command {
+    let client = AdminClient::new(args.admin);
+    let (response, render): (AdminResponse, Render) = match args.command {
         RolloutCommand::Plan(change) => {
-            let (_, mut holds) = get("/v1/rollout").await?;
-            let ask = change.ask(holds["holding"].take())?;
-            (call(admin, Method::POST, "/v1/rollout/plan", None, Some(ask)).await?.1, planned)
+            let mut current = client.get(ROLLOUT).await?.body;
+            let request = change.request(current["holding"].take())?;
+            (client.query("/v1/rollout/plan", request).await?, planned)
         }
         RolloutCommand::Start(change) => {
-            let (tag, mut holds) = get("/v1/rollout").await?;
-            let ask = change.ask(holds["holding"].take())?;
-            (call(admin, Method::POST, "/v1/rollout", tag, Some(ask)).await?.1, started)
+            let AdminResponse { etag, body: mut current } = client.get(ROLLOUT).await?;
+            let request = change.request(current["holding"].take())?;
+            (client.post(ROLLOUT, etag, request).await?, started)
         }
-        RolloutCommand::Status => (get("/v1/rollout").await?.1, status),
-        RolloutCommand::Watch => return watch(admin).await,
-        RolloutCommand::Hold(by) => (steer("hold", by).await?.1, steered),
-        RolloutCommand::Resume(by) => (steer("resume", by).await?.1, steered),
-        RolloutCommand::Back(by) => (steer("back", by).await?.1, steered),
+        RolloutCommand::Status => (client.get(ROLLOUT).await?, status),
+        RolloutCommand::Watch => return watch(&client).await,
+        RolloutCommand::Hold(by) => (steer(&client, "hold", by).await?, steered),
+        RolloutCommand::Resume(by) => (steer(&client, "resume", by).await?, steered),
+        RolloutCommand::Back(by) => (steer(&client, "back", by).await?, steered),
         RolloutCommand::History { limit } => {
-            (get(&format!("/v1/rollout/history?limit={limit}")).await?.1, history)
+            (client.get(&format!("{ROLLOUT}/history?limit={limit}")).await?, history)
         }
-        RolloutCommand::Roster => (get("/v1/roster").await?.1, roster),
+        RolloutCommand::Roster => (client.get("/v1/roster").await?, roster),
     };
-    match args.json {
-        true => println!("{answer:#}"),
-        false => print!("{}", table(&answer)),
-    }
+    print_answer(&response.body, args.json, render);
     Ok(())
 }
 
-async fn watch(admin: SocketAddr) -> Result<(), String> {
+/// Prints each step until the rollout is complete; fails if it was rolled back.
+async fn watch(client: &AdminClient) -> Result<(), String> {
     let mut last = String::new();
     loop {
-        let status = call(admin, Method::GET, "/v1/rollout", None, None).await;
+        let status = client.get(ROLLOUT).await;
         let line = match &status {
-            Ok((_, status)) => {
+            Ok(response) => {
+                let status = &response.body;
                 let change = &status["change"];
                 format!(
                     "change {}: {}; {}",
@@ -164,18 +164,18 @@
             }
             Err(_) => AWAY.to_owned(),
         };
-        // Only what it waits for counts down by itself.
-        let told = line
+        // The countdown alone is no news.
+        let shown = line
             .split(" s to the next look")
             .next()
             .unwrap_or("")
             .trim_end_matches(char::is_numeric)
             .to_owned();
-        if told != last {
+        if shown != last {
             println!("{line}");
-            last = told;
+            last = shown;
         }
-        if let Ok((_, status)) = status {
+        if let Ok(AdminResponse { body: status, .. }) = status {
             match text(&status["change"]["phase"]["phase"]) {
                 "done" => return Ok(()),
                 "gone-back" => return Err(text(&status["change"]["in_words"]).to_owned()),
@@ -183,20 +183,16 @@
                 _ => {}
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 }
 
-fn text(of: &Value) -> &str {
-    of.as_str().unwrap_or("")
-}
-
 fn short(digest: &Value) -> &str {
     text(digest).get(..8).unwrap_or("")
 }
 
-fn words(of: &Value) -> String {
-    let words: Vec<&str> = of.as_array().into_iter().flatten().map(text).collect();
+fn words(list: &Value) -> String {
+    let words: Vec<&str> = list.as_array().into_iter().flatten().map(text).collect();
     words.join(" ")
 }
 
@@ -252,7 +248,7 @@
         );
         out += &format!("waits for: {}\n", text(&answer["waits_for"]));
     }
-    let mut rows = vec![["ZONE", "ACTS BY", "PROXIES"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["ZONE", "ACTS BY", "PROXIES"]);
     for f in answer["fleet"].as_array().into_iter().flatten() {
         let counts: Vec<String> = f["proxies"]
             .as_object()
@@ -265,7 +261,7 @@
     out += &aligned(&rows);
     let scores = answer["evidence"].as_array().filter(|s| !s.is_empty());
     if let Some(scores) = scores {
-        let mut rows = vec![["CLASS", "IN", "MEASURE", "NEW", "OLD", "EVIDENCE"].map(str::to_owned).to_vec()];
+        let mut rows = heading(["CLASS", "IN", "MEASURE", "NEW", "OLD", "EVIDENCE"]);
         // Of single data centres only what speaks against the new: the rest stands in the figures of all.
         let against = |s: &&Value| text(&s["zone"]).is_empty() || s["evidence"].as_f64().unwrap_or(0.0) > 0.0;
         for s in scores.iter().filter(against) {
@@ -303,7 +299,7 @@
 }
 
 fn history(answer: &Value) -> String {
-    let mut rows = vec![["AT", "CHANGE", "WHAT"].map(str::to_owned).to_vec()];
+    let mut rows = heading(["AT", "CHANGE", "WHAT"]);
     for e in answer["events"].as_array().into_iter().flatten() {
         rows.push(vec![time(&e["at"]), e["change"].to_string(), text(&e["what"]).into()]);
     }
@@ -328,9 +324,7 @@
 
 fn roster(answer: &Value) -> String {
     let mut rows =
-        vec![["NAME", "ZONE", "STANDS", "ACTS BY", "GIVEN", "VERSION", "PROGRAM", "RESTARTS", "HOST"]
-            .map(str::to_owned)
-            .to_vec()];
+        heading(["NAME", "ZONE", "STANDS", "ACTS BY", "GIVEN", "VERSION", "PROGRAM", "RESTARTS", "HOST"]);
     for p in answer["proxies"].as_array().into_iter().flatten() {
         rows.push(vec![
             text(&p["name"]).into(),
