--- a/crates/testing/fault-injection/src/script/read.rs
+++ b/crates/testing/fault-injection/src/script/read.rs
@@ -282,9 +282,45 @@
     })
 }
 
+/// A field of `rule.at` that can't be used, at this place of the script.
+fn at_fault<T>(at: usize, field: &str, what: &str) -> Checked<T> {
+    Err(Fault(at, format!("rule.at.{field}"), what.into()))
+}
+
 impl RawAt {
     fn checked(self, at: usize) -> Checked<At> {
-        let fault = |at, field: &str, what: &str| Err(Fault(at, format!("rule.at.{field}"), what.into()));
+        let kind = self.kind(at)?;
+        self.check_companions(kind)?;
+        let nth = self.ordinal()?;
+        let plus = self.plus.as_ref().map_or(0, |p| *p.get_ref());
+        let plus_at = self.plus.as_ref().map_or(at, |p| p.span().start);
+        if !(-64..=1 << 40).contains(&plus) {
+            return at_fault(plus_at, "plus", "expected -64 or more: so many bytes are held back at most");
+        }
+        let place = |place| Ok(At::Place(place, nth, plus));
+        match kind {
+            "connect" => Ok(At::Connect),
+            "after_ms" => Ok(At::After(self.after_ms.unwrap_or(0))),
+            "from_ms" => self.window(),
+            "datagram" => Ok(At::Datagram(nth)),
+            "offset" => {
+                let Some(offset) = self.offset.unwrap_or(0).checked_add_signed(plus) else {
+                    return at_fault(plus_at, "plus", "lies before the stream");
+                };
+                Ok(At::Place(Place::Offset(offset), nth, 0))
+            }
+            "text" => place(self.text_place(plus, plus_at)?),
+            "http" => place(Place::Http(http_part(self.http)?, self.message.map(Spanned::into_inner))),
+            "http2" => {
+                let frame_type = self.frame_type.map(frame_type).transpose()?;
+                place(Place::Http2(frame_part(self.http2)?, frame_type))
+            }
+            _ => place(Place::Resp(resp_part(self.resp)?)),
+        }
+    }
+
+    /// The one field that says what kind of place it is.
+    fn kind(&self, at: usize) -> Checked<&'static str> {
         let kinds = [
             ("connect", self.connect.is_some()),
             ("after_ms", self.after_ms.is_some()),
@@ -296,114 +332,103 @@
             ("resp", self.resp.is_some()),
             ("datagram", self.datagram.is_some()),
         ];
-        let told: Vec<_> = kinds.iter().filter(|(_, is)| *is).map(|(name, _)| *name).collect();
-        let [kind] = told[..] else {
-            let all: Vec<_> = kinds.iter().map(|(name, _)| *name).collect();
-            return Err(Fault(at, "rule.at".into(), format!("expected just one of {}", all.join(", "))));
-        };
-        let only_with = |is: Option<usize>, field: &str, with: &[&str]| match is {
+        let named: Vec<&'static str> = kinds.iter().filter(|(_, is)| *is).map(|(name, _)| *name).collect();
+        match named[..] {
+            [kind] => Ok(kind),
+            _ => {
+                let all: Vec<&str> = kinds.iter().map(|(name, _)| *name).collect();
+                Err(Fault(at, "rule.at".into(), format!("expected just one of {}", all.join(", "))))
+            }
+        }
+    }
+
+    /// Checks that fields which refine a kind stand beside that kind.
+    fn check_companions(&self, kind: &str) -> Checked<()> {
+        let only_with = |at: Option<usize>, field: &str, with: &[&str]| match at {
             Some(at) if !with.contains(&kind) => {
-                Err(Fault(at, format!("rule.at.{field}"), format!("goes with {} only", with.join(", "))))
+                at_fault(at, field, &format!("goes with {} only", with.join(", ")))
             }
             _ => Ok(()),
         };
-        let start = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.span().start);
         only_with(self.to_ms.as_ref().map(|s| s.span().start), "to_ms", &["from_ms"])?;
-        only_with(start(&self.edge), "edge", &["text"])?;
+        only_with(self.edge.as_ref().map(|s| s.span().start), "edge", &["text"])?;
         only_with(self.message.as_ref().map(|s| s.span().start), "message", &["http"])?;
         only_with(self.frame_type.as_ref().map(|s| s.span().start), "frame_type", &["http2"])?;
         let places = ["offset", "text", "http", "http2", "resp"];
         only_with(self.plus.as_ref().map(|s| s.span().start), "plus", &places)?;
-        let many = ["text", "http", "http2", "resp", "datagram"];
-        only_with(self.nth.as_ref().map(|s| s.span().start), "nth", &many)?;
-        only_with(self.every.as_ref().map(|s| s.span().start), "every", &many)?;
-        let nth = match (&self.nth, &self.every) {
+        let repeated = ["text", "http", "http2", "resp", "datagram"];
+        only_with(self.nth.as_ref().map(|s| s.span().start), "nth", &repeated)?;
+        only_with(self.every.as_ref().map(|s| s.span().start), "every", &repeated)
+    }
+
+    /// Which occurrence is meant; the first where nothing is said.
+    fn ordinal(&self) -> Checked<Nth> {
+        match (&self.nth, &self.every) {
             (Some(_), Some(every)) => {
-                return fault(every.span().start, "every", "expected nth or every, not both")
+                at_fault(every.span().start, "every", "expected nth or every, not both")
             }
-            (Some(n), _) if *n.get_ref() == 0 => return fault(n.span().start, "nth", "expected 1 or more"),
-            (_, Some(n)) if *n.get_ref() == 0 => return fault(n.span().start, "every", "expected 1 or more"),
-            (Some(n), _) => Nth::Only(*n.get_ref()),
-            (_, Some(n)) => Nth::Every(*n.get_ref()),
-            _ => Nth::Only(1),
-        };
-        let plus = self.plus.as_ref().map_or(0, |p| *p.get_ref());
-        let plus_at = self.plus.as_ref().map_or(at, |p| p.span().start);
-        if !(-64..=1 << 40).contains(&plus) {
-            return fault(plus_at, "plus", "expected -64 or more: so many bytes are held back at most");
+            (Some(n), _) if *n.get_ref() == 0 => at_fault(n.span().start, "nth", "expected 1 or more"),
+            (_, Some(n)) if *n.get_ref() == 0 => at_fault(n.span().start, "every", "expected 1 or more"),
+            (Some(n), _) => Ok(Nth::Only(*n.get_ref())),
+            (_, Some(n)) => Ok(Nth::Every(*n.get_ref())),
+            _ => Ok(Nth::Only(1)),
         }
-        let place = |place| Ok(At::Place(place, nth, plus));
-        match kind {
-            "connect" => Ok(At::Connect),
-            "after_ms" => Ok(At::After(self.after_ms.unwrap_or(0))),
-            "from_ms" => {
-                let (from, to) = (self.from_ms.unwrap_or(0), self.to_ms);
-                match to {
-                    Some(to) if *to.get_ref() <= from => {
-                        fault(to.span().start, "to_ms", "expected more than from_ms")
-                    }
-                    to => Ok(At::Window(from, to.map(Spanned::into_inner))),
-                }
-            }
-            "datagram" => Ok(At::Datagram(nth)),
-            "offset" => {
-                let offset = self.offset.unwrap_or(0).checked_add_signed(plus);
-                let offset = offset
-                    .ok_or_else(|| Fault(plus_at, "rule.at.plus".into(), "lies before the stream".into()))?;
-                Ok(At::Place(Place::Offset(offset), nth, 0))
-            }
-            "text" => {
-                let text = self.text.unwrap_or_else(|| Spanned::new(0..0, String::new()));
-                if text.get_ref().is_empty() {
-                    return fault(text.span().start, "text", "expected a text that is not empty");
-                }
-                if plus < 0 {
-                    return fault(
-                        plus_at,
-                        "plus",
-                        "expected 0 or more with text: edge = \"start\" acts before it",
-                    );
-                }
-                let start = match self.edge.as_ref().map(|e| (e.get_ref().as_str(), e.span().start)) {
-                    None | Some(("end", _)) => false,
-                    Some(("start", _)) => true,
-                    Some((_, at)) => return fault(at, "edge", "expected start or end"),
-                };
-                place(Place::Text(text.into_inner().into_bytes(), start))
-            }
-            "http" => {
-                let part = named(
-                    self.http,
-                    "http",
-                    &[
-                        ("head", HttpPart::Head),
-                        ("length", HttpPart::Length),
-                        ("chunk-size", HttpPart::ChunkSize),
-                        ("body", HttpPart::Body),
-                        ("end", HttpPart::End),
-                    ],
-                )?;
-                place(Place::Http(part, self.message.map(Spanned::into_inner)))
-            }
-            "http2" => {
-                let parts =
-                    [("frame", FramePart::Frame), ("payload", FramePart::Payload), ("end", FramePart::End)];
-                let kind = self.frame_type.map(frame_type).transpose()?;
-                place(Place::Http2(named(self.http2, "http2", &parts)?, kind))
-            }
-            _ => {
-                let parts = [
-                    ("reply", RespPart::Reply),
-                    ("length", RespPart::Length),
-                    ("body", RespPart::Body),
-                    ("end", RespPart::End),
-                ];
-                place(Place::Resp(named(self.resp, "resp", &parts)?))
+    }
+
+    fn window(self) -> Checked<At> {
+        let from = self.from_ms.unwrap_or(0);
+        match self.to_ms {
+            Some(to) if *to.get_ref() <= from => {
+                at_fault(to.span().start, "to_ms", "expected more than from_ms")
             }
+            to => Ok(At::Window(from, to.map(Spanned::into_inner))),
+        }
+    }
+
+    fn text_place(self, plus: i64, plus_at: usize) -> Checked<Place> {
+        let text = self.text.unwrap_or_else(|| Spanned::new(0..0, String::new()));
+        if text.get_ref().is_empty() {
+            return at_fault(text.span().start, "text", "expected a text that is not empty");
         }
+        if plus < 0 {
+            let what = "expected 0 or more with text: edge = \"start\" acts before it";
+            return at_fault(plus_at, "plus", what);
+        }
+        let at_start = match self.edge.as_ref().map(|e| (e.get_ref().as_str(), e.span().start)) {
+            None | Some(("end", _)) => false,
+            Some(("start", _)) => true,
+            Some((_, at)) => return at_fault(at, "edge", "expected start or end"),
+        };
+        Ok(Place::Text(text.into_inner().into_bytes(), at_start))
     }
 }
 
+fn http_part(name: Option<Spanned<String>>) -> Checked<HttpPart> {
+    let parts = [
+        ("head", HttpPart::Head),
+        ("length", HttpPart::Length),
+        ("chunk-size", HttpPart::ChunkSize),
+        ("body", HttpPart::Body),
+        ("end", HttpPart::End),
+    ];
+    named(name, "http", &parts)
+}
+
+fn frame_part(name: Option<Spanned<String>>) -> Checked<FramePart> {
+    let parts = [("frame", FramePart::Frame), ("payload", FramePart::Payload), ("end", FramePart::End)];
+    named(name, "http2", &parts)
+}
+
+fn resp_part(name: Option<Spanned<String>>) -> Checked<RespPart> {
+    let parts = [
+        ("reply", RespPart::Reply),
+        ("length", RespPart::Length),
+        ("body", RespPart::Body),
+        ("end", RespPart::End),
+    ];
+    named(name, "resp", &parts)
+}
+
 fn named<T: Copy>(told: Option<Spanned<String>>, field: &str, of: &[(&str, T)]) -> Checked<T> {
     let told = told.unwrap_or_else(|| Spanned::new(0..0, String::new()));
     let found = of.iter().find(|(name, _)| name == told.get_ref()).map(|(_, t)| *t);
--- a/src/proxy/config/mod.rs
+++ b/src/proxy/config/mod.rs
@@ -21,11 +21,14 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::path::Path;
 use std::time::Duration;
 
 /// Where operators call; off without it.
 const ADMIN: &str = "PROXY_ADMIN_ADDR";
 const DISCOVERY: &str = "PROXY_DISCOVERY";
+/// Where clients connect.
+const LISTEN: &str = "PROXY_LISTEN";
 /// Names the file that switches the subscription to a control service on.
 pub const CONTROL: &str = "PROXY_CONTROL";
 /// Names the file that has clusters, endpoints and routes come in Envoy's form.
@@ -113,88 +116,35 @@
     /// Reads the file's text; `variable` gives what the environment says.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let root: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
-        let address = |name: &str, field: &str| {
-            let told = variable(name).or_else(|| root[field].as_str().map(str::to_owned));
-            let told = told.ok_or_else(|| format!("{field} is missing, and {name} is not set"))?;
-            told.parse::<SocketAddr>().map_err(|_| format!("{name} ({field}) is not an address: {told:?}"))
-        };
-        let envoy = match (variable(ENVOY), root["envoy"].as_str()) {
-            (Some(path), _) => Some((ENVOY, path)),
-            (None, Some(path)) => Some(("envoy", path.to_owned())),
-            (None, None) => None,
-        };
-        let envoy =
-            envoy.map(|(name, path)| EnvoySource::read(path.as_ref()).map_err(|e| format!("{name}: {e}")));
-        let envoy = envoy.transpose()?;
-        let listen = match (address("PROXY_LISTEN", "listen"), envoy.as_ref().and_then(EnvoySource::listen)) {
+        let sources = Sources { variable, root: &root };
+        let envoy = sources.envoy()?;
+        let listen = match (sources.address(LISTEN, "listen"), envoy.as_ref().and_then(EnvoySource::listen)) {
             (Ok(listen), _) | (Err(_), Some(listen)) => listen,
             (Err(e), None) => return Err(e),
         };
-        let discovery = match (address(DISCOVERY, "discovery"), &envoy) {
+        let discovery = match (sources.address(DISCOVERY, "discovery"), &envoy) {
             (Ok(discovery), _) => Some(discovery),
             (Err(_), Some(_)) => None,
             (Err(e), None) => return Err(e),
         };
-        let admin = match (variable(ADMIN), root.get("admin_addr").filter(|a| !a.is_null())) {
-            (None, None) => None,
-            _ => Some(address(ADMIN, "admin_addr")?),
-        };
-        let told = root.get("settings").filter(|s| s.is_object()).ok_or("settings is missing")?;
-        let (settings, names) = settings_of(told)?;
-        let known = match root.get("known").filter(|k| !k.is_null()) {
-            Some(known) => Some(EndpointList::deserialize(known).map_err(|e| format!("known: {e}"))?),
-            None => None,
-        };
-        let seed = match &root["seed"] {
-            Value::String(s) => u64::from_str_radix(s, 16).map_err(|_| format!("seed is not hex: {s:?}"))?,
-            Value::Null => 0,
-            other => other.as_u64().ok_or_else(|| format!("seed is not a number: {other}"))?,
-        };
-        let limit = |name: &str, usual: usize| match &root["limits"][name] {
-            Value::Null => Ok(usual),
-            other => other
-                .as_f64()
-                .filter(|n| *n >= 0.0)
-                .map(|n| n as usize)
-                .ok_or_else(|| format!("limits.{name} is not a number: {other}")),
-        };
-        let (sockets, memory) =
-            (limit("sockets", SOCKETS)?, limit("memory_mb", MEMORY_MB)?.saturating_mul(1 << 20));
-        let span = |group: &str, name: &str, usual: Nanos| match &told[group][name] {
-            Value::Null => Ok(usual),
-            other => whole(other).ok_or_else(|| format!("settings.{group}.{name} is not a number: {other}")),
-        };
-        let connect_timeout = Duration::from_nanos(span("caps", "connect_timeout_ns", CONNECT_TIMEOUT)?);
-        let drain_grace = span("rules", "drain_grace_ns", DRAIN_GRACE)?.max(DRAIN_GRACE_LEAST);
-        let name =
-            variable("PROXY_NAME").or_else(|| root["name"].as_str().map(str::to_owned)).unwrap_or_default();
-        let control = match (variable(CONTROL), root.get("control_service").filter(|c| !c.is_null())) {
-            (Some(path), _) => {
-                Some(ControlSource::read(path.as_ref()).map_err(|e| format!("{CONTROL}: {e}"))?)
-            }
-            (None, Some(told)) => {
-                Some(ControlSource::from_json(told).map_err(|e| format!("control_service.{e}"))?)
-            }
-            (None, None) => None,
-        };
-        let rollout = match (variable(ROLLOUT), root.get("rollout").filter(|r| !r.is_null())) {
-            (Some(path), _) => {
-                Some(RolloutSource::read(path.as_ref(), told).map_err(|e| format!("{ROLLOUT}: {e}"))?)
-            }
-            (None, Some(source)) => {
-                Some(RolloutSource::from_json(source, told).map_err(|e| format!("rollout.{e}"))?)
-            }
-            (None, None) => None,
-        };
-        let policy = match (variable(POLICY), root.get("policy").filter(|p| !p.is_null())) {
-            (Some(path), _) => {
-                Some(PolicySource::read(path.as_ref(), told).map_err(|e| format!("{POLICY}: {e}"))?)
-            }
-            (None, Some(source)) => {
-                Some(PolicySource::from_json(source, told).map_err(|e| format!("policy.{e}"))?)
-            }
-            (None, None) => None,
-        };
+        let admin = sources.admin()?;
+        let own = root.get("settings").filter(|s| s.is_object()).ok_or("settings is missing")?;
+        let (settings, names) = settings_of(own)?;
+        let known = root.get("known").filter(|known| !known.is_null());
+        let known = known.map(EndpointList::deserialize).transpose().map_err(|e| format!("known: {e}"))?;
+        let seed = seed(&root["seed"])?;
+        let sockets = sources.limit("sockets", SOCKETS)?;
+        let memory = sources.limit("memory_mb", MEMORY_MB)?.saturating_mul(1 << 20);
+        let connect_timeout = Duration::from_nanos(span(own, "caps", "connect_timeout_ns", CONNECT_TIMEOUT)?);
+        let drain_grace = span(own, "rules", "drain_grace_ns", DRAIN_GRACE)?.max(DRAIN_GRACE_LEAST);
+        let control =
+            sources.section(CONTROL, "control_service", ControlSource::read, ControlSource::from_json)?;
+        let read_rollout = |path: &Path| RolloutSource::read(path, own);
+        let rollout =
+            sources.section(ROLLOUT, "rollout", read_rollout, |told| RolloutSource::from_json(told, own))?;
+        let read_policy = |path: &Path| PolicySource::read(path, own);
+        let policy =
+            sources.section(POLICY, "policy", read_policy, |told| PolicySource::from_json(told, own))?;
         if policy.is_some() && control.is_none() {
             return Err(format!("{POLICY} needs a control service to ask; set {CONTROL}"));
         }
@@ -204,10 +154,9 @@
         if control.is_some() && envoy.is_some() {
             return Err(format!("{CONTROL} and {ENVOY} each bring the nodes; give one of the two"));
         }
-        let hosted = Supervised::read(&variable)?;
         Ok(Config {
-            name,
-            hosted,
+            name: sources.name(),
+            hosted: Supervised::read(&sources.variable)?,
             control,
             envoy,
             rollout,
@@ -221,10 +170,92 @@
             memory,
             connect_timeout,
             drain_grace,
-            own: told.clone(),
+            own: own.clone(),
             settings,
             names,
             known,
         })
     }
 }
+
+/// Where a value of the configuration may come from: a variable of the environment goes before the file.
+struct Sources<'a, V> {
+    variable: V,
+    root: &'a Value,
+}
+
+impl<V: Fn(&str) -> Option<String>> Sources<'_, V> {
+    fn name(&self) -> String {
+        let in_file = || self.root["name"].as_str().map(str::to_owned);
+        (self.variable)("PROXY_NAME").or_else(in_file).unwrap_or_default()
+    }
+
+    fn address(&self, variable: &str, field: &str) -> Result<SocketAddr, String> {
+        let text = (self.variable)(variable).or_else(|| self.root[field].as_str().map(str::to_owned));
+        let text = text.ok_or_else(|| format!("{field} is missing, and {variable} is not set"))?;
+        text.parse().map_err(|_| format!("{variable} ({field}) is not an address: {text:?}"))
+    }
+
+    fn admin(&self) -> Result<Option<SocketAddr>, String> {
+        match ((self.variable)(ADMIN), self.root.get("admin_addr").filter(|a| !a.is_null())) {
+            (None, None) => Ok(None),
+            _ => self.address(ADMIN, "admin_addr").map(Some),
+        }
+    }
+
+    /// The file of Envoy's form; it is named in either place.
+    fn envoy(&self) -> Result<Option<EnvoySource>, String> {
+        let (named_by, path) = match ((self.variable)(ENVOY), self.root["envoy"].as_str()) {
+            (Some(path), _) => (ENVOY, path),
+            (None, Some(path)) => ("envoy", path.to_owned()),
+            (None, None) => return Ok(None),
+        };
+        EnvoySource::read(path.as_ref()).map(Some).map_err(|e| format!("{named_by}: {e}"))
+    }
+
+    /// A number of `limits`.
+    fn limit(&self, name: &str, default: usize) -> Result<usize, String> {
+        match &self.root["limits"][name] {
+            Value::Null => Ok(default),
+            other => other
+                .as_f64()
+                .filter(|n| *n >= 0.0)
+                .map(|n| n as usize)
+                .ok_or_else(|| format!("limits.{name} is not a number: {other}")),
+        }
+    }
+
+    /// A part that stands in a file of its own, which a variable names, or in a section of this file; `None`: in neither.
+    fn section<T>(
+        &self,
+        variable: &str,
+        field: &str,
+        read: impl Fn(&Path) -> Result<T, String>,
+        from_json: impl Fn(&Value) -> Result<T, String>,
+    ) -> Result<Option<T>, String> {
+        match ((self.variable)(variable), self.root.get(field).filter(|section| !section.is_null())) {
+            (Some(path), _) => read(path.as_ref()).map(Some).map_err(|e| format!("{variable}: {e}")),
+            (None, Some(section)) => from_json(section).map(Some).map_err(|e| format!("{field}.{e}")),
+            (None, None) => Ok(None),
+        }
+    }
+}
+
+/// The seed of random numbers: hexadecimal text, or a number; 0 where there is none.
+fn seed(value: &Value) -> Result<u64, String> {
+    match value {
+        Value::String(text) => {
+            u64::from_str_radix(text, 16).map_err(|_| format!("seed is not hex: {text:?}"))
+        }
+        Value::Null => Ok(0),
+        other => other.as_u64().ok_or_else(|| format!("seed is not a number: {other}")),
+    }
+}
+
+/// A span of the settings in nanoseconds.
+fn span(settings: &Value, group: &str, name: &str, default: Nanos) -> Result<Nanos, String> {
+    match &settings[group][name] {
+        Value::Null => Ok(default),
+        other => whole(other).ok_or_else(|| format!("settings.{group}.{name} is not a number: {other}")),
+    }
+}
--- a/src/proxy/envoy/tests.rs
+++ b/src/proxy/envoy/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use crate::api::Settings;
 use crate::proxy::config::interner::Interner;
