--- a/src/allowance.rs
+++ b/src/decision/token_bucket.rs
@@ -1,6 +1,6 @@
 //! What may still be spent of something that is earned with time.
 
-use crate::api::Nanos;
+use super::api::Nanos;
 
 const SECOND: f64 = 1e9;
 
@@ -17,8 +17,8 @@
     /// One, from before all time.
     pub const ONE: Allowance = Allowance { left: 1.0, at: 0 };
 
-    /// Adds what has been earned at `rate` a second since it was last counted, up to `most`; returns what is left now. Time that
-    /// goes back earns nothing.
+    /// Adds what has been earned at `rate` a second since it was last counted, up to `most`; returns what is
+    /// left now. Time that goes back earns nothing.
     pub fn earn(&mut self, now: Nanos, rate: f64, most: f64) -> f64 {
         let passed = now.saturating_sub(self.at) as f64 / SECOND;
         *self = Allowance { left: (self.left + passed * rate).min(most), at: now };
