--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,194 +1,262 @@
-//! Attempts: first ones, retries, hedges, and the final answer.
+//! Attempts: sending one, retrying after a failure, hedging a slow one, and the final answer when none is
+//! left.
 
-use super::*;
+use super::api::{Action, Effect, Nanos, RequestId, ServerId, Status};
+use super::endpoint_set::EndpointIndex;
+use super::latency_objective::ClassLatency;
+use super::request::{Attempt, Completion, OpenRequest};
+use super::{Balancer, HEDGE_TIMER, SECOND};
 
-/// Retries and hedges earned by each request.
-pub(super) const BUDGET: f64 = 0.3;
-/// Timer tokens: the low bits are a request id.
-pub(super) const HEDGE: u64 = 1 << 56;
+/// Retries and hedges that each request earns.
+const RETRIES_PER_REQUEST: f64 = 0.3;
+/// The most retries and hedges that are saved up.
+const MAX_RETRY_BUDGET: f64 = 10.0;
 
-impl Balancer {
-    /// May a further attempt go to this server, after attempts that may have run?
-    pub(super) fn in_group(&self, now: Nanos, open: &Open, s: &Server) -> bool {
-        let Some(class) = open.class() else { return true };
-        let mut ran = open.attempts.iter().filter(|a| a.pending || a.may_have_run);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed => ran.all(|a| {
-                // The margin covers the way to the server.
-                let fresh = now.saturating_add(100 * MS) < a.sent.saturating_add(class.dedup_window);
-                fresh
-                    && match class.group {
-                        Group::All => true,
-                        Group::Zone => a.zone == s.entry.zone,
-                        Group::Cell => a.cell == s.entry.cell && a.zone == s.entry.zone,
-                    }
-            }),
-        }
+/// The retries and hedges that may be sent.
+pub(super) struct RetryBudget {
+    retries: f64,
+}
+
+impl Default for RetryBudget {
+    fn default() -> Self {
+        RetryBudget { retries: 1.0 }
+    }
+}
+
+impl RetryBudget {
+    /// Counts a request.
+    pub(super) fn earn(&mut self) {
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    /// Whether the rules allow this attempt. Whatever chose the server, nothing is sent without it.
-    pub(super) fn lawful(&self, now: Nanos, open: &Open, s: &Server) -> bool {
-        let alone = open.attempts.iter().all(|a| !a.pending);
-        s.entry.state == State::Ready
-            && self.open_to(open.class(), s)
-            && now < open.deadline
-            && !open.streaming
-            && (open.attempts.len() as u32) < open.terms.max_attempts.max(1)
-            && (alone || open.terms.second_copies)
-            && self.in_group(now, open, s)
+    fn is_available(&self) -> bool {
+        self.retries >= 1.0
     }
 
-    pub(super) fn send(&mut self, now: Nanos, id: RequestId, i: u32, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
-        // The cold budget is spent here, last of all, by whatever is sent.
-        let (lawful, fetch) = (self.lawful(now, open, &self.servers[i as usize]), open.fetch);
-        let alone = open.attempts.iter().all(|a| !a.pending);
-        if !(lawful && self.cold_allows(now, i, true)) {
-            return if alone {
-                self.give_up(now, id, actions)
-            };
+    fn spend(&mut self) {
+        self.retries -= 1.0;
+    }
+}
+
+/// What calls for a further attempt.
+#[derive(Clone, Copy, PartialEq)]
+enum RetryCause {
+    /// An endpoint did not answer in time.
+    Silence,
+    /// An attempt at the origin failed.
+    OriginFailure,
+    /// An attempt at another endpoint failed.
+    EndpointFailure,
+}
+
+/// How long to wait for an attempt.
+struct Waits {
+    /// The attempt is given up after this time; 0 if the client's deadline alone applies.
+    timeout: Nanos,
+    /// A hedged attempt follows after this time.
+    hedge_after: Option<Nanos>,
+}
+
+impl Waits {
+    /// How long to wait for the attempt just sent.
+    fn new(now: Nanos, request: &OpenRequest, latency: ClassLatency, to_origin: bool) -> Self {
+        let settings = &request.settings;
+        let budget = request.objective_at.min(request.deadline).saturating_sub(now) as f64;
+        // Danger: work for an answer that is worth nothing any more keeps others waiting.
+        let is_worthless = budget > 0.0 && request.is_worthless_when_late();
+        let timeout = if is_worthless { budget as Nanos } else { 0 };
+        let patience = latency.patience(budget);
+        let is_repeatable = request.class().is_some_and(|c| c.effect != Effect::Unsafe && !c.stream);
+        let has_attempts_left = (request.attempts.len() as u32) < settings.max_attempts;
+        let may_repeat = is_repeatable && has_attempts_left && !to_origin && patience + latency.mean < budget;
+        if may_repeat && settings.second_copies {
+            // Danger: an answer that got lost, or an endpoint that hangs, holds the request until its
+            // objective. While all endpoints are slow, patience exceeds the budget and nothing is sent twice.
+            Waits { timeout, hedge_after: Some(patience as Nanos) }
+        } else if may_repeat && settings.aside {
+            Waits { timeout: patience as Nanos, hedge_after: None }
+        } else {
+            Waits { timeout, hedge_after: None }
         }
-        let proof = self.proof(now);
-        let to_origin = self.is_origin(&self.servers[i as usize]);
-        if to_origin || fetch {
-            self.origin_out += 1.0;
+    }
+}
+
+impl Balancer {
+    /// Sends an attempt, if the rules and the endpoint's slow-start allowance let it go out.
+    pub(super) fn send(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        index: EndpointIndex,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let is_lawful = self.is_lawful(now, request, &self.endpoints[index]);
+        let (is_fetch, has_pending_attempt) = (request.is_fetch, request.has_pending_attempt());
+        // The slow-start allowance is spent here, last of all, by whatever is sent.
+        if !(is_lawful && self.spend_slow_start_allowance(now, index)) {
+            if !has_pending_attempt {
+                self.give_up(now, id, actions);
+            }
+            return;
         }
-        let s = &mut self.servers[i as usize];
-        s.inflight += 1.0;
-        self.inflight += 1.0;
-        if s.evidence >= 0.5 * proof && s.backoff > 0 {
-            // A trial: no second one before its answer is due.
-            s.suspect_until = now.saturating_add(s.backoff.max(SECOND));
+        let to_origin = self.is_origin(&self.endpoints[index]);
+        if to_origin || is_fetch {
+            self.origin.acquire();
         }
-        let (server, zone, cell) = (s.entry.server, s.entry.zone, s.entry.cell);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        open.attempts.push(Attempt { server, zone, cell, sent: now, pending: true, may_have_run: false });
-        let tries = open.attempts.len() as u32;
-        let terms = open.terms.clone();
-        let more = tries < terms.max_attempts;
-        let left = open.aim_at.min(open.deadline).saturating_sub(now) as f64;
-        let class = terms.classes.get(open.class);
-        let seen = self.seen.get(open.class).cloned().unwrap_or_default();
-        let safe = class.is_some_and(|c| c.effect != Effect::Unsafe && !c.stream);
-        let patience =
-            if seen.count < 5.0 { left * 0.5 } else { (seen.mean + 3.5 * seen.spread).max(0.2 * left) };
-        // Danger: work for an answer that is worth nothing any more keeps others waiting.
-        let worthless = left > 0.0 && class.is_some_and(|c| c.late_value <= 0.0);
-        let mut timeout = if worthless { left as Nanos } else { 0 };
-        if safe && more && !to_origin && terms.second_copies && patience + seen.mean < left {
-            // Danger: an answer that got lost, or a server that hangs, holds the request until its aim. While
-            // all servers are slow, patience grows past what is left and nothing is sent twice.
-            actions.push(Action::Timer { token: HEDGE | id, delay: patience as Nanos });
-        } else if safe && more && !to_origin && terms.aside && patience + seen.mean < left {
-            timeout = patience as Nanos;
+        let attempt = self.start_attempt(now, index);
+        let server = attempt.server;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.attempts.push(attempt);
+        let latency = self.latency.get(request.class).copied().unwrap_or_default();
+        let waits = Waits::new(now, request, latency, to_origin);
+        if let Some(delay) = waits.hedge_after {
+            actions.push(Action::Timer { token: HEDGE_TIMER | id, delay });
         }
-        actions.push(Action::Send { id, server, timeout });
+        actions.push(Action::Send { id, server, timeout: waits.timeout });
     }
 
-    /// The request has had its answer: what it was worth is noted, copies still out are called off.
-    pub(super) fn finished(&mut self, now: Nanos, o: &Outcome, actions: &mut Vec<Action>) {
-        let Some(open) = self.close(o.id) else { return };
-        let late = open.class().map_or(0.0, |c| c.late_value);
-        let served = f64::from(u8::from(o.status == Status::Ok));
-        self.within_share(now, open.tenant, served);
-        let worth = if now <= open.aim_at { served } else { served * late };
-        self.ended(&open, worth);
-        let out = open.attempts.iter().enumerate().filter(|(_, a)| a.pending && open.terms.cancel);
-        actions.extend(out.map(|(n, _)| Action::Cancel { id: o.id, attempt: n as u32 }));
+    /// Counts an attempt at an endpoint.
+    fn start_attempt(&mut self, now: Nanos, index: EndpointIndex) -> Attempt {
+        let threshold = self.ejection_threshold(now);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.in_flight += 1.0;
+        self.connections.in_flight += 1.0;
+        let ejection = &mut endpoint.ejection;
+        if ejection.log_odds >= 0.5 * threshold && ejection.backoff > 0 {
+            // A trial after an ejection: no second one before its answer is due.
+            ejection.ejected_until = now.saturating_add(ejection.backoff.max(SECOND));
+        }
+        let entry = &endpoint.entry;
+        let (server, zone, cell) = (entry.server, entry.zone, entry.cell);
+        Attempt { server, zone, cell, sent_at: now, is_pending: true, may_have_run: false }
     }
 
-    /// The next step of a request that still lacks its answer: the origin, a retry, or the final answer.
-    pub(super) fn go_on(&mut self, now: Nanos, o: &Outcome, to_origin: bool, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&o.id) else { return };
-        if open.streaming || open.attempts.iter().any(|a| a.pending) {
+    /// The next step of a request whose attempt failed: the origin, a retry, or the final answer.
+    pub(super) fn continue_request(
+        &mut self,
+        now: Nanos,
+        ended: &Completion,
+        to_origin: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&ended.id) else { return };
+        if request.is_streaming || request.has_pending_attempt() {
             return;
         }
-        if o.status == Status::Miss && self.settings.aside {
-            if let Some(i) = self.origin(now, open) {
-                return self.send(now, o.id, i, actions);
+        if ended.status == Status::Miss && self.settings.aside {
+            if let Some(origin) = self.choose_origin(now, request) {
+                return self.send(now, ended.id, origin, actions);
             }
         }
-        // Danger: the key's other servers do not hold it, so a retry after a full, late or failed answer is a
-        // miss more at an origin that may be the cause. Only a server that did not take the request, because
-        // it cannot be reached or left, is worth another; and in aside deployments silence counts as a miss.
-        // A thin proxy cannot know that a server is full; while the origin is well it tries the next one.
-        let lost = matches!(o.status, Status::ConnectFailed | Status::Reset | Status::Moot);
-        let silent = o.status == Status::Timeout && self.settings.aside;
-        let lost = lost && (!to_origin || o.status == Status::Reset);
-        let unseen = o.status == Status::Full && !to_origin && self.calm() && self.thin(now);
-        let again = lost || unseen || !to_origin && (silent || self.suspect(now, o.server));
-        if !again || !self.another(now, o.id, (silent, to_origin), actions) {
-            self.give_up(now, o.id, actions);
+        let is_retried = match self.retry_cause(now, ended, to_origin) {
+            Some(cause) => self.retry(now, ended.id, cause, actions),
+            None => false,
+        };
+        if !is_retried {
+            self.give_up(now, ended.id, actions);
         }
     }
 
-    /// Whether a further attempt can still bring an answer that is worth something.
-    pub(super) fn in_time(&self, now: Nanos, open: &Open) -> bool {
-        let worthless = open.class().is_some_and(|c| c.late_value <= 0.0);
-        let end = if worthless { open.aim_at.min(open.deadline) } else { open.deadline };
-        let mean = self.seen.get(open.class).map_or(0.0, |s| s.mean);
-        end.saturating_sub(now) as f64 > (0.5 * mean).max(MS as f64)
+    /// Whether a failed attempt calls for another one. Danger: the key's other endpoints do not hold it, so a
+    /// retry after an overloaded, late or failed answer is one more miss at an origin that may be the cause.
+    /// Only an endpoint that did not take the request, because it cannot be reached or is ejected, is worth
+    /// another; and in aside deployments silence counts as a miss. A proxy with sparse traffic cannot know
+    /// that an endpoint is overloaded; while the origin is healthy it tries the next one.
+    fn retry_cause(&self, now: Nanos, ended: &Completion, to_origin: bool) -> Option<RetryCause> {
+        if to_origin {
+            return (ended.status == Status::Reset).then_some(RetryCause::OriginFailure);
+        }
+        let is_silent = ended.status == Status::Timeout && self.settings.aside;
+        if is_silent {
+            return Some(RetryCause::Silence);
+        }
+        let is_lost = matches!(ended.status, Status::ConnectFailed | Status::Reset | Status::Moot);
+        let is_unforeseen =
+            ended.status == Status::Full && self.origin.is_healthy() && self.has_sparse_traffic(now);
+        let is_retryable = is_lost || is_unforeseen || self.is_ejected(now, ended.server);
+        is_retryable.then_some(RetryCause::EndpointFailure)
     }
 
-    pub(super) fn hedge(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
-        let slow: Vec<ServerId> = open.attempts.iter().filter(|a| a.pending).map(|a| a.server).collect();
-        if slow.len() != 1 || open.streaming || now >= open.deadline {
+    /// A hedge timer ran out: if the attempt is still pending, it gets a second one beside it.
+    pub(super) fn on_hedge_timer(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let mut pending = request.attempts.iter().filter(|a| a.is_pending).map(|a| a.server);
+        let slow: Option<ServerId> = pending.next();
+        let is_single = slow.is_some() && pending.next().is_none();
+        if !is_single || request.is_streaming || now >= request.deadline {
             return;
         }
-        // No answer for so long counts against the server at once: a hung one is left after two of these.
-        self.failed(now, slow[0], 1.0);
-        self.another(now, id, (true, false), actions);
+        if let Some(server) = slow {
+            // No answer for so long counts against the endpoint at once: a hung one is ejected after two.
+            self.record_failure(now, server, 1.0);
+        }
+        self.retry(now, id, RetryCause::Silence, actions);
     }
 
     /// Sends a further attempt if time, budget and rules allow it; tells whether it did. After silence an
-    /// aside deployment asks the origin and no other server, which would lack the key.
-    pub(super) fn another(
-        &mut self,
-        now: Nanos,
-        id: RequestId,
-        after: (bool, bool),
-        actions: &mut Vec<Action>,
-    ) -> bool {
-        let (silent, to_origin) = after;
-        let Some(open) = self.open.remove(&id) else { return false };
-        // Danger: where a hot key drowns a server, silence of a thousand proxies floods the origin as well.
-        let calm = !silent || !(self.settings.aside || open.fetch) || self.origin_late < ORIGIN_LATE;
-        let more = calm && (open.attempts.len() as u32) < open.terms.max_attempts.max(1);
-        let target = match (more && self.budget >= 1.0 && self.in_time(now, &open), silent || to_origin) {
-            (false, _) => None,
-            (true, true) if self.settings.aside => self.origin(now, &open),
-            (true, _) => self.choose(now, &open, 1),
+    /// aside deployment asks the origin and no other endpoint, which would lack the key.
+    fn retry(&mut self, now: Nanos, id: RequestId, cause: RetryCause, actions: &mut Vec<Action>) -> bool {
+        let Some(request) = self.requests.remove(&id) else { return false };
+        let target = if !self.may_retry(now, &request, cause) {
+            None
+        } else if cause != RetryCause::EndpointFailure && self.settings.aside {
+            self.choose_origin(now, &request)
+        } else {
+            self.choose_endpoint(now, &request, 1)
         };
-        self.open.insert(id, open);
-        let Some(i) = target else { return false };
-        self.budget -= 1.0;
-        self.send(now, id, i, actions);
+        self.requests.insert(id, request);
+        let Some(index) = target else { return false };
+        self.retry_budget.spend();
+        self.send(now, id, index, actions);
         true
     }
 
-    /// The final answer when nothing more can be done: a refusal where it is true that a repeat does no harm.
+    fn may_retry(&self, now: Nanos, request: &OpenRequest, cause: RetryCause) -> bool {
+        let loads_origin = cause == RetryCause::Silence && (self.settings.aside || request.is_fetch);
+        // Danger: where a hot key overloads an endpoint, the silence that a thousand proxies see would flood
+        // the origin as well.
+        (!loads_origin || self.origin.is_responsive())
+            && request.has_attempts_left()
+            && self.retry_budget.is_available()
+            && self.is_retry_worthwhile(now, request)
+    }
+
+    /// The request has had its answer: its value is noted, and attempts still pending are cancelled.
+    pub(super) fn finish(&mut self, now: Nanos, ended: &Completion, actions: &mut Vec<Action>) {
+        let Some(request) = self.remove_request(ended.id) else { return };
+        let late_value = request.class().map_or(0.0, |c| c.late_value);
+        let served = f64::from(u8::from(ended.status == Status::Ok));
+        self.tenants.charge(&self.settings, now, request.tenant, served);
+        let value = if now <= request.objective_at { served } else { served * late_value };
+        self.admission.record_end(&request, value);
+        if request.settings.cancel {
+            let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.is_pending);
+            actions.extend(pending.map(|(n, _)| Action::Cancel { id: ended.id, attempt: n as u32 }));
+        }
+    }
+
+    /// The client left: nothing more is owed.
+    pub(super) fn on_expired(&mut self, id: RequestId) {
+        if let Some(request) = self.remove_request(id) {
+            self.admission.record_end(&request, 0.0);
+        }
+    }
+
+    /// The final answer when nothing more can be done: a rejection where it is true that a repeat does no
+    /// harm.
     pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.close(id) else { return };
-        self.ended(&open, 0.0);
-        let class = open.class();
-        let past =
-            now >= open.aim_at && !open.attempts.is_empty() && class.is_some_and(|c| c.late_value <= 0.0);
-        let ran = open.attempts.iter().any(|a| a.pending || a.may_have_run);
-        let harmless = match class.map_or(Effect::Unsafe, |c| c.effect) {
-            Effect::Safe => true,
-            Effect::Keyed => !ran || class.is_some_and(|c| c.group == Group::All),
-            Effect::Unsafe => !ran,
-        };
-        if harmless {
-            // Advice to stay away while not all is taken.
-            let wait =
-                if past || self.taken < 1.0 || self.extra < 1.0 { open.terms.max_retry_after } else { 0 };
-            actions.push(Action::Refuse { id, retry_after: wait });
-        } else {
+        let Some(request) = self.remove_request(id) else { return };
+        self.admission.record_end(&request, 0.0);
+        if !request.is_safe_to_repeat() {
             actions.push(Action::Fail { id });
+            return;
         }
+        let is_too_late =
+            now >= request.objective_at && !request.attempts.is_empty() && request.is_worthless_when_late();
+        // Clients are advised to stay away while some requests are rejected.
+        let is_wait_advised = is_too_late || self.admission.is_shedding();
+        let retry_after = if is_wait_advised { request.settings.max_retry_after } else { 0 };
+        actions.push(Action::Refuse { id, retry_after });
     }
 }
--- a/src/decision/endpoint_set.rs
+++ b/src/decision/endpoint_set.rs
@@ -1,24 +1,115 @@
-//! The endpoints by the list of discovery.
+//! The set of endpoints this proxy knows of, as the endpoint list gives them.
 
-use super::*;
+use super::api::{Action, Class, Entry, ListKind, Nanos, ServerId, State};
+use super::hash::{mix64, unit_interval};
+use super::outlier_detection::Ejection;
+use super::token_bucket::TokenBucket;
+use super::Balancer;
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::ops::{Index, IndexMut};
 
+/// Bounds of a weight that the list gives.
+const MIN_WEIGHT: f64 = 1e-6;
+const MAX_WEIGHT: f64 = 1e9;
+
+/// Position of an endpoint in the set; stable while the endpoint is listed.
+pub(super) type EndpointIndex = u32;
+
+/// An endpoint and what this proxy knows of it.
 #[derive(Default)]
-pub(super) struct Server {
+pub(super) struct Endpoint {
     pub(super) entry: Entry,
     pub(super) inverse_weight: f64,
-    pub(super) inflight: f64,
-    /// How surely it fails more than servers do on the whole: a sum of logarithms of odds.
-    pub(super) evidence: f64,
-    pub(super) suspect_until: Nanos,
-    pub(super) backoff: Nanos,
-    /// What it may still be sent while it is cold.
-    pub(super) cold: Allowance,
-    /// When an attempt there last ended on an open connection; 0: no connection was to be had since.
-    pub(super) reached_at: Nanos,
+    /// Attempts of this proxy that the endpoint has not answered yet.
+    pub(super) in_flight: f64,
+    pub(super) ejection: Ejection,
+    /// What this proxy may still send to it while its cache is cold.
+    pub(super) slow_start_tokens: TokenBucket,
+    /// When an attempt last ended on an open connection; 0 if a connection has failed since.
+    pub(super) connected_at: Nanos,
+}
+
+/// All endpoints, in slots that are used again after an endpoint is removed.
+#[derive(Default)]
+pub(super) struct EndpointSet {
+    index_by_id: FxHashMap<ServerId, EndpointIndex>,
+    slots: Vec<Endpoint>,
+    free_slots: Vec<EndpointIndex>,
+    /// Grows with each change of the list; rankings of an earlier version are stale.
+    pub(super) version: u64,
+    /// Sum of the weights of the endpoints that keys are placed on.
+    pub(super) total_weight: f64,
+    /// Number of the endpoints that keys are placed on.
+    pub(super) ready_count: f64,
+}
+
+impl Index<EndpointIndex> for EndpointSet {
+    type Output = Endpoint;
+
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.slots[index as usize]
+    }
+}
+
+impl IndexMut<EndpointIndex> for EndpointSet {
+    fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        &mut self.slots[index as usize]
+    }
+}
+
+impl EndpointSet {
+    pub(super) fn index_of(&self, server: ServerId) -> Option<EndpointIndex> {
+        self.index_by_id.get(&server).copied()
+    }
+
+    pub(super) fn get(&self, server: ServerId) -> Option<&Endpoint> {
+        self.index_of(server).map(|index| &self[index])
+    }
+
+    pub(super) fn get_mut(&mut self, server: ServerId) -> Option<&mut Endpoint> {
+        self.index_of(server).map(|index| &mut self[index])
+    }
+
+    /// The indices of all slots, those of removed endpoints included.
+    pub(super) fn indices(&self) -> std::ops::Range<EndpointIndex> {
+        0..self.slots.len() as EndpointIndex
+    }
+
+    /// All slots in their order, those of removed endpoints included.
+    pub(super) fn slots(&self) -> impl Iterator<Item = &Endpoint> {
+        self.slots.iter()
+    }
+
+    pub(super) fn slots_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.slots.iter_mut()
+    }
+
+    /// The endpoints that are listed, in no particular order.
+    pub(super) fn listed(&self) -> impl Iterator<Item = &Endpoint> {
+        self.index_by_id.values().map(|&index| &self[index])
+    }
+
+    /// The ids of the endpoints that a full list no longer names, sorted.
+    fn missing_from(&self, entries: &[Entry]) -> Vec<ServerId> {
+        let named: FxHashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+        let unnamed = self.index_by_id.keys().filter(|server| !named.contains(server));
+        let mut missing: Vec<ServerId> = unnamed.copied().collect();
+        missing.sort_unstable();
+        missing
+    }
+
+    fn insert(&mut self, endpoint: Endpoint) {
+        let server = endpoint.entry.server;
+        let index = self.free_slots.pop().unwrap_or(self.slots.len() as EndpointIndex);
+        self.slots.resize_with(self.slots.len().max(index as usize + 1), Endpoint::default);
+        self[index] = endpoint;
+        self.index_by_id.insert(server, index);
+    }
 }
 
 impl Balancer {
-    pub(super) fn list(
+    /// Applies an event of the endpoint list.
+    pub(super) fn on_list(
         &mut self,
         now: Nanos,
         kind: ListKind,
@@ -26,101 +117,93 @@
         actions: &mut Vec<Action>,
     ) {
         if kind == ListKind::Failed {
-            (self.subscribed, self.asked) = (false, false);
-            self.failures = (self.failures + 1).min(8);
-            return self.ask_later(actions);
+            return self.on_subscription_lost(actions);
         }
         if kind != ListKind::Delta {
-            let named: rustc_hash::FxHashSet<ServerId> = entries.iter().map(|e| e.server).collect();
-            let mut gone: Vec<ServerId> = self.by_id.keys().filter(|s| !named.contains(s)).copied().collect();
-            gone.sort_unstable();
-            gone.into_iter().for_each(|s| self.remove(s));
+            self.endpoints.missing_from(&entries).into_iter().for_each(|server| self.remove_endpoint(server));
         }
         for entry in entries {
             let server = entry.server;
             if entry.state == State::Gone {
-                self.remove(server);
+                self.remove_endpoint(server);
             } else {
-                self.upsert(now, entry);
-                self.let_go(server, actions);
+                self.upsert_endpoint(now, entry);
+                self.close_idle_if_draining(server, actions);
             }
         }
-        self.weigh();
-        if kind == ListKind::Cached && self.settings.must_ask {
-            self.ask_later(actions);
-        } else if self.asked {
-            (self.asked, self.subscribed, self.failures) = (false, true, 0);
-        }
+        self.update_weights();
+        self.on_list_applied(kind, actions);
     }
 
-    /// Closes what is idle at a draining server, where that is a rule: on every notice of the drain, and on
-    /// every outcome there, since its connection is idle from then on.
-    pub(super) fn let_go(&self, server: ServerId, actions: &mut Vec<Action>) {
-        let state = self.by_id.get(&server).map(|&i| self.servers[i as usize].entry.state);
-        if self.settings.let_go > 0 && state == Some(State::Draining) {
+    /// Closes the idle connections to a draining endpoint where the rules demand it: on every list entry that
+    /// names it as draining, and on every outcome there, since its connection is idle from then on.
+    pub(super) fn close_idle_if_draining(&self, server: ServerId, actions: &mut Vec<Action>) {
+        let is_draining = self.endpoints.get(server).is_some_and(|e| e.entry.state == State::Draining);
+        if self.settings.let_go > 0 && is_draining {
             actions.push(Action::Close(server));
         }
     }
 
-    pub(super) fn is_origin(&self, s: &Server) -> bool {
-        self.settings.origin_kind == Some(s.entry.kind)
+    pub(super) fn is_origin(&self, endpoint: &Endpoint) -> bool {
+        self.settings.origin_kind == Some(endpoint.entry.kind)
     }
 
-    pub(super) fn ranks(&self, s: &Server) -> bool {
-        // The origin of an aside deployment is a server of last resort, never a candidate.
-        s.entry.state == State::Ready && !(self.settings.aside && self.is_origin(s))
+    /// Whether keys are placed on this endpoint.
+    pub(super) fn takes_keys(&self, endpoint: &Endpoint) -> bool {
+        // The origin of an aside deployment is an endpoint of last resort, never a candidate.
+        endpoint.entry.state == State::Ready && !(self.settings.aside && self.is_origin(endpoint))
     }
 
-    /// May a class be sent to this server? The origin of an aside deployment is open to all.
-    pub(super) fn open_to(&self, class: Option<&Class>, s: &Server) -> bool {
-        let fits = |set: &Option<Vec<u32>>, at: u32| set.as_ref().is_none_or(|set| set.contains(&at));
-        let placed = |c: &Class| fits(&c.zones, s.entry.zone) && fits(&c.kinds, s.entry.kind);
-        class.is_none_or(placed) || self.settings.aside && self.is_origin(s)
+    /// Whether requests of a class may be sent to this endpoint. The origin of an aside deployment is open to
+    /// all classes.
+    pub(super) fn is_open_to(&self, class: Option<&Class>, endpoint: &Endpoint) -> bool {
+        let allows = |set: &Option<Vec<u32>>, value: u32| set.as_ref().is_none_or(|set| set.contains(&value));
+        let is_allowed =
+            |c: &Class| allows(&c.zones, endpoint.entry.zone) && allows(&c.kinds, endpoint.entry.kind);
+        class.is_none_or(is_allowed) || self.settings.aside && self.is_origin(endpoint)
     }
 
-    pub(super) fn remove(&mut self, server: ServerId) {
-        if let Some(i) = self.by_id.remove(&server) {
-            self.inflight -= self.servers[i as usize].inflight;
-            if self.is_origin(&self.servers[i as usize]) {
-                self.origin_out = (self.origin_out - self.servers[i as usize].inflight).max(0.0);
-            }
-            self.servers[i as usize].inflight = 0.0;
-            self.servers[i as usize].entry.state = State::Gone;
-            self.free.push(i);
+    fn remove_endpoint(&mut self, server: ServerId) {
+        let Some(index) = self.endpoints.index_by_id.remove(&server) else { return };
+        let is_origin = self.is_origin(&self.endpoints[index]);
+        let endpoint = &mut self.endpoints[index];
+        self.connections.in_flight -= endpoint.in_flight;
+        if is_origin {
+            self.origin.release(endpoint.in_flight);
         }
+        endpoint.in_flight = 0.0;
+        endpoint.entry.state = State::Gone;
+        self.endpoints.free_slots.push(index);
     }
 
-    pub(super) fn upsert(&mut self, now: Nanos, entry: Entry) {
-        if let Some(&i) = self.by_id.get(&entry.server) {
-            let s = &mut self.servers[i as usize];
-            if s.entry.started != entry.started {
-                // A changed start means a new process: no cache, no history of failures.
-                (s.evidence, s.suspect_until, s.backoff) = (0.0, 0, 0);
-                s.cold = Allowance { left: unit(mix(self.random ^ entry.started)), at: now };
+    fn upsert_endpoint(&mut self, now: Nanos, entry: Entry) {
+        if let Some(endpoint) = self.endpoints.get_mut(entry.server) {
+            if endpoint.entry.started != entry.started {
+                // A changed start time means a new process: an empty cache and no history of failures.
+                endpoint.ejection = Ejection::default();
+                let tokens = unit_interval(mix64(self.rng.state ^ entry.started));
+                endpoint.slow_start_tokens = TokenBucket { tokens, refilled_at: now };
             }
-            s.entry = entry;
+            endpoint.entry = entry;
             return;
         }
-        let (server, cold) = (entry.server, Allowance { left: self.chance(), at: now });
-        let fresh = Server { entry, inverse_weight: 1.0, cold, ..Server::default() };
-        let i = self.free.pop().unwrap_or(self.servers.len() as u32);
-        self.servers.resize_with(self.servers.len().max(i as usize + 1), Server::default);
-        self.servers[i as usize] = fresh;
-        self.by_id.insert(server, i);
-    }
-
-    /// Takes the weights of the servers from the list.
-    pub(super) fn weigh(&mut self) {
-        (self.total_weight, self.live) = (0.0, 0.0);
-        for i in 0..self.servers.len() {
-            let listed = self.servers[i].entry.weight;
-            let weight = if listed.is_finite() { listed.clamp(1e-6, 1e9) } else { 1.0 };
-            self.servers[i].inverse_weight = 1.0 / weight;
-            if self.ranks(&self.servers[i]) {
-                self.total_weight += weight;
-                self.live += 1.0;
+        let slow_start_tokens = TokenBucket { tokens: self.rng.next_unit(), refilled_at: now };
+        let endpoint = Endpoint { entry, inverse_weight: 1.0, slow_start_tokens, ..Endpoint::default() };
+        self.endpoints.insert(endpoint);
+    }
+
+    /// Computes the weights after a change of the list, and makes the rankings by the former list stale.
+    fn update_weights(&mut self) {
+        (self.endpoints.total_weight, self.endpoints.ready_count) = (0.0, 0.0);
+        for index in self.endpoints.indices() {
+            let listed = self.endpoints[index].entry.weight;
+            let weight = if listed.is_finite() { listed.clamp(MIN_WEIGHT, MAX_WEIGHT) } else { 1.0 };
+            self.endpoints[index].inverse_weight = 1.0 / weight;
+            if self.takes_keys(&self.endpoints[index]) {
+                self.endpoints.total_weight += weight;
+                self.endpoints.ready_count += 1.0;
             }
         }
-        self.version += 1;
+        self.endpoints.version += 1;
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,12 +1,23 @@
-//! Every decision of rushquay. The interface (types, settings, events, actions) is `src/decision/api.rs`.
+//! The decision module: which endpoint gets each request, and when a request is retried, hedged or rejected.
+//! Its interface (types, settings, events, actions) is `src/decision/api.rs`. It does no I/O, has no clock,
+//! and its only randomness is the seed it is given: the same events give the same actions.
 //!
-//! The ordinary path is Go-With-The-Winner: a key's bucket has SIGMA hashed candidates, each with a window of
-//! its last TAU outcomes; the first candidate with TAU hits in a row wins the bucket and keeps it.
+//! The ordinary path is Go-With-The-Winner: the bucket of a key has a few hashed candidates, each with a
+//! window of its last outcomes; the first candidate with a full row of cache hits wins the bucket and keeps
+//! it.
 //!
-//! A request passes these sections: admission (is it taken), candidates and windows (which bucket, which
-//! pin), health and cold ramp (who may not be asked now), choice (who is), attempts (is it lawful, and for
-//! how long); then, by its outcomes, windows and health again, the limit on the origin, and another
-//! attempt or the final answer. Each exception to the ordinary path names the danger that it guards against.
+//! A request passes these modules in order:
+//!
+//! 1. `latency_objective`: until when an answer earns its full value.
+//! 2. `admission` and `tenant_quota`: whether the request is taken.
+//! 3. `candidates` and `outcome_window`: the bucket of its key, its candidates, and the pinned one.
+//! 4. `origin_limit`: whether the origin can take the fetch, if the read is one.
+//! 5. `load_balancer`, with `outlier_detection` and `slow_start`: which endpoint it goes to.
+//! 6. `attempts`: whether the attempt is lawful, how long to wait for it, whether to retry or hedge.
+//!
+//! How an attempt ended goes back to the same modules. `endpoint_set` and `subscription` follow the endpoint
+//! list; `traffic` counts; `hash` holds hashing and randomness. Each exception to the ordinary path names the
+//! danger that it guards against, in a comment that begins with "Danger:".
 
 mod admission;
 pub mod api;
@@ -26,263 +37,226 @@
 pub mod token_bucket;
 mod traffic;
 
-use admission::*;
-use api::*;
-use attempts::*;
-use candidates::*;
-use endpoint_set::*;
-use hash::{mix, unit};
-use latency_objective::*;
-use origin_limit::*;
-use outcome_window::*;
-use request::*;
+use admission::Admission;
+use api::{Action, Event, Nanos, Request, RequestId, Settings, Status};
+use attempts::RetryBudget;
+use candidates::{BucketId, Buckets};
+use endpoint_set::EndpointSet;
+use hash::Rng;
+use latency_objective::ClassLatency;
+use load_balancer::Connections;
+use origin_limit::OriginLimit;
+use outlier_detection::OutlierDetection;
+use request::{Completion, FailureCause, OpenRequest};
 use rustc_hash::FxHashMap;
 use std::rc::Rc;
-use subscription::*;
-use token_bucket::Allowance;
-use traffic::*;
+use subscription::Subscription;
+use tenant_quota::TenantQuotas;
+use traffic::{Traffic, REQUEST_MEMORY_S, SERVED_MEMORY_S};
 
 const MS: Nanos = 1_000_000;
-
 const SECOND: Nanos = 1_000_000_000;
+/// Kinds of timer tokens. The low bits of a hedge timer are the request's id, those of a subscribe timer a
+/// sequence number.
+const HEDGE_TIMER: u64 = 1 << 56;
+const SUBSCRIBE_TIMER: u64 = 2 << 56;
 
 /// The decision module of one proxy.
 #[derive(Default)]
 pub struct Balancer {
     settings: Rc<Settings>,
-    random: u64,
-    // discovery
-    by_id: FxHashMap<ServerId, u32>,
-    servers: Vec<Server>,
-    free: Vec<u32>,
-    version: u64,
-    total_weight: f64,
-    live: f64,
-    /// The part of attempts that fails lately.
-    failing: f64,
-    subscribed: bool,
-    asked: bool,
-    failures: u32,
-    ask_token: u64,
-    // traffic
-    buckets: FxHashMap<u32, Bucket>,
-    open: FxHashMap<RequestId, Open>,
-    seen: Vec<Seen>,
-    count: Fading,
-    started: Option<Nanos>,
-    inflight: f64,
-    budget: f64,
-    served: Fading,
-    /// For each class, the first class that may use the same servers: these share candidates and pins.
-    scopes: Vec<usize>,
-    /// The part of the attempts that find no connection, lately.
-    unreached: f64,
-    // origin
-    origin_out: f64,
-    origin_room: f64,
-    origin_cut_at: Nanos,
-    /// The part of the fetches that come late or not at all, lately.
-    origin_late: f64,
-    // admission
-    judged: Judged,
-    /// Usual worth for a second's work.
-    usual_worth: f64,
-    /// The part of the tries that is taken, and of those of little worth.
-    taken: f64,
-    extra: f64,
-    /// What each tenant may still send within its share, and when that was counted.
-    share_left: Vec<Allowance>,
+    rng: Rng,
+    endpoints: EndpointSet,
+    subscription: Subscription,
+    requests: FxHashMap<RequestId, OpenRequest>,
+    traffic: Traffic,
+    /// Indexed by class.
+    latency: Vec<ClassLatency>,
+    admission: Admission,
+    tenants: TenantQuotas,
+    buckets: Buckets,
+    outliers: OutlierDetection,
+    connections: Connections,
+    origin: OriginLimit,
+    retry_budget: RetryBudget,
 }
 
 impl Balancer {
-    /// A module with nothing learned; `seed` is its only source of chance.
+    /// A module that has learned nothing yet; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let seen = vec![Seen::default(); settings.classes.len()];
-        // Danger: hundreds of proxies that each trust an origin they know nothing of flood it together.
-        let room = (ORIGIN_ALL / f64::from(settings.proxies.max(1))).clamp(2.0, ORIGIN_ROOM);
-        let share_left = vec![Allowance::ONE; settings.tenants.len()];
-        let start = Balancer { random: seed, ask_token: ASK, seen, budget: 1.0, ..Balancer::default() };
-        let mut new = Balancer { origin_room: room, taken: 1.0, extra: 1.0, share_left, ..start };
-        new.scope(settings);
-        new
+        let mut balancer = Balancer {
+            rng: Rng::seeded(seed),
+            latency: vec![ClassLatency::default(); settings.classes.len()],
+            tenants: TenantQuotas::new(settings.tenants.len()),
+            origin: OriginLimit::new(settings.proxies),
+            ..Balancer::default()
+        };
+        balancer.buckets.set_scopes(&settings);
+        balancer.settings = Rc::new(settings);
+        balancer
     }
 
-    /// Goes by other settings from the next request on: the same classes on other terms, and any tenants:
-    /// `tenants` tells the number that each had before. What was learned and counted stays.
+    /// Applies other settings from the next request on: the same classes on other terms, and any tenants;
+    /// `tenants` gives the number that each had before. What was learned and counted stays.
     pub fn obey(&mut self, settings: Settings, tenants: &[Option<usize>]) {
-        let (before, scopes) = (self.settings.clone(), self.scopes.clone());
-        self.scope(settings);
-        let had =
-            |t: &Option<usize>| t.and_then(|t| self.share_left.get(t).copied()).unwrap_or(Allowance::ONE);
-        self.share_left = tenants.iter().map(had).collect();
-        // Danger: a bucket stands for its scope's servers; under another it would ask where it may not.
-        let same =
-            |c: &usize| self.settings.classes.get(*c).is_some_and(|n| n.placed_as(&before.classes[*c]));
-        let to = |scope: usize| (0..scopes.len()).find(|c| scopes[*c] == scope && same(c));
-        let moved = |b: u32| match (u64::from(b) / BUCKETS).checked_sub(1) {
-            None => Some(b),
-            Some(s) => {
-                to(s as usize).map(|c| ((self.scopes[c] as u64 + 1) * BUCKETS) as u32 + place(b) as u32)
-            }
-        };
-        let buckets = std::mem::take(&mut self.buckets).into_iter();
-        self.buckets = buckets.filter_map(|(b, held)| Some((moved(b)?, held))).collect();
-        for open in self.open.values_mut() {
-            open.bucket = open.bucket.and_then(moved);
-            open.tenant = open.tenant.and_then(|t| tenants.iter().position(|had| *had == Some(t)));
+        let before = std::mem::replace(&mut self.settings, Rc::new(settings));
+        self.tenants.renumber(tenants);
+        let migrated = self.buckets.migrate(&before, &self.settings);
+        for request in self.requests.values_mut() {
+            request.bucket = request.bucket.and_then(&migrated);
+            request.tenant = request.tenant.and_then(|t| tenants.iter().position(|had| *had == Some(t)));
         }
     }
 
-    /// Takes one event and appends the actions it calls for.
+    /// Handles one event and appends the actions that it calls for.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
-        self.started.get_or_insert(now);
+        self.traffic.started_at.get_or_insert(now);
         match event {
-            Event::List { kind, entries } => self.list(now, kind, entries, actions),
-            Event::Arrival(request) => self.arrival(now, request, actions),
+            Event::List { kind, entries } => self.on_list(now, kind, entries, actions),
+            Event::Arrival(request) => self.on_arrival(now, request, actions),
             Event::Outcome { id, attempt, server, status, elapsed, last, hit } => {
                 let attempt = attempt as usize;
-                self.outcome(now, Outcome { id, attempt, server, status, elapsed, last, hit }, actions);
+                let ended = Completion { id, attempt, server, status, elapsed, is_final: last, hit };
+                self.on_attempt_ended(now, ended, actions);
             }
-            Event::Timer(token) => match token & !(HEDGE - 1) {
-                ASK => self.ask_timer(token, actions),
-                HEDGE => self.hedge(now, token & (HEDGE - 1), actions),
+            Event::Timer(token) => match token & !(HEDGE_TIMER - 1) {
+                SUBSCRIBE_TIMER => self.on_subscribe_timer(token, actions),
+                HEDGE_TIMER => self.on_hedge_timer(now, token & (HEDGE_TIMER - 1), actions),
                 _ => {}
             },
-            Event::Expired(id) => self.close(id).iter().for_each(|open| self.ended(open, 0.0)),
-            Event::First(id) => self.open.get_mut(&id).into_iter().for_each(|open| open.streaming = true),
+            Event::Expired(id) => self.on_expired(id),
+            Event::First(id) => {
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.is_streaming = true;
+                }
+            }
         }
     }
 
-    fn chance(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        unit(mix(self.random))
-    }
-
-    fn arrival(&mut self, now: Nanos, r: Request, actions: &mut Vec<Action>) {
-        self.count.add(now, MEMORY_S);
-        self.budget = (self.budget + BUDGET).min(10.0);
-        let class = self.settings.classes.get(r.class as usize).cloned().unwrap_or_default();
-        let aim = self.aim_left(&r, &class);
-        let bucket = r.key.map(|k| self.bucket(r.class as usize, k));
-        let hopeless = class.late_value <= 0.0 && (aim as f64) < 0.5 * self.usual(r.class as usize).mean;
-        let mut open = Open {
-            terms: self.settings.clone(),
-            class: r.class as usize,
-            bucket,
-            write: r.write,
-            aim_at: now.saturating_add(aim),
-            deadline: now.saturating_add(r.remaining),
-            streaming: false,
-            tenant: r.tenant.map(|t| t as usize),
-            arrived: now,
-            judged: !hopeless,
-            poor: false,
-            fetch: false,
-            pinned: r.pinned,
-            end: End::Late,
-            attempts: Vec::new(),
-        };
-        let share = self.shed(now, &mut open);
-        let mut refused = hopeless || share > 0.0 && self.chance() < share;
+    /// A request arrives: it is rejected, or its first attempt is sent.
+    fn on_arrival(&mut self, now: Nanos, arrival: Request, actions: &mut Vec<Action>) {
+        self.traffic.requests.increment(now, REQUEST_MEMORY_S);
+        self.retry_budget.earn();
+        let mut request = self.open_request(now, &arrival);
+        let mut is_admitted = self.admits(now, &mut request);
         let mut spread = 1;
-        if let Some(b) = bucket.filter(|_| !refused) {
-            self.rank(b);
-            spread = self.counted(now, b);
-            // Danger: a bucket not read yet is no fetch for sure; while fetches come in time none is refused.
-            // Danger: one late read of a rare key would shut a bucket whose other keys its candidates hold.
-            let hit = |b: &Bucket| b.held || b.windows.iter().any(|w| w.outcomes != 0);
-            let (held, read) = self.buckets.get(&b).map_or((false, false), |b| (hit(b), b.read));
-            open.fetch = !self.settings.aside && !r.write && !held;
-            // Danger: an origin in a jam of fetches nobody waits for fills no cache; each read joins it.
-            let shut = self.origin_room < 1.0 && self.chance() > self.origin_room;
-            refused = open.fetch && (read || !self.calm()) && (shut || !self.has_room(&open));
-        }
-        if refused {
-            self.open.insert(r.id, open);
-            return self.give_up(now, r.id, actions);
+        if let Some(bucket) = request.bucket.filter(|_| is_admitted) {
+            self.rank_endpoints(bucket);
+            spread = self.count_request(now, bucket);
+            is_admitted = self.admits_read(bucket, &mut request);
         }
-        let target = if self.settings.aside && r.write {
-            self.origin(now, &open)
+        let target = if !is_admitted {
+            None
+        } else if self.settings.aside && request.is_write {
+            self.choose_origin(now, &request)
         } else {
-            self.choose(now, &open, spread)
+            self.choose_endpoint(now, &request, spread)
         };
-        self.open.insert(r.id, open);
+        self.requests.insert(arrival.id, request);
         match target {
-            Some(i) if r.remaining > 0 => {
-                if self.judged.until.is_none() {
-                    self.judged.sent += 1.0;
-                }
-                self.send(now, r.id, i, actions);
+            Some(index) if arrival.remaining > 0 => {
+                self.admission.record_sent();
+                self.send(now, arrival.id, index, actions);
             }
-            _ => self.give_up(now, r.id, actions),
+            _ => self.give_up(now, arrival.id, actions),
         }
     }
 
-    /// Tells every section that learns from it how an attempt ended, then ends the request or goes on.
-    fn outcome(&mut self, now: Nanos, o: Outcome, actions: &mut Vec<Action>) {
-        self.released(now, &o, actions);
-        let to_origin = self.by_id.get(&o.server).is_some_and(|&i| self.is_origin(&self.servers[i as usize]));
-        let (class, fetch) = self.open.get(&o.id).map(|open| (open.class, open.fetch)).unzip();
-        let fetch = to_origin || fetch == Some(true);
-        // Danger: clients that wait for less than the aim cut attempts that were not late yet; taken for
-        // silence, these would have servers left that are well.
-        let aim = class.and_then(|c| self.settings.classes.get(c)).map_or(0, |c| c.aim);
-        let over = self.open.get(&o.id).is_some_and(|open| now.saturating_add(MS) >= open.deadline);
-        let cut = over && o.status == Status::Timeout && o.elapsed < aim;
-        if fetch {
-            self.origin_out = (self.origin_out - 1.0).max(0.0);
-            self.origin_learn(now, class, o.status, o.elapsed);
+    fn open_request(&mut self, now: Nanos, arrival: &Request) -> OpenRequest {
+        let class_index = arrival.class as usize;
+        let settings = self.settings.clone();
+        let class = settings.classes.get(class_index).cloned().unwrap_or_default();
+        let objective = self.time_to_objective(arrival, &class);
+        let mut request = OpenRequest::new(settings, now, arrival, objective);
+        request.bucket = arrival.key.map(|key| self.buckets.id_for(class_index, key));
+        let is_hopeless = (objective as f64) < 0.5 * self.latency_of(class_index).mean;
+        request.is_feasible = !(class.late_value <= 0.0 && is_hopeless);
+        request
+    }
+
+    /// Whether the request is taken, by its value and what became of earlier ones.
+    fn admits(&mut self, now: Nanos, request: &mut OpenRequest) -> bool {
+        let probability = self.rejection_probability(now, request);
+        request.is_feasible && !(probability > 0.0 && self.rng.next_unit() < probability)
+    }
+
+    /// Whether a request of this bucket may go out, by what the origin can take if it is a fetch.
+    fn admits_read(&mut self, bucket: BucketId, request: &mut OpenRequest) -> bool {
+        let bucket = self.buckets.get(bucket);
+        let is_cached = bucket.is_some_and(|b| b.is_probably_cached());
+        let was_read = bucket.is_some_and(|b| b.was_read);
+        request.is_fetch = !self.settings.aside && !request.is_write && !is_cached;
+        // Danger: an origin overloaded by fetches nobody waits for fills no cache; each further read joins
+        // it.
+        let is_held_back = self.origin.probability().is_some_and(|p| self.rng.next_unit() > p);
+        // Danger: a bucket that was not read yet is no fetch for sure; while fetches come in time none is
+        // rejected.
+        let is_limited = request.is_fetch && (was_read || !self.origin.is_healthy());
+        !(is_limited && (is_held_back || !self.origin.has_capacity_for(request)))
+    }
+
+    /// An attempt has ended: each module learns from it, then the request is finished or continued.
+    fn on_attempt_ended(&mut self, now: Nanos, ended: Completion, actions: &mut Vec<Action>) {
+        self.release_attempt(now, &ended, actions);
+        let to_origin = self.endpoints.get(ended.server).is_some_and(|e| self.is_origin(e));
+        let request = self.requests.get(&ended.id);
+        let class = request.map(|r| r.class);
+        let is_fetch = to_origin || request.is_some_and(|r| r.is_fetch);
+        let is_cut_short = request.is_some_and(|r| self.is_cut_short(now, r, &ended));
+        if is_fetch {
+            self.on_fetch_ended(now, class, ended.status, ended.elapsed);
         }
-        let usual = class.map(|c| self.usual(c)).unwrap_or_default();
-        self.observed(now, &o, class, &usual, cut);
-        let Some(open) = self.open.get_mut(&o.id) else { return };
-        if let Some(a) = open.attempts.get_mut(o.attempt) {
-            a.pending = false;
-            a.may_have_run = !o.status.never_ran();
+        // As it was before this outcome.
+        let latency = class.map(|c| self.latency_of(c)).unwrap_or_default();
+        let is_usual = is_cut_short || latency.is_surely_usual(ended.elapsed);
+        self.record_health(now, &ended, is_usual);
+        if ended.status == Status::Ok {
+            self.traffic.served.increment(now, SERVED_MEMORY_S);
+            if let Some(latency) = class.and_then(|c| self.latency.get_mut(c)) {
+                latency.record(ended.elapsed);
+            }
         }
-        open.end = match o.status {
-            Status::Full | Status::ConnectFailed => End::Full,
-            Status::Error | Status::Reset | Status::Miss => End::Other,
-            Status::Ok if o.hit == Some(false) => End::Other,
-            _ if fetch => End::Other,
-            _ => End::Late,
-        };
-        let told = !open.write && !matches!(o.status, Status::Cancelled | Status::Moot);
-        if let Some(b) = open.bucket.filter(|_| told) {
-            // Without a note an answer no slower than usual passes for a hit.
-            let quick = (o.elapsed as f64) < usual.mean + 2.0 * usual.spread.max(1.0);
-            self.learn(b, o.server, o.status == Status::Ok, o.hit.unwrap_or(quick));
+        let Some(request) = self.requests.get_mut(&ended.id) else { return };
+        if let Some(attempt) = request.attempts.get_mut(ended.attempt) {
+            attempt.is_pending = false;
+            attempt.may_have_run = !ended.status.never_ran();
+        }
+        request.last_failure = FailureCause::of(&ended, is_fetch);
+        let is_telling = !request.is_write && !matches!(ended.status, Status::Cancelled | Status::Moot);
+        if let Some(bucket) = request.bucket.filter(|_| is_telling) {
+            // Without a note by the endpoint, an answer no slower than usual passes for a cache hit.
+            let hit = ended.hit.unwrap_or(latency.passes_for_hit(ended.elapsed));
+            self.record_read(bucket, ended.server, ended.status == Status::Ok, hit);
         }
-        if o.last {
-            self.finished(now, &o, actions);
+        if ended.is_final {
+            self.finish(now, &ended, actions);
         } else {
-            self.go_on(now, &o, to_origin, actions);
+            self.continue_request(now, &ended, to_origin, actions);
         }
     }
 
-    /// What an outcome says of the server's health and of the usual times of the class.
-    fn observed(&mut self, now: Nanos, o: &Outcome, class: Option<usize>, usual: &Seen, cut: bool) {
-        let soon = cut || usual.count > 5.0 && (o.elapsed as f64) < usual.mean + 2.0 * usual.spread;
-        match o.status {
-            Status::Ok | Status::Miss => self.passed(now, o.server),
-            Status::ConnectFailed => self.failed(now, o.server, 2.0),
-            Status::Timeout if soon => {}
-            // Danger: a thin proxy would leave a server for one error by chance; silence tells it more.
-            Status::Error if self.thin(now) => self.failed(now, o.server, 0.8),
-            Status::Error | Status::Timeout | Status::Reset => self.failed(now, o.server, 1.0),
-            // Danger: a server that slows down turns most of what all send away; each proxy sees a few.
-            Status::Full if self.thin(now) => self.failed(now, o.server, 0.5),
+    /// Whether the client's deadline cut an attempt short that was not late yet. Danger: clients that wait
+    /// for less than the objective cut many; taken for silence, these would have healthy endpoints ejected.
+    fn is_cut_short(&self, now: Nanos, request: &OpenRequest, ended: &Completion) -> bool {
+        let objective = self.settings.classes.get(request.class).map_or(0, |c| c.aim);
+        let is_past_deadline = now.saturating_add(MS) >= request.deadline;
+        is_past_deadline && ended.status == Status::Timeout && ended.elapsed < objective
+    }
+
+    /// What an outcome says of the endpoint's health; `is_usual` if it came no later than is usual.
+    fn record_health(&mut self, now: Nanos, ended: &Completion, is_usual: bool) {
+        match ended.status {
+            Status::Ok | Status::Miss => self.record_success(now, ended.server),
+            Status::ConnectFailed => self.record_failure(now, ended.server, 2.0),
+            Status::Timeout if is_usual => {}
+            // Danger: with sparse traffic an endpoint would be ejected for one error by chance; silence says
+            // more.
+            Status::Error if self.has_sparse_traffic(now) => self.record_failure(now, ended.server, 0.8),
+            Status::Error | Status::Timeout | Status::Reset => self.record_failure(now, ended.server, 1.0),
+            // Danger: an endpoint that slows down rejects most of what all proxies send; with sparse traffic
+            // each proxy sees a few of these.
+            Status::Full if self.has_sparse_traffic(now) => self.record_failure(now, ended.server, 0.5),
             Status::Full | Status::Cancelled | Status::Moot => {}
         }
-        if o.status == Status::Ok {
-            self.served.add(now, SERVED_S);
-            if let Some(seen) = class.and_then(|c| self.seen.get_mut(c)) {
-                seen.count += 1.0;
-                let gain = (1.0 / seen.count).max(0.03);
-                let off = o.elapsed as f64 - seen.mean;
-                seen.mean += gain * off;
-                seen.spread += gain * (off.abs() - seen.spread);
-            }
-        }
     }
 }
--- a/src/decision/origin_limit.rs
+++ b/src/decision/origin_limit.rs
@@ -1,73 +1,130 @@
-//! Limit on the attempts out at the origin.
+//! The concurrency limit on attempts that the origin must serve: additive increase, multiplicative decrease.
 
-use super::*;
+use super::api::{Nanos, Settings, Status};
+use super::request::OpenRequest;
+use super::{Balancer, SECOND};
 
-/// Attempts that may be out at the origin before anything is known of it.
-pub(super) const ORIGIN_ROOM: f64 = 32.0;
-/// The same for all proxies together: what a few of them take by that figure.
-pub(super) const ORIGIN_ALL: f64 = 128.0;
-/// The least; below one by chance. Danger: many proxies with one each still send more than is served.
-pub(super) const LEAST_ROOM: f64 = 0.3;
-/// The part of fetches that may come late with the origin still well, and the gain with which it is followed.
-pub(super) const ORIGIN_LATE: f64 = 0.1;
-pub(super) const ORIGIN_GAIN: f64 = 0.1;
+/// The limit of one proxy before anything is known of the origin.
+const INITIAL_LIMIT: f64 = 32.0;
+/// The same for all proxies together, where they are many.
+const INITIAL_FLEET_LIMIT: f64 = 128.0;
+const MIN_INITIAL_LIMIT: f64 = 2.0;
+/// The lowest limit; below one it is a probability. Danger: many proxies with one attempt each still send
+/// more than a jammed origin serves.
+const MIN_LIMIT: f64 = 0.3;
+/// The part of fetches that may be late while the origin is well.
+const USUAL_LATE_RATE: f64 = 0.1;
+/// Gain of the moving average of that part.
+const LATE_RATE_GAIN: f64 = 0.1;
+/// The limit is multiplied by this on a sign of overload.
+const DECREASE_FACTOR: f64 = 0.8;
+
+/// The attempts in flight that the origin must serve, and their limit.
+#[derive(Default)]
+pub(super) struct OriginLimit {
+    in_flight: f64,
+    limit: f64,
+    /// When the limit was last reduced.
+    reduced_at: Nanos,
+    /// The part of fetches that are late or fail: a moving average.
+    late_rate: f64,
+}
+
+impl OriginLimit {
+    /// The limit of a proxy that knows nothing of the origin. Danger: hundreds of proxies that each trust an
+    /// unknown origin flood it together.
+    pub(super) fn new(proxies: u32) -> Self {
+        let share = INITIAL_FLEET_LIMIT / f64::from(proxies.max(1));
+        OriginLimit { limit: share.clamp(MIN_INITIAL_LIMIT, INITIAL_LIMIT), ..OriginLimit::default() }
+    }
+
+    pub(super) fn acquire(&mut self) {
+        self.in_flight += 1.0;
+    }
+
+    pub(super) fn release(&mut self, attempts: f64) {
+        self.in_flight = (self.in_flight - attempts).max(0.0);
+    }
+
+    /// The limit, where it is below one and so the probability that a fetch may go out.
+    pub(super) fn probability(&self) -> Option<f64> {
+        (self.limit < 1.0).then_some(self.limit)
+    }
+
+    /// Whether no more fetches are late than is usual.
+    pub(super) fn is_responsive(&self) -> bool {
+        self.late_rate < USUAL_LATE_RATE
+    }
 
-impl Balancer {
     /// Whether fetches come in time on the whole.
-    pub(super) fn calm(&self) -> bool {
-        self.origin_late < 2.0 * ORIGIN_LATE
+    pub(super) fn is_healthy(&self) -> bool {
+        self.late_rate < 2.0 * USUAL_LATE_RATE
     }
 
-    /// Whether there is room at the origin for one more request of this kind.
-    pub(super) fn has_room(&self, open: &Open) -> bool {
-        // Writes have nowhere else to go; what is worth little leaves room for the rest.
-        let part = match (open.write, open.poor) {
+    /// Whether the origin has capacity for one more request of this kind.
+    pub(super) fn has_capacity_for(&self, request: &OpenRequest) -> bool {
+        // Writes have nowhere else to go; what is worth little leaves capacity for the rest.
+        let part = match (request.is_write, request.is_low_value) {
             (true, _) => 1.5,
             (_, true) => 0.5,
             _ => 1.0,
         };
-        self.origin_out + 1.0 <= (self.origin_room * part).max(1.0)
+        self.in_flight + 1.0 <= (self.limit * part).max(1.0)
     }
 
-    /// The origin, where it is to be asked by the proxy and has room for this request.
-    pub(super) fn origin(&self, now: Nanos, open: &Open) -> Option<u32> {
-        if !self.has_room(open) {
-            return None;
+    /// Adjusts the limit by an attempt that has ended. Danger: an origin that goes on with work nobody waits
+    /// for any more fills no cache, so every read stays a miss and the overload feeds itself.
+    fn adjust(&mut self, now: Nanos, fetch: &Fetch, aside: bool, failure_rate: f64) {
+        self.late_rate += LATE_RATE_GAIN * (f64::from(u8::from(!fetch.in_time)) - self.late_rate);
+        // Danger: where endpoints fetch, answers get lost or work is uneven, some are late without any
+        // overload; but an error is a fetch that failed.
+        let is_by_chance = self.late_rate <= USUAL_LATE_RATE + 1.5 * failure_rate;
+        let is_overload = aside || fetch.status == Status::Error || !is_by_chance;
+        // A limit that is not reached proves nothing; and an overload counts once for all attempts that were
+        // in flight when it was met.
+        if fetch.in_time && self.in_flight + 1.0 >= 0.5 * self.limit {
+            self.limit += (0.2 * self.limit).min(1.0 / self.limit);
+        } else if !fetch.in_time && is_overload && now.saturating_sub(fetch.elapsed) >= self.reduced_at {
+            // In through deployments it may be the endpoints that are overloaded, and a quick decrease helps.
+            let highest = if aside { f64::MAX } else { 2.0 * self.in_flight + 2.0 };
+            let lowest = if fetch.status == Status::Full { self.limit.min(1.0) } else { MIN_LIMIT };
+            self.limit = (self.limit.min(highest) * DECREASE_FACTOR).max(lowest);
+            self.reduced_at = now;
         }
-        let fits = |i: &u32| {
-            let s = &self.servers[*i as usize];
-            s.entry.state == State::Ready && self.is_origin(s) && self.in_group(now, open, s)
-        };
-        let all = (0..self.servers.len() as u32).filter(fits);
-        all.min_by(|a, b| self.servers[*a as usize].inflight.total_cmp(&self.servers[*b as usize].inflight))
     }
+}
+
+/// How an attempt that the origin had to serve has ended.
+struct Fetch {
+    status: Status,
+    elapsed: Nanos,
+    in_time: bool,
+}
+
+/// The time within which a fetch is in time: the shortest objective that applies.
+fn fetch_objective(settings: &Settings, class: Option<usize>) -> Nanos {
+    let classes = settings.classes.iter().enumerate();
+    // An endpoint that fetches adds its own work to the time, which depends on the class.
+    let applicable = classes.filter(|(index, _)| settings.aside || class == Some(*index));
+    applicable.map(|(_, c)| c.aim).min().unwrap_or(SECOND)
+}
 
-    /// Learns from an attempt at the origin how many may be out there. Danger: an origin that goes on with
-    /// work nobody waits for any more fills no cache, so every read stays a miss and the jam feeds itself.
-    pub(super) fn origin_learn(&mut self, now: Nanos, class: Option<usize>, status: Status, elapsed: Nanos) {
-        let aims = self.settings.classes.iter().enumerate();
-        // A server that fetches adds its own work to the time, which is a class's own matter.
-        let aims = aims.filter(|(n, _)| self.settings.aside || class == Some(*n));
-        let patience = aims.map(|(_, c)| c.aim).min().unwrap_or(SECOND);
-        let in_time = status == Status::Ok && elapsed <= patience;
-        // A connection that breaks is no sign of a jam.
+impl Balancer {
+    /// Learns from an attempt that the origin had to serve how many it can take.
+    pub(super) fn on_fetch_ended(
+        &mut self,
+        now: Nanos,
+        class: Option<usize>,
+        status: Status,
+        elapsed: Nanos,
+    ) {
+        self.origin.release(1.0);
+        // A connection that breaks is no sign of overload.
         if matches!(status, Status::Cancelled | Status::Moot | Status::ConnectFailed | Status::Reset) {
             return;
         }
-        self.origin_late += ORIGIN_GAIN * (f64::from(u8::from(!in_time)) - self.origin_late);
-        // Danger: where servers fetch, answers get lost or work is uneven, some are late with no jam;
-        // but an error is a fetch that failed.
-        let by_chance = self.origin_late <= ORIGIN_LATE + 1.5 * self.failing;
-        let jam = self.settings.aside || status == Status::Error || !by_chance;
-        // Room that is not used proves nothing; and a jam counts once for all that was out when it was met.
-        if in_time && self.origin_out + 1.0 >= 0.5 * self.origin_room {
-            self.origin_room += (0.2 * self.origin_room).min(1.0 / self.origin_room);
-        } else if !in_time && jam && now.saturating_sub(elapsed) >= self.origin_cut_at {
-            // In through deployments it may be the servers that are jammed, and a quick fall helps.
-            let most = if self.settings.aside { f64::MAX } else { 2.0 * self.origin_out + 2.0 };
-            let least = if status == Status::Full { self.origin_room.min(1.0) } else { LEAST_ROOM };
-            self.origin_room = (self.origin_room.min(most) * 0.8).max(least);
-            self.origin_cut_at = now;
-        }
+        let in_time = status == Status::Ok && elapsed <= fetch_objective(&self.settings, class);
+        let fetch = Fetch { status, elapsed, in_time };
+        self.origin.adjust(now, &fetch, self.settings.aside, self.outliers.failure_rate);
     }
 }
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -1,73 +1,123 @@
-//! Ejection of endpoints that fail more than others.
+//! Outlier detection: ejects an endpoint for a while once it surely fails more than endpoints do on the
+//! whole.
 
-use super::*;
+use super::admission::MIN_SAMPLE;
+use super::api::{Nanos, ServerId, State};
+use super::{Balancer, SECOND};
 
-/// The part of attempts that fail by chance, and the gain with which the true part is followed: slow enough
-/// that what a few silent servers still hold does not pass for the usual.
-pub(super) const FAILING: f64 = 0.02;
-pub(super) const FAILING_GAIN: f64 = 0.005;
-/// Odds of 400 to 1, as a logarithm: two failures in a row where hardly any attempt fails.
-pub(super) const PROOF: f64 = 6.0;
+/// The part of attempts that fails by chance, which the estimate never falls below.
+const MIN_FAILURE_RATE: f64 = 0.02;
+const MAX_FAILURE_RATE: f64 = 0.9;
+/// Gain of the moving average of the failure rate: slow enough that the attempts a few silent endpoints still
+/// hold do not pass for the usual rate.
+const FAILURE_RATE_GAIN: f64 = 0.005;
+/// Log-odds of failure beyond which an endpoint is ejected (400:1): two failures in a row where hardly any
+/// attempt fails.
+const EJECTION_LOG_ODDS: f64 = 6.0;
+/// The longest time of an ejection.
+const MAX_EJECTION: Nanos = 16 * SECOND;
+/// The shortest time of an ejection, by a proxy with much and with sparse traffic.
+const MIN_EJECTION: Nanos = 2 * SECOND;
+const MIN_EJECTION_SPARSE: Nanos = 8 * SECOND;
+/// Ejections last between 75 and 125 % of their nominal time.
+const EJECTION_JITTER: f64 = 0.5;
 
-impl Balancer {
-    /// What a failure and a success say of one server, given how many attempts fail on the whole. Danger:
-    /// with a slow origin or a jam all servers fail at times; leaving each for a few failures in a row moves
-    /// all keys to the few servers left, which then drown, and each move is a miss.
-    pub(super) fn odds(&self) -> (f64, f64) {
-        let usual = self.failing.clamp(FAILING, 0.9);
+/// Whether and for how long an endpoint is ejected.
+#[derive(Clone, Copy, Default)]
+pub(super) struct Ejection {
+    /// How surely the endpoint fails more than endpoints do on the whole: a sum of log-odds.
+    pub(super) log_odds: f64,
+    pub(super) ejected_until: Nanos,
+    /// Nominal time of the last ejection.
+    pub(super) backoff: Nanos,
+}
+
+impl Ejection {
+    pub(super) fn is_ejected(&self, now: Nanos) -> bool {
+        self.ejected_until > now
+    }
+}
+
+/// What is known of the failures of all endpoints.
+#[derive(Default)]
+pub(super) struct OutlierDetection {
+    /// The part of attempts that fails: a moving average.
+    pub(super) failure_rate: f64,
+}
+
+impl OutlierDetection {
+    /// What a failure and a success say of one endpoint, as log-odds, given how many attempts fail on the
+    /// whole. Danger: with a slow origin or under overload all endpoints fail at times; ejecting each after a
+    /// few failures in a row moves all keys to the few endpoints left, which are then overloaded, and each
+    /// move is a cache miss.
+    fn log_odds(&self) -> (f64, f64) {
+        let usual = self.failure_rate.clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
+        // The failure rate of a broken endpoint.
         let broken = 0.5 + 0.5 * usual;
         ((broken / usual).ln(), ((1.0 - broken) / (1.0 - usual)).ln())
     }
+}
 
-    /// The evidence that makes a server suspect: a thin proxy cannot wait for a second silence.
-    pub(super) fn proof(&self, now: Nanos) -> f64 {
-        PROOF * if self.thin(now) { 0.5 } else { 1.0 }
+impl Balancer {
+    /// The log-odds beyond which an endpoint is ejected: a proxy with sparse traffic cannot wait for a second
+    /// silent attempt.
+    pub(super) fn ejection_threshold(&self, now: Nanos) -> f64 {
+        EJECTION_LOG_ODDS * if self.has_sparse_traffic(now) { 0.5 } else { 1.0 }
     }
 
-    /// Whether it surely sends a server less than one request a second: what fills it is not seen here.
-    pub(super) fn thin(&self, now: Nanos) -> bool {
-        self.count.sum > 3.0 * ENDS && self.rate(now) <= self.live
+    /// Whether this proxy surely sends an endpoint less than one request per second, so that it does not see
+    /// what loads the endpoint.
+    pub(super) fn has_sparse_traffic(&self, now: Nanos) -> bool {
+        self.traffic.requests.sum > 3.0 * MIN_SAMPLE
+            && self.traffic.request_rate(now) <= self.endpoints.ready_count
     }
 
-    pub(super) fn failed(&mut self, now: Nanos, server: ServerId, weight: f64) {
-        let jitter = 0.75 + 0.5 * self.chance();
-        // A thin proxy sends it nothing for seconds anyway: to be left for as long would be no difference.
-        let (worse, proof, least) = (self.odds().0, self.proof(now), if self.thin(now) { 8 } else { 2 });
-        let Some(&i) = self.by_id.get(&server) else { return };
-        let s = &mut self.servers[i as usize];
-        s.evidence = (s.evidence + weight * worse).min(2.0 * PROOF);
-        if s.evidence > proof && s.suspect_until <= now {
-            // A suspect server gets one request each time its suspicion lapses; the next failure doubles it.
-            s.backoff = (s.backoff * 2).clamp(least * SECOND, 16 * SECOND);
-            s.suspect_until = now.saturating_add((s.backoff as f64 * jitter) as Nanos);
+    /// Counts a failure of an endpoint, with `weight` 1 for an ordinary one, and ejects it on enough
+    /// evidence.
+    pub(super) fn record_failure(&mut self, now: Nanos, server: ServerId, weight: f64) {
+        let jitter = 1.0 - EJECTION_JITTER / 2.0 + EJECTION_JITTER * self.rng.next_unit();
+        let (of_failure, _) = self.outliers.log_odds();
+        let threshold = self.ejection_threshold(now);
+        // With sparse traffic nothing would be sent there for seconds anyway: a short ejection has no effect.
+        let shortest = if self.has_sparse_traffic(now) { MIN_EJECTION_SPARSE } else { MIN_EJECTION };
+        let Some(index) = self.endpoints.index_of(server) else { return };
+        let ejection = &mut self.endpoints[index].ejection;
+        ejection.log_odds = (ejection.log_odds + weight * of_failure).min(2.0 * EJECTION_LOG_ODDS);
+        if ejection.log_odds > threshold && !ejection.is_ejected(now) {
+            // An ejected endpoint gets one request each time its ejection ends; the next failure doubles it.
+            ejection.backoff = (ejection.backoff * 2).clamp(shortest, MAX_EJECTION);
+            ejection.ejected_until = now.saturating_add((ejection.backoff as f64 * jitter) as Nanos);
         }
-        if self.ranks(&self.servers[i as usize]) {
-            self.failing += FAILING_GAIN * (1.0 - self.failing);
+        if self.takes_keys(&self.endpoints[index]) {
+            self.outliers.failure_rate += FAILURE_RATE_GAIN * (1.0 - self.outliers.failure_rate);
         }
     }
 
-    pub(super) fn passed(&mut self, now: Nanos, server: ServerId) {
-        let (better, proof) = (self.odds().1, self.proof(now));
-        let Some(&i) = self.by_id.get(&server) else { return };
-        let s = &mut self.servers[i as usize];
-        s.evidence = (0.5 * s.evidence + better).clamp(0.0, 0.5 * proof);
-        s.suspect_until = 0;
-        s.backoff = if s.backoff > 2 * SECOND { s.backoff / 2 } else { 0 };
-        if self.ranks(&self.servers[i as usize]) {
-            self.failing -= FAILING_GAIN * self.failing;
+    /// Counts a success of an endpoint, which ends its ejection.
+    pub(super) fn record_success(&mut self, now: Nanos, server: ServerId) {
+        let (_, of_success) = self.outliers.log_odds();
+        let threshold = self.ejection_threshold(now);
+        let Some(index) = self.endpoints.index_of(server) else { return };
+        let ejection = &mut self.endpoints[index].ejection;
+        ejection.log_odds = (0.5 * ejection.log_odds + of_success).clamp(0.0, 0.5 * threshold);
+        ejection.ejected_until = 0;
+        ejection.backoff = if ejection.backoff > 2 * SECOND { ejection.backoff / 2 } else { 0 };
+        if self.takes_keys(&self.endpoints[index]) {
+            self.outliers.failure_rate -= FAILURE_RATE_GAIN * self.outliers.failure_rate;
         }
     }
 
-    pub(super) fn suspect(&self, now: Nanos, server: ServerId) -> bool {
-        self.by_id.get(&server).is_none_or(|&i| self.servers[i as usize].suspect_until > now)
+    /// Whether an endpoint is ejected; one that is not listed counts as ejected.
+    pub(super) fn is_ejected(&self, now: Nanos, server: ServerId) -> bool {
+        self.endpoints.get(server).is_none_or(|e| e.ejection.is_ejected(now))
     }
 
-    /// How many cache nodes the list names, and how many of these are sent nothing now, but for trials.
+    /// How many cache nodes the list names, and to how many of these nothing is sent now except for trials.
     pub fn avoided(&self, now: Nanos) -> (usize, usize) {
-        let nodes = self.by_id.values().map(|&i| &self.servers[i as usize]).filter(|s| !self.is_origin(s));
-        nodes.fold((0, 0), |(listed, avoided), s| {
-            let avoid = s.entry.state != State::Ready || s.suspect_until > now;
-            (listed + 1, avoided + usize::from(avoid))
+        let nodes = self.endpoints.listed().filter(|e| !self.is_origin(e));
+        nodes.fold((0, 0), |(listed, avoided), endpoint| {
+            let is_avoided = endpoint.entry.state != State::Ready || endpoint.ejection.is_ejected(now);
+            (listed + 1, avoided + usize::from(is_avoided))
         })
     }
 }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,73 +1,176 @@
-//! The requests that are open.
+//! Requests that have no final answer yet, and their attempts.
 
-use super::*;
+use super::api::{Class, Effect, Entry, Group, Nanos, Request, RequestId, ServerId, Settings, State, Status};
+use super::candidates::BucketId;
+use super::endpoint_set::Endpoint;
+use super::{Balancer, MS};
+use std::rc::Rc;
 
+/// Margin of the deduplication window for the way to the endpoint.
+const DEDUP_MARGIN: Nanos = 100 * MS;
+
+/// An attempt of a request.
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) zone: u32,
     pub(super) cell: u32,
-    pub(super) sent: Nanos,
-    pub(super) pending: bool,
+    pub(super) sent_at: Nanos,
+    pub(super) is_pending: bool,
+    /// The request may have taken effect.
     pub(super) may_have_run: bool,
 }
 
-pub(super) struct Open {
-    /// What it began under and ends under, whatever the module goes by meanwhile.
-    pub(super) terms: Rc<Settings>,
+/// A request without a final answer.
+pub(super) struct OpenRequest {
+    /// The settings under which the request began: it ends under them, whatever applies meanwhile.
+    pub(super) settings: Rc<Settings>,
     pub(super) class: usize,
-    pub(super) bucket: Option<u32>,
-    pub(super) write: bool,
-    pub(super) aim_at: Nanos,
+    pub(super) bucket: Option<BucketId>,
+    pub(super) is_write: bool,
+    /// An answer earns its full value until then (the latency objective).
+    pub(super) objective_at: Nanos,
+    /// The client gives up then.
     pub(super) deadline: Nanos,
-    pub(super) streaming: bool,
+    /// A streamed answer has begun.
+    pub(super) is_streaming: bool,
     pub(super) tenant: Option<usize>,
-    pub(super) arrived: Nanos,
-    pub(super) judged: bool,
-    /// Worth little for its work.
-    pub(super) poor: bool,
-    /// Its server will probably fetch it from the origin.
-    pub(super) fetch: bool,
-    /// Asked first while it may be.
+    pub(super) arrived_at: Nanos,
+    /// It came with enough time left to meet its objective.
+    pub(super) is_feasible: bool,
+    /// It is worth little for the work that it takes.
+    pub(super) is_low_value: bool,
+    /// The endpoint will probably fetch the value from the origin.
+    pub(super) is_fetch: bool,
+    /// The endpoint that operators pinned it to.
     pub(super) pinned: Option<ServerId>,
-    pub(super) end: End,
+    pub(super) last_failure: FailureCause,
     pub(super) attempts: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
+    /// A request as it arrives, with no attempt yet.
+    pub(super) fn new(settings: Rc<Settings>, now: Nanos, request: &Request, objective: Nanos) -> Self {
+        OpenRequest {
+            settings,
+            class: request.class as usize,
+            bucket: None,
+            is_write: request.write,
+            objective_at: now.saturating_add(objective),
+            deadline: now.saturating_add(request.remaining),
+            is_streaming: false,
+            tenant: request.tenant.map(|t| t as usize),
+            arrived_at: now,
+            is_feasible: true,
+            is_low_value: false,
+            is_fetch: false,
+            pinned: request.pinned,
+            last_failure: FailureCause::Slow,
+            attempts: Vec::new(),
+        }
+    }
+
     pub(super) fn class(&self) -> Option<&Class> {
-        self.terms.classes.get(self.class)
+        self.settings.classes.get(self.class)
+    }
+
+    /// Whether an answer after the latency objective is worth nothing.
+    pub(super) fn is_worthless_when_late(&self) -> bool {
+        self.class().is_some_and(|c| c.late_value <= 0.0)
+    }
+
+    pub(super) fn has_pending_attempt(&self) -> bool {
+        self.attempts.iter().any(|a| a.is_pending)
+    }
+
+    pub(super) fn has_attempts_left(&self) -> bool {
+        (self.attempts.len() as u32) < self.settings.max_attempts.max(1)
+    }
+
+    /// Whether no attempt can have taken effect, or a repeat of the request by the client does no harm.
+    pub(super) fn is_safe_to_repeat(&self) -> bool {
+        let may_have_run = self.attempts.iter().any(|a| a.is_pending || a.may_have_run);
+        match self.class().map_or(Effect::Unsafe, |c| c.effect) {
+            Effect::Safe => true,
+            Effect::Keyed => !may_have_run || self.class().is_some_and(|c| c.group == Group::All),
+            Effect::Unsafe => !may_have_run,
+        }
+    }
+
+    /// Whether a further attempt may go to this endpoint, after attempts that may have taken effect.
+    pub(super) fn allows_repeat_at(&self, now: Nanos, entry: &Entry) -> bool {
+        let Some(class) = self.class() else { return true };
+        let mut effective = self.attempts.iter().filter(|a| a.is_pending || a.may_have_run);
+        match class.effect {
+            Effect::Safe => true,
+            Effect::Unsafe => effective.next().is_none(),
+            Effect::Keyed => effective.all(|attempt| {
+                let dedup_until = attempt.sent_at.saturating_add(class.dedup_window);
+                let is_deduplicated = match class.group {
+                    Group::All => true,
+                    Group::Zone => attempt.zone == entry.zone,
+                    Group::Cell => attempt.cell == entry.cell && attempt.zone == entry.zone,
+                };
+                now.saturating_add(DEDUP_MARGIN) < dedup_until && is_deduplicated
+            }),
+        }
     }
 }
 
 /// How an attempt ended.
-pub(super) struct Outcome {
+pub(super) struct Completion {
     pub(super) id: RequestId,
     pub(super) attempt: usize,
     pub(super) server: ServerId,
     pub(super) status: Status,
     pub(super) elapsed: Nanos,
-    pub(super) last: bool,
+    /// The request has had its final answer.
+    pub(super) is_final: bool,
+    /// Cache hit or miss, where the endpoint told.
     pub(super) hit: Option<bool>,
 }
 
-/// What the last bad outcome of a request says of the servers.
+/// What the last failed attempt of a request says of the endpoints.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub(super) enum End {
-    /// Nothing yet: if it ends so, it was late.
+pub(super) enum FailureCause {
+    /// No failure yet: if the request ends so, it was too slow.
     #[default]
-    Late,
-    /// The server had no room.
-    Full,
-    /// The origin's doing, or the server's own fault: sending less would not mend it.
+    Slow,
+    /// The endpoint had no capacity.
+    Overloaded,
+    /// The origin, or a fault of the endpoint itself: sending less would not mend it.
     Other,
 }
 
+impl FailureCause {
+    pub(super) fn of(ended: &Completion, is_fetch: bool) -> Self {
+        match ended.status {
+            Status::Full | Status::ConnectFailed => FailureCause::Overloaded,
+            Status::Error | Status::Reset | Status::Miss => FailureCause::Other,
+            Status::Ok if ended.hit == Some(false) => FailureCause::Other,
+            _ if is_fetch => FailureCause::Other,
+            _ => FailureCause::Slow,
+        }
+    }
+}
+
 impl Balancer {
-    /// Takes a request off the books.
-    pub(super) fn close(&mut self, id: RequestId) -> Option<Open> {
-        let open = self.open.remove(&id)?;
-        let out = open.attempts.iter().filter(|a| a.pending && open.fetch).count() as f64;
-        self.origin_out = (self.origin_out - out).max(0.0);
-        Some(open)
+    /// Removes a request that is over, and releases what its pending attempts hold at the origin.
+    pub(super) fn remove_request(&mut self, id: RequestId) -> Option<OpenRequest> {
+        let request = self.requests.remove(&id)?;
+        let fetches = request.attempts.iter().filter(|a| a.is_pending && request.is_fetch).count() as f64;
+        self.origin.release(fetches);
+        Some(request)
+    }
+
+    /// Whether the rules allow an attempt at this endpoint. Whatever chose the endpoint, nothing is sent
+    /// without this check.
+    pub(super) fn is_lawful(&self, now: Nanos, request: &OpenRequest, endpoint: &Endpoint) -> bool {
+        endpoint.entry.state == State::Ready
+            && self.is_open_to(request.class(), endpoint)
+            && now < request.deadline
+            && !request.is_streaming
+            && request.has_attempts_left()
+            && (!request.has_pending_attempt() || request.settings.second_copies)
+            && request.allows_repeat_at(now, &endpoint.entry)
     }
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,64 +1,88 @@
-//! What an endpoint with a cold cache may be sent.
+//! Slow start: an endpoint with a cold cache gets a growing part of its keys, and of its share of the
+//! traffic.
 
-use super::*;
+use super::api::{ColdLeft, Nanos};
+use super::candidates::{slot, BucketId};
+use super::endpoint_set::{Endpoint, EndpointIndex};
+use super::hash::{mix64, unit_interval};
+use super::token_bucket::TokenBucket;
+use super::{Balancer, MS, SECOND};
 
-/// The keys a cold server gets, by its surest warmth. Danger: at just its share newcomers idle (they warm
-/// sooner than they must, and their misses cost them little) while warm servers drown in a release.
-pub(super) const COLD_KEYS: f64 = 2.5;
-/// The part of the fall rule's budget that proxies use; the rest is for bursts and uneven proxies.
-pub(super) const COLD_BUDGET: f64 = 0.7;
+/// The part of its keys that a cold endpoint gets, as a multiple of its least warmth. Danger: with just its
+/// share new endpoints idle (they warm up sooner than they must, and their misses cost them little) while the
+/// warm endpoints are overloaded during a rolling restart.
+const COLD_KEYS_FACTOR: f64 = 2.5;
+/// The part of the load under which a cold endpoint falls over that all proxies use together; the rest is
+/// for bursts and for proxies with uneven traffic.
+const COLD_LOAD_SHARE: f64 = 0.7;
+/// Salt that keeps admission to buckets independent of their ranking.
+const ADMISSION_SALT: u64 = 0xc01d;
 
 impl Balancer {
-    /// The part of its capacity that a server surely has by now.
-    pub(super) fn warmth(&self, now: Nanos, s: &Server) -> f64 {
-        if s.entry.started == 0 || self.settings.cold == 0 {
+    /// The part of its capacity that an endpoint has by now at least.
+    fn warmth(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
+        if endpoint.entry.started == 0 || self.settings.cold == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(s.entry.started) as f64 / self.settings.cold as f64;
-        let from = self.settings.cold_from.clamp(0.0, 1.0);
-        (from + (1.0 - from) * age).min(1.0)
+        let age = now.saturating_sub(endpoint.entry.started) as f64 / self.settings.cold as f64;
+        let initial = self.settings.cold_from.clamp(0.0, 1.0);
+        (initial + (1.0 - initial) * age).min(1.0)
     }
 
-    /// A cold server enters a bucket once it is warmer than a hash of both says: all proxies admit it to the
-    /// same growing part of its buckets.
-    pub(super) fn admitted(&self, now: Nanos, b: u32, s: &Server) -> bool {
-        let warmth = self.warmth(now, s);
-        warmth >= 1.0 || unit(mix(s.entry.server ^ mix(place(b) ^ 0xc01d))) < COLD_KEYS * warmth
+    /// Whether an endpoint takes part in a bucket. A cold one enters it once it is warmer than a hash of both
+    /// demands: all proxies admit it to the same growing part of its buckets.
+    pub(super) fn is_admitted(&self, now: Nanos, bucket: BucketId, endpoint: &Endpoint) -> bool {
+        let warmth = self.warmth(now, endpoint);
+        let hash = mix64(endpoint.entry.server ^ mix64(slot(bucket) ^ ADMISSION_SALT));
+        warmth >= 1.0 || unit_interval(hash) < COLD_KEYS_FACTOR * warmth
     }
 
-    /// Takes a send to a cold server from this proxy's part of what it can bear. Danger: a burst of hot keys
-    /// soon after a start pushes it over for good.
-    pub(super) fn cold_allows(&mut self, now: Nanos, i: u32, take: bool) -> bool {
-        let s = &self.servers[i as usize];
-        let warmth = self.warmth(now, s);
-        if warmth >= 1.0 || !self.ranks(s) {
-            return true;
+    /// Whether the slow-start allowance of an endpoint has room for one more request.
+    pub(super) fn has_slow_start_allowance(&mut self, now: Nanos, index: EndpointIndex) -> bool {
+        self.refill_slow_start(now, index).is_none_or(|tokens| tokens >= 1.0)
+    }
+
+    /// Spends one request of an endpoint's slow-start allowance; false if there is none left. Danger: a burst
+    /// of hot keys soon after its start makes an endpoint fall over for good.
+    pub(super) fn spend_slow_start_allowance(&mut self, now: Nanos, index: EndpointIndex) -> bool {
+        let Some(tokens) = self.refill_slow_start(now, index) else { return true };
+        let is_allowed = tokens >= 1.0;
+        if is_allowed {
+            self.endpoints[index].slow_start_tokens.tokens -= 1.0;
+        }
+        is_allowed
+    }
+
+    /// Refills this proxy's allowance of a cold endpoint and returns it; `None` if the endpoint is warm.
+    fn refill_slow_start(&mut self, now: Nanos, index: EndpointIndex) -> Option<f64> {
+        let endpoint = &self.endpoints[index];
+        let warmth = self.warmth(now, endpoint);
+        if warmth >= 1.0 || !self.takes_keys(endpoint) {
+            return None;
         }
-        let part = 1.0 / s.inverse_weight / self.total_weight.max(1e-9);
-        let traffic = self.rate(now).min(self.served.sum / SERVED_S + 1.0);
-        let rate = COLD_BUDGET * self.settings.fall_multiple * warmth * part * traffic;
-        let window = self.settings.fall as f64 / SECOND as f64;
-        let cold = &mut self.servers[i as usize].cold;
-        let allowed = cold.earn(now, rate, (rate * window).max(1.0)) >= 1.0;
-        cold.left -= f64::from(u8::from(allowed && take));
-        allowed
+        let share = 1.0 / endpoint.inverse_weight / self.endpoints.total_weight.max(1e-9);
+        let traffic = self.traffic.request_rate(now).min(self.traffic.served_rate());
+        let rate = COLD_LOAD_SHARE * self.settings.fall_multiple * warmth * share * traffic;
+        let window_s = self.settings.fall as f64 / SECOND as f64;
+        let tokens = &mut self.endpoints[index].slow_start_tokens;
+        Some(tokens.refill(now, rate, (rate * window_s).max(1.0)))
     }
 
-    /// Gives away what each cold server may still be sent: over an upgrade two processes are one proxy.
+    /// Gives away the slow-start allowance of each cold endpoint, for the process that takes over: during an
+    /// upgrade two processes are one proxy.
     pub fn give_cold(&mut self, now: Nanos) -> Vec<ColdLeft> {
         let cold = self.settings.cold;
-        let still = |s: &&mut Server| s.entry.started > 0 && now < s.entry.started.saturating_add(cold);
-        let gives = |s: &mut Server| ColdLeft::of(&s.entry, std::mem::take(&mut s.cold.left));
-        self.servers.iter_mut().filter(still).map(gives).collect()
+        let is_cold = |e: &&mut Endpoint| e.entry.started > 0 && now < e.entry.started.saturating_add(cold);
+        let give = |e: &mut Endpoint| ColdLeft::of(&e.entry, std::mem::take(&mut e.slow_start_tokens.tokens));
+        self.endpoints.slots_mut().filter(is_cold).map(give).collect()
     }
 
-    /// Takes what another process gave, in place of what a process that starts has by chance.
+    /// Takes the allowances that another process gave away, in place of the random ones of a new process.
     pub fn take_cold(&mut self, now: Nanos, given: &[ColdLeft]) {
         for ColdLeft { server, started, left } in given {
-            let Some(&i) = self.by_id.get(server) else { continue };
-            let s = &mut self.servers[i as usize];
-            if s.entry.started.abs_diff(*started) < MS {
-                s.cold = Allowance { left: *left, at: now };
+            let Some(endpoint) = self.endpoints.get_mut(*server) else { continue };
+            if endpoint.entry.started.abs_diff(*started) < MS {
+                endpoint.slow_start_tokens = TokenBucket { tokens: *left, refilled_at: now };
             }
         }
     }
--- a/src/decision/subscription.rs
+++ b/src/decision/subscription.rs
@@ -1,28 +1,82 @@
-//! The subscription to the endpoint list.
+//! The subscription to the endpoint list: when to subscribe, and how long to back off after a failure.
 
-use super::*;
+use super::api::{Action, ListKind, Nanos};
+use super::{Balancer, SECOND, SUBSCRIBE_TIMER};
 
-pub(super) const ASK: u64 = 2 << 56;
+/// The first backoff, in seconds.
+const INITIAL_BACKOFF_S: f64 = 0.4;
+/// The backoff doubles at most this many times.
+const MAX_DOUBLINGS: u32 = 8;
+/// The part of a backoff that is waited at least; the rest is jitter.
+const MIN_JITTER: f64 = 0.2;
+
+/// State of the subscription to the endpoint list.
+pub(super) struct Subscription {
+    is_active: bool,
+    /// A subscription was requested and no list has followed yet.
+    is_requested: bool,
+    consecutive_failures: u32,
+    /// Token of the last timer; timers with an older token are stale.
+    timer_token: u64,
+}
+
+impl Default for Subscription {
+    fn default() -> Self {
+        Subscription {
+            is_active: false,
+            is_requested: false,
+            consecutive_failures: 0,
+            timer_token: SUBSCRIBE_TIMER,
+        }
+    }
+}
+
+impl Subscription {
+    fn arm_timer(&mut self, delay: Nanos, actions: &mut Vec<Action>) {
+        self.timer_token += 1;
+        actions.push(Action::Timer { token: self.timer_token, delay });
+    }
+}
 
 impl Balancer {
-    /// Arms the next call to discovery. Jitter and doubling keep a fleet that lost it from calling as one.
-    pub(super) fn ask_later(&mut self, actions: &mut Vec<Action>) {
-        let most = (self.settings.must_ask_in / 3).max(SECOND) as f64;
-        let wait = (0.4 * SECOND as f64 * f64::from(1u32 << self.failures.min(8))).min(most);
-        let delay = (wait * (0.2 + 0.8 * self.chance())) as Nanos;
-        self.ask_token += 1;
-        actions.push(Action::Timer { token: self.ask_token, delay });
+    /// A call to discovery failed or the subscription broke; the last list stays in use.
+    pub(super) fn on_subscription_lost(&mut self, actions: &mut Vec<Action>) {
+        let subscription = &mut self.subscription;
+        (subscription.is_active, subscription.is_requested) = (false, false);
+        subscription.consecutive_failures = (subscription.consecutive_failures + 1).min(MAX_DOUBLINGS);
+        self.subscribe_later(actions);
+    }
+
+    /// Settles the subscription's state after a list was applied.
+    pub(super) fn on_list_applied(&mut self, kind: ListKind, actions: &mut Vec<Action>) {
+        let subscription = &mut self.subscription;
+        if kind == ListKind::Cached && self.settings.must_ask {
+            self.subscribe_later(actions);
+        } else if subscription.is_requested {
+            (subscription.is_requested, subscription.is_active) = (false, true);
+            subscription.consecutive_failures = 0;
+        }
+    }
+
+    /// Arms the timer of the next call to discovery. Jitter and exponential backoff keep a fleet that lost
+    /// discovery from calling it all at once.
+    fn subscribe_later(&mut self, actions: &mut Vec<Action>) {
+        let max_backoff = (self.settings.must_ask_in / 3).max(SECOND) as f64;
+        let doublings = self.subscription.consecutive_failures.min(MAX_DOUBLINGS);
+        let backoff = (INITIAL_BACKOFF_S * SECOND as f64 * f64::from(1u32 << doublings)).min(max_backoff);
+        let delay = (backoff * (MIN_JITTER + (1.0 - MIN_JITTER) * self.rng.next_unit())) as Nanos;
+        self.subscription.arm_timer(delay, actions);
     }
 
-    pub(super) fn ask_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
-        if token != self.ask_token || self.subscribed || !self.settings.must_ask {
+    pub(super) fn on_subscribe_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
+        let subscription = &mut self.subscription;
+        if token != subscription.timer_token || subscription.is_active || !self.settings.must_ask {
             return;
         }
         actions.push(Action::Subscribe);
-        self.asked = true;
-        // Should the answer be lost, ask again before the list counts as known without it.
-        self.ask_token += 1;
+        subscription.is_requested = true;
+        // Should the answer be lost, subscribe again before the list counts as outdated.
         let delay = self.settings.must_ask_in.max(2 * SECOND) / 5 * 4;
-        actions.push(Action::Timer { token: self.ask_token, delay });
+        subscription.arm_timer(delay, actions);
     }
 }
--- a/src/decision/token_bucket.rs
+++ b/src/decision/token_bucket.rs
@@ -1,40 +1,27 @@
-//! What may still be spent of something that is earned with time.
+//! A token bucket: an allowance that refills with time and is spent request by request.
 
 use super::api::Nanos;
 
-const SECOND: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// So much is left, and when that was counted.
+/// The tokens left in a bucket, and when they were last counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Allowance {
-    /// Below 0: spent in advance.
-    pub left: f64,
-    /// Time on the one clock.
-    pub at: Nanos,
+pub struct TokenBucket {
+    /// Tokens left; negative if some were spent in advance.
+    pub tokens: f64,
+    /// Time of the last refill, on the caller's monotonic clock.
+    pub refilled_at: Nanos,
 }
 
-impl Allowance {
-    /// One, from before all time.
-    pub const ONE: Allowance = Allowance { left: 1.0, at: 0 };
+impl TokenBucket {
+    /// One token, last refilled at the beginning of time.
+    pub const ONE_TOKEN: TokenBucket = TokenBucket { tokens: 1.0, refilled_at: 0 };
 
-    /// Adds what has been earned at `rate` a second since it was last counted, up to `most`; returns what is
-    /// left now. Time that goes back earns nothing.
-    pub fn earn(&mut self, now: Nanos, rate: f64, most: f64) -> f64 {
-        let passed = now.saturating_sub(self.at) as f64 / SECOND;
-        *self = Allowance { left: (self.left + passed * rate).min(most), at: now };
-        self.left
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn it_earns_with_time_up_to_its_most_and_nothing_when_time_goes_back() {
-        let mut allowance = Allowance { left: -1.0, at: 0 };
-        assert_eq!(allowance.earn(1_000_000_000, 0.5, 2.0), -0.5);
-        assert_eq!(allowance.earn(500_000_000, 0.5, 2.0), -0.5);
-        assert_eq!(allowance.earn(100_000_000_000, 0.5, 2.0), 2.0);
+    /// Adds the tokens accrued at `rate` per second since the last refill, up to `capacity`, and returns the
+    /// tokens left. A clock that goes backwards accrues nothing.
+    pub fn refill(&mut self, now: Nanos, rate: f64, capacity: f64) -> f64 {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / NANOS_PER_SECOND;
+        *self = TokenBucket { tokens: (self.tokens + elapsed_s * rate).min(capacity), refilled_at: now };
+        self.tokens
     }
 }
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -1,30 +1,51 @@
-//! The traffic of this proxy: counts whose past fades.
+//! Traffic counters of this proxy: requests received and answers served, with exponential decay.
 
-use super::*;
+use super::api::Nanos;
+use super::SECOND;
 
-/// Memory of traffic counts, in seconds.
-pub(super) const MEMORY_S: f64 = 16.0;
-/// Memory of what was served, in seconds.
-pub(super) const SERVED_S: f64 = 2.0;
+/// Time constant of the request counters, in seconds.
+pub(super) const REQUEST_MEMORY_S: f64 = 16.0;
+/// Time constant of the counter of served answers, in seconds.
+pub(super) const SERVED_MEMORY_S: f64 = 2.0;
+/// The shortest uptime by which a rate is computed, in seconds.
+const MIN_UPTIME_S: f64 = 0.5;
 
-/// A count whose past fades.
+/// A count that decays exponentially with time.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Fading {
+pub(super) struct DecayingCounter {
     pub(super) sum: f64,
-    pub(super) at: Nanos,
+    updated_at: Nanos,
 }
 
-impl Fading {
-    pub(super) fn add(&mut self, now: Nanos, memory_s: f64) {
-        let passed = now.saturating_sub(self.at) as f64 / SECOND as f64;
-        *self = Fading { sum: self.sum * (-passed / memory_s).exp() + 1.0, at: now };
+impl DecayingCounter {
+    /// Decays the count by `time_constant_s` and adds one.
+    pub(super) fn increment(&mut self, now: Nanos, time_constant_s: f64) {
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / SECOND as f64;
+        let sum = self.sum * (-elapsed_s / time_constant_s).exp() + 1.0;
+        *self = DecayingCounter { sum, updated_at: now };
     }
 }
 
-impl Balancer {
-    /// This proxy's requests a second, lately.
-    pub(super) fn rate(&self, now: Nanos) -> f64 {
-        let up = now.saturating_sub(self.started.unwrap_or(now)) as f64 / SECOND as f64;
-        self.count.sum / (MEMORY_S * (1.0 - (-up.max(0.5) / MEMORY_S).exp()))
+/// What this proxy received and served lately.
+#[derive(Default)]
+pub(super) struct Traffic {
+    /// Time of the first event.
+    pub(super) started_at: Option<Nanos>,
+    pub(super) requests: DecayingCounter,
+    pub(super) served: DecayingCounter,
+}
+
+impl Traffic {
+    /// Requests per second that this proxy received lately.
+    pub(super) fn request_rate(&self, now: Nanos) -> f64 {
+        let uptime_s = now.saturating_sub(self.started_at.unwrap_or(now)) as f64 / SECOND as f64;
+        // A young counter has not reached its steady state yet: divide by the part that it can have reached.
+        let warm_up = 1.0 - (-uptime_s.max(MIN_UPTIME_S) / REQUEST_MEMORY_S).exp();
+        self.requests.sum / (REQUEST_MEMORY_S * warm_up)
+    }
+
+    /// Answers per second that this proxy served lately, and one more.
+    pub(super) fn served_rate(&self) -> f64 {
+        self.served.sum / SERVED_MEMORY_S + 1.0
     }
 }
