--- a/crates/core/endpoints/src/endpoint.rs
+++ b/crates/core/endpoints/src/endpoint.rs
@@ -1,23 +1,23 @@
-//! A cache node and a list of them, in discovery's form (PROTOCOL, "Discovery").
+//! An endpoint and the endpoint list, in discovery's wire format (PROTOCOL, "Discovery").
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// State of a node, from the least to the most restrictive.
+/// The state of an endpoint, from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointState {
-    /// Takes work.
+    /// It takes requests.
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// It finishes its requests; nothing new may be sent to it.
     Draining,
-    /// Removed.
+    /// It was removed.
     Gone,
 }
 
 impl EndpointState {
-    /// The state as discovery words it.
+    /// The state as discovery writes it.
     pub fn as_str(self) -> &'static str {
         match self {
             EndpointState::Ready => "ready",
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Reads discovery's word. A state that is new here gets nothing new: it counts as draining.
-    pub fn from_word(word: &str) -> Self {
-        match word {
+    /// Parses discovery's text. A state that is unknown here must get no new requests, so it counts as draining.
+    pub fn from_word(text: &str) -> Self {
+        match text {
             "ready" => EndpointState::Ready,
             "gone" => EndpointState::Gone,
             _ => EndpointState::Draining,
@@ -37,8 +37,8 @@
 }
 
 impl Serialize for EndpointState {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(self.as_str())
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(self.as_str())
     }
 }
 
@@ -46,37 +46,37 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "Wire")]
 pub struct Endpoint {
-    /// Its id, the same at every proxy and after a restart.
+    /// The id, the same at every proxy and after a restart.
     pub id: String,
-    /// Where to connect; `None`: the list gave no address that can be read.
+    /// The address to connect to; `None`: the list has no valid address for it.
     pub addr: Option<SocketAddr>,
-    /// Its data centre; empty where the list names none.
+    /// The data centre; empty where the list names none.
     pub zone: String,
-    /// Its machine kind; empty where the list names none.
+    /// The machine type; empty where the list names none.
     pub kind: String,
-    /// Its cell.
+    /// The cell.
     pub cell: u32,
-    /// Its state.
+    /// The state.
     pub state: EndpointState,
-    /// Its size relative to others.
+    /// The capacity relative to others.
     pub weight: f64,
-    /// When its process last started, Unix time in nanoseconds; 0: long ago, or not told.
+    /// When the process last started, Unix time in nanoseconds; 0: long ago, or unknown.
     pub started: Nanos,
 }
 
-/// A list of nodes.
+/// A list of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// The list's version; grows with each change until discovery itself starts anew.
+    /// The version; it grows with each change until discovery itself starts over.
     pub version: u64,
-    /// The whole list, else only the entries that changed.
+    /// Whether this is the whole list; else it has only the entries that changed.
     pub full: bool,
     /// The entries.
     pub servers: Vec<Endpoint>,
 }
 
-/// What stands on the wire. Lenient, as a list that is followed must be: one odd field of one node must not cost the
-/// rest of the fleet. [`crate::check_list`] is the strict reading.
+/// The wire format. Parsing is lenient, as a watch requires: one odd field of one endpoint must not cost the rest of
+/// the fleet. [`crate::validate_list`] is the strict parser.
 #[derive(Deserialize)]
 struct Wire {
     id: String,
@@ -96,30 +96,31 @@
 }
 
 impl From<Wire> for Endpoint {
-    fn from(w: Wire) -> Self {
-        let text = |v: Value| match v {
-            Value::String(s) => s,
+    fn from(wire: Wire) -> Self {
+        let text_or_empty = |value: Value| match value {
+            Value::String(text) => text,
             _ => String::new(),
         };
         Endpoint {
-            addr: w.addr.parse().ok(),
-            zone: text(w.zone),
-            kind: text(w.kind),
-            cell: w.cell.unwrap_or(0),
-            state: EndpointState::from_word(&w.state),
-            weight: w.weight.unwrap_or(1.0),
-            started: (w.started_ms.unwrap_or(0.0) * 1e6) as Nanos,
-            id: w.id,
+            addr: wire.addr.parse().ok(),
+            zone: text_or_empty(wire.zone),
+            kind: text_or_empty(wire.kind),
+            cell: wire.cell.unwrap_or(0),
+            state: EndpointState::from_word(&wire.state),
+            weight: wire.weight.unwrap_or(1.0),
+            started: (wire.started_ms.unwrap_or(0.0) * 1e6) as Nanos,
+            id: wire.id,
         }
     }
 }
 
 impl Serialize for Endpoint {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         use serde::ser::SerializeStruct;
-        let mut fields = to.serialize_struct("Member", 8)?;
+        const FIELD_COUNT: usize = 8;
+        let mut fields = serializer.serialize_struct("Member", FIELD_COUNT)?;
         fields.serialize_field("id", &self.id)?;
-        fields.serialize_field("addr", &self.addr.map(|a| a.to_string()).unwrap_or_default())?;
+        fields.serialize_field("addr", &self.addr.map(|addr| addr.to_string()).unwrap_or_default())?;
         fields.serialize_field("zone", &self.zone)?;
         fields.serialize_field("kind", &self.kind)?;
         fields.serialize_field("cell", &self.cell)?;
@@ -129,22 +130,3 @@
         fields.end()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_odd_in_one_node_does_not_cost_the_list() {
-        let text = r#"{"version":3,"full":true,"servers":[
-            {"id":"a","addr":"10.0.0.1:80","zone":"z","kind":"k","cell":2,"state":"ready","weight":2.5,"started_ms":7},
-            {"id":"b","addr":"nowhere","zone":4,"state":"resting"}]}"#;
-        let list: EndpointList = serde_json::from_str(text).expect("a list");
-        let (a, b) = (&list.servers[0], &list.servers[1]);
-        assert_eq!((a.state, a.started, a.weight, a.cell), (EndpointState::Ready, 7_000_000, 2.5, 2));
-        assert_eq!((b.addr, b.zone.as_str(), b.state), (None, "", EndpointState::Draining));
-        let again: Endpoint =
-            serde_json::from_value(serde_json::to_value(a).expect("JSON")).expect("a member");
-        assert_eq!(&again, a);
-    }
-}
--- a/crates/core/endpoints/src/imposed.rs
+++ b/crates/core/endpoints/src/imposed.rs
@@ -1,20 +1,22 @@
-//! What an operator's overrides impose on a node.
+//! What operators' overrides impose on an endpoint.
 
 use crate::{Nanos, Pin};
 
-/// What is imposed on a node, in a form that whoever holds it can apply and let expire without asking again. Times are
-/// Unix time in nanoseconds.
+/// The effective overrides of an endpoint, in a form that a proxy can apply and let expire without contacting the
+/// control service again. Times are Unix time in nanoseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Imposed {
-    /// Out of service since and until; 0 and 0: it is not, and was not lately.
+    /// Start and end of the time out of service; 0 and 0: it is in service, and was not out lately.
     pub out: (Nanos, Nanos),
-    /// Factors on its weight with their ends, the one that counts first; each counts once those before it have ended.
+    /// Factors on the weight with their ends, the one that applies first; each applies once those before it have
+    /// ended.
     pub weights: Vec<(Nanos, f64)>,
-    /// Keys and classes that are bound to it.
+    /// Keys and classes that are pinned to it.
     pub pins: Vec<Pin>,
-    /// A node that was out for so long comes back with a cold cache, in nanoseconds.
+    /// An endpoint that was out of service for at least this long, in nanoseconds, comes back with a cold cache.
     pub cold_after: Nanos,
-    /// Whether it is out, and the factor, by the clock of who declares it: for clients that know nothing of all this.
+    /// Whether it is out of service, and its weight factor, by the clock of the control service: for clients that
+    /// know no overrides.
     pub present: Option<(bool, f64)>,
 }
 
@@ -24,7 +26,7 @@
         (self.out.0..self.out.1).contains(&now)
     }
 
-    /// The factor on its weight at this time.
+    /// The weight factor at this time.
     pub fn factor(&self, now: Nanos) -> f64 {
         self.weights.iter().find(|(until, _)| *until > now).map_or(1.0, |(_, factor)| *factor)
     }
@@ -32,21 +34,21 @@
     /// When it came back from an outage after which its cache is cold; 0: it did not.
     pub fn returned(&self, now: Nanos) -> Nanos {
         let (since, until) = self.out;
-        let cold = until > 0 && until <= now && until.saturating_sub(since) >= self.cold_after;
-        if cold {
+        let is_cold = until > 0 && until <= now && until.saturating_sub(since) >= self.cold_after;
+        if is_cold {
             until
         } else {
             0
         }
     }
 
-    /// When something ends next after this time.
+    /// The next time after this one at which an override ends.
     pub fn next(&self, after: Nanos) -> Option<Nanos> {
         let ends = self.weights.iter().map(|(until, _)| *until);
         ends.chain([self.out.1]).filter(|until| *until > after).min()
     }
 
-    /// Whether there is nothing.
+    /// Whether there is no override.
     pub fn is_empty(&self) -> bool {
         self.out == (0, 0) && self.weights.is_empty() && self.pins.is_empty()
     }
--- a/crates/core/endpoints/src/lib.rs
+++ b/crates/core/endpoints/src/lib.rs
@@ -1,7 +1,9 @@
-//! The list of cache nodes: its form on the wire ([`Members`]), its strict check ([`check_list`]), the versions a watch
-//! goes through ([`Cursor`]), and which of several sources wins ([`Merge`]).
+//! The endpoint list: its wire format ([`EndpointList`]), strict validation ([`validate_list`]), the versions that a
+//! watch goes through ([`ListCursor`]), the schedule of its calls ([`WatchSchedule`]), and which of several sources
+//! wins ([`EndpointMerger`]).
 //!
-//! Pure: no I/O, and time comes in as an argument.
+//! This crate does not fetch lists. It does no I/O and reads no clock: time comes in as an argument, and so do random
+//! numbers.
 #![forbid(unsafe_code)]
 
 mod cursor;
@@ -24,5 +26,5 @@
 pub use validation::{validate_list, ListError};
 pub use watch_schedule::{CallFailure, NextCall, WatchMode, WatchSchedule, TOLD};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/endpoints/tests/endpoint_merger.rs
+++ b/crates/core/endpoints/tests/endpoint_merger.rs
@@ -1,4 +1,4 @@
-//! Which of several sources wins, node by node, through restarts, old lists and losses.
+//! Which of several sources wins for each endpoint, through restarts, outdated lists and outages.
 
 use proptest::prelude::*;
 use rushquay_endpoints::*;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_more_restrictive_of_two_sources_wins_whichever_says_it() {
+fn the_more_restrictive_source_wins() {
     for (by_control, by_discovery) in [(Draining, Ready), (Ready, Draining), (Gone, Ready), (Ready, Gone)] {
         let mut m = both();
         m.list(Source::Discovery, &list(41, false, &[node("a", by_discovery, 7)]), 1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_node_is_sent_to_only_while_a_list_names_it() {
+fn an_endpoint_gets_requests_only_while_a_list_names_it() {
     let mut m = both();
     assert!(
         m.control("c1", WatchEvent::Changed(vec![stated(node("b", Ready, 1), 41)], vec![]), 1).upserts.len()
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn what_was_said_of_an_older_start_says_nothing_of_a_newer_one() {
+fn statements_about_an_older_incarnation_do_not_apply_to_a_newer_one() {
     let mut m = both();
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 1);
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 8)]), 2);
     assert_eq!(state(&m, "a"), Some(Ready));
-    // And the old one said again changes nothing.
+    // The older statement repeated changes nothing.
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), 3);
     assert_eq!(state(&m, "a"), Some(Ready));
 }
@@ -89,19 +89,19 @@
     let mut m = both();
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
     m.lost(Source::Control);
-    // Empty after its restart, it follows a discovery that still gives list 41; this process's own does the same.
+    // Empty after its restart, it follows a discovery that still serves list 41; this process's own does the same.
     m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 2);
     assert_eq!(state(&m, "a"), Some(Draining));
     m.confirm();
     m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), 3);
-    assert_eq!(state(&m, "a"), Some(Draining), "saying it again on the same stream makes it no truer");
+    assert_eq!(state(&m, "a"), Some(Draining), "repeating it on the same stream does not confirm it");
     // A list from after the drain is believed.
     m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 44)], vec![]), 4);
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
-fn a_second_restart_with_versions_starting_over_does_not_undo_it_either_until_the_hold_is_over() {
+fn repeated_restarts_with_versions_starting_over_do_not_undo_a_drain_before_the_hold_ends() {
     let mut m = both();
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), SECOND);
     for process in ["c2", "c3"] {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_process_that_drained_may_take_it_back() {
+fn the_process_that_drained_may_withdraw_the_drain() {
     let mut m = both();
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 0)], vec![]), 1);
     m.lost(Source::Control);
@@ -123,21 +123,21 @@
 }
 
 #[test]
-fn an_old_control_service_does_not_take_nodes_that_are_newer_than_it() {
+fn an_outdated_control_service_does_not_remove_newer_endpoints() {
     let mut m = both();
     m.list(Source::Discovery, &list(45, false, &[node("new", Ready, 9)]), 1);
     m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 1);
-    // The other one has stood still since list 30.
+    // The other one has been suspended since list 30.
     m.control("old", WatchEvent::Changed(vec![], vec!["new".into()]), 2);
     assert_eq!(state(&m, "new"), Some(Ready));
-    // The one that goes on speaking is believed.
+    // The process with the continuous view is believed.
     m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), 3);
     m.control("c1", WatchEvent::Changed(vec![], vec!["new".into()]), 4);
     assert_eq!(state(&m, "new"), None);
 }
 
 #[test]
-fn a_drain_that_another_process_no_longer_names_is_kept_while_discovery_names_the_node() {
+fn a_drain_survives_another_process_that_omits_the_endpoint() {
     let mut m = both();
     m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), 1);
     m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), 2);
@@ -145,16 +145,16 @@
 }
 
 #[test]
-fn what_a_new_process_left_standing_is_its_word_too() {
+fn statements_confirmed_by_a_new_process_may_be_removed_by_it() {
     let mut m = both();
     m.control("c2", WatchEvent::Changed(vec![], vec![]), 1);
     m.confirm();
     m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), 2);
-    assert_eq!(state(&m, "a"), None, "it removed what it had confirmed");
+    assert_eq!(state(&m, "a"), None, "it removed an endpoint that it had confirmed");
 }
 
 #[test]
-fn a_lost_control_service_changes_nothing_and_newer_words_replace_its_own() {
+fn losing_the_control_service_changes_nothing_and_newer_statements_replace_its_own() {
     let mut m = both();
     m.control(
         "c1",
@@ -170,11 +170,11 @@
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 7)]), 3);
     assert_eq!(state(&m, "a"), Some(Draining), "older than the drain");
     m.list(Source::Discovery, &list(44, false, &[node("a", Ready, 7)]), 4);
-    assert_eq!(state(&m, "a"), Some(Ready), "the drain was taken back, and nobody else is left to say so");
+    assert_eq!(state(&m, "a"), Some(Ready), "the drain was withdrawn, and no other source can report it");
 }
 
 #[test]
-fn what_the_configuration_knew_counts_until_discovery_has_spoken() {
+fn configured_endpoints_are_used_until_discovery_responds() {
     let mut m = merge();
     m.list(Source::Known, &list(3, true, &[node("a", Ready, 0), node("b", Ready, 0)]), 0);
     assert_eq!(m.nodes().count(), 2);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn addresses_are_this_proxys_own_and_weights_the_control_services() {
+fn addresses_come_from_discovery_and_weights_from_the_control_service() {
     let mut m = both();
     let far = Endpoint {
         addr: Some("127.9.9.9:1".parse().expect("an address")),
@@ -196,14 +196,14 @@
 }
 
 #[test]
-fn what_is_remembered_of_nodes_that_went_is_bounded() {
+fn remembered_endpoints_are_bounded() {
     let mut m = merge();
     for i in 0..1000u64 {
         let id = format!("n{i}");
         m.control("c1", WatchEvent::Changed(vec![stated(node(&id, Ready, 1), i + 1)], vec![]), i);
         m.control("c1", WatchEvent::Changed(vec![], vec![id]), i);
     }
-    // The oldest are forgotten: discovery may name them again.
+    // The oldest are evicted: discovery may name them again.
     m.list(Source::Discovery, &list(1, true, &[node("n0", Ready, 1), node("n999", Ready, 1)]), 2000);
     assert_eq!((state(&m, "n0"), state(&m, "n999")), (Some(Ready), None));
 }
@@ -234,9 +234,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// The changes told add up to the merged list, and nothing is in it that no source has named.
+    /// The reported changes add up to the merged list, which contains only endpoints that a source has named.
     #[test]
-    fn the_changes_add_up(steps in prop::collection::vec(step(), 1..60)) {
+    fn changes_add_up_to_the_merged_list(steps in prop::collection::vec(step(), 1..60)) {
         let members = |nodes: Vec<(u8, u8, u8)>| nodes.into_iter().map(|(id, state, started)| {
             node(&id.to_string(), [Ready, Draining, Gone][state as usize], u64::from(started))
         });
@@ -268,9 +268,9 @@
     }
 }
 
-/// What an operator imposes is obeyed and ends by the clock alone, whatever the list says, and undoes no drain.
+/// Operators' overrides apply and end by the clock alone, whatever the list says, and undo no drain.
 #[test]
-fn what_is_imposed_ends_by_itself_and_only_restricts() {
+fn overrides_expire_by_themselves_and_only_restrict() {
     use rushquay_endpoints::Imposed;
     const S: u64 = 1_000_000_000;
     let mut merge = EndpointMerger::new(MergeLimits::default());
@@ -298,19 +298,19 @@
         changes.upserts.first().map(|m| (m.state, m.weight, m.started))
     };
     assert_eq!(seen(&changes), Some((EndpointState::Draining, 1.0, 0)));
-    // Cut off from here on.
+    // No connection to the control service from here on.
     merge.lost(Source::Control);
     assert!(merge.tick(49 * S).is_empty());
     assert_eq!(seen(&merge.tick(50 * S)), Some((EndpointState::Draining, 0.5, 0)));
-    // Another list and a new start of the node change nothing of it.
+    // Another list and a restart of the endpoint change nothing.
     let mut restarted = list("ready");
     restarted.servers[0].started = 70 * S;
     merge.list(Source::Discovery, &restarted, 71 * S);
     assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
-    // Back after 99 s: with a cold cache, and so through the cold ramp.
+    // Back after 99 s: with a cold cache, and so with a slow start.
     assert_eq!(seen(&merge.tick(100 * S)), Some((EndpointState::Ready, 0.5, 100 * S)));
     assert_eq!(seen(&merge.tick(200 * S)), Some((EndpointState::Ready, 2.0, 100 * S)));
-    // The end of an override brings no draining node back.
+    // The end of an override does not make a draining endpoint ready.
     let mut merge = EndpointMerger::new(MergeLimits::default());
     merge.list(Source::Discovery, &list("draining"), S);
     let short = Imposed { out: (S, 9 * S), ..Imposed::default() };
--- a/crates/core/endpoints/tests/start_times.rs
+++ b/crates/core/endpoints/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Starts of nodes, told to a process whose wall clock was stepped when it started.
+//! Start times of endpoints, reported to a process whose wall clock was stepped at startup.
 
 use rushquay_endpoints::{Endpoint, EndpointList, Nanos, StartTimes};
 
@@ -16,7 +16,7 @@
     serde_json::from_str::<EndpointList>(&text).expect("a list").servers
 }
 
-/// For how long a node has been up, by what is made of its start.
+/// The uptime of an endpoint by its converted start.
 fn age(starts: &mut StartTimes, id: &str, started: Nanos, now_here: Nanos) -> Nanos {
     let mut told = members(&[(id, started)]);
     starts.take(&mut told, now_here);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn with_clocks_that_agree_starts_stay_as_they_are_told() {
+fn starts_are_unchanged_while_the_clocks_agree() {
     let mut starts = StartTimes::default();
     let agos = [0, 1, 12, 3000];
     let names = ["a", "b", "c", "d"];
@@ -37,9 +37,9 @@
     assert_eq!(starts.ahead(), 0);
 }
 
-/// Danger: a node that has just started would pass for a warm one.
+/// Danger: an endpoint that has just started would pass for a warm one.
 #[test]
-fn a_clock_that_was_an_hour_off_is_found_out_by_the_date_of_an_answer() {
+fn a_clock_an_hour_off_is_detected_by_the_date_of_a_response() {
     for step in [HOUR, -HOUR] {
         let here = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
@@ -52,32 +52,32 @@
     }
 }
 
-/// Without any date: a node that starts while this process runs shows it.
+/// Without any date: an endpoint that starts while this process runs reveals it.
 #[test]
-fn a_clock_that_was_an_hour_off_is_found_out_by_the_first_start() {
+fn a_clock_an_hour_off_is_detected_by_new_starts() {
     for step in [HOUR, -HOUR] {
         let here = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
         starts.take(&mut members(&[("old", 0)]), here(NOW));
         let later = NOW + 60 * SECOND;
-        // Told two seconds late, and taken for a start just now: colder than it is, never warmer.
+        // Reported two seconds late, and taken for a start just now: colder than it is, never warmer.
         assert_eq!(age(&mut starts, "new", later - 2 * SECOND, here(later)), 0);
         let second = later + 30 * SECOND;
         assert_eq!(age(&mut starts, "newer", second - SECOND, here(second)), 0);
-        // What was told before is told again as it was.
+        // A start that was reported before is converted as before.
         assert_eq!(age(&mut starts, "new", later - 2 * SECOND, here(second)), 30 * SECOND);
     }
 }
 
 #[test]
-fn nothing_starts_in_the_future() {
+fn starts_in_the_future_count_as_now() {
     let mut starts = StartTimes::default();
     assert_eq!(age(&mut starts, "a", NOW + 5 * SECOND, NOW), 0);
 }
 
-/// One node that was away and comes back, as old as it says, moves no other.
+/// One endpoint that was away and comes back, as old as it reports, affects no other.
 #[test]
-fn one_start_that_cannot_be_right_says_nothing_of_the_others() {
+fn one_implausible_start_does_not_affect_other_endpoints() {
     let mut starts = StartTimes::default();
     starts.take(&mut members(&[("old", 0)]), NOW);
     assert_eq!(age(&mut starts, "back", NOW - 3000 * SECOND, NOW + SECOND), 0);
--- a/crates/core/endpoints/tests/watch_fleet.rs
+++ b/crates/core/endpoints/tests/watch_fleet.rs
@@ -1,4 +1,4 @@
-//! Three hundred proxies follow one discovery that is short of room, on one virtual clock.
+//! Three hundred proxies watch one discovery of limited capacity, on one virtual clock.
 
 use rushquay_endpoints::{CallFailure, Nanos, WatchMode, WatchSchedule, TOLD};
 use std::cmp::Reverse;
@@ -7,9 +7,9 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 const PROXIES: usize = 300;
-/// Discovery works through calls in turn, each for so long.
+/// Discovery processes calls one after another, each for this long.
 const EACH: Nanos = 4 * MS;
-/// A call that would wait for longer than this is refused at once.
+/// A call that would wait for longer than this is rejected at once.
 const QUEUE: Nanos = SECOND;
 /// When all open watches fall silent, and the list changes.
 const SILENCE: Nanos = 20 * SECOND;
@@ -18,7 +18,7 @@
 const END: Nanos = 60 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum CallEvent {
     Begin,
     Answered(u32),
     Refused,
@@ -31,15 +31,15 @@
     known: Vec<u32>,
     /// By version: when each proxy knew it.
     when: Vec<Vec<Option<Nanos>>>,
-    /// Numbers each proxy's calls, so that what would have come of a call that has ended is passed over.
+    /// Numbers each proxy's calls, so that late events of a finished call are ignored.
     calls: Vec<u32>,
-    /// Calls that are open: since when, and until when discovery waits.
+    /// Open calls: since when, and until when discovery waits.
     open: Vec<Option<(Nanos, Nanos)>>,
     begun: Vec<Nanos>,
-    due: BinaryHeap<Reverse<(Nanos, usize, u32, What)>>,
+    due: BinaryHeap<Reverse<(Nanos, usize, u32, CallEvent)>>,
     free: Nanos,
     random: u64,
-    /// The step that each call was.
+    /// The hold and the timeout of each proxy's call.
     limit: Vec<(Nanos, Nanos)>,
 }
 
@@ -50,43 +50,43 @@
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn add(&mut self, at: Nanos, p: usize, what: What) {
+    fn add(&mut self, at: Nanos, p: usize, what: CallEvent) {
         self.due.push(Reverse((at, p, self.calls[p], what)));
     }
 
-    /// Plans a proxy's next call.
+    /// Schedules a proxy's next call.
     fn plan(&mut self, p: usize, now: Nanos) {
         let chances = [self.chance(), self.chance()];
         let mut drawn = chances.into_iter();
         let step = self.follows[p].next(|| drawn.next().expect("two draws at most"));
         self.calls[p] += 1;
         self.limit[p] = (step.hold, step.limit);
-        self.add(now + step.wait, p, What::Begin);
+        self.add(now + step.wait, p, CallEvent::Begin);
     }
 
     fn begin(&mut self, p: usize, now: Nanos, version: u32) {
         self.begun.push(now);
         let (hold, limit) = self.limit[p];
-        self.add(now + limit, p, What::Silent);
+        self.add(now + limit, p, CallEvent::Silent);
         if (DOWN.0..DOWN.1).contains(&now) {
-            return self.add(now + MS, p, What::Refused);
+            return self.add(now + MS, p, CallEvent::Refused);
         }
         if self.free.saturating_sub(now) > QUEUE {
-            return self.add(now + MS, p, What::Refused);
+            return self.add(now + MS, p, CallEvent::Refused);
         }
         self.free = self.free.max(now) + EACH;
         if self.known[p] < version || hold == 0 {
-            return self.add(self.free, p, What::Answered(version));
+            return self.add(self.free, p, CallEvent::Answered(version));
         }
         self.open[p] = Some((now, self.free + hold));
-        self.add(self.free + hold, p, What::Answered(version));
+        self.add(self.free + hold, p, CallEvent::Answered(version));
     }
 
     /// The list has changed: open watches are answered in turn.
     fn change(&mut self, now: Nanos, version: u32) {
         for p in 0..PROXIES {
             if self.open[p].is_some() {
-                self.add(now + MS, p, What::Answered(version));
+                self.add(now + MS, p, CallEvent::Answered(version));
             }
         }
     }
@@ -100,11 +100,11 @@
             while let Some((at, to)) = next.filter(|(at, _)| *at <= now) {
                 match (at, to) {
                     (SILENCE, _) => {
-                        // What is open is never answered: the calls end by their limits alone.
+                        // Open calls are never answered: they end by their timeouts alone.
                         for q in 0..PROXIES {
                             if let Some((since, _)) = self.open[q].take() {
                                 self.calls[q] += 1;
-                                self.add(since + self.limit[q].1, q, What::Silent);
+                                self.add(since + self.limit[q].1, q, CallEvent::Silent);
                             }
                         }
                     }
@@ -112,7 +112,7 @@
                         for q in 0..PROXIES {
                             if self.open[q].take().is_some() {
                                 self.calls[q] += 1;
-                                self.add(at, q, What::Broken);
+                                self.add(at, q, CallEvent::Broken);
                             }
                         }
                     }
@@ -131,11 +131,11 @@
                 continue;
             }
             match what {
-                What::Begin => {
+                CallEvent::Begin => {
                     self.begin(p, now, version);
                     continue;
                 }
-                What::Answered(told) => {
+                CallEvent::Answered(told) => {
                     self.known[p] = self.known[p].max(told);
                     let known = self.known[p];
                     (1..=known as usize).for_each(|v| {
@@ -143,13 +143,13 @@
                     });
                     self.follows[p].answered();
                 }
-                What::Refused => {
+                CallEvent::Refused => {
                     self.follows[p].failed(CallFailure::Refused);
                 }
-                What::Silent => {
+                CallEvent::Silent => {
                     self.follows[p].failed(CallFailure::Silent);
                 }
-                What::Broken => {
+                CallEvent::Broken => {
                     self.follows[p].failed(CallFailure::Broken);
                 }
             }
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn three_hundred_proxies_know_each_change_in_time_and_do_not_call_in_step() {
+fn three_hundred_proxies_notice_each_change_in_time_and_do_not_call_in_step() {
     for seed in 1..=5 {
         let mut fleet = Fleet {
             follows: vec![WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND }); PROXIES],
@@ -185,11 +185,11 @@
             println!("seed {seed}, change {version}: the last of {PROXIES} knew after {took} ms");
             assert!(last <= reached + TOLD, "seed {seed}: change {version} known after {took} ms");
         }
-        // Nothing happens in these: each proxy has one watch after another.
+        // Nothing happens in this interval: each proxy has one watch after another.
         let quiet = fleet.within(14 * SECOND, 19 * SECOND) / 5;
         println!("seed {seed}: {quiet} calls a second in quiet, {} in all", fleet.begun.len());
         assert!(quiet <= PROXIES / 2, "{quiet} calls a second");
-        // News that all are told at once has all of them go on watching at once; nothing else may.
+        // A change that all proxies receive at once makes all of them renew their watches at once; nothing else may.
         let times = [(0, 9_900), (14_000, 19_900), (20_010, 22_000), (45_000, 45_900), (48_000, 60_000)];
         for (from, until) in times {
             let peak = (from..until).step_by(10).map(|ms| fleet.within(ms * MS, (ms + 50) * MS)).max();
--- a/crates/core/endpoints/tests/watch_schedule.rs
+++ b/crates/core/endpoints/tests/watch_schedule.rs
@@ -1,5 +1,5 @@
-//! Whatever fails at discovery, a change is known in time: calls played in virtual time against a discovery that goes down,
-//! falls silent and answers late at the least favourable moments.
+//! Whatever fails at discovery, a change is known in time: calls simulated in virtual time against a discovery that
+//! goes down, falls silent and answers late at the least favourable moments.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -8,19 +8,20 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 
-/// What goes wrong at a discovery, just after a call to it has begun: the least favourable moment.
+/// A fault of discovery, just after a call to it has begun: the least favourable moment.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// All that is open falls silent, and the list changes. So many calls after that are refused.
+    /// All open calls fall silent, and the list changes. This many calls after that are rejected.
     Silence { refused: u32 },
-    /// It is down for so long, and the list changes just before it is back. So many calls after that are refused.
+    /// It is down for this long, and the list changes just before it is back. This many calls after that are
+    /// rejected.
     Down { long: Nanos, refused: u32 },
-    /// The list changes, and the call says so.
+    /// The list changes, and the open call is answered with it.
     Change,
 }
 
-/// Faults, each so many calls after the one before.
-type Troubles = Vec<(u32, Fault)>;
+/// Faults, each this many calls after the one before.
+type FaultSequence = Vec<(u32, Fault)>;
 
 struct Chance(u64);
 
@@ -37,26 +38,26 @@
 }
 
 /// Discovery in virtual time.
-struct Play {
+struct Simulation {
     follow: WatchSchedule,
     chance: Chance,
     now: Nanos,
-    /// The list has changed so often, and when it last did that discovery could be reached.
+    /// The number of changes of the list, and the deadline of the last.
     version: u32,
     due: Nanos,
     known: u32,
     late: Nanos,
-    /// A call that has begun, and whose end is still to be played.
+    /// A call that has begun, and whose end is still to be simulated.
     begun: Option<NextCall>,
 }
 
-impl Play {
+impl Simulation {
     fn new(manner: WatchMode, late: Nanos, seed: u64) -> Self {
         let (follow, chance) = (WatchSchedule::new(manner), Chance(seed));
-        Play { follow, chance, now: 0, version: 0, due: 0, known: 0, late, begun: None }
+        Simulation { follow, chance, now: 0, version: 0, due: 0, known: 0, late, begun: None }
     }
 
-    /// The next call begins; returns what it is.
+    /// Begins the next call.
     fn begin(&mut self) -> NextCall {
         if let Some(step) = self.begun.take() {
             return step;
@@ -71,7 +72,7 @@
         self.follow.failed(how);
     }
 
-    /// A call that finds discovery well.
+    /// A call while discovery is healthy.
     fn answered(&mut self) {
         let step = self.begin();
         let waited = if self.known < self.version { 0 } else { step.hold };
@@ -110,7 +111,7 @@
                 loop {
                     let step = self.begin();
                     if self.now >= back {
-                        // The first that discovery could answer.
+                        // The first call that discovery could answer.
                         self.begun = Some(step);
                         break;
                     }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Until all is known; fails where that takes too long.
+    /// Runs until the last change is known; fails where that takes too long.
     fn settle(&mut self) -> Result<(), TestCaseError> {
         while self.known < self.version {
             self.answered();
@@ -142,7 +143,7 @@
     }
 }
 
-fn troubles(silence: Option<u32>, refused: u32) -> impl Strategy<Value = Troubles> {
+fn fault_sequences(silence: Option<u32>, refused: u32) -> impl Strategy<Value = FaultSequence> {
     let down = (1u64..20_000, 0..=refused).prop_map(|(ms, refused)| Fault::Down { long: ms * MS, refused });
     let fault = match silence {
         Some(most) => {
@@ -154,50 +155,60 @@
     prop::collection::vec((1u32..6, fault), 1..12)
 }
 
-fn holds(manner: WatchMode, told: Nanos, late: Nanos, troubles: impl Strategy<Value = Troubles>) {
+fn assert_known_within(
+    manner: WatchMode,
+    told: Nanos,
+    late: Nanos,
+    fault_sequences: impl Strategy<Value = FaultSequence>,
+) {
     let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
-    let test = |(troubles, seed): (Troubles, u64)| {
-        let mut play = Play::new(manner, late, seed);
-        for (calls, fault) in troubles {
+    let test = |(fault_sequences, seed): (FaultSequence, u64)| {
+        let mut play = Simulation::new(manner, late, seed);
+        for (calls, fault) in fault_sequences {
             (0..calls).for_each(|_| play.answered());
             play.fault(fault, told);
             play.settle()?;
         }
         Ok(())
     };
-    runner.run(&(troubles, any::<u64>()), test).unwrap_or_else(|e| panic!("{e}"));
+    runner.run(&(fault_sequences, any::<u64>()), test).unwrap_or_else(|e| panic!("{e}"));
 }
 
 #[test]
-fn a_change_is_known_within_the_time_told_where_discovery_is_asked() {
+fn a_change_is_known_within_the_deadline_where_discovery_is_polled() {
     for within in [0, 2 * SECOND, 10 * SECOND, 60 * SECOND] {
-        holds(WatchMode::Asked { within }, TOLD, 300 * MS, troubles(Some(2), 1));
+        assert_known_within(WatchMode::Asked { within }, TOLD, 300 * MS, fault_sequences(Some(2), 1));
     }
 }
 
 #[test]
-fn a_change_is_known_within_the_time_told_where_discovery_answers_late() {
-    // As late as it may be before it has failed.
-    holds(WatchMode::Asked { within: 10 * SECOND }, TOLD, 1_900 * MS, troubles(Some(0), 0));
+fn a_change_is_known_within_the_deadline_where_discovery_responds_late() {
+    // As late as possible before the call has failed.
+    assert_known_within(
+        WatchMode::Asked { within: 10 * SECOND },
+        TOLD,
+        1_900 * MS,
+        fault_sequences(Some(0), 0),
+    );
 }
 
 #[test]
-fn what_an_agent_has_at_its_return_is_known_within_the_grace() {
+fn a_change_pushed_to_an_agent_is_known_within_the_grace_period() {
     for grace in [100 * MS, 250 * MS, 500 * MS, 2 * SECOND] {
-        holds(WatchMode::Pushed { grace }, grace, grace / 50, troubles(None, 0));
+        assert_known_within(WatchMode::Pushed { grace }, grace, grace / 50, fault_sequences(None, 0));
     }
 }
 
 #[test]
-fn a_silent_watch_at_an_agent_is_opened_anew_in_time() {
+fn a_silent_watch_at_an_agent_is_reopened_in_time() {
     for grace in [100 * MS, 500 * MS, 2 * SECOND] {
-        holds(WatchMode::Pushed { grace }, TOLD, grace / 50, troubles(Some(2), 1));
+        assert_known_within(WatchMode::Pushed { grace }, TOLD, grace / 50, fault_sequences(Some(2), 1));
     }
 }
 
 #[test]
-fn after_silence_the_next_call_asks_at_once() {
+fn after_a_silent_watch_the_next_call_does_not_wait() {
     let mut follow = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
     follow.answered();
     assert!(follow.next(|| 0.5).hold > 0, "a watch");
@@ -207,7 +218,7 @@
 }
 
 #[test]
-fn watches_that_began_together_do_not_end_together() {
+fn watches_that_begin_together_do_not_end_together() {
     let mut follow = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
     follow.answered();
     let (least, most) = (follow.next(|| 1.0).hold, follow.next(|| 0.0).hold);
