--- a/crates/adapters/state/src/dump.rs
+++ b/crates/adapters/state/src/dump.rs
@@ -1,6 +1,7 @@
-//! State as text, for backups: a line of JSON each. First what follows, then nodes, overrides, events and records of other parts.
+//! Dumps of the state as text, for backups: one line of JSON each. First a header, then endpoints, overrides, events
+//! and the records of other components.
 
-use crate::record::StoredEndpoint;
+use crate::record::{StoredEndpoint, FORMAT_VERSION};
 use crate::{EndpointWrite, OverrideWrite, StoredState};
 use rushquay_endpoints::SourcedEndpoint;
 use rushquay_overrides::OverrideSet;
@@ -10,11 +11,11 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Head {
+struct Header {
     rushquay_state: u16,
     version: Option<u64>,
     nodes: usize,
-    /// Dumps from before there were overrides have none of these.
+    /// Dumps from before there were overrides have none of these fields.
     #[serde(default)]
     overrides: usize,
     #[serde(default)]
@@ -23,102 +24,131 @@
     next: u64,
     #[serde(default)]
     revision: u64,
-    /// Dumps from before other parts had records have none.
+    /// Dumps from before there were such records have no such field.
     #[serde(default)]
     records: usize,
 }
 
-/// A record of another part.
+/// A record of another component.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Named {
+struct NamedRecord {
     name: String,
     record: Value,
 }
 
+/// The oldest version of dumps that can be restored.
+const OLDEST_FORMAT_VERSION: u16 = 2;
+
+/// Why a dump can't be restored.
+#[derive(Debug, thiserror::Error)]
+pub enum RestoreError {
+    /// The first line is not a dump's header.
+    #[error("line 1: not a dump's first line: {0}")]
+    Header(serde_json::Error),
+    /// The dump was written in another format version.
+    #[error(
+        "line 1: a dump of form {0}, expected {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}: \
+         use the version that wrote it"
+    )]
+    Version(u16),
+    /// Lines are missing, or there are too many.
+    #[error("{announced} records announced and {found} found: the dump is cut off")]
+    Truncated {
+        /// The number of records by the header.
+        announced: usize,
+        /// The number of lines after the header.
+        found: usize,
+    },
+    /// A record can't be read.
+    #[error("line {line}: {source}")]
+    Line {
+        /// The line, counted from 1.
+        line: usize,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+}
+
 /// What a dump holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dump {
-    /// Nodes.
+    /// The endpoints.
     pub nodes: EndpointWrite,
-    /// The book of overrides.
+    /// The overrides.
     pub book: OverrideWrite,
-    /// Records of other parts: changes in stages, policies.
+    /// The records of other components: rollouts, policies.
     pub records: Records,
 }
 
 type Records = BTreeMap<String, Value>;
 
-/// All that is kept, as text.
-pub fn dump(saved: &StoredState, book: &OverrideSet, records: &Records) -> String {
-    let head = Head {
-        rushquay_state: crate::FORMAT_VERSION,
-        version: saved.version,
-        nodes: saved.nodes.len(),
-        overrides: book.live().count(),
-        events: book.history().count(),
-        next: book.next_id(),
-        revision: book.revision(),
+/// Dumps the whole state as text.
+pub fn dump(state: &StoredState, overrides: &OverrideSet, records: &Records) -> String {
+    let header = Header {
+        rushquay_state: FORMAT_VERSION,
+        version: state.version,
+        nodes: state.nodes.len(),
+        overrides: overrides.live().count(),
+        events: overrides.history().count(),
+        next: overrides.next_id(),
+        revision: overrides.revision(),
         records: records.len(),
     };
-    let mut events: Vec<_> = book.history().map(line).collect();
+    let mut events: Vec<_> = overrides.history().map(line).collect();
     events.reverse();
-    let nodes = saved.nodes.iter().map(|n| line(&StoredEndpoint::from(n)));
-    let records =
-        records.iter().map(|(name, record)| line(&Named { name: name.clone(), record: record.clone() }));
-    let head = std::iter::once(line(&head));
-    head.chain(nodes).chain(book.live().map(line)).chain(events).chain(records).collect()
+    let nodes = state.nodes.iter().map(|n| line(&StoredEndpoint::from(n)));
+    let records = records
+        .iter()
+        .map(|(name, record)| line(&NamedRecord { name: name.clone(), record: record.clone() }));
+    let header = std::iter::once(line(&header));
+    header.chain(nodes).chain(overrides.live().map(line)).chain(events).chain(records).collect()
 }
 
-fn line(of: &impl Serialize) -> String {
+fn line(content: &impl Serialize) -> String {
     // Plain fields always have a JSON form.
-    serde_json::to_string(of).unwrap_or_default() + "\n"
+    serde_json::to_string(content).unwrap_or_default() + "\n"
 }
 
-/// What puts a dump in place of whatever is kept.
+/// Parses a dump into the writes that put it in place of the stored state.
 ///
 /// # Errors
 /// The line that can't be read, or that lines are missing.
-pub fn restore(text: &str) -> Result<Dump, String> {
+pub fn restore(text: &str) -> Result<Dump, RestoreError> {
     let mut lines = text.lines().enumerate();
     let first = lines.next().map_or("", |(_, l)| l);
-    let head: Head =
-        serde_json::from_str(first).map_err(|e| format!("line 1: not a dump's first line: {e}"))?;
-    if !(2..=crate::FORMAT_VERSION).contains(&head.rushquay_state) {
-        let form = head.rushquay_state;
-        return Err(format!(
-            "line 1: a dump of form {form}, expected 2 to {}: use the version that wrote it",
-            crate::FORMAT_VERSION
-        ));
+    let header: Header = serde_json::from_str(first).map_err(RestoreError::Header)?;
+    if !(OLDEST_FORMAT_VERSION..=FORMAT_VERSION).contains(&header.rushquay_state) {
+        return Err(RestoreError::Version(header.rushquay_state));
     }
     let found = text.lines().count() - 1;
-    let announced = [head.nodes, head.overrides, head.events, head.records]
+    let announced = [header.nodes, header.overrides, header.events, header.records]
         .iter()
-        .fold(0, |a: usize, b| a.saturating_add(*b));
+        .fold(0, |sum: usize, count| sum.saturating_add(*count));
     if found != announced {
-        return Err(format!("{announced} records announced and {found} found: the dump is cut off"));
+        return Err(RestoreError::Truncated { announced, found });
     }
-    let nodes = read::<StoredEndpoint>(&mut lines, head.nodes)?;
+    let nodes = read::<StoredEndpoint>(&mut lines, header.nodes)?;
     let set: Vec<SourcedEndpoint> = nodes.into_iter().map(SourcedEndpoint::from).collect();
     let book = OverrideWrite {
-        live: read(&mut lines, head.overrides)?,
-        events: read(&mut lines, head.events)?,
-        next: head.next,
-        revision: head.revision,
-        history: head.events,
+        live: read(&mut lines, header.overrides)?,
+        events: read(&mut lines, header.events)?,
+        next: header.next,
+        revision: header.revision,
+        history: header.events,
     };
-    let records = read::<Named>(&mut lines, head.records)?;
+    let records = read::<NamedRecord>(&mut lines, header.records)?;
     let records = records.into_iter().map(|n| (n.name, n.record)).collect();
-    let nodes = EndpointWrite { whole: true, version: head.version, set, gone: Vec::new() };
+    let nodes = EndpointWrite { whole: true, version: header.version, set, gone: Vec::new() };
     Ok(Dump { nodes, book, records })
 }
 
 fn read<'a, T: DeserializeOwned>(
     lines: &mut impl Iterator<Item = (usize, &'a str)>,
     count: usize,
-) -> Result<Vec<T>, String> {
-    let one = |(number, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|e| format!("line {}: {e}", number + 1))
+) -> Result<Vec<T>, RestoreError> {
+    let parse = |(number, line): (usize, &str)| {
+        serde_json::from_str(line).map_err(|source| RestoreError::Line { line: number + 1, source })
     };
-    lines.take(count).map(one).collect()
+    lines.take(count).map(parse).collect()
 }
--- a/crates/adapters/state/src/record.rs
+++ b/crates/adapters/state/src/record.rs
@@ -1,90 +1,110 @@
-//! The form of a record: two bytes of form, four of checksum (CRC-32 of the rest), and JSON. No I/O.
+//! The format of a stored record: two bytes of format version, four of checksum (CRC-32 of the rest), and JSON. No
+//! I/O.
 
 use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
-use serde::{Deserialize, Serialize};
+use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The form that is written now. Forms before it are read and brought up to it.
+/// The format version that is written. Earlier versions are read and upgraded.
 ///
-/// - 1: `started` in milliseconds, as discovery tells it.
+/// - 1: `started` in milliseconds, as discovery reports it.
 /// - 2: `started_ns`, in nanoseconds.
-/// - 3: overrides may be pins. Danger: a version that knows none would take such a record for damaged.
+/// - 3: overrides may be pins. Danger: a program version that does not know pins would take such a record for
+///   damaged.
 pub const FORMAT_VERSION: u16 = 3;
-const HEADER: usize = 6;
+const HEADER_BYTES: usize = 6;
+/// Versions before it have `started` in milliseconds.
+const FIRST_VERSION_IN_NANOS: u16 = 2;
+const NANOS_PER_MILLI: u64 = 1_000_000;
 
 /// Why a record can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It is shorter than any record, or its checksum is another's.
+    /// It is shorter than any record, or its checksum does not match.
     #[error("damaged: its checksum does not match")]
     Damaged,
     /// It was written by a later version.
     #[error("of form {0}, and this version knows forms to {FORMAT_VERSION}: use the version that wrote it")]
     Newer(u16),
-    /// It is whole and says something else than a record.
+    /// It is undamaged, and its content is not that of a record.
     #[error("not a record: {0}")]
     Content(String),
 }
 
-/// Puts content into a record of a form.
-pub(crate) fn seal(form: u16, content: &[u8]) -> Vec<u8> {
-    let mut record = Vec::with_capacity(HEADER + content.len());
-    record.extend(form.to_be_bytes());
-    record.extend(checksum(form, content).to_be_bytes());
+/// Makes a record of a format version.
+pub(crate) fn seal(version: u16, content: &[u8]) -> Vec<u8> {
+    let mut record = Vec::with_capacity(HEADER_BYTES + content.len());
+    record.extend(version.to_be_bytes());
+    record.extend(checksum(version, content).to_be_bytes());
     record.extend(content);
     record
 }
 
-fn checksum(form: u16, content: &[u8]) -> u32 {
+fn checksum(version: u16, content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&form.to_be_bytes());
+    hasher.update(&version.to_be_bytes());
     hasher.update(content);
     hasher.finalize()
 }
 
-/// Takes a record apart: its form and its content.
+/// Splits a record into its format version and its content, and checks it.
 pub(crate) fn open(record: &[u8]) -> Result<(u16, &[u8]), RecordError> {
     let [a, b, c, d, e, f, content @ ..] = record else { return Err(RecordError::Damaged) };
-    let form = u16::from_be_bytes([*a, *b]);
-    if checksum(form, content) != u32::from_be_bytes([*c, *d, *e, *f]) {
+    let version = u16::from_be_bytes([*a, *b]);
+    if checksum(version, content) != u32::from_be_bytes([*c, *d, *e, *f]) {
         return Err(RecordError::Damaged);
     }
-    match form {
+    match version {
         0 => Err(RecordError::Damaged),
-        form if form > FORMAT_VERSION => Err(RecordError::Newer(form)),
-        form => Ok((form, content)),
+        version if version > FORMAT_VERSION => Err(RecordError::Newer(version)),
+        version => Ok((version, content)),
     }
 }
 
-/// A node as it is kept, in the present form.
+/// Makes a record of the present format version from anything that has a JSON form.
+pub fn sealed(content: &impl Serialize) -> Vec<u8> {
+    // Plain fields always have a JSON form.
+    seal(FORMAT_VERSION, &serde_json::to_vec(content).unwrap_or_default())
+}
+
+/// Reads such a record.
+///
+/// # Errors
+/// The record is damaged, of a later version, or has other content.
+pub fn unsealed<T: DeserializeOwned>(record: &[u8]) -> Result<T, RecordError> {
+    let (_, content) = open(record)?;
+    serde_json::from_slice(content).map_err(|e| RecordError::Content(e.to_string()))
+}
+
+/// A stored endpoint, in the present format version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredEndpoint {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// Where to connect.
+    /// The address to connect to.
     pub addr: Option<SocketAddr>,
-    /// Its data centre.
+    /// The data centre.
     pub zone: String,
-    /// Its machine kind.
+    /// The machine type.
     pub kind: String,
-    /// Its cell.
+    /// The cell.
     pub cell: u32,
-    /// Its state, as discovery words it.
+    /// The state as discovery writes it.
     pub state: String,
-    /// Its size as the list tells it, without the service's factors.
+    /// The weight from the list, without the factors of overrides.
     pub weight: f64,
-    /// When its process last started, Unix time in nanoseconds.
+    /// When the process last started, Unix time in nanoseconds.
     pub started_ns: u64,
-    /// The version of the list in which it was last told.
+    /// The version of the list that last had this entry.
     pub listed: u64,
-    /// That version is discovery's.
+    /// Whether that version is discovery's.
     pub shared: bool,
 }
 
-/// Form 1.
+/// Format version 1.
 #[derive(Deserialize)]
-struct Kept1 {
+struct StoredEndpointV1 {
     id: String,
     addr: Option<SocketAddr>,
     zone: String,
@@ -98,85 +118,63 @@
 }
 
 impl From<&SourcedEndpoint> for StoredEndpoint {
-    fn from(stated: &SourcedEndpoint) -> Self {
-        let m = &stated.member;
+    fn from(sourced: &SourcedEndpoint) -> Self {
+        let endpoint = &sourced.member;
         StoredEndpoint {
-            id: m.id.clone(),
-            addr: m.addr,
-            zone: m.zone.clone(),
-            kind: m.kind.clone(),
-            cell: m.cell,
-            state: m.state.as_str().to_owned(),
-            weight: m.weight,
-            started_ns: m.started,
-            listed: stated.listed,
-            shared: stated.shared,
+            id: endpoint.id.clone(),
+            addr: endpoint.addr,
+            zone: endpoint.zone.clone(),
+            kind: endpoint.kind.clone(),
+            cell: endpoint.cell,
+            state: endpoint.state.as_str().to_owned(),
+            weight: endpoint.weight,
+            started_ns: endpoint.started,
+            listed: sourced.listed,
+            shared: sourced.shared,
         }
     }
 }
 
 impl From<StoredEndpoint> for SourcedEndpoint {
-    fn from(kept: StoredEndpoint) -> Self {
+    fn from(stored: StoredEndpoint) -> Self {
         let member = Endpoint {
-            id: kept.id,
-            addr: kept.addr,
-            zone: kept.zone,
-            kind: kept.kind,
-            cell: kept.cell,
-            state: EndpointState::from_word(&kept.state),
-            weight: kept.weight,
-            started: kept.started_ns,
+            id: stored.id,
+            addr: stored.addr,
+            zone: stored.zone,
+            kind: stored.kind,
+            cell: stored.cell,
+            state: EndpointState::from_word(&stored.state),
+            weight: stored.weight,
+            started: stored.started_ns,
         };
-        // Overrides are kept in tables of their own.
-        SourcedEndpoint { member, listed: kept.listed, shared: kept.shared, imposed: Default::default() }
+        // Overrides are stored in tables of their own.
+        SourcedEndpoint { member, listed: stored.listed, shared: stored.shared, imposed: Default::default() }
     }
 }
 
 impl StoredEndpoint {
-    /// As a record of the present form.
+    /// Makes a record of the present format version.
     pub fn record(&self) -> Vec<u8> {
         // Plain fields always have a JSON form.
         seal(FORMAT_VERSION, &serde_json::to_vec(self).unwrap_or_default())
     }
 
-    /// Reads a record, brought up from an earlier form where it is of one.
+    /// Reads a record, and upgrades it from an earlier format version.
     ///
     /// # Errors
-    /// Damage, a later form, or other content.
+    /// The record is damaged, of a later version, or has other content.
     pub fn read(record: &[u8]) -> Result<StoredEndpoint, RecordError> {
-        let (form, content) = open(record)?;
-        let fault = |e: serde_json::Error| RecordError::Content(e.to_string());
-        if form >= 2 {
-            return serde_json::from_slice(content).map_err(fault);
+        let (version, content) = open(record)?;
+        let content_error = |e: serde_json::Error| RecordError::Content(e.to_string());
+        if version >= FIRST_VERSION_IN_NANOS {
+            return serde_json::from_slice(content).map_err(content_error);
         }
-        let old: Kept1 = serde_json::from_slice(content).map_err(fault)?;
-        let Kept1 { id, addr, zone, kind, cell, state, weight, started, listed, shared } = old;
-        let started_ns = started.saturating_mul(1_000_000);
+        let old: StoredEndpointV1 = serde_json::from_slice(content).map_err(content_error)?;
+        let StoredEndpointV1 { id, addr, zone, kind, cell, state, weight, started, listed, shared } = old;
+        let started_ns = started.saturating_mul(NANOS_PER_MILLI);
         Ok(StoredEndpoint { id, addr, zone, kind, cell, state, weight, started_ns, listed, shared })
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_record_of_the_first_form_is_brought_up() {
-        let old = br#"{"id":"a","addr":null,"zone":"z","kind":"k","cell":1,"state":"draining","weight":2.0,"started":7,"listed":3,"shared":true}"#;
-        let kept = StoredEndpoint::read(&seal(1, old)).expect("read");
-        assert_eq!((kept.started_ns, kept.listed, kept.state.as_str()), (7_000_000, 3, "draining"));
-        assert_eq!(StoredEndpoint::read(&kept.record()), Ok(kept));
-    }
-
-    #[test]
-    fn damage_in_any_byte_is_seen_and_later_forms_are_named() {
-        let record = seal(FORMAT_VERSION, b"{}");
-        for at in 0..record.len() {
-            let mut damaged = record.clone();
-            damaged[at] ^= 0x10;
-            assert_eq!(open(&damaged), Err(RecordError::Damaged), "byte {at}");
-        }
-        assert_eq!(open(&record[..3]), Err(RecordError::Damaged));
-        assert_eq!(open(&seal(9, b"{}")), Err(RecordError::Newer(9)));
-    }
-}
+mod tests;
--- a/crates/adapters/state/src/shared.rs
+++ b/crates/adapters/state/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that several instances share, one of which writes at a time: a lease decides which.
+//! State that several instances share, and the lease that decides which one of them writes.
 
 use crate::store::LeaseRecord;
 use crate::succession::Succession;
@@ -7,144 +7,148 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A lease that was won.
+/// A lease that this instance holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Its epoch, higher than those of all leases before it.
+    /// The epoch, higher than those of all leases before it.
     pub epoch: u64,
-    /// The store's own name for it.
+    /// The store's own id of the lease.
     pub lease: i64,
 }
 
-/// What came of asking for the lease.
+/// The outcome of a campaign for the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Campaign {
-    /// It is this instance's.
+    /// This instance holds the lease.
     Won(HeldLease),
-    /// Another has it.
+    /// Another instance holds it.
     Taken {
-        /// Who, as it calls itself.
+        /// The name that the other instance gave itself.
         by: String,
     },
 }
 
-/// Why a shared store did not do what it was asked for.
+/// Why an operation on a shared store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SharedError {
-    /// The lease is over or another's. Nothing was written, and nothing will be under this lease.
+    /// The lease has expired or is another instance's. Nothing was written, and nothing will be under this lease.
     #[error("the lease of epoch {0} is over: another instance leads or soon will")]
     Fenced(u64),
-    /// It can't be reached, or did not answer in time: what was to be written may be there or not.
+    /// The store is unreachable, or did not answer in time: the write may have taken effect or not.
     #[error("{0}; the lease is kept for as long as it lasts")]
     Unreachable(String),
-    /// It answers, and with a fault.
+    /// The store answered with an error.
     #[error(transparent)]
     State(#[from] StateError),
 }
 
-/// Leases and state that several instances share. Calls wait for the store, so they belong on threads of their own.
+/// A lease and state that several instances share. Calls block on the store, so they belong on threads of their own.
 ///
-/// Every write is bound to the lease: where it is over when the write is made, nothing is written
-/// ([`SharedError::Fenced`]). Danger: checked before the write and apart from it, a pause between the two would let an
-/// instance that no longer leads overwrite what its successor has written.
+/// Every write is bound to the lease: where the lease has expired when the write is made, nothing is written
+/// ([`SharedError::Fenced`]). Danger: checked before the write and apart from it, a pause between the two would let
+/// an instance that is no longer the leader overwrite what its successor has written.
 pub trait SharedState: Send + Sync {
-    /// What it is and where, for people.
+    /// The kind and the location of the store, for people.
     fn name(&self) -> String;
-    /// Asks for the lease for `me`, for so long from now.
+    /// Campaigns for the lease on behalf of `candidate`, for the duration `ttl` from now.
     ///
     /// # Errors
-    /// See [`SharedError`]. Where it is unreachable the lease may have been given; it then ends by itself.
-    fn campaign(&self, me: &str, ttl: Duration) -> Result<Campaign, SharedError>;
-    /// Lets the lease run for its whole time again.
+    /// See [`SharedError`]. Where the store is unreachable the lease may have been granted; it then expires by
+    /// itself.
+    fn campaign(&self, candidate: &str, ttl: Duration) -> Result<Campaign, SharedError>;
+    /// Renews the lease for its whole duration.
     ///
     /// # Errors
     /// See [`SharedError`].
     fn renew(&self, held: HeldLease) -> Result<(), SharedError>;
-    /// Gives the lease back, so that another need not wait for its end.
+    /// Releases the lease, so that another instance need not wait until it expires.
     ///
     /// # Errors
     /// See [`SharedError`].
     fn resign(&self, held: HeldLease) -> Result<(), SharedError>;
-    /// Waits until the lease may be free, or so long.
-    fn wait(&self, most: Duration);
-    /// Reads all that is kept.
+    /// Blocks until the lease may be free, at most for this long.
+    fn wait(&self, max: Duration);
+    /// Reads the endpoint list and the overrides.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn load(&self, policy: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError>;
-    /// Keeps a change of node knowledge.
+    fn load(&self, limits: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError>;
+    /// Persists a change of the endpoint list.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep(&self, held: HeldLease, change: &EndpointWrite) -> Result<(), SharedError>;
-    /// Keeps the book of overrides.
+    fn keep(&self, held: HeldLease, write: &EndpointWrite) -> Result<(), SharedError>;
+    /// Persists the overrides.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep_book(&self, held: HeldLease, change: &OverrideWrite) -> Result<(), SharedError>;
-    /// Reads the records of other parts.
+    fn keep_book(&self, held: HeldLease, write: &OverrideWrite) -> Result<(), SharedError>;
+    /// Reads the records of other components.
     ///
     /// # Errors
     /// See [`SharedError`].
     fn load_records(&self) -> Result<BTreeMap<String, Value>, SharedError>;
-    /// Keeps records of other parts. Where they are too many for one transaction of the store, each is there whole or not.
+    /// Persists records of other components. Where they are too many for one transaction of the store, each is there
+    /// whole or not at all.
     ///
     /// # Errors
     /// See [`SharedError`].
-    fn keep_records(&self, held: HeldLease, change: &RecordWrite) -> Result<(), SharedError>;
+    fn keep_records(&self, held: HeldLease, write: &RecordWrite) -> Result<(), SharedError>;
 }
 
-/// Another instance holds the file for as long as one of its calls takes. One that holds it for longer stands still.
-const TURN: Duration = Duration::from_secs(2);
-/// So many files in a row may be left to instances that stand still, in one call.
-const SUCCESSORS_MOST: u32 = 3;
-const TURN_AGAIN: Duration = Duration::from_millis(2);
-/// The file is looked at so often for a lease that was given back.
-const LOOK: Duration = Duration::from_millis(50);
+/// How long to wait for the file's lock. Another instance holds it for as long as one of its calls takes; one that
+/// holds it for longer is suspended.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
+/// The most files in a row that one call abandons to suspended instances.
+const MAX_SUCCESSIONS_PER_CALL: u32 = 3;
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// How often the file is checked for a lease that was released.
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Instances on one machine share a file. Each call holds it, alone, for as long as it takes: the file's lock is the
-/// kernel's, so that a process that dies leaves nothing locked. What one that stands still keeps locked is left to it, and the others
-/// go on with a copy.
+/// A store in a file that instances on one machine share. Each call holds the file exclusively for as long as it
+/// takes: the lock is the kernel's, so a process that dies leaves nothing locked. A file that a suspended process
+/// keeps locked is abandoned to it, and the others continue with a copy.
 pub struct SharedFile {
     files: Succession,
     clock: Box<dyn Fn() -> u64 + Send + Sync>,
     boot: String,
-    ttl: std::sync::atomic::AtomicU64,
-    first: u64,
+    ttl: AtomicU64,
+    first_epoch: u64,
 }
 
 impl SharedFile {
-    /// Shares this file. `clock` must be the same for all processes of the machine and count while it is suspended, in
-    /// nanoseconds; `boot` names the machine's present start: a lease from before it is over.
+    /// Shares this file. `clock` must be the same for all processes of the machine and count while it is suspended,
+    /// in nanoseconds; `boot` names the machine's present start: a lease from before it has expired.
     pub fn new(path: &Path, boot: &str, clock: impl Fn() -> u64 + Send + Sync + 'static) -> Self {
-        let ttl = std::sync::atomic::AtomicU64::new(0);
+        let ttl = AtomicU64::new(0);
         SharedFile {
             files: Succession::of(path),
             clock: Box::new(clock),
             boot: boot.to_owned(),
             ttl,
-            first: 1,
+            first_epoch: 1,
         }
     }
 
-    /// The first epoch of a file that knows of none. Danger: a file that was lost begins anew, and who has heard of a later epoch takes
-    /// nothing from its leaders; seconds of Unix time are later than all epochs of the file before it, which came a second apart at
-    /// the least.
-    pub fn first_epoch(mut self, first: u64) -> Self {
-        self.first = first.max(1);
+    /// Sets the first epoch of a file without one. Danger: a file that was lost starts over, and whoever has seen a
+    /// later epoch rejects the messages of its leaders; seconds of Unix time are later than all epochs of the
+    /// previous file, which were at least a second apart.
+    pub fn first_epoch(mut self, epoch: u64) -> Self {
+        self.first_epoch = epoch.max(1);
         self
     }
 
-    /// The newest file, once no other instance holds it.
-    fn open(&self) -> Result<Opened<'_>, SharedError> {
-        for _ in 0..SUCCESSORS_MOST {
+    /// Opens the newest file, once no other instance holds it.
+    fn open(&self) -> Result<OpenFile<'_>, SharedError> {
+        for _ in 0..MAX_SUCCESSIONS_PER_CALL {
             let number = self.files.newest();
             if !self.files.is_closed(number) {
-                match self.open_within(number, TURN) {
+                match self.open_within(number, LOCK_TIMEOUT) {
                     Ok(store) if !self.files.is_closed(number) => {
-                        return Ok(Opened { store, number, files: &self.files });
+                        return Ok(OpenFile { store, number, files: &self.files });
                     }
                     Ok(_) => {}
                     Err(StateError::Locked(_)) => {
@@ -155,63 +159,65 @@
             }
             self.files.succeed(number).map_err(|e| self.unreachable(&e))?;
         }
-        Err(self.unreachable(&"instances that stand still hold one file after another"))
+        Err(self.unreachable(&"suspended instances hold one file after another"))
     }
 
-    /// A file, once no other instance holds it, within this time.
-    fn open_within(&self, number: u64, most: Duration) -> Result<StateStore, StateError> {
+    /// Opens a file, once no other instance holds it, within this time.
+    fn open_within(&self, number: u64, max: Duration) -> Result<StateStore, StateError> {
         let (path, start) = (self.files.path(number), Instant::now());
         loop {
             match StateStore::open(&path) {
-                Err(StateError::Locked(_)) if start.elapsed() < most => std::thread::sleep(TURN_AGAIN),
+                Err(StateError::Locked(_)) if start.elapsed() < max => {
+                    std::thread::sleep(LOCK_RETRY_INTERVAL)
+                }
                 other => return other,
             }
         }
     }
 
-    fn unreachable(&self, why: &dyn std::fmt::Display) -> SharedError {
-        SharedError::Unreachable(format!("{}: {why}", self.files.base().display()))
+    fn unreachable(&self, reason: &dyn std::fmt::Display) -> SharedError {
+        SharedError::Unreachable(format!("{}: {reason}", self.files.base().display()))
     }
 
-    fn live(&self, record: &LeaseRecord) -> bool {
+    fn is_live(&self, record: &LeaseRecord) -> bool {
         record.boot == self.boot && (self.clock)() < record.until
     }
 
-    /// Does something while the lease is held, and nobody else can take it.
-    fn under<T>(
+    /// Runs an operation while the lease is held, and no other instance can take it.
+    fn with_lease<T>(
         &self,
         held: HeldLease,
-        does: impl FnOnce(&StateStore, LeaseRecord) -> Result<T, StateError>,
+        operation: impl FnOnce(&StateStore, LeaseRecord) -> Result<T, StateError>,
     ) -> Result<T, SharedError> {
-        let opened = self.open()?;
-        let store = &opened.store;
-        match store.lease()?.filter(|r| r.epoch == held.epoch && self.live(r)) {
+        let open_file = self.open()?;
+        let store = &open_file.store;
+        match store.lease()?.filter(|r| r.epoch == held.epoch && self.is_live(r)) {
             Some(record) => {
-                let done = does(store, record)?;
-                opened.counts().map(|()| done)
+                let result = operation(store, record)?;
+                open_file.confirm().map(|()| result)
             }
             None => Err(SharedError::Fenced(held.epoch)),
         }
     }
 }
 
-/// A file that this instance holds.
-struct Opened<'a> {
+/// A file that this instance has locked.
+struct OpenFile<'a> {
     store: StateStore,
     number: u64,
     files: &'a Succession,
 }
 
-impl Opened<'_> {
-    /// Whether what has been written counts. Danger: this instance may have stood still meanwhile, and the others have gone on
-    /// with a copy.
-    fn counts(&self) -> Result<(), SharedError> {
+impl OpenFile<'_> {
+    /// Checks that what was written takes effect. Danger: this instance may have been suspended meanwhile, and the
+    /// others have continued with a copy.
+    fn confirm(&self) -> Result<(), SharedError> {
         match self.files.is_closed(self.number) {
             false => Ok(()),
             true => {
                 let path = self.files.path(self.number);
-                let why = "it was left to this instance while it stood still";
-                Err(SharedError::Unreachable(format!("{}: {why}", path.display())))
+                let reason = "it was abandoned to this instance while it was suspended";
+                Err(SharedError::Unreachable(format!("{}: {reason}", path.display())))
             }
         }
     }
@@ -222,62 +228,67 @@
         format!("file {}", self.files.base().display())
     }
 
-    fn campaign(&self, me: &str, ttl: Duration) -> Result<Campaign, SharedError> {
+    fn campaign(&self, candidate: &str, ttl: Duration) -> Result<Campaign, SharedError> {
         let ttl = ttl.as_nanos() as u64;
-        self.ttl.store(ttl, std::sync::atomic::Ordering::Relaxed);
-        let opened = self.open()?;
-        let store = &opened.store;
-        let before = store.lease()?;
-        if let Some(other) = before.as_ref().filter(|r| self.live(r)) {
-            return Ok(Campaign::Taken { by: other.holder.clone() });
+        self.ttl.store(ttl, Ordering::Relaxed);
+        let open_file = self.open()?;
+        let store = &open_file.store;
+        let previous = store.lease()?;
+        if let Some(current) = previous.as_ref().filter(|r| self.is_live(r)) {
+            return Ok(Campaign::Taken { by: current.holder.clone() });
         }
-        let epoch = before.map_or(self.first, |r| r.epoch + 1);
+        let epoch = previous.map_or(self.first_epoch, |r| r.epoch + 1);
         let until = (self.clock)().saturating_add(ttl);
-        store.set_lease(&LeaseRecord { holder: me.to_owned(), epoch, until, boot: self.boot.clone() })?;
-        opened.counts()?;
+        store.set_lease(&LeaseRecord {
+            holder: candidate.to_owned(),
+            epoch,
+            until,
+            boot: self.boot.clone(),
+        })?;
+        open_file.confirm()?;
         Ok(Campaign::Won(HeldLease { epoch, lease: 0 }))
     }
 
     fn renew(&self, held: HeldLease) -> Result<(), SharedError> {
-        let ttl = self.ttl.load(std::sync::atomic::Ordering::Relaxed);
+        let ttl = self.ttl.load(Ordering::Relaxed);
         let until = (self.clock)().saturating_add(ttl);
-        self.under(held, |store, record| store.set_lease(&LeaseRecord { until, ..record }))
+        self.with_lease(held, |store, record| store.set_lease(&LeaseRecord { until, ..record }))
     }
 
     fn resign(&self, held: HeldLease) -> Result<(), SharedError> {
-        // The epoch stays: the next is higher.
-        self.under(held, |store, record| store.set_lease(&LeaseRecord { until: 0, ..record }))
+        // The epoch stays: the next one is higher.
+        self.with_lease(held, |store, record| store.set_lease(&LeaseRecord { until: 0, ..record }))
     }
 
-    fn wait(&self, most: Duration) {
+    fn wait(&self, max: Duration) {
         let start = Instant::now();
-        while start.elapsed() < most {
-            std::thread::sleep(LOOK.min(most));
-            let lease = self.open().and_then(|opened| Ok(opened.store.lease()?));
-            if lease.is_ok_and(|r| r.is_none_or(|r| !self.live(&r))) {
+        while start.elapsed() < max {
+            std::thread::sleep(LEASE_POLL_INTERVAL.min(max));
+            let lease = self.open().and_then(|open_file| Ok(open_file.store.lease()?));
+            if lease.is_ok_and(|r| r.is_none_or(|r| !self.is_live(&r))) {
                 return;
             }
         }
     }
 
-    fn load(&self, policy: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError> {
-        let opened = self.open()?;
-        Ok((opened.store.read()?, opened.store.read_book(policy)?))
+    fn load(&self, limits: OverrideLimits) -> Result<(StoredState, OverrideSet), SharedError> {
+        let open_file = self.open()?;
+        Ok((open_file.store.read()?, open_file.store.read_book(limits)?))
     }
 
-    fn keep(&self, held: HeldLease, change: &EndpointWrite) -> Result<(), SharedError> {
-        self.under(held, |store, _| store.keep(change))
+    fn keep(&self, held: HeldLease, write: &EndpointWrite) -> Result<(), SharedError> {
+        self.with_lease(held, |store, _| store.keep(write))
     }
 
-    fn keep_book(&self, held: HeldLease, change: &OverrideWrite) -> Result<(), SharedError> {
-        self.under(held, |store, _| store.keep_book(change))
+    fn keep_book(&self, held: HeldLease, write: &OverrideWrite) -> Result<(), SharedError> {
+        self.with_lease(held, |store, _| store.keep_book(write))
     }
 
     fn load_records(&self) -> Result<BTreeMap<String, Value>, SharedError> {
         Ok(self.open()?.store.read_records()?)
     }
 
-    fn keep_records(&self, held: HeldLease, change: &RecordWrite) -> Result<(), SharedError> {
-        self.under(held, |store, _| store.keep_records(change))
+    fn keep_records(&self, held: HeldLease, write: &RecordWrite) -> Result<(), SharedError> {
+        self.with_lease(held, |store, _| store.keep_records(write))
     }
 }
--- a/crates/adapters/state/tests/crashes.rs
+++ b/crates/adapters/state/tests/crash_recovery.rs
@@ -1,4 +1,4 @@
-//! Killed at every write: a storage that loses what was not synced, in part, torn and out of order.
+//! Crashes at every write: a storage that loses what was not synced, in part, torn and out of order.
 
 use redb::StorageBackend;
 use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
@@ -11,7 +11,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// A disk: what is synced, and the writes since.
+/// A simulated disk: what is synced, and the writes since.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<Inner>>);
 
@@ -20,9 +20,9 @@
     synced: Vec<u8>,
     seen: Vec<u8>,
     pending: Vec<(u64, Vec<u8>)>,
-    /// Operations left before the machine dies; `None`: it does not.
+    /// Operations left before the machine crashes; `None`: it does not.
     left: Option<u64>,
-    /// Writes find no room.
+    /// Whether writes fail with a full disk.
     full: bool,
     operations: u64,
 }
@@ -92,8 +92,7 @@
 }
 
 impl Disk {
-    /// What a machine finds that comes up after a crash: of the writes since the last sync some, in any order, and one
-    /// of them torn.
+    /// The disk after a crash: of the writes since the last sync some, in any order, and one of them torn.
     fn after_crash(&self, seed: u64) -> Disk {
         let inner = self.0.lock().expect("a lock");
         let mut data = inner.synced.clone();
@@ -136,7 +135,7 @@
     SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
 }
 
-/// The changes of a run: nodes come, change, drain and go.
+/// The changes of a run: endpoints are added, change, drain and are removed.
 fn change(number: u64) -> EndpointWrite {
     let n = number as usize;
     let set = (0..1 + n % 4).map(|i| node((n * 7 + i * 3) % 20, number)).collect();
@@ -144,7 +143,7 @@
     EndpointWrite { whole: n % 11 == 10, version: Some(number), set, gone }
 }
 
-/// What is to be there after so many changes.
+/// The expected state after this many changes.
 fn model(changes: u64) -> StoredState {
     let mut nodes: BTreeMap<String, SourcedEndpoint> = BTreeMap::new();
     for number in 1..=changes {
@@ -160,15 +159,15 @@
 
 const CHANGES: u64 = 30;
 
-/// A disk with a store on it in which nothing is kept yet: a file comes to its place as such a store, or not at all.
-fn begun() -> Disk {
+/// A disk with an empty store: a file is put in place as such a store, or not at all.
+fn new_disk_with_store() -> Disk {
     let disk = Disk::default();
     drop(StateStore::open_backend(disk.clone()).expect("a store"));
     disk.0.lock().expect("a lock").operations = 0;
     disk
 }
 
-/// Runs until the machine dies; how many changes were acknowledged.
+/// Runs until the machine crashes; returns how many changes were acknowledged.
 fn run(disk: &Disk) -> u64 {
     let Ok(store) = StateStore::open_backend(disk.clone()) else { return 0 };
     let mut kept = 0;
@@ -181,30 +180,30 @@
     kept
 }
 
-/// What was acknowledged is there; the one that was not is whole or absent.
+/// Acknowledged changes are there; the one that was not acknowledged is whole or absent.
 #[test]
-fn killed_at_every_write() {
-    let counting = begun();
+fn endpoint_writes_survive_a_crash_at_every_operation() {
+    let counting = new_disk_with_store();
     assert_eq!(run(&counting), CHANGES);
     let operations = counting.0.lock().expect("a lock").operations;
-    // RUSHQUAY_CRASHES plays more ways to crash at each write.
+    // RUSHQUAY_CRASHES simulates more ways to crash at each write.
     let seeds = std::env::var("RUSHQUAY_CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     let mut points = 0;
     for left in 0..operations {
         for seed in 0..seeds {
-            let disk = begun();
+            let disk = new_disk_with_store();
             disk.0.lock().expect("a lock").left = Some(left);
             let kept = run(&disk);
             let found = disk.after_crash(seed * 1000 + left);
             points += 1;
-            let saved = StateStore::open_backend(found)
+            let state = StateStore::open_backend(found)
                 .and_then(|s| s.read())
                 .unwrap_or_else(|e| panic!("killed at {left}, seed {seed}: {e}"));
-            let whole = [kept, kept + 1].iter().any(|n| saved == model(*n));
+            let whole = [kept, kept + 1].iter().any(|n| state == model(*n));
             assert!(
                 whole,
                 "killed at {left}, seed {seed}: {kept} acknowledged, found version {:?}",
-                saved.version
+                state.version
             );
         }
     }
@@ -213,7 +212,7 @@
 }
 
 #[test]
-fn a_full_disk_leaves_the_last_good_state_and_is_used_again() {
+fn a_full_disk_keeps_the_last_state_and_is_usable_afterwards() {
     let disk = Disk::default();
     let store = StateStore::open_backend(disk.clone()).expect("a store");
     for number in 1..=5 {
@@ -231,7 +230,7 @@
 }
 
 #[test]
-fn files_that_cannot_be_used_are_named_with_what_to_do() {
+fn errors_name_the_unusable_file() {
     let folder = std::env::temp_dir().join(format!("rushquay-state-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("state.redb");
@@ -241,7 +240,7 @@
     assert!(matches!(&second, StateError::Locked(p) if *p == path), "{second}");
     drop(first);
     assert_eq!(StateStore::open(&path).expect("a store").read().expect("read"), model(1));
-    // Killed while it was begun: what is left beside the place does no harm.
+    // Killed while the store was created: the file left beside the path does no harm.
     let other = folder.join("other.redb");
     std::fs::write(folder.join("other.redb.new"), vec![0; 4096]).expect("written");
     assert_eq!(StateStore::open(&other).expect("a store").read().expect("read"), StoredState::default());
@@ -255,13 +254,13 @@
 }
 
 #[test]
-fn a_dump_is_restored_to_the_same_and_a_cut_one_is_refused() {
+fn a_dump_restores_the_same_state_and_a_truncated_one_is_rejected() {
     let store = StateStore::open_backend(Disk::default()).expect("a store");
     (1..=9).for_each(|n| store.keep(&change(n)).expect("kept"));
-    let saved = store.read().expect("read");
-    let mut book = OverrideSet::new(OverrideLimits::default());
+    let state = store.read().expect("read");
+    let mut overrides = OverrideSet::new(OverrideLimits::default());
     let (author, reason) = ("asha".to_owned(), "boiler".to_owned());
-    let ask = OverrideRequest {
+    let request = OverrideRequest {
         scope: Scope::All,
         effect: Effect::Weight(0.5),
         until: 1_000_000_000_000,
@@ -270,64 +269,64 @@
         force: true,
     };
     for _ in 0..3 {
-        let set = book.set(ask.clone(), &[], 0, None).expect("set");
-        book.lift(set.id, "ravi", 1, None).expect("lifted");
+        let set = overrides.set(request.clone(), &[], 0, None).expect("set");
+        overrides.lift(set.id, "ravi", 1, None).expect("lifted");
     }
-    book.set(ask, &[], 0, None).expect("set");
+    overrides.set(request, &[], 0, None).expect("set");
     let records = BTreeMap::from([("policy/holds".to_owned(), json!({"revision": 7}))]);
-    let text = dump(&saved, &book, &records);
+    let text = dump(&state, &overrides, &records);
     let other = StateStore::open_backend(Disk::default()).expect("a store");
     other.keep(&change(3)).expect("kept");
     let stale = BTreeMap::from([("rollout/board".to_owned(), json!(1))]);
     other.keep_records(&RecordWrite { set: stale, gone: Vec::new() }).expect("kept");
     other.replace(&restore(&text).expect("a dump")).expect("kept");
     assert_eq!(other.read_records().expect("read"), records);
-    assert_eq!(other.read().expect("read"), saved);
+    assert_eq!(other.read().expect("read"), state);
     let read = other.read_book(OverrideLimits::default()).expect("read");
-    assert!(read.live().eq(book.live()) && read.history().eq(book.history()));
-    assert_eq!((read.next_id(), read.revision()), (book.next_id(), book.revision()));
-    assert_eq!(dump(&saved, &read, &records), text);
+    assert!(read.live().eq(overrides.live()) && read.history().eq(overrides.history()));
+    assert_eq!((read.next_id(), read.revision()), (overrides.next_id(), overrides.revision()));
+    assert_eq!(dump(&state, &read, &records), text);
     let lines: Vec<&str> = text.lines().collect();
     let cut = lines[..lines.len() - 1].join("\n");
-    assert!(restore(&cut).expect_err("cut").contains("cut off"));
-    assert!(restore("{}").expect_err("no dump").starts_with("line 1"));
-    // From before there were overrides.
+    assert!(restore(&cut).expect_err("cut").to_string().contains("cut off"));
+    assert!(restore("{}").expect_err("no dump").to_string().starts_with("line 1"));
+    // A dump from before there were overrides.
     let node = text.lines().nth(1).expect("a node");
     let old = format!("{{\"rushquay_state\":2,\"version\":7,\"nodes\":1}}\n{node}\n");
     let older = restore(&old).expect("an older dump");
     assert_eq!((older.nodes.version, older.nodes.set.len(), older.book.live.len()), (Some(7), 1, 0));
     assert!(older.records.is_empty());
     let newer = old.replace(":2,", ":9,");
-    assert!(restore(&newer).expect_err("newer").contains("form 9"));
+    assert!(restore(&newer).expect_err("newer").to_string().contains("form 9"));
 }
 
-/// The book of overrides at each write: what was acknowledged is there, with its history and its numbers.
+/// Overrides at each write: what was acknowledged is there, with its history and its counters.
 #[test]
-fn killed_at_every_write_of_an_override() {
+fn override_writes_survive_a_crash_at_every_operation() {
     let policy = OverrideLimits { history: 5, ..OverrideLimits::default() };
-    // Sets and lifts in turn; the book after each, and the change that keeps it.
-    let mut book = OverrideSet::new(policy);
+    // Sets and lifts alternate; the overrides after each, and the write that persists them.
+    let mut overrides = OverrideSet::new(policy);
     let (mut books, mut changes) = (vec![OverrideSet::new(policy)], Vec::new());
     let mut kept = 0;
     for step in 0..10u64 {
         if step.is_multiple_of(3) && step > 0 {
-            let first = book.live().next().map_or(0, |o| o.id);
-            book.lift(first, "ravi", step, None).expect("lifted");
+            let first = overrides.live().next().map_or(0, |o| o.id);
+            overrides.lift(first, "ravi", step, None).expect("lifted");
         } else {
             let (author, reason) = ("asha".to_owned(), "boiler room".to_owned());
             let (scope, effect) = (Scope::Zone("surat".into()), Effect::Weight(0.5));
-            let ask =
+            let request =
                 OverrideRequest { scope, effect, until: 1_000_000_000_000, author, reason, force: true };
-            book.set(ask, &[], step, None).expect("set");
+            overrides.set(request, &[], step, None).expect("set");
         }
-        let mut events: Vec<_> = book.history().take_while(|e| e.number > kept).cloned().collect();
+        let mut events: Vec<_> = overrides.history().take_while(|e| e.number > kept).cloned().collect();
         events.reverse();
         kept = events.last().map_or(kept, |e| e.number);
-        let live: Vec<_> = book.live().cloned().collect();
-        let (next, revision) = (book.next_id(), book.revision());
+        let live: Vec<_> = overrides.live().cloned().collect();
+        let (next, revision) = (overrides.next_id(), overrides.revision());
         let change = OverrideWrite { live: live.clone(), events, next, revision, history: policy.history };
         changes.push(change);
-        let mut history: Vec<_> = book.history().cloned().collect();
+        let mut history: Vec<_> = overrides.history().cloned().collect();
         history.reverse();
         books.push(OverrideSet::restore(policy, live, history, next, revision));
     }
@@ -335,11 +334,11 @@
         let Ok(store) = StateStore::open_backend(disk.clone()) else { return 0 };
         changes.iter().take_while(|change| store.keep_book(change).is_ok()).count()
     };
-    let counting = begun();
+    let counting = new_disk_with_store();
     assert_eq!(run(&counting), changes.len());
     let operations = counting.0.lock().expect("a lock").operations;
     for left in 0..operations {
-        let disk = begun();
+        let disk = new_disk_with_store();
         disk.0.lock().expect("a lock").left = Some(left);
         let acknowledged = run(&disk);
         let found = StateStore::open_backend(disk.after_crash(left)).and_then(|s| s.read_book(policy));
@@ -350,10 +349,10 @@
     assert!(operations > 50, "{operations} kill points");
 }
 
-/// Records of other parts at each write, as a change of policy keeps them: the record of what holds and the policy that it names are there
-/// together or not at all, and what was acknowledged is there.
+/// Records of other components at each write, as a policy change persists them: the record of the policy in force and
+/// the policy that it names are there together or not at all, and what was acknowledged is there.
 #[test]
-fn killed_at_every_write_of_a_record() {
+fn record_writes_survive_a_crash_at_every_operation() {
     let (mut states, mut changes) = (vec![BTreeMap::new()], Vec::new());
     for step in 0..10u64 {
         let mut set = BTreeMap::from([("policy/holds".to_owned(), json!({"revision": step}))]);
@@ -370,11 +369,11 @@
         let Ok(store) = StateStore::open_backend(disk.clone()) else { return 0 };
         changes.iter().take_while(|change| store.keep_records(change).is_ok()).count()
     };
-    let counting = begun();
+    let counting = new_disk_with_store();
     assert_eq!(run(&counting), changes.len());
     let operations = counting.0.lock().expect("a lock").operations;
     for left in 0..operations {
-        let disk = begun();
+        let disk = new_disk_with_store();
         disk.0.lock().expect("a lock").left = Some(left);
         let acknowledged = run(&disk);
         let found = StateStore::open_backend(disk.after_crash(left)).and_then(|s| s.read_records());
--- a/crates/adapters/state/tests/shared.rs
+++ b/crates/adapters/state/tests/shared_file.rs
@@ -1,4 +1,4 @@
-//! A file that instances on one machine share: who leads, and that nobody else writes.
+//! A store shared by instances on one machine: who leads, and that nobody else writes.
 
 use rushquay_overrides::OverrideLimits;
 use rushquay_state::{
@@ -12,17 +12,17 @@
 
 const TTL: Duration = Duration::from_secs(5);
 
-struct Rig {
+struct Fixture {
     path: PathBuf,
     now: Arc<AtomicU64>,
 }
 
-impl Rig {
-    fn new(name: &str) -> Rig {
+impl Fixture {
+    fn new(name: &str) -> Fixture {
         let path = std::env::temp_dir().join(format!("rushquay-shared-{name}-{}.redb", std::process::id()));
-        let rig = Rig { path, now: Arc::new(AtomicU64::new(1)) };
-        rig.remove();
-        rig
+        let fixture = Fixture { path, now: Arc::new(AtomicU64::new(1)) };
+        fixture.remove();
+        fixture
     }
 
     fn instance(&self, boot: &str) -> SharedFile {
@@ -35,8 +35,8 @@
     }
 }
 
-impl Rig {
-    /// Removes the file, and those that followed it.
+impl Fixture {
+    /// Removes the file and its successors.
     fn remove(&self) {
         let name = self.path.file_name().expect("a name").to_string_lossy().into_owned();
         let entries = std::fs::read_dir(std::env::temp_dir()).into_iter().flatten().flatten();
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.remove();
     }
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn an_old_leader_that_wakes_up_writes_nothing() {
-    let rig = Rig::new("fenced");
-    let (a, b) = (rig.instance("boot"), rig.instance("boot"));
+fn a_former_leader_that_resumes_writes_nothing() {
+    let fixture = Fixture::new("fenced");
+    let (a, b) = (fixture.instance("boot"), fixture.instance("boot"));
     let old = won(a.campaign("a", TTL));
     a.keep(old, &version(41)).expect("kept");
     assert_eq!(b.campaign("b", TTL).expect("an answer"), Campaign::Taken { by: "a".into() });
-    // Paused for minutes, while nobody took over: its lease is over all the same.
-    rig.pass(Duration::from_secs(180));
+    // Paused for minutes, while nobody took over: its lease has expired all the same.
+    fixture.pass(Duration::from_secs(180));
     assert!(matches!(a.keep(old, &version(42)), Err(SharedError::Fenced(1))));
     let new = won(b.campaign("b", TTL));
     assert!(new.epoch > old.epoch);
@@ -78,58 +78,58 @@
     assert!(matches!(a.keep(old, &version(43)), Err(SharedError::Fenced(1))));
     assert!(matches!(a.renew(old), Err(SharedError::Fenced(1))));
     assert!(matches!(a.resign(old), Err(SharedError::Fenced(1))));
-    let (saved, _) = a.load(OverrideLimits::default()).expect("read");
-    assert_eq!(saved.version, Some(50));
+    let (state, _) = a.load(OverrideLimits::default()).expect("read");
+    assert_eq!(state.version, Some(50));
 }
 
 #[test]
-fn a_lease_is_renewed_given_back_and_over_after_a_start_of_the_machine() {
-    let rig = Rig::new("terms");
-    let (a, b) = (rig.instance("boot"), rig.instance("boot"));
+fn a_lease_is_renewed_released_and_expired_by_a_reboot() {
+    let fixture = Fixture::new("terms");
+    let (a, b) = (fixture.instance("boot"), fixture.instance("boot"));
     let held = won(a.campaign("a", TTL));
-    rig.pass(TTL - Duration::from_secs(1));
+    fixture.pass(TTL - Duration::from_secs(1));
     a.renew(held).expect("renewed");
-    rig.pass(TTL - Duration::from_secs(1));
+    fixture.pass(TTL - Duration::from_secs(1));
     assert_eq!(b.campaign("b", TTL).expect("an answer"), Campaign::Taken { by: "a".into() });
     a.resign(held).expect("given back");
     let next = won(b.campaign("b", TTL));
     assert_eq!(next.epoch, held.epoch + 1);
-    // The machine started anew: its clock did as well.
-    rig.now.store(1, Ordering::Relaxed);
-    let c = rig.instance("another boot");
+    // The machine restarted, and its clock with it.
+    fixture.now.store(1, Ordering::Relaxed);
+    let c = fixture.instance("another boot");
     assert_eq!(won(c.campaign("c", TTL)).epoch, next.epoch + 1);
 }
 
-/// Also where all begin the file at a time: none may put its own in place of another's.
+/// Also where all create the file at the same time: none may replace the file of another.
 #[test]
-fn instances_at_a_time_take_turns_and_one_wins() {
+fn one_of_several_concurrent_candidates_wins() {
     for round in 0..30 {
-        let rig = Rig::new(&format!("turns-{round}"));
+        let fixture = Fixture::new(&format!("turns-{round}"));
         let won: usize = std::thread::scope(|scope| {
-            let ask = |name: &'static str| {
-                let instance = rig.instance("boot");
+            let request = |name: &'static str| {
+                let instance = fixture.instance("boot");
                 scope.spawn(move || {
                     let asked = (0..3).map(|_| instance.campaign(name, TTL).expect("an answer"));
                     asked.filter(|c| matches!(c, Campaign::Won(_))).count()
                 })
             };
-            ["a", "b", "c", "d"].map(ask).into_iter().map(|t| t.join().expect("it ended")).sum()
+            ["a", "b", "c", "d"].map(request).into_iter().map(|t| t.join().expect("it ended")).sum()
         });
         assert_eq!(won, 1, "round {round}");
     }
 }
 
-/// Records of other parts go with the lease, as the rest does.
+/// Records of other components are bound to the lease, as all other state is.
 #[test]
-fn records_go_with_the_lease() {
-    let rig = Rig::new("records");
-    let (a, b) = (rig.instance("boot"), rig.instance("boot"));
+fn record_writes_require_the_lease() {
+    let fixture = Fixture::new("records");
+    let (a, b) = (fixture.instance("boot"), fixture.instance("boot"));
     let old = won(a.campaign("a", TTL));
     let record =
         |n: u64| RecordWrite { set: [("board".into(), json!({"revision": n}))].into(), gone: Vec::new() };
     assert_eq!(a.load_records().expect("read").len(), 0);
     a.keep_records(old, &record(1)).expect("kept");
-    rig.pass(TTL + TTL);
+    fixture.pass(TTL + TTL);
     let new = won(b.campaign("b", TTL));
     assert_eq!(b.load_records().expect("read")["board"], json!({"revision": 1}));
     assert!(matches!(a.keep_records(old, &record(2)), Err(SharedError::Fenced(_))));
@@ -139,19 +139,19 @@
     assert_eq!(b.load_records().expect("read").len(), 0);
 }
 
-/// Danger: an instance that is stopped in the middle of a call (SIGSTOP, a machine that is suspended, a disk that hangs) holds the
-/// file for as long as it stands still, and nobody would lead meanwhile.
+/// Danger: an instance that is stopped in the middle of a call (SIGSTOP, a suspended machine, a disk that hangs)
+/// holds the file for as long as it is stopped, and there would be no leader meanwhile.
 #[test]
-fn a_stopped_instance_that_holds_the_file_keeps_nobody_from_leading() {
-    let rig = Rig::new("stopped");
-    let (a, b) = (rig.instance("boot"), rig.instance("boot"));
+fn a_stopped_instance_that_holds_the_file_does_not_prevent_failover() {
+    let fixture = Fixture::new("stopped");
+    let (a, b) = (fixture.instance("boot"), fixture.instance("boot"));
     let old = won(a.campaign("a", TTL));
     a.keep(old, &version(41)).expect("kept");
     let record = |n: u64| RecordWrite { set: [("change".to_owned(), json!(n))].into(), gone: Vec::new() };
     a.keep_records(old, &record(1)).expect("kept");
     // What a stopped process holds: the open file, in the middle of a call.
-    let held = StateStore::open(&rig.path).expect("opened");
-    rig.pass(TTL + Duration::from_secs(1));
+    let held = StateStore::open(&fixture.path).expect("opened");
+    fixture.pass(TTL + Duration::from_secs(1));
     let start = std::time::Instant::now();
     let new = loop {
         match b.campaign("b", TTL) {
@@ -162,7 +162,7 @@
     assert!(new.epoch > old.epoch);
     assert_eq!(b.load(OverrideLimits::default()).expect("loaded").0.version, Some(41));
     b.keep_records(new, &record(2)).expect("kept");
-    // It wakes up: what it was doing comes to nothing.
+    // It resumes: its pending write has no effect.
     held.keep_records(&record(3)).expect("written to what nobody reads");
     drop(held);
     assert!(matches!(a.renew(old), Err(SharedError::Fenced(_))));
@@ -171,18 +171,19 @@
     b.renew(new).expect("renewed");
 }
 
-/// Many go on from the same file at once: one copy counts, one leads, and whoever leads after it has a higher epoch.
+/// Many continue from the same file at once: one copy becomes valid, one instance leads, and whoever leads after it
+/// has a higher epoch.
 #[test]
-fn of_many_who_go_on_at_once_one_leads() {
-    let rig = Rig::new("many");
-    let first = rig.instance("boot");
+fn one_leads_when_many_instances_succeed_a_file_at_once() {
+    let fixture = Fixture::new("many");
+    let first = fixture.instance("boot");
     let old = won(first.campaign("first", TTL));
     first.keep(old, &version(41)).expect("kept");
-    let held = StateStore::open(&rig.path).expect("opened");
-    rig.pass(TTL + Duration::from_secs(1));
+    let held = StateStore::open(&fixture.path).expect("opened");
+    fixture.pass(TTL + Duration::from_secs(1));
     let names = ["a", "b", "c", "d", "e", "f"];
     let outcomes: Vec<Campaign> = std::thread::scope(|scope| {
-        let instances: Vec<SharedFile> = names.iter().map(|_| rig.instance("boot")).collect();
+        let instances: Vec<SharedFile> = names.iter().map(|_| fixture.instance("boot")).collect();
         let threads: Vec<_> = names
             .iter()
             .zip(instances)
@@ -200,6 +201,6 @@
     assert_eq!(winners.len(), 1, "{outcomes:?}");
     assert!(winners[0].epoch > old.epoch);
     drop(held);
-    let next = rig.instance("boot");
+    let next = fixture.instance("boot");
     assert_eq!(next.load(OverrideLimits::default()).expect("loaded").0.version, Some(41));
 }
