--- a/crates/adapters/etcd/tests/shared.rs
+++ b/crates/adapters/etcd/tests/shared_state.rs
@@ -1,4 +1,4 @@
-//! Leases and state in etcd, against the stand-in.
+//! The leader's lease and the shared state in etcd, against a stand-in server.
 
 use rushquay_endpoints::{Endpoint, EndpointState, SourcedEndpoint};
 use rushquay_etcd::{EtcdShared, Prefix};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const TTL: Duration = Duration::from_secs(1);
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn instance(etcd: &Etcd) -> Arc<EtcdShared> {
     let prefix = Prefix::new("/rushquay").expect("a prefix");
@@ -20,10 +20,10 @@
 
 async fn on<T: Send + 'static>(
     shared: &Arc<EtcdShared>,
-    does: impl FnOnce(&EtcdShared) -> T + Send + 'static,
+    operation: impl FnOnce(&EtcdShared) -> T + Send + 'static,
 ) -> T {
     let shared = shared.clone();
-    tokio::task::spawn_blocking(move || does(&shared)).await.expect("it ended")
+    tokio::task::spawn_blocking(move || operation(&shared)).await.expect("it ended")
 }
 
 async fn won(shared: &Arc<EtcdShared>, me: &'static str) -> HeldLease {
@@ -31,13 +31,13 @@
     loop {
         match on(shared, move |s| s.campaign(me, TTL)).await {
             Ok(Campaign::Won(held)) => return held,
-            other => assert!(start.elapsed() < LONG, "{other:?}"),
+            other => assert!(start.elapsed() < TEST_TIMEOUT, "{other:?}"),
         }
         on(shared, |s| s.wait(Duration::from_millis(200))).await;
     }
 }
 
-fn stated(i: usize) -> SourcedEndpoint {
+fn endpoint(i: usize) -> SourcedEndpoint {
     let member = Endpoint {
         id: format!("cache-{i:04}"),
         addr: None,
@@ -51,24 +51,33 @@
     SourcedEndpoint { member, listed: 41, shared: true, imposed: Default::default() }
 }
 
-fn one(id: u64) -> Override {
+fn live_override(id: u64) -> Override {
     let (author, reason) = ("asha".into(), "boiler".into());
     Override { id, scope: Scope::Node("a".into()), effect: Effect::Out, since: 1, until: 2, author, reason }
 }
 
-fn change(live: Vec<Override>, events: std::ops::RangeInclusive<u64>, history: usize) -> OverrideWrite {
-    let event =
-        |number| OverrideEvent { number, at: 1, kind: EventKind::Set, by: "asha".into(), what: one(number) };
+fn override_write(
+    live: Vec<Override>,
+    events: std::ops::RangeInclusive<u64>,
+    history: usize,
+) -> OverrideWrite {
+    let event = |number| OverrideEvent {
+        number,
+        at: 1,
+        kind: EventKind::Set,
+        by: "asha".into(),
+        what: live_override(number),
+    };
     let next = *events.end() + 1;
     OverrideWrite { live, events: events.map(event).collect(), next, revision: next, history }
 }
 
-fn ids(book: &OverrideSet) -> Vec<u64> {
-    book.live().map(|o| o.id).collect()
+fn ids(overrides: &OverrideSet) -> Vec<u64> {
+    overrides.live().map(|o| o.id).collect()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_leads_until_its_lease_ends_and_then_writes_nothing() {
+async fn a_former_leader_writes_nothing_after_its_lease_has_expired() {
     let etcd = Etcd::start().await;
     let (a, b) = (instance(&etcd), instance(&etcd));
     let old = won(&a, "a").await;
@@ -77,19 +86,19 @@
     on(&a, move |s| s.keep(old, &EndpointWrite { version: Some(41), ..EndpointWrite::default() }))
         .await
         .expect("kept");
-    // The old leader is paused: nobody renews.
+    // The former leader is paused: nobody renews the lease.
     let new = won(&b, "b").await;
     assert!(new.epoch > old.epoch, "{new:?} after {old:?}");
-    let change = EndpointWrite { version: Some(42), ..EndpointWrite::default() };
-    let late = on(&a, move |s| s.keep(old, &change)).await;
+    let override_write = EndpointWrite { version: Some(42), ..EndpointWrite::default() };
+    let late = on(&a, move |s| s.keep(old, &override_write)).await;
     assert!(matches!(late, Err(SharedError::Fenced(_))), "{late:?}");
     assert!(matches!(on(&a, move |s| s.renew(old)).await, Err(SharedError::Fenced(_))));
-    let (saved, _) = on(&b, |s| s.load(OverrideLimits::default())).await.expect("read");
-    assert_eq!(saved.version, Some(41));
+    let (state, _) = on(&b, |s| s.load(OverrideLimits::default())).await.expect("read");
+    assert_eq!(state.version, Some(41));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_lease_that_is_given_back_is_had_at_once() {
+async fn a_released_lease_is_available_at_once() {
     let etcd = Etcd::start().await;
     let (a, b) = (instance(&etcd), instance(&etcd));
     let held = match on(&a, |s| s.campaign("a", Duration::from_secs(60))).await.expect("an answer") {
@@ -98,18 +107,21 @@
     };
     let waiting = {
         let b = b.clone();
-        tokio::spawn(async move { on(&b, |s| s.wait(LONG)).await })
+        tokio::spawn(async move { on(&b, |s| s.wait(TEST_TIMEOUT)).await })
     };
     on(&a, move |s| s.resign(held)).await.expect("given back");
-    tokio::time::timeout(LONG / 2, waiting).await.expect("told before the wait was over").expect("it ended");
+    tokio::time::timeout(TEST_TIMEOUT / 2, waiting)
+        .await
+        .expect("told before the wait was over")
+        .expect("it ended");
     assert!(won(&b, "b").await.epoch > held.epoch);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_campaign_whose_answer_was_lost_is_gone_on_with() {
+async fn a_campaign_whose_response_was_lost_is_resumed() {
     let etcd = Etcd::start().await;
     let a = instance(&etcd);
-    // Grant, transaction: the second is carried out and its answer lost.
+    // A grant and a transaction: the second is carried out and its response lost.
     let first = on(&a, |s| s.campaign("a", TTL)).await.expect("an answer");
     let Campaign::Won(held) = first else { panic!("{first:?}") };
     etcd.lose_answers(1);
@@ -118,57 +130,57 @@
     let lost =
         on(&a, move |s| s.keep(held, &EndpointWrite { version: Some(7), ..EndpointWrite::default() })).await;
     assert!(matches!(lost, Err(SharedError::Unreachable(_))), "{lost:?}");
-    // Asked again under the same lease it is the leader still, in the same epoch.
+    // A new campaign under the same lease finds it still the leader, in the same epoch.
     let again = on(&a, |s| s.campaign("a", TTL)).await.expect("an answer");
     assert_eq!(again, Campaign::Won(held));
-    // What was not acknowledged is whole.
-    let (saved, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
-    assert_eq!(saved.version, Some(7));
+    // The unacknowledged write is whole.
+    let (state, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
+    assert_eq!(state.version, Some(7));
     etcd.away(true);
     assert!(matches!(on(&a, move |s| s.renew(held)).await, Err(SharedError::Unreachable(_))));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn more_than_a_transaction_takes_is_kept_and_read_in_pages() {
+async fn large_writes_are_split_and_read_in_pages() {
     let etcd = Etcd::start().await;
     let a = instance(&etcd);
     let held = won(&a, "a").await;
-    let set: Vec<SourcedEndpoint> = (0..2300).map(stated).collect();
+    let set: Vec<SourcedEndpoint> = (0..2300).map(endpoint).collect();
     let expected = set.clone();
     let before = etcd.transactions();
     on(&a, move |s| s.keep(held, &EndpointWrite { version: Some(41), set, ..EndpointWrite::default() }))
         .await
         .expect("kept");
     assert_eq!(etcd.transactions() - before, 24);
-    let (saved, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
-    assert_eq!((saved.version, saved.nodes.len()), (Some(41), 2300));
-    assert!(saved.nodes == expected);
+    let (state, _) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
+    assert_eq!((state.version, state.nodes.len()), (Some(41), 2300));
+    assert!(state.nodes == expected);
     let gone = EndpointWrite { gone: vec!["cache-0003".into()], ..EndpointWrite::default() };
     on(&a, move |s| s.keep(held, &gone)).await.expect("kept");
     assert_eq!(etcd.keys("/rushquay/nodes/"), 2299);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_book_is_kept_and_its_history_is_bounded() {
+async fn overrides_are_persisted_and_their_history_is_bounded() {
     let etcd = Etcd::start().await;
     let a = instance(&etcd);
     let held = won(&a, "a").await;
-    let kept = change(vec![one(1), one(2)], 1..=2, 5);
+    let kept = override_write(vec![live_override(1), live_override(2)], 1..=2, 5);
     on(&a, move |s| s.keep_book(held, &kept)).await.expect("kept");
     for number in 3..=20 {
-        let kept = change(vec![one(2), one(number)], number..=number, 5);
+        let kept = override_write(vec![live_override(2), live_override(number)], number..=number, 5);
         on(&a, move |s| s.keep_book(held, &kept)).await.expect("kept");
     }
-    let (_, book) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
-    assert_eq!((ids(&book), book.revision(), book.next_id()), (vec![2, 20], 21, 21));
-    assert_eq!(book.history().map(|e| e.number).collect::<Vec<_>>(), [20, 19, 18, 17, 16]);
+    let (_, overrides) = on(&a, |s| s.load(OverrideLimits::default())).await.expect("read");
+    assert_eq!((ids(&overrides), overrides.revision(), overrides.next_id()), (vec![2, 20], 21, 21));
+    assert_eq!(overrides.history().map(|e| e.number).collect::<Vec<_>>(), [20, 19, 18, 17, 16]);
     assert_eq!(etcd.keys("/rushquay/history/"), 5);
 }
 
-/// Records of other parts, more of them than one transaction takes: the next leader reads what was kept and not what is gone, and
-/// one whose lease is over writes nothing.
+/// Records of other components, more than fit in one transaction: the next leader reads what was persisted and not
+/// what was removed, and a former leader writes nothing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn records_go_with_the_lease() {
+async fn record_writes_require_the_lease() {
     let etcd = Etcd::start().await;
     let (a, b) = (instance(&etcd), instance(&etcd));
     let old = won(&a, "a").await;
