--- a/crates/adapters/xds-grpc/src/hub.rs
+++ b/crates/adapters/xds-grpc/src/hub.rs
@@ -1,7 +1,7 @@
 //! What all streams of a server share: the store, the news that it changed, and who subscribes.
 
 use rushquay_xds::client::Topic;
-use rushquay_xds::server::{Limits, Standing, Stream, Variant};
+use rushquay_xds::server::{Limits, Stream, SubscriptionStatus, Variant};
 use rushquay_xds::{Kind, Nanos, Store};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     /// The variant that it speaks.
     pub variant: Variant,
     /// What it has taken, by kind.
-    pub standing: Vec<(Kind, Standing)>,
+    pub standing: Vec<(Kind, SubscriptionStatus)>,
     /// For how long it has lacked something, in nanoseconds; 0: it has all.
     pub lag: Nanos,
 }
--- a/crates/adapters/xds-grpc/src/server.rs
+++ b/crates/adapters/xds-grpc/src/server.rs
@@ -17,7 +17,7 @@
 };
 use rushquay_grpc_transport::Incoming;
 use rushquay_xds::client::Topic;
-use rushquay_xds::server::{Answer, Heard, Stream as Machine, StreamError, Variant};
+use rushquay_xds::server::{Answer, RequestOutcome, Stream as Machine, StreamError, Variant};
 use rushquay_xds::Kind;
 use std::future::Future;
 use std::sync::atomic::Ordering::Relaxed;
@@ -47,7 +47,7 @@
     type Request: Send + 'static;
     type Response: Send + 'static;
     fn node(request: &mut Self::Request) -> Option<Node>;
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<Heard, StreamError>;
+    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError>;
     fn say(answer: Answer, incarnation: &str) -> Self::Response;
 }
 
@@ -59,7 +59,7 @@
     fn node(request: &mut Self::Request) -> Option<Node> {
         request.node.take()
     }
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<Heard, StreamError> {
+    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
         machine.delta(convert::delta_request(request))
     }
     fn say(answer: Answer, incarnation: &str) -> Self::Response {
@@ -75,7 +75,7 @@
     fn node(request: &mut Self::Request) -> Option<Node> {
         request.node.take()
     }
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<Heard, StreamError> {
+    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
         machine.sotw(convert::sotw_request(request))
     }
     fn say(answer: Answer, incarnation: &str) -> Self::Response {
@@ -173,12 +173,12 @@
                     W::hear(&mut machine, request)
                 };
                 match heard {
-                    Ok(Heard::Acked(_)) => drop(hub.counters.acks.fetch_add(1, Relaxed)),
-                    Ok(Heard::Nacked(kind, why)) => {
+                    Ok(RequestOutcome::Acked(_)) => drop(hub.counters.acks.fetch_add(1, Relaxed)),
+                    Ok(RequestOutcome::Nacked(kind, why)) => {
                         hub.counters.nacks.fetch_add(1, Relaxed);
                         tracing::warn!(subscriber = %place.node(), ?kind, ?why, "a subscriber refused an answer");
                     }
-                    Ok(Heard::Subscribed | Heard::Stale(_)) => {}
+                    Ok(RequestOutcome::Subscribed | RequestOutcome::Stale(_)) => {}
                     Err(e) => {
                         hub.counters.faults.fetch_add(1, Relaxed);
                         tracing::warn!(subscriber = %place.node(), fault = %e, "a stream ends for its peer's fault");
--- a/crates/core/xds/src/client/mod.rs
+++ b/crates/core/xds/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! The subscriber's end of a stream: what it asks for, what it holds, and when it comes back.
+//! The subscriber's side of xDS: its subscriptions, the versions it has, and when it reconnects.
 //!
-//! It outlives connections. After a break it asks with the versions that it holds, so that a server that knows them
-//! sends what has changed alone; until then all that was taken stands.
+//! It outlives connections. After a break it subscribes with the versions that it has, so that a server that knows
+//! them sends only what has changed; until then all accepted resources stay in use.
 
 mod backoff;
 mod outage;
@@ -22,183 +22,185 @@
     Sotw(SotwRequest),
 }
 
-/// A resource as it came.
+/// A received resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedResource {
-    /// Its name; `None` where the variant doesn't tell it beside the body.
+    /// The name; `None` where the variant does not send it beside the body.
     pub name: Option<String>,
-    /// Its version; empty in state-of-the-world answers.
+    /// The version; empty in state-of-the-world answers.
     pub version: String,
-    /// The body's type.
+    /// The type URL of the body.
     pub type_url: String,
     /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// An answer as it came.
+/// A received answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerAnswer {
-    /// The type.
+    /// The type URL.
     pub type_url: String,
-    /// The version of the whole.
+    /// The version of the answer as a whole.
     pub version: String,
-    /// Identifies the answer.
+    /// The nonce that identifies the answer.
     pub nonce: String,
-    /// `control_plane.identifier`: the process that speaks.
+    /// `control_plane.identifier`: the incarnation of the server.
     pub control_plane: String,
     /// The resources.
     pub resources: Vec<ReceivedResource>,
-    /// Delta alone: what is gone.
+    /// Delta only: the names of removed resources.
     pub removed: Vec<String>,
 }
 
-/// What an accepted answer says.
+/// The content of an accepted answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update<T> {
     /// The kind.
     pub kind: Kind,
-    /// The process that said so.
+    /// The incarnation of the server.
     pub control_plane: String,
     /// New or changed resources by name.
     pub upserts: Vec<(String, T)>,
-    /// Names that are gone, or that don't exist.
+    /// The names that are removed or do not exist.
     pub removed: Vec<String>,
 }
 
-/// What to do about an answer: send `ask`, and take `update` if there is one.
+/// The reaction to an answer: send `ask`, and apply `update` if there is one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply<T> {
-    /// ACK or NACK; `None` where the type isn't one that was asked for.
+    /// ACK or NACK; `None` where the type is not subscribed to.
     pub ask: Option<ClientRequest>,
     /// What was accepted; `None` after a NACK.
     pub update: Option<Update<T>>,
-    /// Why it was refused.
+    /// Why it was rejected.
     pub refused: Option<String>,
 }
 
-/// What a session made of an answer.
+/// A session's reaction to an answer.
 #[derive(Debug)]
 pub struct Taken<N> {
-    /// To send, in order.
+    /// The requests to send, in order.
     pub asks: Vec<ClientRequest>,
-    /// What it says.
+    /// The news of the answer.
     pub news: Option<N>,
-    /// Why it was refused.
+    /// Why it was rejected.
     pub refused: Option<String>,
-    /// Why nothing more is to be heard from this server: another one is to be asked.
+    /// Why the session leaves this server and tries another one.
     pub leave: Option<String>,
 }
 
-/// What a process tells of itself.
+/// A topic of the metadata that a process sends about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
-    /// How it is and what it acts by.
+    /// Its status and its active configuration.
     Report,
-    /// It asks for leave to act by a policy.
+    /// Its request for a policy lease.
     PolicyLease,
 }
 
 impl Topic {
-    /// All.
+    /// All topics.
     pub const ALL: [Topic; 2] = [Topic::Report, Topic::PolicyLease];
 }
 
-/// What goes on over one stream after another; the sockets' side drives it and knows nothing of what it is about.
+/// A session over a sequence of streams; the transport drives it and knows nothing of its content.
 pub trait Session {
-    /// What an answer may say.
+    /// The news that an answer may bring.
     type News;
     /// The address to connect to next, from 0.
     fn address(&self) -> usize;
-    /// The variant to speak there.
+    /// The variant to use there.
     fn variant(&self) -> Variant;
-    /// A stream is open: what to send first.
+    /// Called when a stream is open; returns the first requests.
     fn connected(&mut self) -> Vec<ClientRequest>;
-    /// What is wanted has changed for another reason than an answer: what to send for it on the open stream.
+    /// Called when the subscriptions have changed for another reason than an answer; returns the requests for the
+    /// open stream.
     fn woken(&mut self) -> Vec<ClientRequest> {
         Vec::new()
     }
-    /// What the next request is to tell of this process, in its node's metadata; asked once for each request.
+    /// The metadata for the node of the next request; called once for each request.
     fn tells(&mut self) -> Vec<(Topic, String)> {
         Vec::new()
     }
-    /// Takes an answer.
+    /// Handles an answer.
     fn answer(&mut self, answer: ServerAnswer) -> Taken<Self::News>;
-    /// The stream has ended, or could not be opened. `random` is from 0 up to 1.
+    /// Called when the stream has ended, or could not be opened. `random` is from 0 up to 1.
     fn ended(&mut self, how: Ended, random: f64) -> Retry;
 }
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The server doesn't speak the variant.
+    /// The server does not support the variant.
     Unimplemented,
-    /// The server stands by for another.
+    /// The server is in standby for another one.
     StandsBy,
-    /// The server ended it for what it was asked.
+    /// The server ended it because of a request.
     Refused,
-    /// In any other way.
+    /// For any other reason.
     Broken,
 }
 
 #[derive(Default)]
 struct Watch {
     names: BTreeSet<String>,
-    /// Versions of what is held, by name.
-    held: HashMap<String, String>,
-    /// The first request on this stream has gone out.
-    begun: bool,
-    /// State-of-the-world: of the last answer, and the version last taken.
+    /// The versions of the accepted resources, by name.
+    versions: HashMap<String, String>,
+    /// Whether the first request on this stream was sent.
+    is_started: bool,
+    /// State-of-the-world: the nonce of the last answer, and the last accepted version.
     nonce: String,
     version: String,
 }
 
-/// The subscriber's end.
+/// The subscriber's side.
 pub struct Client {
     watches: [Watch; KINDS],
     backoff: Backoff,
-    /// For each address: it has said that it doesn't speak delta.
-    only_sotw: Vec<bool>,
-    at: usize,
-    connected: bool,
-    most: usize,
-    no_delta: bool,
+    /// For each address: whether the server has answered that it does not support delta.
+    speaks_only_sotw: Vec<bool>,
+    address_index: usize,
+    is_connected: bool,
+    max_resources: usize,
+    is_delta_disabled: bool,
 }
 
 impl Client {
-    /// For so many addresses (one at least), that holds at most `most` resources of a kind.
-    pub fn new(addresses: usize, backoff: Backoff, most: usize) -> Self {
-        let only_sotw = vec![false; addresses.max(1)];
+    /// Creates a client for this many addresses (at least one), that has at most `max_resources` resources of a kind.
+    pub fn new(addresses: usize, backoff: Backoff, max_resources: usize) -> Self {
+        let speaks_only_sotw = vec![false; addresses.max(1)];
         Client {
             watches: Default::default(),
             backoff,
-            only_sotw,
-            at: 0,
-            connected: false,
-            most,
-            no_delta: false,
+            speaks_only_sotw,
+            address_index: 0,
+            is_connected: false,
+            max_resources,
+            is_delta_disabled: false,
         }
     }
 
-    /// Speaks the state-of-the-world variant alone, at all addresses.
+    /// Uses only the state-of-the-world variant, at all addresses.
     pub fn speak_sotw(&mut self) {
-        self.no_delta = true;
-        self.only_sotw.fill(true);
+        self.is_delta_disabled = true;
+        self.speaks_only_sotw.fill(true);
     }
 
     /// The address to connect to next, from 0.
     pub fn address(&self) -> usize {
-        self.at
+        self.address_index
     }
 
-    /// The variant to speak there.
+    /// The variant to use there.
     pub fn variant(&self) -> Variant {
-        match self.only_sotw[self.at] {
+        match self.speaks_only_sotw[self.address_index] {
             true => Variant::Sotw,
             false => Variant::Delta,
         }
     }
 
-    /// Sets all names of a kind that are wanted; returns what to send for it, and what is no longer held.
+    /// Sets the names subscribed to of a kind; returns the request to send for it, and the names of resources that
+    /// are no longer subscribed to.
     pub fn want(&mut self, kind: Kind, names: BTreeSet<String>) -> (Option<ClientRequest>, Vec<String>) {
         let variant = self.variant();
         let watch = &mut self.watches[kind as usize];
@@ -210,120 +212,92 @@
         watch.names = names;
         let patterns = watch.patterns();
         let unwanted: Vec<String> =
-            watch.held.keys().filter(|n| !patterns.iter().any(|p| p.matches(n))).cloned().collect();
-        unwanted.iter().for_each(|n| std::mem::drop(watch.held.remove(n)));
-        let ask = (self.connected && carries(variant, kind)).then(|| match (variant, watch.begun) {
-            (_, false) => watch.first(kind, variant),
-            (Variant::Delta, true) => ClientRequest::Delta(DeltaRequest {
-                type_url: kind.type_url().into(),
-                subscribe: add,
-                unsubscribe: drop,
-                ..DeltaRequest::default()
-            }),
-            (Variant::Sotw, true) => watch.sotw(kind, None),
-        });
+            watch.versions.keys().filter(|n| !patterns.iter().any(|p| p.matches(n))).cloned().collect();
+        unwanted.iter().for_each(|n| std::mem::drop(watch.versions.remove(n)));
+        let ask =
+            (self.is_connected && is_supported(variant, kind)).then(|| match (variant, watch.is_started) {
+                (_, false) => watch.initial_request(kind, variant),
+                (Variant::Delta, true) => ClientRequest::Delta(DeltaRequest {
+                    type_url: kind.type_url().into(),
+                    subscribe: add,
+                    unsubscribe: drop,
+                    ..DeltaRequest::default()
+                }),
+                (Variant::Sotw, true) => watch.sotw_request(kind, None),
+            });
         (ask, unwanted)
     }
 
-    /// A stream is open: what to send first.
+    /// Called when a stream is open; returns the first requests.
     pub fn connected(&mut self) -> Vec<ClientRequest> {
-        self.connected = true;
+        self.is_connected = true;
         let variant = self.variant();
         let mut asks = Vec::new();
         for kind in Kind::ORDER {
             let watch = &mut self.watches[kind as usize];
-            watch.begun = false;
+            watch.is_started = false;
             watch.nonce.clear();
-            if !watch.names.is_empty() && carries(variant, kind) {
-                asks.push(watch.first(kind, variant));
+            if !watch.names.is_empty() && is_supported(variant, kind) {
+                asks.push(watch.initial_request(kind, variant));
             }
         }
         asks
     }
 
-    /// Takes an answer. `decode` turns a resource into what it stands for, with its name. One that can't be read
-    /// refuses the whole answer, and all stays as it was.
+    /// Handles an answer. `decode` parses a resource, and returns its name with it. One invalid resource rejects the
+    /// whole answer, and everything stays unchanged.
     pub fn answer<T>(
         &mut self,
         answer: ServerAnswer,
-        mut decode: impl FnMut(Kind, &ReceivedResource) -> Result<(String, T), String>,
+        decode: impl FnMut(Kind, &ReceivedResource) -> Result<(String, T), String>,
     ) -> Reply<T> {
         let nothing = Reply { ask: None, update: None, refused: None };
         let variant = self.variant();
         let Some(kind) = Kind::of(&answer.type_url) else { return nothing };
         let watch = &mut self.watches[kind as usize];
-        if !watch.begun {
+        if !watch.is_started {
             return nothing;
         }
         self.backoff.worked();
         watch.nonce.clone_from(&answer.nonce);
-        let patterns = watch.patterns();
-        let mut upserts = Vec::with_capacity(answer.resources.len());
-        let mut versions = Vec::with_capacity(answer.resources.len());
-        let mut refused = None;
-        for came in &answer.resources {
-            if came.type_url != kind.type_url() {
-                refused = Some(format!("a {} among {}", came.type_url, kind.type_url()));
-                break;
-            }
-            match decode(kind, came) {
-                Ok((name, item)) => {
-                    // It was on its way when it was no longer wanted.
-                    if patterns.iter().any(|p| p.matches(&name)) {
-                        versions.push((name.clone(), came.version.clone()));
-                        upserts.push((name, item));
-                    }
-                }
-                Err(e) => {
-                    let name = came.name.as_deref().unwrap_or("a resource");
-                    refused = Some(format!("{name}: {e}"));
-                    break;
-                }
-            }
-        }
-        if watch.held.len() + upserts.len() > self.most && refused.is_none() {
-            let new = versions.iter().filter(|(n, _)| !watch.held.contains_key(n)).count();
-            if watch.held.len() + new > self.most {
-                refused = Some(format!("more than {} resources", self.most));
+        let decoded = watch.decode_all(kind, &answer.resources, decode);
+        let decoded = decoded.and_then(|decoded| watch.check_count(decoded, self.max_resources));
+        let Decoded { upserts, versions } = match decoded {
+            Ok(decoded) => decoded,
+            Err(reason) => {
+                let ask = watch.reply(kind, variant, answer.nonce, Some(reason.clone()));
+                return Reply { ask: Some(ask), update: None, refused: Some(reason) };
             }
-        }
-        if let Some(why) = refused {
-            let ask = match variant {
-                Variant::Delta => watch.delta(kind, answer.nonce, Some(why.clone())),
-                Variant::Sotw => watch.sotw(kind, Some(why.clone())),
-            };
-            return Reply { ask: Some(ask), update: None, refused: Some(why) };
-        }
+        };
         let mut removed = answer.removed;
         if variant == Variant::Sotw && kind.whole() {
-            // What a whole answer leaves out is gone.
+            // What a whole answer leaves out is removed.
             let named: HashSet<&str> = versions.iter().map(|(n, _)| n.as_str()).collect();
-            removed.extend(watch.held.keys().filter(|n| !named.contains(n.as_str())).cloned());
+            removed.extend(watch.versions.keys().filter(|n| !named.contains(n.as_str())).cloned());
         }
         for name in &removed {
-            watch.held.remove(name);
+            watch.versions.remove(name);
         }
-        watch.held.extend(versions);
+        watch.versions.extend(versions);
         watch.version = answer.version;
-        let ask = match variant {
-            Variant::Delta => watch.delta(kind, answer.nonce, None),
-            Variant::Sotw => watch.sotw(kind, None),
-        };
+        let ask = watch.reply(kind, variant, answer.nonce, None);
         let update = Update { kind, control_plane: answer.control_plane, upserts, removed };
         Reply { ask: Some(ask), update: Some(update), refused: None }
     }
 
-    /// The stream, or the attempt to open one, has ended: when to try again. `random` is from 0 up to 1.
+    /// Called when the stream, or the attempt to open one, has ended; returns when to retry. `random` is from 0 up to
+    /// 1.
     pub fn ended(&mut self, how: Ended, random: f64) -> Retry {
-        self.connected = false;
-        if how == Ended::Unimplemented && !self.only_sotw[self.at] {
-            self.only_sotw[self.at] = true;
+        self.is_connected = false;
+        if how == Ended::Unimplemented && !self.speaks_only_sotw[self.address_index] {
+            self.speaks_only_sotw[self.address_index] = true;
             return Retry { wait: 0 };
         }
-        // Danger: to stay with an address that takes connections and breaks each would keep the proxy from the next.
-        self.at = (self.at + 1) % self.only_sotw.len();
-        // Another process may listen there by then.
-        self.only_sotw[self.at] &= how == Ended::Unimplemented || self.no_delta;
+        // Danger: a client that stayed with an address that accepts connections and breaks each would never reach the
+        // next.
+        self.address_index = (self.address_index + 1) % self.speaks_only_sotw.len();
+        // Another process may listen at that address by then.
+        self.speaks_only_sotw[self.address_index] &= how == Ended::Unimplemented || self.is_delta_disabled;
         match how {
             Ended::StandsBy => self.backoff.stands_by(random),
             Ended::Unimplemented | Ended::Refused | Ended::Broken => self.backoff.failed(random),
@@ -331,16 +305,17 @@
     }
 }
 
-/// Collections are part of the incremental variant alone ("LEDS"). What is held of them stands while the other variant is
-/// spoken, with its versions. Danger: were these forgotten, nobody would tell of what was removed meanwhile.
-fn carries(variant: Variant, kind: Kind) -> bool {
+/// Whether a variant supports a kind. Collections are part of the incremental variant only ("LEDS"). The resources in
+/// them stay, with their versions, while the other variant is in use. Danger: without these versions the server could
+/// not report what was removed meanwhile.
+fn is_supported(variant: Variant, kind: Kind) -> bool {
     variant == Variant::Delta || kind != Kind::Endpoint
 }
 
 impl Watch {
-    /// The names to ask for. All of them are asked for by naming none ("How the client specifies what resources to
-    /// return"): servers that are older than `*` know that alone.
-    fn asked(&self, kind: Kind) -> Vec<String> {
+    /// The names to request. All resources are requested by naming none ("How the client specifies what resources to
+    /// return"), which servers from before `*` understand as well.
+    fn requested_names(&self, kind: Kind) -> Vec<String> {
         match kind.whole() && self.names.len() == 1 && self.names.contains("*") {
             true => Vec::new(),
             false => self.names.iter().cloned().collect(),
@@ -351,20 +326,20 @@
         self.names.iter().map(|n| Pattern::parse(n)).collect()
     }
 
-    fn first(&mut self, kind: Kind, variant: Variant) -> ClientRequest {
-        self.begun = true;
+    fn initial_request(&mut self, kind: Kind, variant: Variant) -> ClientRequest {
+        self.is_started = true;
         match variant {
-            Variant::Sotw => self.sotw(kind, None),
+            Variant::Sotw => self.sotw_request(kind, None),
             Variant::Delta => ClientRequest::Delta(DeltaRequest {
                 type_url: kind.type_url().into(),
-                subscribe: self.asked(kind),
-                initial_versions: self.held.clone(),
+                subscribe: self.requested_names(kind),
+                initial_versions: self.versions.clone(),
                 ..DeltaRequest::default()
             }),
         }
     }
 
-    fn delta(&self, kind: Kind, nonce: String, error: Option<String>) -> ClientRequest {
+    fn delta_reply(&self, kind: Kind, nonce: String, error: Option<String>) -> ClientRequest {
         ClientRequest::Delta(DeltaRequest {
             type_url: kind.type_url().into(),
             nonce,
@@ -373,13 +348,61 @@
         })
     }
 
-    fn sotw(&self, kind: Kind, error: Option<String>) -> ClientRequest {
+    fn sotw_request(&self, kind: Kind, error: Option<String>) -> ClientRequest {
         ClientRequest::Sotw(SotwRequest {
             type_url: kind.type_url().into(),
             version: self.version.clone(),
-            names: self.asked(kind),
+            names: self.requested_names(kind),
             nonce: self.nonce.clone(),
             error,
         })
     }
+
+    /// ACK or NACK of the answer with this nonce.
+    fn reply(&self, kind: Kind, variant: Variant, nonce: String, error: Option<String>) -> ClientRequest {
+        match variant {
+            Variant::Delta => self.delta_reply(kind, nonce, error),
+            Variant::Sotw => self.sotw_request(kind, error),
+        }
+    }
+
+    /// Decodes all resources of an answer that are still subscribed to.
+    fn decode_all<T>(
+        &self,
+        kind: Kind,
+        resources: &[ReceivedResource],
+        mut decode: impl FnMut(Kind, &ReceivedResource) -> Result<(String, T), String>,
+    ) -> Result<Decoded<T>, String> {
+        let patterns = self.patterns();
+        let mut upserts = Vec::with_capacity(resources.len());
+        let mut versions = Vec::with_capacity(resources.len());
+        for received in resources {
+            if received.type_url != kind.type_url() {
+                return Err(format!("a {} among {}", received.type_url, kind.type_url()));
+            }
+            let (name, item) = decode(kind, received)
+                .map_err(|e| format!("{}: {e}", received.name.as_deref().unwrap_or("a resource")))?;
+            // Others were sent before the server knew that they are no longer subscribed to.
+            if patterns.iter().any(|p| p.matches(&name)) {
+                versions.push((name.clone(), received.version.clone()));
+                upserts.push((name, item));
+            }
+        }
+        Ok(Decoded { upserts, versions })
+    }
+
+    /// Checks that there are at most `max` resources with those of an answer.
+    fn check_count<T>(&self, decoded: Decoded<T>, max: usize) -> Result<Decoded<T>, String> {
+        let new = decoded.versions.iter().filter(|(name, _)| !self.versions.contains_key(name)).count();
+        match self.versions.len() + new > max {
+            true => Err(format!("more than {max} resources")),
+            false => Ok(decoded),
+        }
+    }
+}
+
+/// The decoded resources of an answer, and their versions, by name.
+struct Decoded<T> {
+    upserts: Vec<(String, T)>,
+    versions: Vec<(String, String)>,
 }
--- a/crates/core/xds/src/kind.rs
+++ b/crates/core/xds/src/kind.rs
@@ -1,15 +1,15 @@
-//! The types of resources, and which names a subscription means.
+//! Resource types, and the names that a subscription matches.
 
 use std::sync::Arc;
 
-/// A type of resource that this project serves.
+/// A resource type that this project serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// CDS: `envoy.config.cluster.v3.Cluster`.
     Cluster,
     /// EDS: `envoy.config.endpoint.v3.ClusterLoadAssignment`.
     Endpoints,
-    /// LEDS: `envoy.config.endpoint.v3.LbEndpoint`, one endpoint a resource.
+    /// LEDS: `envoy.config.endpoint.v3.LbEndpoint`, one endpoint per resource.
     Endpoint,
     /// LDS: `envoy.config.listener.v3.Listener`.
     Listener,
@@ -19,12 +19,12 @@
     Extension,
 }
 
-/// How many kinds there are.
+/// The number of kinds.
 pub const KINDS: usize = 6;
 
 impl Kind {
-    /// All kinds in make-before-break order ("Eventual consistency considerations"): what is referred to goes ahead
-    /// of what refers to it.
+    /// All kinds in make-before-break order ("Eventual consistency considerations"): a resource comes before those
+    /// that refer to it.
     pub const ORDER: [Kind; KINDS] =
         [Kind::Cluster, Kind::Endpoints, Kind::Endpoint, Kind::Listener, Kind::Route, Kind::Extension];
 
@@ -40,37 +40,37 @@
         }
     }
 
-    /// The kind of a type URL; `None`: none that is served here.
+    /// The kind of a type URL; `None`: it is not served here.
     pub fn of(type_url: &str) -> Option<Kind> {
         Kind::ORDER.into_iter().find(|k| k.type_url() == type_url)
     }
 
     /// Whether a state-of-the-world answer holds all resources, so that one left out is removed ("Grouping Resources
-    /// into Responses"); this is also where no names mean all of them.
+    /// into Responses"); for these kinds a subscription without names means all of them.
     pub fn whole(self) -> bool {
         matches!(self, Kind::Cluster | Kind::Listener)
     }
 
-    /// Whether others refer to these by name, so that one goes only when nothing names it any more. An endpoint is
-    /// named by nobody: its removal must not wait.
+    /// Whether other resources refer to these by name, so that one may be removed only when nothing refers to it any
+    /// more. Nothing refers to an endpoint: its removal must not wait.
     pub fn referred(self) -> bool {
         matches!(self, Kind::Cluster | Kind::Endpoints | Kind::Route)
     }
 }
 
-/// Which names a subscription means.
+/// The names that a subscription matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Pattern {
-    /// All names (`*`, or nothing at all where [`Kind::whole`]).
+    /// All names (`*`, or an empty subscription where [`Kind::whole`]).
     All,
-    /// A glob collection, `xdstp://.../*`: all names that begin so.
+    /// A glob collection, `xdstp://.../*`: all names with this prefix.
     Under(Arc<str>),
     /// One name.
     Name(Arc<str>),
 }
 
 impl Pattern {
-    /// Reads a name as it stands in a request. Only a name of the `xdstp` scheme can be a glob.
+    /// Parses a name of a request. Only a name of the `xdstp` scheme can be a glob.
     pub fn parse(name: &str) -> Self {
         match name.strip_suffix('*') {
             Some("") => Pattern::All,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether it means this name. A glob means what stands directly below it.
+    /// Whether it matches this name. A glob matches the names directly below it.
     pub fn matches(&self, name: &str) -> bool {
         match self {
             Pattern::All => true,
--- a/crates/core/xds/src/server/delta.rs
+++ b/crates/core/xds/src/server/delta.rs
@@ -1,6 +1,6 @@
 //! The incremental variant ("Incremental xDS").
 
-use super::{Draft, Heard, Limits, Stream, StreamError, Watch};
+use super::{Draft, Limits, RequestOutcome, Stream, StreamError, Watch};
 use crate::{Kind, Pattern, Store};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,98 +10,101 @@
 pub struct DeltaRequest {
     /// The type.
     pub type_url: String,
-    /// Names subscribed to from now on.
+    /// The names to subscribe to.
     pub subscribe: Vec<String>,
-    /// Names no longer subscribed to.
+    /// The names to unsubscribe from.
     pub unsubscribe: Vec<String>,
-    /// What the subscriber holds, on the first request of a kind: versions by name.
+    /// The subscriber's versions by name, on the first request of a kind.
     pub initial_versions: HashMap<String, String>,
-    /// The answer that this is about; empty: none.
+    /// The nonce of the answer that is acknowledged; empty: none.
     pub nonce: String,
-    /// Why it was refused; `None`: it was taken.
+    /// Why the answer was rejected; `None`: it was accepted.
     pub error: Option<String>,
 }
 
-/// What a watch holds on a delta stream alone.
+/// The state of a watch on a delta stream.
 #[derive(Default)]
-pub(super) struct Extra {
-    /// Patterns whose names have yet to be looked up.
-    new: Vec<Pattern>,
-    /// Names to tell of, changed or not.
-    pub(super) fresh: BTreeSet<Arc<str>>,
-    /// Versions that the subscriber came with, until its first answers are made.
-    held: HashMap<String, String>,
-    /// Names whose removal waits until nothing refers to them.
-    leaving: BTreeSet<Arc<str>>,
-    /// The watch stands at the store's end: it was looked up after the store was opened.
-    synced: bool,
+pub(super) struct DeltaState {
+    /// New patterns whose names have yet to be resolved.
+    new_patterns: Vec<Pattern>,
+    /// The names to send, changed or not.
+    pub(super) requested: BTreeSet<Arc<str>>,
+    /// The versions that the subscriber reconnected with, until its first answers are made.
+    client_versions: HashMap<String, String>,
+    /// The names whose removal waits until nothing refers to them.
+    pending_removals: BTreeSet<Arc<str>>,
+    /// Whether the watch has been initialized from the store since that was opened.
+    is_synced: bool,
 }
 
 impl Stream {
-    /// Takes a request on a delta stream.
+    /// Handles a request on a delta stream.
     ///
     /// # Errors
-    /// The stream has to be ended with the error; other streams aren't touched.
-    pub fn delta(&mut self, request: DeltaRequest) -> Result<Heard, StreamError> {
+    /// The stream has to be ended with the error; other streams are not affected.
+    pub fn delta(&mut self, request: DeltaRequest) -> Result<RequestOutcome, StreamError> {
         let kind = self.kind(&request.type_url)?;
         let versions = request.initial_versions.iter().flat_map(|(n, v)| [n.as_str(), v.as_str()]);
         let names = request.subscribe.iter().chain(&request.unsubscribe).map(String::as_str);
-        self.fits(names.chain(versions).chain([request.nonce.as_str()]))?;
-        let most = self.limits.names;
-        let too_many = StreamError::TooManyNames { kind, most };
-        // A subscriber may come back with all that it holds, which a collection may have brought it.
-        if request.subscribe.len() > most || request.initial_versions.len() > most.saturating_mul(16) {
+        self.check_lengths(names.chain(versions).chain([request.nonce.as_str()]))?;
+        let max_names = self.limits.names;
+        let too_many = StreamError::TooManyNames { kind, max_names };
+        // A subscriber may reconnect with all its versions, most of which may come from a collection.
+        if request.subscribe.len() > max_names
+            || request.initial_versions.len() > max_names.saturating_mul(16)
+        {
             return Err(too_many);
         }
         let watch = &mut self.watches[kind as usize];
-        let heard = watch.reply(kind, &request.nonce, request.error.as_deref());
+        let outcome = watch.on_reply(kind, &request.nonce, request.error.as_deref());
         let mut add: Vec<Pattern> = request.subscribe.iter().map(|n| Pattern::parse(n)).collect();
-        if !watch.begun {
-            watch.begun = true;
+        if !watch.is_started {
+            watch.is_started = true;
             // "How the client specifies what resources to return": the first request of a kind that names nothing
             // means all, where the kind has that.
             if add.is_empty() && kind.whole() {
                 add.push(Pattern::All);
             }
-            watch.delta.held = request.initial_versions;
+            watch.delta.client_versions = request.initial_versions;
         }
         for pattern in add {
-            // A name that is subscribed to again is told of again.
+            // A name that is subscribed to again is sent again.
             watch.patterns.insert(pattern.clone());
-            watch.delta.new.push(pattern);
+            watch.delta.new_patterns.push(pattern);
         }
         for name in &request.unsubscribe {
             watch.patterns.remove(&Pattern::parse(name));
-            watch.delta.new.retain(|p| *p != Pattern::parse(name));
+            watch.delta.new_patterns.retain(|p| *p != Pattern::parse(name));
         }
         if !request.unsubscribe.is_empty() {
-            let patterns = std::mem::take(&mut watch.delta.fresh);
-            watch.delta.fresh = patterns.into_iter().filter(|n| watch.matches(n)).collect();
-            let leaving = std::mem::take(&mut watch.delta.leaving);
-            watch.delta.leaving = leaving.into_iter().filter(|n| watch.matches(n)).collect();
+            let patterns = std::mem::take(&mut watch.delta.requested);
+            watch.delta.requested = patterns.into_iter().filter(|n| watch.matches(n)).collect();
+            let leaving = std::mem::take(&mut watch.delta.pending_removals);
+            watch.delta.pending_removals = leaving.into_iter().filter(|n| watch.matches(n)).collect();
         }
-        if watch.patterns.len() > most || watch.delta.new.len() > most {
+        if watch.patterns.len() > max_names || watch.delta.new_patterns.len() > max_names {
             return Err(too_many);
         }
-        Ok(heard.unwrap_or(Heard::Subscribed))
+        Ok(outcome.unwrap_or(RequestOutcome::Subscribed))
     }
 }
 
 impl Watch {
-    /// Looks up what was newly subscribed to, once the store can tell.
-    fn look_up(&mut self, kind: Kind, store: &Store) {
-        if !self.delta.synced {
-            self.delta.synced = true;
-            self.at = store.seq();
-            // What a collection brought the subscriber last time may be gone by now.
-            let held = self.delta.held.keys();
-            let known: Vec<Arc<str>> = held.filter(|n| self.matches(n)).map(|n| n.as_str().into()).collect();
-            self.delta.fresh.extend(known);
+    /// Resolves new patterns, once the store is open.
+    fn resolve_patterns(&mut self, kind: Kind, store: &Store) {
+        if !self.delta.is_synced {
+            self.delta.is_synced = true;
+            self.position = store.seq();
+            // Members of a collection may have been removed since the subscriber was connected last.
+            let client_names = self.delta.client_versions.keys();
+            let known: Vec<Arc<str>> =
+                client_names.filter(|n| self.matches(n)).map(|n| n.as_str().into()).collect();
+            self.delta.requested.extend(known);
         }
-        for pattern in std::mem::take(&mut self.delta.new) {
+        for pattern in std::mem::take(&mut self.delta.new_patterns) {
             match &pattern {
-                Pattern::Name(name) => drop(self.delta.fresh.insert(name.clone())),
-                wide => self.delta.fresh.extend(store.names(kind, wide).cloned()),
+                Pattern::Name(name) => drop(self.delta.requested.insert(name.clone())),
+                wide => self.delta.requested.extend(store.names(kind, wide).cloned()),
             }
         }
     }
@@ -111,71 +114,76 @@
         kind: Kind,
         store: &Store,
         limits: &Limits,
-        quiet: bool,
+        may_remove_referenced: bool,
     ) -> Result<Option<Draft>, StreamError> {
-        let asked_anew = !self.delta.new.is_empty();
-        self.look_up(kind, store);
-        if self.rests(kind, store) && !asked_anew {
+        let has_new_patterns = !self.delta.new_patterns.is_empty();
+        self.resolve_patterns(kind, store);
+        if self.is_waiting_for_change(kind, store) && !has_new_patterns {
             return Ok(None);
         }
-        let mut draft =
-            Draft { resources: Vec::new(), removed: Vec::new(), fresh: Vec::new(), after: self.at };
+        let mut draft = Draft {
+            resources: Vec::new(),
+            removed: Vec::new(),
+            requested: Vec::new(),
+            position_after: self.position,
+        };
         let mut size = 0;
         while size < limits.answer {
-            let Some(name) = self.delta.fresh.pop_first() else { break };
-            let held = self.delta.held.remove(&*name);
+            let Some(name) = self.delta.requested.pop_first() else { break };
+            let client_version = self.delta.client_versions.remove(&*name);
             match store.get(kind, &name) {
-                // It has that already.
-                Some(resource) if held.as_deref() == Some(&*resource.version) => continue,
+                // The subscriber has this version.
+                Some(resource) if client_version.as_deref() == Some(&*resource.version) => continue,
                 Some(resource) => {
                     size += resource.body.len() + name.len();
                     draft.resources.push(resource.clone());
                 }
-                None if kind.referred() && held.is_some() && !quiet => {
-                    self.delta.leaving.insert(name);
+                None if kind.referred() && client_version.is_some() && !may_remove_referenced => {
+                    self.delta.pending_removals.insert(name);
                     continue;
                 }
                 None => draft.removed.push(name.clone()),
             }
-            draft.fresh.push(name);
+            draft.requested.push(name);
         }
-        let sent: BTreeSet<Arc<str>> = draft.fresh.iter().cloned().collect();
-        // What is refused goes back to where it was, so the fresh of a refused answer are sent twice at most.
-        if self.delta.fresh.is_empty() {
-            // Danger: kept for good, these would be as much as the whole list for each subscriber.
-            self.delta.held = HashMap::new();
-            let changes = store.changed(kind, self.at).ok_or(StreamError::TooFarBehind)?;
+        let sent: BTreeSet<Arc<str>> = draft.requested.iter().cloned().collect();
+        // After a NACK the requested names are queued again, so those of a rejected answer are sent twice at most.
+        if self.delta.requested.is_empty() {
+            // Danger: kept for the lifetime of the stream, these would be as large as the whole list for each
+            // subscriber.
+            self.delta.client_versions = HashMap::new();
+            let changes = store.changed(kind, self.position).ok_or(StreamError::TooFarBehind)?;
             for change in changes {
                 if size >= limits.answer {
                     break;
                 }
-                draft.after = change.seq;
+                draft.position_after = change.seq;
                 let name = &change.resource.name;
                 if !self.matches(name) || sent.contains(name) {
                     continue;
                 }
-                if change.live {
+                if change.is_live {
                     size += change.resource.body.len() + name.len();
                     draft.resources.push(change.resource.clone());
-                } else if kind.referred() && !quiet {
-                    self.delta.leaving.insert(name.clone());
+                } else if kind.referred() && !may_remove_referenced {
+                    self.delta.pending_removals.insert(name.clone());
                 } else {
                     draft.removed.push(name.clone());
                 }
             }
         }
-        if quiet {
-            for name in std::mem::take(&mut self.delta.leaving) {
+        if may_remove_referenced {
+            for name in std::mem::take(&mut self.delta.pending_removals) {
                 if store.get(kind, &name).is_none() {
-                    draft.fresh.push(name.clone());
+                    draft.requested.push(name.clone());
                     draft.removed.push(name);
                 }
             }
         }
         if draft.resources.is_empty() && draft.removed.is_empty() {
-            // Nothing of it is this subscriber's.
-            self.at = draft.after;
-            self.standing.acked_seq = self.standing.acked_seq.max(self.at);
+            // None of the changes concern this subscriber.
+            self.position = draft.position_after;
+            self.standing.acked_seq = self.standing.acked_seq.max(self.position);
             return Ok(None);
         }
         Ok(Some(draft))
--- a/crates/core/xds/src/server/sotw.rs
+++ b/crates/core/xds/src/server/sotw.rs
@@ -1,6 +1,6 @@
 //! The state-of-the-world variant.
 
-use super::{Draft, Heard, Stream, StreamError, Watch};
+use super::{Draft, RequestOutcome, Stream, StreamError, Watch};
 use crate::{Kind, Pattern, Resource, Store};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,65 +10,65 @@
 pub struct SotwRequest {
     /// The type.
     pub type_url: String,
-    /// The version last taken; told, not used: on a new stream all is sent again.
+    /// The last accepted version; not used: on a new stream everything is sent again.
     pub version: String,
     /// All names subscribed to.
     pub names: Vec<String>,
-    /// The answer that this is about; empty on the first request of a kind.
+    /// The nonce of the answer that is acknowledged; empty on the first request of a kind.
     pub nonce: String,
-    /// Why it was refused; `None`: it was taken.
+    /// Why the answer was rejected; `None`: it was accepted.
     pub error: Option<String>,
 }
 
-/// What a watch holds on a state-of-the-world stream alone.
+/// The state of a watch on a state-of-the-world stream.
 #[derive(Default)]
-pub(super) struct Extra {
-    /// Something was newly asked for: an answer is due, changed or not.
-    pub(super) asked: bool,
-    /// The last answer was refused: all of it is owed, with the next change.
-    pub(super) owed: bool,
-    /// Removed resources that still stand in the answers, until nothing refers to them.
-    leaving: BTreeSet<Arc<str>>,
-    /// Something has been sent.
-    sent: bool,
+pub(super) struct SotwState {
+    /// Something was newly requested: an answer is due, changed or not.
+    pub(super) is_due: bool,
+    /// The last answer was rejected: all of it is due again, with the next change.
+    pub(super) is_resend_due: bool,
+    /// Removed resources that are still sent, until nothing refers to them.
+    pending_removals: BTreeSet<Arc<str>>,
+    /// Whether anything was sent.
+    has_sent: bool,
 }
 
 impl Stream {
-    /// Takes a request on a state-of-the-world stream.
+    /// Handles a request on a state-of-the-world stream.
     ///
     /// # Errors
-    /// The stream has to be ended with the error; other streams aren't touched.
-    pub fn sotw(&mut self, request: SotwRequest) -> Result<Heard, StreamError> {
+    /// The stream has to be ended with the error; other streams are not affected.
+    pub fn sotw(&mut self, request: SotwRequest) -> Result<RequestOutcome, StreamError> {
         let kind = self.kind(&request.type_url)?;
         if kind == Kind::Endpoint {
-            // Collections are part of the incremental variant alone ("LEDS").
+            // Collections are part of the incremental variant only ("LEDS").
             return Err(StreamError::UnknownType(request.type_url));
         }
         let names = request.names.iter().map(String::as_str);
-        self.fits(names.chain([request.nonce.as_str(), request.version.as_str()]))?;
+        self.check_lengths(names.chain([request.nonce.as_str(), request.version.as_str()]))?;
         if request.names.len() > self.limits.names {
-            return Err(StreamError::TooManyNames { kind, most: self.limits.names });
+            return Err(StreamError::TooManyNames { kind, max_names: self.limits.names });
         }
         let watch = &mut self.watches[kind as usize];
-        let heard = watch.reply(kind, &request.nonce, request.error.as_deref());
-        if let Some(Heard::Stale(_)) = heard {
-            // An answer is on its way, and this request doesn't know of it; the request that will follow that answer
-            // names all that is wanted then.
-            if watch.begun {
-                return Ok(Heard::Stale(kind));
+        let outcome = watch.on_reply(kind, &request.nonce, request.error.as_deref());
+        if let Some(RequestOutcome::Stale(_)) = outcome {
+            // An answer is on its way that this request does not take into account; the request that follows that
+            // answer names everything that is subscribed to then.
+            if watch.is_started {
+                return Ok(RequestOutcome::Stale(kind));
             }
         }
         let mut patterns: BTreeSet<Pattern> = request.names.iter().map(|n| Pattern::parse(n)).collect();
         // "How the client specifies what resources to return": no names mean all, until names have been given.
-        let named_before = watch.begun && !watch.patterns.contains(&Pattern::All);
-        if patterns.is_empty() && kind.whole() && !named_before {
+        let has_named_before = watch.is_started && !watch.patterns.contains(&Pattern::All);
+        if patterns.is_empty() && kind.whole() && !has_named_before {
             patterns.insert(Pattern::All);
         }
-        let first = !watch.begun;
-        watch.begun = true;
-        watch.sotw.asked |= first || patterns.iter().any(|p| !watch.patterns.contains(p));
+        let is_first_request = !watch.is_started;
+        watch.is_started = true;
+        watch.sotw.is_due |= is_first_request || patterns.iter().any(|p| !watch.patterns.contains(p));
         watch.patterns = patterns;
-        Ok(heard.unwrap_or(Heard::Subscribed))
+        Ok(outcome.unwrap_or(RequestOutcome::Subscribed))
     }
 }
 
@@ -77,35 +77,35 @@
         &mut self,
         kind: Kind,
         store: &Store,
-        quiet: bool,
+        may_remove_referenced: bool,
     ) -> Result<Option<Draft>, StreamError> {
-        if self.rests(kind, store) && !self.sotw.asked {
+        if self.is_waiting_for_change(kind, store) && !self.sotw.is_due {
             return Ok(None);
         }
-        let mut due = self.sotw.asked || self.sotw.owed;
-        let after = store.last(kind).max(self.at);
-        match store.changed(kind, self.at) {
-            // Each answer is whole, so what has been forgotten doesn't matter.
-            None => due = true,
+        let mut is_due = self.sotw.is_due || self.sotw.is_resend_due;
+        let position_after = store.last(kind).max(self.position);
+        match store.changed(kind, self.position) {
+            // Each answer is whole, so forgotten removals do not matter.
+            None => is_due = true,
             Some(changes) => {
                 let mut removed = Vec::new();
                 for change in changes.filter(|c| self.matches(&c.resource.name)) {
-                    // Where an answer isn't the whole, one that lacks a name says nothing.
-                    due |= change.live || kind.whole();
-                    if !change.live && kind.whole() && kind.referred() && self.sotw.sent {
+                    // Where an answer is not whole, a missing name means nothing.
+                    is_due |= change.is_live || kind.whole();
+                    if !change.is_live && kind.whole() && kind.referred() && self.sotw.has_sent {
                         removed.push(change.resource.name.clone());
                     }
                 }
-                self.sotw.leaving.extend(removed);
+                self.sotw.pending_removals.extend(removed);
             }
         }
-        if quiet {
-            due |= !self.sotw.leaving.is_empty();
-            self.sotw.leaving.clear();
+        if may_remove_referenced {
+            is_due |= !self.sotw.pending_removals.is_empty();
+            self.sotw.pending_removals.clear();
         }
-        if !due {
-            self.at = after;
-            self.standing.acked_seq = self.standing.acked_seq.max(after);
+        if !is_due {
+            self.position = position_after;
+            self.standing.acked_seq = self.standing.acked_seq.max(position_after);
             return Ok(None);
         }
         let mut names: BTreeSet<Arc<str>> = BTreeSet::new();
@@ -114,15 +114,16 @@
         }
         let mut resources: Vec<Arc<Resource>> =
             names.iter().filter_map(|n| store.get(kind, n).cloned()).collect();
-        let leaving = self.sotw.leaving.iter().filter(|n| !names.contains(*n));
+        let leaving = self.sotw.pending_removals.iter().filter(|n| !names.contains(*n));
         resources.extend(leaving.filter_map(|n| store.last_of(kind, n).cloned()));
-        (self.sotw.asked, self.sotw.owed) = (false, false);
+        (self.sotw.is_due, self.sotw.is_resend_due) = (false, false);
         if resources.is_empty() && !kind.whole() {
-            // "Knowing when a requested resource does not exist": it is not answered until there is something.
-            self.at = after;
+            // "Knowing when a requested resource does not exist": the request is not answered before there is a
+            // resource.
+            self.position = position_after;
             return Ok(None);
         }
-        self.sotw.sent = true;
-        Ok(Some(Draft { resources, removed: Vec::new(), fresh: Vec::new(), after }))
+        self.sotw.has_sent = true;
+        Ok(Some(Draft { resources, removed: Vec::new(), requested: Vec::new(), position_after }))
     }
 }
--- a/crates/core/xds/src/store.rs
+++ b/crates/core/xds/src/store.rs
@@ -1,4 +1,4 @@
-//! What a server declares: resources with their versions, and in what order they last changed.
+//! The resources that a server declares, with their versions and the order of their last changes.
 
 use crate::{Kind, Nanos, Pattern, KINDS};
 use bytes::Bytes;
@@ -8,13 +8,13 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// A resource as it is handed out: the body is an encoded message of the kind's type.
+/// A declared resource; the body is an encoded message of the kind's type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resource {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// Its version: a digest of what the body says. Danger: a counter starts over with the process, and the same number would
-    /// then stand for two contents; a subscriber that comes back would be told that it has all.
+    /// The version: a digest of the body's content. Danger: a counter starts over with the process, and the same
+    /// number would then be two contents; a subscriber that reconnects would be treated as up to date.
     pub version: Arc<str>,
     /// The encoded message.
     pub body: Bytes,
@@ -29,19 +29,19 @@
     pub body: Bytes,
 }
 
-/// The version of a content, from a text that tells all of it in one order. Danger: encoded messages don't serve,
-/// since protobuf gives the entries of a map in any order, and each encoding would pass for a change.
+/// The version of a content, from a text that has all of it in one order. Danger: encoded messages can't serve as
+/// that text, since protobuf writes the entries of a map in any order, and each encoding would count as a change.
 pub fn version_of(content: &[u8]) -> Arc<str> {
     let mut hasher = SipHasher13::new();
     hasher.write(content);
     format!("{:016x}", hasher.finish128().h1).into()
 }
 
-/// A resource, live or removed, and when it last changed.
+/// A resource, live or removed, and its last change.
 struct Slot {
     seq: u64,
-    at: Nanos,
-    live: bool,
+    changed_at: Nanos,
+    is_live: bool,
     resource: Arc<Resource>,
 }
 
@@ -49,96 +49,96 @@
 struct TypeTable {
     slots: BTreeMap<Arc<str>, Slot>,
     by_seq: BTreeMap<u64, Arc<str>>,
-    /// Removals up to here are forgotten.
-    floor: u64,
+    /// Removals up to this sequence number are forgotten.
+    forgotten_up_to: u64,
     removed: usize,
-    /// Sequence number of its last change.
+    /// The sequence number of the last change.
     last: u64,
 }
 
-/// All resources of a server. Each change gets the next sequence number; a name stands in the order of changes once,
-/// at its last one, so what a subscriber lacks costs what changed and not what there is.
+/// All resources of a server. Each change gets the next sequence number; a name is in the order of changes once, at
+/// its last change, so the cost of an update depends on what changed and not on the number of resources.
 pub struct Store {
-    shelves: [TypeTable; KINDS],
+    tables: [TypeTable; KINDS],
     seq: u64,
-    ready: bool,
+    is_open: bool,
     incarnation: Arc<str>,
-    remembered: usize,
+    max_removed: usize,
 }
 
-/// A change as [`Store::changed`] tells it.
+/// A change, from [`Store::changed`].
 pub(crate) struct Change<'a> {
     pub seq: u64,
-    pub live: bool,
+    pub is_live: bool,
     pub resource: &'a Arc<Resource>,
 }
 
 impl Store {
-    /// An empty store, which hands out nothing until it is [`Store::open`]. `incarnation` names this process in every
-    /// answer; of each kind at most `remembered` removed names are kept.
-    pub fn new(incarnation: &str, remembered: usize) -> Self {
+    /// Creates an empty store, which serves nothing before [`Store::open`]. `incarnation` names this process in every
+    /// answer; of each kind at most `remembered` removed names are remembered.
+    pub fn new(incarnation: &str, max_removed: usize) -> Self {
         Store {
-            shelves: Default::default(),
+            tables: Default::default(),
             seq: 0,
-            ready: false,
+            is_open: false,
             incarnation: incarnation.into(),
-            remembered,
+            max_removed,
         }
     }
 
-    /// From now on what stands here is the truth. Danger: an empty store that answers takes every node from every
-    /// subscriber that comes back after a restart.
+    /// Declares the content complete. Danger: an empty store that answers would remove every endpoint from every
+    /// subscriber that reconnects after a restart.
     pub fn open(&mut self) {
-        self.ready = true;
+        self.is_open = true;
     }
 
-    /// Whether it was opened.
+    /// Whether the store was opened.
     pub fn is_open(&self) -> bool {
-        self.ready
+        self.is_open
     }
 
-    /// The process that declares.
+    /// The incarnation of the process that declares.
     pub fn incarnation(&self) -> &Arc<str> {
         &self.incarnation
     }
 
-    /// Sequence number of the last change of any kind; 0: none yet.
+    /// The sequence number of the last change of any kind; 0: none yet.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Sequence number of the last change of a kind.
+    /// The sequence number of the last change of a kind.
     pub fn last(&self, kind: Kind) -> u64 {
-        self.shelves[kind as usize].last
+        self.tables[kind as usize].last
     }
 
-    /// Sets a resource; false if it stands so already, by its version.
+    /// Sets a resource; returns false where its version is unchanged.
     pub fn set(&mut self, kind: Kind, name: &str, declared: Declared, now: Nanos) -> bool {
-        let shelf = &mut self.shelves[kind as usize];
+        let table = &mut self.tables[kind as usize];
         let Declared { version, body } = declared;
-        let name = match shelf.slots.get(name) {
-            Some(slot) if slot.live && slot.resource.version == version => return false,
+        let name = match table.slots.get(name) {
+            Some(slot) if slot.is_live && slot.resource.version == version => return false,
             Some(slot) => slot.resource.name.clone(),
             None => Arc::from(name),
         };
         let resource = Arc::new(Resource { name, version, body });
         self.seq += 1;
-        shelf.put(self.seq, Slot { seq: self.seq, at: now, live: true, resource });
+        table.put(self.seq, Slot { seq: self.seq, changed_at: now, is_live: true, resource });
         true
     }
 
-    /// Removes a resource; false if it isn't there.
+    /// Removes a resource; returns false where there is none.
     pub fn remove(&mut self, kind: Kind, name: &str, now: Nanos) -> bool {
-        let shelf = &mut self.shelves[kind as usize];
-        let Some(slot) = shelf.slots.get(name).filter(|s| s.live) else { return false };
+        let table = &mut self.tables[kind as usize];
+        let Some(slot) = table.slots.get(name).filter(|s| s.is_live) else { return false };
         let resource = slot.resource.clone();
         self.seq += 1;
-        shelf.put(self.seq, Slot { seq: self.seq, at: now, live: false, resource });
-        shelf.forget(self.remembered);
+        table.put(self.seq, Slot { seq: self.seq, changed_at: now, is_live: false, resource });
+        table.forget_oldest_removals(self.max_removed);
         true
     }
 
-    /// Declares all resources of a kind: sets these and removes the others. Returns how many changed.
+    /// Declares all resources of a kind: sets these and removes the others. Returns the number of changes.
     pub fn declare(&mut self, kind: Kind, all: BTreeMap<String, Declared>, now: Nanos) -> usize {
         let gone: Vec<Arc<str>> =
             self.names(kind, &Pattern::All).filter(|n| !all.contains_key::<str>(n)).cloned().collect();
@@ -148,17 +148,17 @@
 
     /// A live resource.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Arc<Resource>> {
-        self.shelves[kind as usize].slots.get(name).filter(|s| s.live).map(|s| &s.resource)
+        self.tables[kind as usize].slots.get(name).filter(|s| s.is_live).map(|s| &s.resource)
     }
 
-    /// A resource as it last was, removed or not.
+    /// The last content of a resource, removed or not.
     pub(crate) fn last_of(&self, kind: Kind, name: &str) -> Option<&Arc<Resource>> {
-        self.shelves[kind as usize].slots.get(name).map(|s| &s.resource)
+        self.tables[kind as usize].slots.get(name).map(|s| &s.resource)
     }
 
-    /// The names of live resources that a pattern means.
+    /// The names of live resources that a pattern matches.
     pub fn names<'a>(&'a self, kind: Kind, pattern: &'a Pattern) -> impl Iterator<Item = &'a Arc<str>> + 'a {
-        let slots = &self.shelves[kind as usize].slots;
+        let slots = &self.tables[kind as usize].slots;
         let from: &str = match pattern {
             Pattern::All => "",
             Pattern::Under(start) | Pattern::Name(start) => start,
@@ -166,49 +166,49 @@
         slots
             .range::<str, _>((Bound::Included(from), Bound::Unbounded))
             .take_while(move |(name, _)| name.starts_with(from))
-            .filter(move |(name, slot)| slot.live && pattern.matches(name))
+            .filter(move |(name, slot)| slot.is_live && pattern.matches(name))
             .map(|(name, _)| name)
     }
 
-    /// What changed after a sequence number, in order; `None` when removals since then have been forgotten.
+    /// The changes after a sequence number, in order; `None` when removals since then have been forgotten.
     pub(crate) fn changed(&self, kind: Kind, after: u64) -> Option<impl Iterator<Item = Change<'_>>> {
-        let shelf = &self.shelves[kind as usize];
-        (after >= shelf.floor).then(|| {
-            shelf.by_seq.range(after + 1..).filter_map(|(seq, name)| {
-                let slot = shelf.slots.get(name)?;
-                Some(Change { seq: *seq, live: slot.live, resource: &slot.resource })
+        let table = &self.tables[kind as usize];
+        (after >= table.forgotten_up_to).then(|| {
+            table.by_seq.range(after + 1..).filter_map(|(seq, name)| {
+                let slot = table.slots.get(name)?;
+                Some(Change { seq: *seq, is_live: slot.is_live, resource: &slot.resource })
             })
         })
     }
 
-    /// When the first change of a kind after a sequence number was made.
+    /// The time of the first change of a kind after a sequence number.
     pub fn first_after(&self, kind: Kind, after: u64) -> Option<Nanos> {
-        let shelf = &self.shelves[kind as usize];
-        let (_, name) = shelf.by_seq.range(after + 1..).next()?;
-        shelf.slots.get(name).map(|s| s.at)
+        let table = &self.tables[kind as usize];
+        let (_, name) = table.by_seq.range(after + 1..).next()?;
+        table.slots.get(name).map(|s| s.changed_at)
     }
 }
 
 impl TypeTable {
     fn put(&mut self, seq: u64, slot: Slot) {
         let name = slot.resource.name.clone();
-        self.removed += usize::from(!slot.live);
+        self.removed += usize::from(!slot.is_live);
         if let Some(old) = self.slots.insert(name.clone(), slot) {
             self.by_seq.remove(&old.seq);
-            self.removed -= usize::from(!old.live);
+            self.removed -= usize::from(!old.is_live);
         }
         self.by_seq.insert(seq, name);
         self.last = seq;
     }
 
-    /// Forgets the oldest removals beyond `most`; who stands before them has to come back with what it holds.
-    fn forget(&mut self, most: usize) {
-        while self.removed > most {
-            let oldest = self.by_seq.iter().find(|(_, n)| self.slots.get(*n).is_some_and(|s| !s.live));
+    /// Forgets the oldest removals beyond `max`; a subscriber that is behind them has to reconnect with its versions.
+    fn forget_oldest_removals(&mut self, max: usize) {
+        while self.removed > max {
+            let oldest = self.by_seq.iter().find(|(_, n)| self.slots.get(*n).is_some_and(|s| !s.is_live));
             let Some((seq, name)) = oldest.map(|(s, n)| (*s, n.clone())) else { return };
             self.by_seq.remove(&seq);
             self.slots.remove(&name);
-            self.floor = seq;
+            self.forgotten_up_to = seq;
             self.removed -= 1;
         }
     }
--- a/crates/core/xds/tests/converge.rs
+++ b/crates/core/xds/tests/convergence.rs
@@ -1,5 +1,5 @@
-//! A server and a subscriber with everything between them that goes wrong: random changes, cuts, refusals, restarts
-//! and new subscriptions. In the end the subscriber always holds what is declared.
+//! A server and a subscriber under random changes, disconnects, rejections, restarts and new subscriptions. In the
+//! end the subscriber always has what is declared.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -9,24 +9,24 @@
 use rushquay_xds::{version_of, Declared, Kind, Store};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What both variants carry.
+/// The kinds that both variants support.
 const KINDS: [Kind; 2] = [Kind::Cluster, Kind::Endpoints];
 
 #[derive(Clone, Debug)]
 enum Step {
     Set(u8, u8, u8),
     Remove(u8, u8),
-    /// The subscriber wants these.
+    /// The subscriber subscribes to these.
     Want(u8, BTreeSet<u8>),
-    /// So many messages pass, each way in turn.
+    /// This many messages are delivered, in each direction alternately.
     Pass(u8),
-    /// The next answer is refused.
+    /// The next answer is rejected.
     Refuse,
-    /// The stream breaks; what is on its way is lost.
+    /// The stream breaks; messages on their way are lost.
     Cut,
-    /// The server starts anew and empty, and is told the truth again; its versions start over.
+    /// The server restarts empty, and is filled again; its versions start over.
     Restart,
-    /// The server doesn't speak delta from here on, or does again.
+    /// Whether the server supports delta from here on.
     Delta(bool),
 }
 
@@ -87,7 +87,7 @@
         self.to_server.extend(ask);
         unwanted.iter().for_each(|n| drop(self.held[kind].remove(n)));
         self.wanted[kind] = names;
-        // State-of-the-world endpoints tell of no versions; what is held of them goes with the subscription.
+        // State-of-the-world answers about endpoints have no versions; those resources go with the subscription.
         let wanted = &self.wanted[kind];
         self.held[kind].retain(|n, _| wanted.contains(n) || wanted.contains("*"));
     }
@@ -105,7 +105,7 @@
             self.client.connected();
             self.client.ended(Ended::Unimplemented, 0.5);
         }
-        // Cuts inside what follows are cuts like any other.
+        // Later disconnects are like any other.
         self.stream =
             Some(Stream::new(self.client.variant(), None, Limits { answer: 8, ..Limits::default() }));
         self.to_server.extend(self.client.connected());
@@ -149,7 +149,7 @@
             name: delta.then(|| r.name.to_string()),
             version: if delta { r.version.to_string() } else { String::new() },
             type_url: type_url.clone(),
-            // A state-of-the-world body tells its name by itself.
+            // A state-of-the-world body contains its name.
             body: format!("{}={}", r.name, String::from_utf8_lossy(&r.body)).into_bytes(),
         };
         let message = ServerAnswer {
@@ -191,7 +191,7 @@
             }
             Step::Want(k, names) => {
                 let text = |n: &u8| if *n == 6 { "*".to_owned() } else { n.to_string() };
-                // Clusters are wanted whole: what a whole answer leaves out is gone.
+                // Clusters are subscribed to as a whole: what a whole answer leaves out is removed.
                 let names = if k == 0 { ["*".to_owned()].into() } else { names.iter().map(text).collect() };
                 self.want(k as usize, names);
             }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// What the subscriber should hold.
+    /// The resources that the subscriber should have.
     fn declared(&self, kind: usize) -> BTreeMap<String, String> {
         let wanted = |n: &String| self.wanted[kind].contains("*") || self.wanted[kind].contains(n);
         self.truth[kind].iter().filter(|(n, _)| wanted(n)).map(|(n, v)| (n.clone(), v.clone())).collect()
@@ -247,7 +247,7 @@
             w.step(step);
         }
         w.refuse = false;
-        // After a refusal the next change brings all that is owed.
+        // After a rejection the next change brings everything that is due.
         for (kind, of) in KINDS.iter().enumerate() {
             w.store.set(*of, "5", declared("the end"), 0);
             w.truth[kind].insert("5".into(), "the end".into());
@@ -257,9 +257,9 @@
             quiet = if w.pass() { 0 } else { quiet + 1 };
             if quiet > 3 { break; }
         }
-        prop_assert!(quiet > 3, "no end of messages");
+        prop_assert!(quiet > 3, "messages do not end");
         prop_assert_eq!(&w.held[0], &w.declared(0));
-        // A removed name is told of by delta alone; state-of-the-world endpoints stay as they last were.
+        // Only delta reports a removed name; state-of-the-world endpoints keep their last content.
         let mut endpoints = w.held[1].clone();
         if w.client.variant() == Variant::Sotw {
             endpoints.retain(|n, _| w.truth[1].contains_key(n));
--- a/crates/core/xds/tests/server.rs
+++ b/crates/core/xds/tests/server_stream.rs
@@ -1,7 +1,9 @@
 //! One stream at the server, request by request.
 
 use bytes::Bytes;
-use rushquay_xds::server::{Answer, DeltaRequest, Heard, Limits, SotwRequest, Stream, StreamError, Variant};
+use rushquay_xds::server::{
+    Answer, DeltaRequest, Limits, RequestOutcome, SotwRequest, Stream, StreamError, Variant,
+};
 use rushquay_xds::{version_of, Declared, Kind, Store};
 
 const CDS: Kind = Kind::Cluster;
@@ -46,24 +48,24 @@
     a.resources.iter().map(|r| &*r.name).collect()
 }
 
-/// Takes all that is due, acknowledging each answer.
+/// Returns all answers that are due, and acknowledges each.
 fn drain(stream: &mut Stream, store: &Store) -> Vec<Answer> {
     let mut all = Vec::new();
     while let Some(answer) = next(stream, store) {
         stream.delta(reply(&answer, None)).expect("an ACK");
         all.push(answer);
-        assert!(all.len() < 100, "no end of answers");
+        assert!(all.len() < 100, "answers do not end");
     }
     all
 }
 
 #[test]
-fn nothing_is_said_before_the_store_is_open() {
+fn nothing_is_sent_before_the_store_is_open() {
     let mut store = Store::new("here", 100);
     let mut s = delta();
     s.delta(DeltaRequest { initial_versions: [("a".into(), "v".into())].into(), ..subscribe(CDS, &[]) })
-        .expect("heard");
-    assert_eq!(next(&mut s, &store), None, "an empty start would take everything away");
+        .expect("a valid request");
+    assert_eq!(next(&mut s, &store), None, "an empty store would remove everything");
     store.set(CDS, "b", body("1"), 0);
     store.open();
     let all = drain(&mut s, &store);
@@ -72,14 +74,14 @@
 }
 
 #[test]
-fn a_delta_holds_what_changed_alone() {
+fn a_delta_answer_has_only_what_changed() {
     let mut store = store(&[
         (LEDS, "xdstp://x/e/c/z/a", "1"),
         (LEDS, "xdstp://x/e/c/z/b", "1"),
         (LEDS, "xdstp://x/e/d/z/a", "1"),
     ]);
     let mut s = delta();
-    s.delta(subscribe(LEDS, &["xdstp://x/e/c/z/*"])).expect("heard");
+    s.delta(subscribe(LEDS, &["xdstp://x/e/c/z/*"])).expect("a valid request");
     let first = drain(&mut s, &store);
     assert_eq!(names(&first[0]), ["xdstp://x/e/c/z/a", "xdstp://x/e/c/z/b"]);
     store.set(LEDS, "xdstp://x/e/c/z/b", body("2"), 1);
@@ -92,40 +94,40 @@
 }
 
 #[test]
-fn who_comes_back_is_told_of_what_it_lacks_alone() {
+fn a_reconnecting_subscriber_gets_only_what_it_is_missing() {
     let mut store = store(&[(CDS, "same", "1"), (CDS, "changed", "1"), (CDS, "gone", "1")]);
     let held = |store: &Store, n: &str| (n.to_owned(), store.get(CDS, n).expect("there").version.to_string());
     let initial_versions = ["same", "changed", "gone"].map(|n| held(&store, n)).into();
     store.set(CDS, "changed", body("2"), 1);
     store.remove(CDS, "gone", 1);
     let mut s = delta();
-    s.delta(DeltaRequest { initial_versions, ..subscribe(CDS, &[]) }).expect("heard");
+    s.delta(DeltaRequest { initial_versions, ..subscribe(CDS, &[]) }).expect("a valid request");
     let all = drain(&mut s, &store);
     assert_eq!(all.iter().flat_map(names).collect::<Vec<_>>(), ["changed"]);
     assert_eq!(all.iter().flat_map(|a| a.removed.clone()).collect::<Vec<_>>(), ["gone".into()]);
 }
 
 #[test]
-fn a_refused_answer_is_owed_again_whole_but_only_after_a_change() {
+fn a_rejected_answer_is_resent_whole_after_the_next_change() {
     let mut store = store(&[(CDS, "good", "1"), (CDS, "bad", "1")]);
     let mut s = delta();
-    s.delta(subscribe(CDS, &[])).expect("heard");
+    s.delta(subscribe(CDS, &[])).expect("a valid request");
     let first = next(&mut s, &store).expect("an answer");
     let heard = s.delta(reply(&first, Some("bad: no"))).expect("a NACK");
-    assert_eq!(heard, Heard::Nacked(CDS, "bad: no".into()));
-    assert_eq!(next(&mut s, &store), None, "the same again would be refused again");
+    assert_eq!(heard, RequestOutcome::Nacked(CDS, "bad: no".into()));
+    assert_eq!(next(&mut s, &store), None, "the same answer would be rejected again");
     store.set(CDS, "bad", body("2"), 1);
     let again = next(&mut s, &store).expect("an answer");
-    assert_eq!(names(&again), ["bad", "good"], "nothing of the refused answer was taken");
+    assert_eq!(names(&again), ["bad", "good"], "nothing of the rejected answer was accepted");
     s.delta(reply(&again, None)).expect("an ACK");
     assert_eq!((s.standing(CDS).acks, s.standing(CDS).nacks, s.lag(&store, 9)), (1, 1, 0));
 }
 
 #[test]
-fn a_refused_removal_is_owed_again() {
+fn a_rejected_removal_is_resent() {
     let mut store = store(&[(LEDS, "a", "1"), (LEDS, "b", "1")]);
     let mut s = delta();
-    s.delta(subscribe(LEDS, &["*"])).expect("heard");
+    s.delta(subscribe(LEDS, &["*"])).expect("a valid request");
     drain(&mut s, &store);
     store.remove(LEDS, "a", 1);
     let removal = next(&mut s, &store).expect("an answer");
@@ -139,11 +141,11 @@
 fn a_slow_subscriber_gets_the_newest_state_and_no_backlog() {
     let mut store = store(&[(LEDS, "a", "0")]);
     let mut s = delta();
-    s.delta(subscribe(LEDS, &["*"])).expect("heard");
+    s.delta(subscribe(LEDS, &["*"])).expect("a valid request");
     let first = next(&mut s, &store).expect("an answer");
     for i in 1..1000 {
         store.set(LEDS, "a", body(&i.to_string()), i);
-        assert_eq!(next(&mut s, &store), None, "one answer is out");
+        assert_eq!(next(&mut s, &store), None, "an answer awaits its acknowledgement");
     }
     s.delta(reply(&first, None)).expect("an ACK");
     let rest = drain(&mut s, &store);
@@ -151,63 +153,63 @@
 }
 
 #[test]
-fn a_stale_nonce_takes_nothing_back_and_its_subscriptions_count() {
+fn a_stale_nonce_acknowledges_nothing_and_its_subscriptions_apply() {
     let store = store(&[(EDS, "a", "1"), (EDS, "b", "1")]);
     let mut s = delta();
-    s.delta(subscribe(EDS, &["a"])).expect("heard");
+    s.delta(subscribe(EDS, &["a"])).expect("a valid request");
     let first = next(&mut s, &store).expect("an answer");
-    // It subscribes to another while the answer is on its way, with a nonce that was never given.
+    // It subscribes to another name while the answer is on its way, with a nonce that was never issued.
     let mut request = subscribe(EDS, &["b"]);
     request.nonce = "77".into();
-    assert_eq!(s.delta(request), Ok(Heard::Stale(EDS)));
+    assert_eq!(s.delta(request), Ok(RequestOutcome::Stale(EDS)));
     assert_eq!(next(&mut s, &store), None);
     s.delta(reply(&first, None)).expect("an ACK");
     assert_eq!(names(&drain(&mut s, &store)[0]), ["b"]);
 }
 
 #[test]
-fn what_is_unsubscribed_from_is_not_told_of() {
+fn unsubscribed_resources_are_not_sent() {
     let mut store = store(&[(EDS, "a", "1"), (EDS, "b", "1")]);
     let mut s = delta();
-    s.delta(subscribe(EDS, &["a", "b"])).expect("heard");
+    s.delta(subscribe(EDS, &["a", "b"])).expect("a valid request");
     drain(&mut s, &store);
     let unsubscribe = vec!["a".to_owned()];
-    s.delta(DeltaRequest { unsubscribe, ..subscribe(EDS, &[]) }).expect("heard");
+    s.delta(DeltaRequest { unsubscribe, ..subscribe(EDS, &[]) }).expect("a valid request");
     store.set(EDS, "a", body("2"), 1);
     assert_eq!(drain(&mut s, &store), []);
-    // Subscribed to again it is told of again, also unchanged.
-    s.delta(subscribe(EDS, &["a", "none"])).expect("heard");
+    // A name that is subscribed to again is sent again, even unchanged.
+    s.delta(subscribe(EDS, &["a", "none"])).expect("a valid request");
     let again = drain(&mut s, &store);
     assert_eq!((names(&again[0]), again[0].removed.clone()), (vec!["a"], vec!["none".into()]));
 }
 
 #[test]
-fn an_empty_request_means_all_clusters_but_no_endpoints() {
+fn an_empty_subscription_means_all_clusters_but_no_endpoints() {
     let store = store(&[(CDS, "a", "1"), (EDS, "a", "1")]);
     let mut s = delta();
-    s.delta(subscribe(EDS, &[])).expect("heard");
+    s.delta(subscribe(EDS, &[])).expect("a valid request");
     assert_eq!(drain(&mut s, &store), []);
-    s.delta(subscribe(CDS, &[])).expect("heard");
+    s.delta(subscribe(CDS, &[])).expect("a valid request");
     assert_eq!(drain(&mut s, &store).len(), 1);
     // Explicitly.
-    s.delta(subscribe(EDS, &["*"])).expect("heard");
+    s.delta(subscribe(EDS, &["*"])).expect("a valid request");
     assert_eq!(drain(&mut s, &store).len(), 1);
 }
 
 #[test]
-fn clusters_come_first_and_go_last() {
+fn clusters_are_added_first_and_removed_last() {
     let mut store = Store::new("here", 100);
     store.open();
     let mut s = delta();
     for kind in [Kind::Route, Kind::Listener, EDS, CDS] {
-        s.delta(subscribe(kind, &["*"])).expect("heard");
+        s.delta(subscribe(kind, &["*"])).expect("a valid request");
     }
     for kind in [Kind::Route, Kind::Listener, EDS, CDS] {
         store.set(kind, "a", body("1"), 0);
     }
     let kinds = |all: &[Answer]| all.iter().map(|a| a.kind).collect::<Vec<_>>();
     assert_eq!(kinds(&drain(&mut s, &store)), [CDS, EDS, Kind::Listener, Kind::Route]);
-    // The route moves on to another cluster, and the old one goes, all at once.
+    // The route changes to another cluster, and the old one is removed, all at once.
     store.remove(CDS, "a", 1);
     store.remove(EDS, "a", 1);
     store.set(CDS, "b", body("1"), 1);
@@ -222,7 +224,7 @@
     assert_eq!(
         seen,
         [(CDS, 1, 0), (EDS, 1, 0), (Kind::Route, 1, 0)],
-        "nothing goes before the route was taken"
+        "nothing is removed before the route is acknowledged"
     );
     for answer in &out {
         s.delta(reply(answer, None)).expect("an ACK");
@@ -236,13 +238,13 @@
     let mut store = store(&[(CDS, "a", "1")]);
     let mut s = delta();
     for kind in [CDS, Kind::Listener, LEDS] {
-        s.delta(subscribe(kind, &["*"])).expect("heard");
+        s.delta(subscribe(kind, &["*"])).expect("a valid request");
     }
     let first = next(&mut s, &store).expect("an answer");
     store.set(CDS, "b", body("1"), 1);
     store.set(Kind::Listener, "to-b", body("1"), 1);
     assert_eq!(next(&mut s, &store), None);
-    // A drain does not wait for it.
+    // A drain does not wait for the acknowledgement.
     store.set(LEDS, "e", body("draining"), 2);
     assert_eq!(next(&mut s, &store).map(|a| a.kind), Some(LEDS));
     s.delta(reply(&first, None)).expect("an ACK");
@@ -251,18 +253,18 @@
 }
 
 #[test]
-fn a_long_answer_is_cut_and_goes_on() {
+fn a_long_answer_is_split() {
     let mut store = Store::new("here", 100);
     for i in 0..100 {
         store.set(LEDS, &format!("{i:03}"), body(&format!("{i:0100}")), 0);
     }
     store.open();
     let mut s = Stream::new(Variant::Delta, None, Limits { answer: 1000, ..Limits::default() });
-    s.delta(subscribe(LEDS, &["*"])).expect("heard");
+    s.delta(subscribe(LEDS, &["*"])).expect("a valid request");
     let all = drain(&mut s, &store);
     assert!(all.len() >= 10 && all.iter().all(|a| a.resources.len() <= 10));
     assert_eq!(all.iter().map(|a| a.resources.len()).sum::<usize>(), 100);
-    // Changes too, each at its newest, and none twice.
+    // Changes as well, each with the newest content, and none twice.
     for i in 0..100 {
         store.set(LEDS, &format!("{i:03}"), body(&format!("{:0100}", i + 1)), 1);
     }
@@ -271,12 +273,12 @@
 }
 
 #[test]
-fn who_missed_removals_that_are_forgotten_is_sent_back() {
+fn a_subscriber_behind_forgotten_removals_has_to_reconnect() {
     let mut store = Store::new("here", 10);
     store.set(LEDS, "stays", body("1"), 0);
     store.open();
     let mut s = delta();
-    s.delta(subscribe(LEDS, &["*"])).expect("heard");
+    s.delta(subscribe(LEDS, &["*"])).expect("a valid request");
     drain(&mut s, &store);
     for i in 0..50 {
         store.set(LEDS, &i.to_string(), body("1"), 0);
@@ -286,10 +288,10 @@
 }
 
 #[test]
-fn limits_end_the_stream_that_breaks_them() {
+fn exceeding_a_limit_ends_the_stream() {
     let names: Vec<String> = (0..10_000).map(|i| format!("n{i}")).collect();
     let refs: Vec<&str> = names.iter().map(String::as_str).collect();
-    let too_many = StreamError::TooManyNames { kind: EDS, most: 4096 };
+    let too_many = StreamError::TooManyNames { kind: EDS, max_names: 4096 };
     assert_eq!(delta().delta(subscribe(EDS, &refs)), Err(too_many.clone()));
     let mut s = delta();
     let piecemeal: Vec<_> = refs.chunks(1000).map(|part| s.delta(subscribe(EDS, part))).collect();
@@ -321,21 +323,21 @@
 fn each_state_of_the_world_answer_is_whole() {
     let mut store = store(&[(CDS, "a", "1"), (CDS, "b", "1")]);
     let mut s = sotw();
-    s.sotw(ask(CDS, &[], "")).expect("heard");
+    s.sotw(ask(CDS, &[], "")).expect("a valid request");
     let first = next(&mut s, &store).expect("an answer");
     assert_eq!(names(&first), ["a", "b"]);
-    assert_eq!(s.sotw(ask(CDS, &[], &first.nonce)), Ok(Heard::Acked(CDS)));
+    assert_eq!(s.sotw(ask(CDS, &[], &first.nonce)), Ok(RequestOutcome::Acked(CDS)));
     assert_eq!(next(&mut s, &store), None);
     store.set(CDS, "b", body("2"), 1);
     assert_eq!(names(&next(&mut s, &store).expect("an answer")), ["a", "b"]);
 }
 
 #[test]
-fn a_removed_cluster_stays_in_the_answers_until_all_else_was_taken() {
+fn a_removed_cluster_stays_in_answers_until_all_others_are_acknowledged() {
     let mut store = store(&[(CDS, "a", "1"), (Kind::Route, "r", "to a")]);
     let mut s = sotw();
-    s.sotw(ask(CDS, &[], "")).expect("heard");
-    s.sotw(ask(Kind::Route, &["r"], "")).expect("heard");
+    s.sotw(ask(CDS, &[], "")).expect("a valid request");
+    s.sotw(ask(Kind::Route, &["r"], "")).expect("a valid request");
     for _ in 0..2 {
         let a = next(&mut s, &store).expect("an answer");
         let request = ask(a.kind, if a.kind == CDS { &[] } else { &["r"] }, &a.nonce);
@@ -355,22 +357,22 @@
 }
 
 #[test]
-fn names_given_with_a_stale_nonce_wait_for_the_next_request() {
+fn names_with_a_stale_nonce_wait_for_the_next_request() {
     let store = store(&[(EDS, "a", "1"), (EDS, "b", "1")]);
     let mut s = sotw();
-    s.sotw(ask(EDS, &["a"], "")).expect("heard");
+    s.sotw(ask(EDS, &["a"], "")).expect("a valid request");
     let first = next(&mut s, &store).expect("an answer");
-    assert_eq!(s.sotw(ask(EDS, &["a", "b"], "old")), Ok(Heard::Stale(EDS)));
-    assert_eq!(s.sotw(ask(EDS, &["a", "b"], &first.nonce)), Ok(Heard::Acked(EDS)));
+    assert_eq!(s.sotw(ask(EDS, &["a", "b"], "old")), Ok(RequestOutcome::Stale(EDS)));
+    assert_eq!(s.sotw(ask(EDS, &["a", "b"], &first.nonce)), Ok(RequestOutcome::Acked(EDS)));
     assert_eq!(names(&next(&mut s, &store).expect("an answer")), ["a", "b"]);
 }
 
 #[test]
-fn a_refusal_keeps_the_last_good_version_and_holds_back_nothing_else() {
+fn a_rejection_keeps_the_last_accepted_version_and_delays_nothing_else() {
     let mut store = store(&[(CDS, "a", "1"), (EDS, "a", "1")]);
     let mut s = sotw();
-    s.sotw(ask(CDS, &[], "")).expect("heard");
-    s.sotw(ask(EDS, &["a"], "")).expect("heard");
+    s.sotw(ask(CDS, &[], "")).expect("a valid request");
+    s.sotw(ask(EDS, &["a"], "")).expect("a valid request");
     let (clusters, endpoints) = (next(&mut s, &store).expect("c"), next(&mut s, &store).expect("e"));
     s.sotw(ask(CDS, &[], &clusters.nonce)).expect("an ACK");
     s.sotw(ask(EDS, &["a"], &endpoints.nonce)).expect("an ACK");
