--- a/crates/core/policy/examples/policy_figures.rs
+++ b/crates/core/policy/examples/policy_figures.rs
@@ -1,5 +1,7 @@
-//! How long a change of policy takes, in virtual time over the coordinator and members themselves: from the proposal to the decision and to
-//! the last proxy's new, with the words and writes that it costs. `cargo run --release -p rushquay-policy --example policy_figures`.
+//! Measures how long a change of policy takes, in virtual time over the coordinator and members themselves: from the proposal to the
+//! decision and until the last proxy applies the new policy, with the messages and writes that it costs.
+//!
+//! `cargo run --release -p rushquay-policy --example policy_figures`
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,75 +14,75 @@
 
 const MILLI: u64 = 1_000_000;
 const SECOND: u64 = 1000 * MILLI;
-/// As the program has it where nothing is said.
-const ASK_EVERY: u64 = SECOND;
-const LOOK_EVERY: u64 = 100 * MILLI;
-/// One way, drawn evenly up to twice this.
-const WAY: u64 = 5 * MILLI;
-/// What a write to the store takes.
-const WRITE: u64 = 5 * MILLI;
+/// The program's default.
+const REQUEST_INTERVAL: u64 = SECOND;
+const STEP_INTERVAL: u64 = 100 * MILLI;
+/// Mean one-way latency; drawn evenly up to twice this.
+const MEAN_LATENCY: u64 = 5 * MILLI;
+/// Latency of a write to the store.
+const WRITE_LATENCY: u64 = 5 * MILLI;
 
-/// What goes wrong as the change is proposed.
+/// The fault at the time of the proposal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     /// One proxy is dead.
     OneDead,
-    /// A quarter of the proxies is cut off.
+    /// A quarter of the proxies are partitioned.
     QuarterCut,
-    /// The leader dies with the proposal kept; another takes over after so long.
+    /// The leader dies after the proposal is persisted; another takes over after so long.
     Takeover(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A member asks, in its turn or since it was told something.
-    Ask(usize),
-    /// An ask comes to the leader.
-    Asked(usize, u64),
-    /// The leader looks.
-    Look,
-    /// A leave comes to a member.
+    /// A member sends its periodic request, or one after a broadcast.
+    SendRequest(usize),
+    /// A request reaches the leader.
+    Request(usize, u64),
+    /// The leader's periodic step.
+    Step,
+    /// A grant reaches a member.
     Granted(usize, u64),
-    /// What holds was told to all: each asks at once.
-    Told(usize),
-    /// Another leads.
+    /// A broadcast reaches a member, which sends a request at once.
+    Broadcast(usize),
+    /// Another leader takes over.
     Leads,
 }
 
-struct Play {
+struct Simulation {
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     random: Pcg64Mcg,
     members: Vec<Member>,
-    /// Cut off or dead from the proposal on.
+    /// Partitioned or dead from the proposal on.
     away: Vec<bool>,
     coordinator: Option<Coordinator>,
-    /// Asks on their way and at the leader, and leaves on their way.
-    asks: Vec<rushquay_policy::LeaseRequest>,
+    /// Requests in flight and at the leader, and grants in flight.
+    requests: Vec<rushquay_policy::LeaseRequest>,
     grants: Vec<LeaseGrant>,
     waiting: Vec<(usize, u64)>,
-    words: u64,
+    messages: u64,
     writes: u64,
 }
 
-impl Play {
+impl Simulation {
     fn at(&mut self, when: u64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((when, self.order, event)));
     }
 
-    fn way(&mut self) -> u64 {
-        self.random.random_range(0..2 * WAY)
+    fn latency(&mut self) -> u64 {
+        self.random.random_range(0..2 * MEAN_LATENCY)
     }
 
-    fn tell_all(&mut self) {
+    fn broadcast(&mut self) {
         for m in 0..self.members.len() {
             if !self.away[m] {
-                self.words += 1;
-                let when = self.now + self.way();
-                self.at(when, Event::Told(m));
+                self.messages += 1;
+                let when = self.now + self.latency();
+                self.at(when, Event::Broadcast(m));
             }
         }
     }
@@ -90,51 +92,51 @@
         if self.away[m] {
             return;
         }
-        self.words += 1;
-        self.asks.push(ask);
-        let (number, when) = (self.asks.len() as u64 - 1, self.now + self.way());
-        self.at(when, Event::Asked(m, number));
+        self.messages += 1;
+        self.requests.push(ask);
+        let (number, when) = (self.requests.len() as u64 - 1, self.now + self.latency());
+        self.at(when, Event::Request(m, number));
     }
 
     fn step(&mut self) {
         let Some(Reverse((when, _, event))) = self.events.pop() else { return };
         self.now = when;
         match event {
-            Event::Ask(m) => {
+            Event::SendRequest(m) => {
                 self.ask(m);
-                self.at(when + ASK_EVERY, Event::Ask(m));
+                self.at(when + REQUEST_INTERVAL, Event::SendRequest(m));
             }
-            Event::Told(m) => self.ask(m),
-            Event::Asked(m, number) if self.coordinator.is_some() => self.waiting.push((m, number)),
-            Event::Asked(..) => {}
+            Event::Broadcast(m) => self.ask(m),
+            Event::Request(m, number) if self.coordinator.is_some() => self.waiting.push((m, number)),
+            Event::Request(..) => {}
             Event::Leads => {}
             Event::Granted(m, number) => {
                 let grant = self.grants[number as usize];
                 if !self.away[m] && self.members[m].granted(&grant, |_| Ok(())) {
-                    // Whoever waits for it hears at once.
+                    // The member reports what it applies at once.
                     self.ask(m);
                 }
             }
-            Event::Look => {
-                self.at(when + LOOK_EVERY, Event::Look);
+            Event::Step => {
+                self.at(when + STEP_INTERVAL, Event::Step);
                 let Some(coordinator) = &mut self.coordinator else { return };
                 if let Some(record) = coordinator.step(when) {
                     self.writes += 1;
-                    self.now += WRITE;
+                    self.now += WRITE_LATENCY;
                     coordinator.kept(record, self.now);
-                    self.tell_all();
+                    self.broadcast();
                 }
                 let Some(coordinator) = &mut self.coordinator else { return };
                 let asked = std::mem::take(&mut self.waiting);
                 let names = asked.iter().map(|(m, number)| {
-                    let ask = &self.asks[*number as usize];
+                    let ask = &self.requests[*number as usize];
                     (*m, coordinator.hear(&format!("p{m}"), ask, self.now).expect("a leave"))
                 });
                 let granted: Vec<(usize, LeaseGrant)> = names.collect();
                 for (m, grant) in granted {
-                    self.words += 1;
+                    self.messages += 1;
                     self.grants.push(grant);
-                    let (number, when) = (self.grants.len() as u64 - 1, self.now + self.way());
+                    let (number, when) = (self.grants.len() as u64 - 1, self.now + self.latency());
                     self.at(when, Event::Granted(m, number));
                 }
             }
@@ -142,13 +144,13 @@
     }
 }
 
-/// Seconds to the decision, seconds to the last proxy's new, and words and writes on the way.
+/// Seconds to the decision, seconds until the last proxy applies the new policy, and the messages and writes meanwhile.
 fn change(proxies: usize, fault: Fault, seed: u64) -> (f64, f64, u64, u64) {
     let terms =
         LeaseTerms { span: 10 * SECOND, drift_ppm: 10_000, limit: 120 * SECOND, floor: 3600 * SECOND };
     let members =
         (0..proxies).map(|m| Member::new(Incarnation(m as u64 + 1), StartupPolicy::Waits, 0)).collect();
-    let mut play = Play {
+    let mut simulation = Simulation {
         now: 0,
         events: BinaryHeap::new(),
         order: 0,
@@ -156,59 +158,65 @@
         members,
         away: vec![false; proxies],
         coordinator: Some(Coordinator::lead(terms, PolicyRecord::default(), 0)),
-        asks: Vec::new(),
+        requests: Vec::new(),
         grants: Vec::new(),
         waiting: Vec::new(),
-        words: 0,
+        messages: 0,
         writes: 0,
     };
     for m in 0..proxies {
-        let first = play.random.random_range(0..ASK_EVERY);
-        play.at(first, Event::Ask(m));
+        let first = simulation.random.random_range(0..REQUEST_INTERVAL);
+        simulation.at(first, Event::SendRequest(m));
     }
-    play.at(0, Event::Look);
-    // The leader has led for longer than its predecessors' leaves last.
-    let begin = 20 * SECOND + play.random.random_range(0..SECOND);
-    while play.now < begin {
-        play.step();
+    simulation.at(0, Event::Step);
+    // The leader has led for longer than its predecessors' leases last.
+    let begin = 20 * SECOND + simulation.random.random_range(0..SECOND);
+    while simulation.now < begin {
+        simulation.step();
     }
-    let (words, writes) = (play.words, play.writes);
+    let (words, writes) = (simulation.messages, simulation.writes);
     match fault {
         Fault::None | Fault::Takeover(_) => {}
-        Fault::OneDead => play.away[0] = true,
-        Fault::QuarterCut => play.away[..proxies / 4].fill(true),
+        Fault::OneDead => simulation.away[0] = true,
+        Fault::QuarterCut => simulation.away[..proxies / 4].fill(true),
     }
-    let record = play.coordinator.as_ref().expect("it leads").record();
+    let record = simulation.coordinator.as_ref().expect("it leads").record();
     let proposed = record.propose(("a", "b"), None).expect("proposed");
-    play.writes += 1;
-    play.now += WRITE;
-    let from = play.now;
+    simulation.writes += 1;
+    simulation.now += WRITE_LATENCY;
+    let from = simulation.now;
     match fault {
         Fault::Takeover(after) => {
-            play.coordinator = None;
-            play.at(from + after, Event::Leads);
-            while play.now < from + after {
-                play.step();
+            simulation.coordinator = None;
+            simulation.at(from + after, Event::Leads);
+            while simulation.now < from + after {
+                simulation.step();
             }
-            play.coordinator = Some(Coordinator::lead(terms, proposed, play.now));
+            simulation.coordinator = Some(Coordinator::lead(terms, proposed, simulation.now));
         }
-        _ => play.coordinator.as_mut().expect("it leads").kept(proposed, from),
+        _ => simulation.coordinator.as_mut().expect("it leads").kept(proposed, from),
     }
-    play.tell_all();
+    simulation.broadcast();
     let mut decided = None;
     loop {
-        play.step();
-        let record = play.coordinator.as_ref().expect("it leads").record();
+        simulation.step();
+        let record = simulation.coordinator.as_ref().expect("it leads").record();
         if decided.is_none() && matches!(record.last, Some((_, ChangeOutcome::Committed))) {
-            decided = Some(play.now);
+            decided = Some(simulation.now);
         }
         let new = ActivePolicy::Leased(PolicySet::Pure(record.holds));
-        let all = (0..proxies).all(|m| play.away[m] || play.members[m].acting(play.now) == new);
+        let all =
+            (0..proxies).all(|m| simulation.away[m] || simulation.members[m].acting(simulation.now) == new);
         if let (Some(decided), true) = (decided, all) {
             let seconds = |at: u64| (at - from) as f64 / SECOND as f64;
-            return (seconds(decided), seconds(play.now), play.words - words, play.writes - writes);
+            return (
+                seconds(decided),
+                seconds(simulation.now),
+                simulation.messages - words,
+                simulation.writes - writes,
+            );
         }
-        assert!(play.now < from + 200 * SECOND, "it never ended");
+        assert!(simulation.now < from + 200 * SECOND, "it never ended");
     }
 }
 
@@ -219,8 +227,8 @@
     for proxies in [10, 40, 300, 10_000] {
         for fault in faults {
             let seeds = if proxies > 1000 { 3 } else { 30 };
-            let plays: Vec<_> = (1..=seeds).map(|seed| change(proxies, fault, seed)).collect();
-            let most = |of: fn(&(f64, f64, u64, u64)) -> f64| plays.iter().map(of).fold(0.0, f64::max);
+            let simulations: Vec<_> = (1..=seeds).map(|seed| change(proxies, fault, seed)).collect();
+            let most = |of: fn(&(f64, f64, u64, u64)) -> f64| simulations.iter().map(of).fold(0.0, f64::max);
             let words = most(|p| p.2 as f64) / proxies as f64;
             println!(
                 "| {proxies} | {fault:?} | {:.2} | {:.2} | {words:.1} | {} |",
--- a/crates/core/policy/src/archive.rs
+++ b/crates/core/policy/src/archive.rs
@@ -1,170 +1,183 @@
-//! The policies that are still of use, and the floors that somebody may still act by.
+//! The archive of policies: those still of use, and whose fallback policies somebody may still apply.
 
 use crate::coordinator::LeaseTerms;
 use crate::document::{FallbackPolicy, Policy, PolicyError};
-use crate::messages::{Incarnation, LeaseRequest};
-use crate::record::{PolicyNumber, PolicyRecord, Revision};
+use crate::messages::LeaseRequest;
+use crate::policy_set::{Incarnation, PolicyNumber, Revision};
+use crate::record::PolicyRecord;
 use crate::Nanos;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many that are over stay for people to look at, and to be proposed again.
-const STAY: usize = 8;
-/// So many processes are named to people.
-const NAMED: usize = 5;
+/// Former policies that are retained for operators to inspect and propose again.
+const RETAINED_POLICIES: usize = 8;
+/// Maximum number of proxies named in an error text.
+const MAX_NAMED_PROXIES: usize = 5;
 
-/// A leave that a process was granted, and may have lost since: it goes by this policy's floor then.
+/// A lease that a process was granted and may have lost since: it then applies the fallback policy of this policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Leave {
-    of: PolicyNumber,
-    granted: Nanos,
+struct GrantedLease {
+    policy: PolicyNumber,
+    granted_at: Nanos,
 }
 
-/// The policies that are kept, and who may stand on which floor.
+/// The retained policies, and which proxies may apply which fallback policy.
 #[derive(Clone, Debug)]
 pub struct PolicyArchive {
     policies: BTreeMap<PolicyNumber, Policy>,
-    /// Those that have held: somebody may act by their floors. One that was proposed and never held has told nobody to.
-    held: BTreeSet<PolicyNumber>,
-    /// What holds where nothing was ever proposed.
-    first: Policy,
-    /// By process and revision: the leaves that it may still stand behind.
-    leaves: BTreeMap<(String, Incarnation), BTreeMap<Revision, Leave>>,
-    /// Since when this leader leads. Danger: whom those before it gave leave it does not know.
-    since: Nanos,
+    /// The policies that have been in force: somebody may apply their fallback policies. One that was only proposed has no such proxies.
+    ever_in_force: BTreeSet<PolicyNumber>,
+    /// The policy in force before any was proposed.
+    initial: Policy,
+    /// The leases whose fallback policy may still be applied, by process and revision.
+    leases: BTreeMap<(String, Incarnation), BTreeMap<Revision, GrantedLease>>,
+    /// Start of this leadership. Danger: the leases that previous leaders granted are not known.
+    leading_since: Nanos,
 }
 
-/// Why a policy can't be proposed now.
+/// Why a policy cannot be proposed now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnfitPolicy {
-    /// It is none.
+    /// It is not a valid policy.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// Proxies without leave would go on more loosely than all others.
+    /// Proxies without a lease would go on more loosely than all others.
     #[error(
         "it is stricter than the floor of policy {of} in {}, by which {} may act for {for_s} s more: hold a policy first whose floor is \
          stricter, and then this one",
         .paths.join(", "),
-        named(.who)
+        join_names(.who)
     )]
     BelowFloor {
-        /// Whose floor.
+        /// Number of the policy with that fallback policy.
         of: u64,
-        /// Where.
+        /// The paths in which the proposed policy is stricter.
         paths: Vec<String>,
-        /// Who, where that is known.
+        /// The proxies concerned, where they are known.
         who: Vec<String>,
-        /// For so long at the most, in seconds.
+        /// For how long at most, in seconds.
         for_s: u64,
     },
 }
 
-fn named(who: &[String]) -> String {
+fn join_names(who: &[String]) -> String {
     match who.len() {
         0 => "proxies that are cut off".into(),
-        n if n > NAMED => format!("{} and {} more", who[..NAMED].join(", "), n - NAMED),
+        n if n > MAX_NAMED_PROXIES => {
+            format!("{} and {} more", who[..MAX_NAMED_PROXIES].join(", "), n - MAX_NAMED_PROXIES)
+        }
         _ => who.join(", "),
     }
 }
 
-/// Who may act by a floor, and until when.
-struct Users {
-    who: BTreeSet<String>,
+/// The proxies that may apply a fallback policy, and until when.
+struct FallbackUsers {
+    names: BTreeSet<String>,
     until: Nanos,
 }
 
 impl PolicyArchive {
-    /// What was kept, when a leader begins.
+    /// The archive of persisted policies at the start of a leadership.
     pub fn lead(
-        kept: BTreeMap<PolicyNumber, Policy>,
-        first: FallbackPolicy,
+        persisted: BTreeMap<PolicyNumber, Policy>,
+        initial: FallbackPolicy,
         record: &PolicyRecord,
         now: Nanos,
     ) -> Self {
         let proposed = record.policy_set().numbers().nth(1);
-        let held = kept.keys().copied().chain([PolicyNumber(0)]).filter(|n| Some(*n) != proposed).collect();
-        let leaves = BTreeMap::new();
-        PolicyArchive { policies: kept, held, first: Policy::base(first), leaves, since: now }
+        let ever_in_force =
+            persisted.keys().copied().chain([PolicyNumber(0)]).filter(|n| Some(*n) != proposed).collect();
+        let leases = BTreeMap::new();
+        PolicyArchive {
+            policies: persisted,
+            ever_in_force,
+            initial: Policy::base(initial),
+            leases,
+            leading_since: now,
+        }
     }
 
-    /// A policy, where it is kept.
+    /// A policy, if it is retained.
     pub fn get(&self, number: PolicyNumber) -> Option<&Policy> {
-        self.policies.get(&number).or((number == PolicyNumber(0)).then_some(&self.first))
+        self.policies.get(&number).or((number == PolicyNumber(0)).then_some(&self.initial))
     }
 
-    /// Puts one there that was kept in the store.
+    /// Adds a policy that has been persisted.
     pub fn put(&mut self, number: PolicyNumber, policy: Policy) {
         self.policies.insert(number, policy);
     }
 
-    /// The record stands so now.
+    /// Notes a new record.
     pub fn moved(&mut self, record: &PolicyRecord) {
-        self.held.insert(record.holds);
+        self.ever_in_force.insert(record.holds);
     }
 
-    /// A process has asked, and is granted leave for what the record says.
-    pub fn granted(&mut self, name: &str, ask: &LeaseRequest, record: &PolicyRecord, now: Nanos) {
-        let leaves = self.leaves.entry((name.to_owned(), ask.boot)).or_default();
-        // What it acts by it never goes back behind, nor to the floors before it.
-        leaves.retain(|revision, _| *revision >= ask.acting);
-        leaves.insert(record.revision, Leave { of: record.holds, granted: now });
+    /// Notes that a process was granted a lease for the policy set of the record.
+    pub fn granted(&mut self, name: &str, request: &LeaseRequest, record: &PolicyRecord, now: Nanos) {
+        let leases = self.leases.entry((name.to_owned(), request.boot)).or_default();
+        // A process never goes back behind what it applies, nor to the fallback policies before that.
+        leases.retain(|revision, _| *revision >= request.acting);
+        leases.insert(record.revision, GrantedLease { policy: record.holds, granted_at: now });
     }
 
-    /// Forgets the leaves behind which nobody can stand any more, and gives the policies that can be dropped: of no use to anybody, and
-    /// not among the last.
+    /// Removes leases whose fallback policy nobody can apply any more, and returns the policies that can be dropped: those of no use to
+    /// anybody and not among the last.
     pub fn useless(&mut self, record: &PolicyRecord, terms: &LeaseTerms, now: Nanos) -> Vec<PolicyNumber> {
-        let over = terms.floor_over();
-        self.leaves.retain(|_, leaves| {
-            leaves.retain(|_, leave| now.saturating_sub(leave.granted) <= over);
-            !leaves.is_empty()
+        let expiry = terms.fallback_expiry();
+        self.leases.retain(|_, leases| {
+            leases.retain(|_, lease| now.saturating_sub(lease.granted_at) <= expiry);
+            !leases.is_empty()
         });
-        let most = self.policies.len().saturating_sub(STAY);
-        let free = |n: &PolicyNumber| {
+        let most = self.policies.len().saturating_sub(RETAINED_POLICIES);
+        let is_useless = |n: &PolicyNumber| {
             !record.policy_set().numbers().any(|named| named == *n)
                 && self.users(*n, record, terms, now).is_none()
         };
-        self.policies.keys().copied().filter(free).take(most).collect()
+        self.policies.keys().copied().filter(is_useless).take(most).collect()
     }
 
-    /// Forgets some.
+    /// Removes policies.
     pub fn forget(&mut self, numbers: &[PolicyNumber]) {
         numbers.iter().for_each(|number| drop(self.policies.remove(number)));
     }
 
-    /// Who may act by the floor of a policy; `None`: nobody.
+    /// The proxies that may apply the fallback policy of a policy; `None`: none.
     fn users(
         &self,
         number: PolicyNumber,
         record: &PolicyRecord,
         terms: &LeaseTerms,
         now: Nanos,
-    ) -> Option<Users> {
-        if !self.held.contains(&number) {
+    ) -> Option<FallbackUsers> {
+        if !self.ever_in_force.contains(&number) {
             return None;
         }
-        let over = terms.floor_over();
-        let mut users = Users { who: BTreeSet::new(), until: 0 };
-        for ((name, _), leaves) in &self.leaves {
-            let last = leaves.values().filter(|leave| leave.of == number).map(|leave| leave.granted).max();
-            if let Some(until) = last.map(|at| at.saturating_add(over)).filter(|until| now <= *until) {
-                users.who.insert(name.clone());
+        let expiry = terms.fallback_expiry();
+        let mut users = FallbackUsers { names: BTreeSet::new(), until: 0 };
+        for ((name, _), leases) in &self.leases {
+            let last =
+                leases.values().filter(|lease| lease.policy == number).map(|lease| lease.granted_at).max();
+            if let Some(until) =
+                last.map(|granted_at| granted_at.saturating_add(expiry)).filter(|until| now <= *until)
+            {
+                users.names.insert(name.clone());
                 users.until = users.until.max(until);
             }
         }
-        // Whom leaders before this one gave leave, and whoever has it and loses it now.
-        let unknown = self.since.saturating_add(over);
+        // Leases of previous leaders, and proxies that hold a lease and lose it now.
+        let predecessors_expired_at = self.leading_since.saturating_add(expiry);
         if number == record.holds {
-            users.until = now.saturating_add(over);
-        } else if now <= unknown {
-            users.until = users.until.max(unknown);
+            users.until = now.saturating_add(expiry);
+        } else if now <= predecessors_expired_at {
+            users.until = users.until.max(predecessors_expired_at);
         }
         (users.until > 0).then_some(users)
     }
 
-    /// A policy with these settings, where it may be proposed now. Without a floor of its own it has that of the one that holds.
+    /// Validates a policy that is to be proposed now. Without a fallback policy of its own it gets that of the policy in force.
     ///
     /// # Errors
-    /// See [`Unfit`].
+    /// See [`UnfitPolicy`].
     pub fn fit(
         &self,
         settings: &Value,
@@ -173,11 +186,11 @@
         now: Nanos,
     ) -> Result<Policy, UnfitPolicy> {
         let floor = match floor.filter(|f| !f.is_null()) {
-            Some(told) => FallbackPolicy::read(told)?,
+            Some(document) => FallbackPolicy::read(document)?,
             None => self.get(record.holds).map_or(FallbackPolicy::Nobody, |p| p.floor.clone()),
         };
         let policy = Policy::of(settings, floor)?;
-        for number in &self.held {
+        for number in &self.ever_in_force {
             let Some(other) = self.get(*number) else { continue };
             let paths = other.floor.looser(&policy.settings);
             if paths.is_empty() {
@@ -186,7 +199,7 @@
             if let Some(users) = self.users(*number, record, terms, now) {
                 let who = match *number == record.holds {
                     true => vec!["whoever loses its leave".into()],
-                    false => users.who.into_iter().collect(),
+                    false => users.names.into_iter().collect(),
                 };
                 let for_s = users.until.saturating_sub(now).div_ceil(1_000_000_000);
                 return Err(UnfitPolicy::BelowFloor { of: number.0, paths, who, for_s });
--- a/crates/core/policy/src/broadcast.rs
+++ b/crates/core/policy/src/broadcast.rs
@@ -1,36 +1,35 @@
-//! What the leader tells all members alike: the revision that holds, and the policies that it is about.
+//! The broadcast that the leader sends to all members: the revision in force and the policies that it names.
 
 use crate::document::{Policy, PolicyError};
-use crate::messages::PolicySet;
-use crate::record::{PolicyNumber, Revision};
+use crate::policy_set::{PolicyNumber, PolicySet, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The present form. A later one may mean something else by the same fields.
-const FORM: u32 = 1;
+/// Format version. A change to the meaning of an existing field increments it.
+const FORMAT_VERSION: u32 = 1;
 
-/// What holds, with all that is needed to act by it.
+/// The policy set in force, with the policies it names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyBroadcast {
-    /// Of the record in the store.
+    /// Revision of the stored record.
     pub revision: Revision,
-    /// What it says.
+    /// The policy set of that revision.
     pub told: PolicySet,
-    /// The policies that are named in it.
+    /// The policies of the set.
     pub policies: BTreeMap<PolicyNumber, Policy>,
 }
 
-/// Why what was told can't be acted by.
+/// Why a broadcast cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BroadcastError {
-    /// No such text at all: not even its revision is known.
+    /// The text is not a broadcast; not even its revision is known.
     #[error("not a record of policies: {0}")]
     Malformed(String),
-    /// It is of a revision that this program can't obey.
+    /// This program cannot apply the revision.
     #[error("{why}")]
     Beyond {
-        /// Which.
+        /// The revision.
         revision: Revision,
         /// Why.
         why: String,
@@ -38,56 +37,49 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct BroadcastDocument {
     form: u32,
     revision: Revision,
     told: PolicySet,
     policies: BTreeMap<PolicyNumber, Value>,
 }
 
-impl PolicySet {
-    /// The policies that it names: the old first.
-    pub fn numbers(self) -> impl Iterator<Item = PolicyNumber> {
-        let (one, two) = match self {
-            PolicySet::Pure(one) => (one, None),
-            PolicySet::Joint(old, new) => (old, Some(new)),
-        };
-        std::iter::once(one).chain(two)
-    }
-}
-
 impl PolicyBroadcast {
-    /// As it travels.
+    /// The broadcast as JSON text.
     pub fn text(&self) -> String {
-        let policies = self.policies.iter().map(|(n, p)| (*n, p.document())).collect();
-        let written = Written { form: FORM, revision: self.revision, told: self.told, policies };
-        serde_json::to_string(&written).unwrap_or_default()
+        let policies = self.policies.iter().map(|(number, policy)| (*number, policy.document())).collect();
+        let document =
+            BroadcastDocument { form: FORMAT_VERSION, revision: self.revision, told: self.told, policies };
+        serde_json::to_string(&document).unwrap_or_default()
     }
 
-    /// Reads what came.
+    /// Decodes a broadcast.
     ///
     /// # Errors
-    /// See [`HoldingError`]. Danger: what a program can't read it must be able to refuse by its revision, or nobody would learn why the
-    /// change waits for it.
+    /// See [`BroadcastError`]. Danger: a program has to be able to reject by its revision what it cannot read, or nobody would learn why
+    /// the change waits for it.
     pub fn read(text: &str) -> Result<Self, BroadcastError> {
-        let malformed = |e: serde_json::Error| BroadcastError::Malformed(e.to_string());
+        let malformed = |error: serde_json::Error| BroadcastError::Malformed(error.to_string());
         let value: Value = serde_json::from_str(text).map_err(malformed)?;
         let revision = Revision::deserialize(&value["revision"]).map_err(malformed)?;
-        let beyond = |why: String| BroadcastError::Beyond { revision, why };
-        if let Some(form) = value["form"].as_u64().filter(|f| *f != u64::from(FORM)) {
-            return Err(beyond(format!("form {form}; this program reads form {FORM}: upgrade it first")));
+        let unusable = |why: String| BroadcastError::Beyond { revision, why };
+        if let Some(form) = value["form"].as_u64().filter(|f| *f != u64::from(FORMAT_VERSION)) {
+            return Err(unusable(format!(
+                "form {form}; this program reads form {FORMAT_VERSION}: upgrade it first"
+            )));
         }
-        let written: Written = serde_json::from_value(value).map_err(|e| beyond(e.to_string()))?;
-        let read = |(n, told): (&PolicyNumber, &Value)| Ok((*n, Policy::read(told)?));
-        let policies: Result<_, PolicyError> = written.policies.iter().map(read).collect();
-        let holding = PolicyBroadcast {
+        let document: BroadcastDocument =
+            serde_json::from_value(value).map_err(|e| unusable(e.to_string()))?;
+        let read = |(number, value): (&PolicyNumber, &Value)| Ok((*number, Policy::read(value)?));
+        let policies: Result<_, PolicyError> = document.policies.iter().map(read).collect();
+        let broadcast = PolicyBroadcast {
             revision,
-            told: written.told,
-            policies: policies.map_err(|e| beyond(e.to_string()))?,
+            told: document.told,
+            policies: policies.map_err(|e| unusable(e.to_string()))?,
         };
-        match holding.told.numbers().find(|n| !holding.policies.contains_key(n)) {
-            Some(missing) => Err(beyond(format!("policy {} is named and not told", missing.0))),
-            None => Ok(holding),
+        match broadcast.told.numbers().find(|n| !broadcast.policies.contains_key(n)) {
+            Some(missing) => Err(unusable(format!("policy {} is named and not told", missing.0))),
+            None => Ok(broadcast),
         }
     }
 }
--- a/crates/core/policy/src/coordinator.rs
+++ b/crates/core/policy/src/coordinator.rs
@@ -1,197 +1,218 @@
-//! The leader's side: who may still act by what, and when a change is decided.
+//! The coordinator of policy leases: it runs at the leader, grants leases to members and decides when a change ends.
 
-use crate::messages::{Incarnation, LeaseGrant, LeaseRequest};
-use crate::record::{ChangeOutcome, Phase, PolicyRecord, Revision};
+use crate::messages::{LeaseGrant, LeaseRequest};
+use crate::policy_set::{Incarnation, Revision};
+use crate::record::{ChangeOutcome, Phase, PolicyRecord};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Spans of the protocol.
+/// Durations of the lease protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// A leave lasts so long, by the member's clock.
+    /// Duration of a lease, by the member's clock.
     pub span: Nanos,
-    /// Clocks run so many parts in a million fast or slow at the most, below 500,000.
+    /// Maximum drift of a clock in either direction, in parts per million; below 500,000.
     pub drift_ppm: u64,
-    /// A change that is not decided by then is aborted, counted while this leader leads.
+    /// A change that is undecided for so long is aborted, counted from when this leader learned of it.
     pub limit: Nanos,
-    /// For so long beyond its leave a member may act by the floor, by its clock.
+    /// For how long after its lease expires a member may apply the fallback policy, by its own clock.
     pub floor: Nanos,
 }
 
 impl LeaseTerms {
-    /// After so long, by this leader's clock, a leave that was granted is surely over by the member's. The member's clock may be slow
-    /// and this one fast: S/(1-d) of true time for the leave, of which this clock shows (1+d).
-    pub fn over(&self) -> Nanos {
-        self.stretched(self.span)
+    /// The time, by this leader's clock, after which a granted lease has surely expired by the member's clock. The member's clock may be
+    /// slow and this one fast: a lease of S lasts S/(1-d) of true time, during which this clock shows (1+d) times as much.
+    pub fn lease_expiry(&self) -> Nanos {
+        self.worst_case(self.span)
     }
 
-    /// After so long, by this leader's clock, nobody acts by the floor any more of a leave that was granted.
-    pub fn floor_over(&self) -> Nanos {
-        self.stretched(self.span.saturating_add(self.floor))
+    /// The time, by this leader's clock, after which nobody applies the fallback policy of a granted lease any more.
+    pub fn fallback_expiry(&self) -> Nanos {
+        self.worst_case(self.span.saturating_add(self.floor))
     }
 
-    fn stretched(&self, span: Nanos) -> Nanos {
+    fn worst_case(&self, span: Nanos) -> Nanos {
         const PPM: u128 = 1_000_000;
         let drift = u128::from(self.drift_ppm.min(500_000));
-        let over = (u128::from(span) * (PPM + drift)).div_ceil(PPM - drift);
-        Nanos::try_from(over).unwrap_or(Nanos::MAX)
+        let worst_case = (u128::from(span) * (PPM + drift)).div_ceil(PPM - drift);
+        Nanos::try_from(worst_case).unwrap_or(Nanos::MAX)
     }
 }
 
-/// A process of a member, as this leader knows it.
+/// What this leader knows of one process of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Seat {
-    /// By revision: when leave for it was granted last. Those that are over are forgotten.
-    leaves: BTreeMap<Revision, Nanos>,
-    /// The newest revision that it said it acts by.
+struct Process {
+    /// When the last lease for each revision was granted; expired leases are removed.
+    leases: BTreeMap<Revision, Nanos>,
+    /// The newest revision that the process reported as applied.
     acting: Revision,
     refused: Option<(Revision, String)>,
 }
 
-/// Who holds a change up.
+/// A member that a pending change waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BlockedReason {
-    /// The member; empty: this leader itself, which has only just begun.
+    /// Name of the member; empty: this leader itself, which has only just taken over.
     pub name: String,
-    /// Its process.
+    /// The member's process.
     pub boot: Incarnation,
-    /// When it is fenced and waited for no more, by this leader's clock.
+    /// When the member is fenced and no longer waited for, by this leader's clock.
     pub fenced_at: Nanos,
 }
 
-/// The leader of an epoch.
+/// The coordinator of one leadership epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
     terms: LeaseTerms,
     record: PolicyRecord,
-    /// Since when it leads.
-    since: Nanos,
-    /// Since when it knows of the change under way.
+    /// Start of the leadership.
+    leading_since: Nanos,
+    /// When this leader learned of the present record.
     change_since: Nanos,
-    seats: BTreeMap<(String, Incarnation), Seat>,
-    /// Who has heard of a revision that the store does not know.
-    beyond: Option<(String, Revision)>,
+    processes: BTreeMap<(String, Incarnation), Process>,
+    /// A member that has seen a revision which the store does not know, and that revision.
+    ahead_of_store: Option<(String, Revision)>,
 }
 
 impl Coordinator {
-    /// Leads from now on, on what stands in the store.
+    /// Begins a leadership on the stored record.
     pub fn lead(terms: LeaseTerms, record: PolicyRecord, now: Nanos) -> Self {
-        Coordinator { terms, record, since: now, change_since: now, seats: BTreeMap::new(), beyond: None }
+        Coordinator {
+            terms,
+            record,
+            leading_since: now,
+            change_since: now,
+            processes: BTreeMap::new(),
+            ahead_of_store: None,
+        }
     }
 
-    /// What stands in the store, as far as it is known here.
+    /// The stored record, as far as it is known here.
     pub fn record(&self) -> &PolicyRecord {
         &self.record
     }
 
-    /// A record stands in the store from now on. Danger: told before it stands there, a decision would be known to members and to no
-    /// successor.
+    /// Adopts a record that has been persisted. Danger: if a record were adopted before it is persisted, members would know of a decision
+    /// that no successor knows.
     pub fn kept(&mut self, record: PolicyRecord, now: Nanos) {
         self.record = record;
         self.change_since = now;
     }
 
-    /// Who has heard of a revision that the store does not know: the store was lost, or is an older copy. What others act by is not known
-    /// here then, so nobody has leave and nothing is decided.
+    /// The member that has seen a revision which the store does not know: the store was lost, or is an older copy. What other members
+    /// apply is not known here then, so no lease is granted and nothing is decided.
     pub fn behind(&self) -> Option<(&str, Revision)> {
-        let beyond = self.beyond.as_ref().filter(|(_, revision)| *revision > self.record.revision);
-        beyond.map(|(name, revision)| (name.as_str(), *revision))
+        let ahead_of_store =
+            self.ahead_of_store.as_ref().filter(|(_, revision)| *revision > self.record.revision);
+        ahead_of_store.map(|(name, revision)| (name.as_str(), *revision))
     }
 
-    /// When nobody can act any more by what leaders before this one gave leave for, by this leader's clock.
+    /// When all leases granted by previous leaders have expired, by this leader's clock.
     pub fn alone_from(&self) -> Nanos {
-        self.since.saturating_add(self.terms.over())
+        self.leading_since.saturating_add(self.terms.lease_expiry())
     }
 
-    /// A member has asked, and is answered; `None`: nobody has leave. The caller must lead, by its own clock, as it calls this.
-    pub fn hear(&mut self, name: &str, ask: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
-        // Danger: granted leave for what such a store says, a proxy that has just started would act by it beside those that act by what is
-        // not there any more.
-        if ask.heard > self.beyond.as_ref().map_or(self.record.revision, |(_, revision)| *revision) {
-            self.beyond = Some((name.to_owned(), ask.heard));
+    /// Answers a request of a member; `None`: no lease is granted. The caller must be the leader, by its own clock, when it calls this.
+    pub fn hear(&mut self, name: &str, request: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
+        // Danger: with a lease for the content of such a store, a proxy that has just started would apply it beside proxies that apply
+        // what is no longer stored.
+        if request.heard
+            > self.ahead_of_store.as_ref().map_or(self.record.revision, |(_, revision)| *revision)
+        {
+            self.ahead_of_store = Some((name.to_owned(), request.heard));
         }
         if self.behind().is_some() {
             return None;
         }
-        let over = self.terms.over();
-        let seat = self.seats.entry((name.to_owned(), ask.boot)).or_default();
-        // Word that comes late says less than is known; a process never goes back to an earlier revision.
-        seat.acting = seat.acting.max(ask.acting);
-        if ask.refused.as_ref().map(|r| r.0) > seat.refused.as_ref().map(|r| r.0) {
-            seat.refused.clone_from(&ask.refused);
+        let lease_expiry = self.terms.lease_expiry();
+        let process = self.processes.entry((name.to_owned(), request.boot)).or_default();
+        // A delayed request reports less than is known; a process never goes back to an earlier revision.
+        process.acting = process.acting.max(request.acting);
+        if request.refused.as_ref().map(|r| r.0) > process.refused.as_ref().map(|r| r.0) {
+            process.refused.clone_from(&request.refused);
         }
-        seat.leaves.retain(|_, granted| now.saturating_sub(*granted) <= over);
-        seat.leaves.insert(self.record.revision, now);
+        process.leases.retain(|_, granted| now.saturating_sub(*granted) <= lease_expiry);
+        process.leases.insert(self.record.revision, now);
         let (revision, told) = (self.record.revision, self.record.policy_set());
         let LeaseTerms { span, floor, .. } = self.terms;
-        Some(LeaseGrant { boot: ask.boot, seq: ask.seq, revision, told, span, floor })
+        Some(LeaseGrant { boot: request.boot, seq: request.seq, revision, told, span, floor })
     }
 
-    /// Who may still act by something older than the present revision.
+    /// The members that may still apply something older than the present revision.
     pub fn holdups(&self, now: Nanos) -> Vec<BlockedReason> {
-        let over = self.terms.over();
-        let mut holdups = Vec::new();
-        // Danger: whoever led before may have granted leave to members that this one has never heard of, up to the end of its lease.
-        let own = self.alone_from();
-        if now <= own {
-            holdups.push(BlockedReason { name: String::new(), boot: Incarnation(0), fenced_at: own });
+        let lease_expiry = self.terms.lease_expiry();
+        let mut blocked = Vec::new();
+        // Danger: previous leaders may have granted leases to members unknown to this one, up to the end of their leadership.
+        let predecessors_expired_at = self.alone_from();
+        if now <= predecessors_expired_at {
+            blocked.push(BlockedReason {
+                name: String::new(),
+                boot: Incarnation(0),
+                fenced_at: predecessors_expired_at,
+            });
         }
-        for ((name, boot), seat) in &self.seats {
-            // One that acts by the present revision never goes back to an earlier one.
-            if seat.acting >= self.record.revision {
+        for ((name, boot), process) in &self.processes {
+            // A process that applies the present revision never goes back to an earlier one.
+            if process.acting >= self.record.revision {
                 continue;
             }
-            let older = seat.leaves.range(..self.record.revision).map(|(_, at)| at.saturating_add(over));
-            if let Some(fenced_at) = older.max().filter(|fenced_at| now <= *fenced_at) {
-                holdups.push(BlockedReason { name: name.clone(), boot: *boot, fenced_at });
+            let granted_for_older = process
+                .leases
+                .range(..self.record.revision)
+                .map(|(_, granted_at)| granted_at.saturating_add(lease_expiry));
+            if let Some(fenced_at) = granted_for_older.max().filter(|fenced_at| now <= *fenced_at) {
+                blocked.push(BlockedReason { name: name.clone(), boot: *boot, fenced_at });
             }
         }
-        holdups
+        blocked
     }
 
-    /// How the change under way ends now, if it does: what is to be kept, and only then counts.
+    /// The record with the pending change ended, if it ends now. It takes effect only once it is persisted.
     pub fn step(&mut self, now: Nanos) -> Option<PolicyRecord> {
-        let over = self.terms.over();
-        self.seats.retain(|_, seat| seat.leaves.values().any(|granted| now.saturating_sub(*granted) <= over));
+        let lease_expiry = self.terms.lease_expiry();
+        self.processes.retain(|_, process| {
+            process.leases.values().any(|granted| now.saturating_sub(*granted) <= lease_expiry)
+        });
         let Phase::Joint(_) = self.record.phase else { return None };
         if self.behind().is_some() {
             return None;
         }
         let revision = self.record.revision;
-        let refused = self.seats.iter().find_map(|((name, _), seat)| {
-            let (_, why) = seat.refused.as_ref().filter(|(what, _)| *what == revision)?;
+        let refused = self.processes.iter().find_map(|((name, _), process)| {
+            let (_, why) =
+                process.refused.as_ref().filter(|(rejected_revision, _)| *rejected_revision == revision)?;
             Some(ChangeOutcome::Refused { name: name.clone(), why: why.clone() })
         });
-        let holdups = self.holdups(now);
-        let how = match (refused, holdups.is_empty()) {
+        let blocked = self.holdups(now);
+        let outcome = match (refused, blocked.is_empty()) {
             (Some(refused), _) => refused,
             (None, true) => ChangeOutcome::Committed,
             (None, false) if now.saturating_sub(self.change_since) > self.terms.limit => {
-                let name = |h: &BlockedReason| {
-                    if h.name.is_empty() {
+                let name = |reason: &BlockedReason| {
+                    if reason.name.is_empty() {
                         "a leader that has only just begun".into()
                     } else {
-                        h.name.clone()
+                        reason.name.clone()
                     }
                 };
-                ChangeOutcome::OverTime { held_up_by: holdups.iter().map(name).collect() }
+                ChangeOutcome::OverTime { held_up_by: blocked.iter().map(name).collect() }
             }
             (None, false) => return None,
         };
-        self.record.conclude(how)
+        self.record.conclude(outcome)
     }
 
-    /// The processes that have leave now, as far as this leader knows: name, process, and the newest revision that each said it acts by.
+    /// The processes that hold a lease as far as this leader knows: name, process, and the newest revision reported as applied.
     pub fn members(&self) -> impl Iterator<Item = (&str, Incarnation, Revision)> {
-        self.seats.iter().map(|((name, boot), seat)| (name.as_str(), *boot, seat.acting))
+        self.processes.iter().map(|((name, boot), process)| (name.as_str(), *boot, process.acting))
     }
 
-    /// The spans that it goes by.
+    /// The durations of the protocol.
     pub fn terms(&self) -> LeaseTerms {
         self.terms
     }
 
-    /// By when the change under way has an end at the latest, by this leader's clock.
+    /// When the pending change is aborted at the latest, by this leader's clock.
     pub fn gives_up(&self) -> Nanos {
         self.change_since.saturating_add(self.terms.limit)
     }
--- a/crates/core/policy/src/document.rs
+++ b/crates/core/policy/src/document.rs
@@ -1,66 +1,66 @@
-//! What a policy says: settings that are laid over each proxy's own, and the floor for who has no leave.
+//! The content of a policy: settings applied over each proxy's own, and the fallback policy of proxies without a lease.
 
 use rushquay_config_version::{ConfigVersion, FieldError};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What a proxy acts by that has no leave.
+/// What a proxy applies whose policy lease has expired.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FallbackPolicy {
-    /// It serves nobody.
+    /// Serve nobody.
     Nobody,
-    /// These settings, laid over its own. They are never looser than the policy that names them.
+    /// Apply these settings over the proxy's own. They are never looser than the policy they belong to.
     Settings(ConfigVersion),
 }
 
-/// A policy, whole and checked.
+/// A complete, validated policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Settings that are laid over a proxy's own.
+    /// Settings applied over a proxy's own.
     pub settings: ConfigVersion,
-    /// What holds for who has no leave.
+    /// What a proxy without a lease applies.
     pub floor: FallbackPolicy,
 }
 
-/// Why a policy can't be taken.
+/// Why a policy is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
-    /// A field of it.
+    /// A field is invalid.
     #[error("{part}: {fault}")]
     Field {
         /// `policy` or `floor`.
         part: &'static str,
-        /// Which, and what was expected there.
+        /// The field, and what was expected there.
         fault: FieldError,
     },
-    /// Something that is no policy.
+    /// The document is not a policy.
     #[error("not a policy: {0}; expected settings, and floor: settings or \"nobody\"")]
     Form(String),
-    /// The floor would let through what the policy doesn't.
+    /// The fallback policy permits what the policy does not.
     #[error("floor: looser than the policy in {}: name each field that the policy names, at least as strictly", .0.join(", "))]
     Looser(Vec<String>),
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct PolicyDocument {
     settings: Value,
     floor: Value,
 }
 
-/// The word for nobody.
+/// The fallback policy that serves nobody, in documents.
 const NOBODY: &str = "nobody";
 
 impl FallbackPolicy {
-    /// Reads settings, or the word for nobody.
+    /// Reads settings, or the value `"nobody"`.
     ///
     /// # Errors
     /// See [`PolicyError`].
-    pub fn read(told: &Value) -> Result<Self, PolicyError> {
-        match told {
-            Value::String(word) if word == NOBODY => Ok(FallbackPolicy::Nobody),
+    pub fn read(value: &Value) -> Result<Self, PolicyError> {
+        match value {
+            Value::String(text) if text == NOBODY => Ok(FallbackPolicy::Nobody),
             Value::Object(_) => {
-                let read = ConfigVersion::read(told);
+                let read = ConfigVersion::read(value);
                 read.map(FallbackPolicy::Settings)
                     .map_err(|fault| PolicyError::Field { part: "floor", fault })
             }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// As it is written.
+    /// The fallback policy as a JSON document.
     pub fn document(&self) -> Value {
         match self {
             FallbackPolicy::Nobody => NOBODY.into(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The paths in which it is looser than these settings, or can't be compared with them.
+    /// The paths in which this fallback policy is looser than `than`, or incomparable with it.
     pub fn looser(&self, than: &ConfigVersion) -> Vec<String> {
         match self {
             FallbackPolicy::Nobody => Vec::new(),
@@ -86,12 +86,12 @@
 }
 
 impl Policy {
-    /// The one that says nothing: each proxy acts by its own file.
+    /// The empty policy: each proxy applies its own settings.
     pub fn base(floor: FallbackPolicy) -> Self {
         Policy { settings: ConfigVersion::base(), floor }
     }
 
-    /// Checks a policy.
+    /// Validates a proposed policy.
     ///
     /// # Errors
     /// See [`PolicyError`].
@@ -116,21 +116,22 @@
         Ok(Policy { settings, floor })
     }
 
-    /// Reads one as [`Policy::document`] writes it. It was checked when it was proposed; what this program can't read is refused here.
+    /// Reads a policy as [`Policy::document`] writes it. It was validated when it was proposed; what this program cannot read is rejected.
     ///
     /// # Errors
     /// See [`PolicyError`].
-    pub fn read(told: &Value) -> Result<Self, PolicyError> {
-        let written = Written::deserialize(told).map_err(|e| PolicyError::Form(e.to_string()))?;
+    pub fn read(value: &Value) -> Result<Self, PolicyError> {
+        let document =
+            PolicyDocument::deserialize(value).map_err(|error| PolicyError::Form(error.to_string()))?;
         let field = |fault| PolicyError::Field { part: "policy", fault };
-        let settings = ConfigVersion::read(&written.settings).map_err(field)?;
-        Ok(Policy { settings, floor: FallbackPolicy::read(&written.floor)? })
+        let settings = ConfigVersion::read(&document.settings).map_err(field)?;
+        Ok(Policy { settings, floor: FallbackPolicy::read(&document.floor)? })
     }
 
-    /// As it is kept and told.
+    /// The policy as a JSON document, as it is stored and broadcast.
     pub fn document(&self) -> Value {
-        let written = Written { settings: self.settings.document(), floor: self.floor.document() };
-        // Plain fields always have a JSON form.
-        serde_json::to_value(written).unwrap_or_default()
+        let document = PolicyDocument { settings: self.settings.document(), floor: self.floor.document() };
+        // Serialising plain fields to JSON cannot fail.
+        serde_json::to_value(document).unwrap_or_default()
     }
 }
--- a/crates/core/policy/src/intersection.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -1,15 +1,15 @@
-//! What a proxy obeys between two policies: field by field what breaks neither.
+//! The intersection of two policies: field by field, the settings that comply with both.
 
 use crate::strictness::{compare_strictness, Strictness};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where two policies have nothing in common: what is asked for there is refused until the change is decided.
+/// A field in which two policies have nothing in common: the requests it concerns are rejected until the change is decided.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RejectedClass {
-    /// The class that is refused; `None`: every request.
+    /// The request class that is rejected; `None`: every request.
     pub class: Option<String>,
-    /// The field, by its path.
+    /// Path of the field.
     pub path: String,
 }
 
@@ -20,33 +20,33 @@
     }
 }
 
-/// The meet of two policies.
+/// The intersection of two policies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Intersection {
-    /// A proxy's settings; tenants in the order of their names.
+    /// Settings of a proxy; tenants in the order of their names.
     pub settings: Value,
-    /// What it refuses.
+    /// The request classes that the proxy rejects.
     pub stops: BTreeSet<RejectedClass>,
 }
 
-/// The stricter of two values; `None`: they have nothing in common.
+/// The stricter of two values, or what they have in common; `None`: nothing.
 fn stricter(order: Strictness, a: &Value, b: &Value) -> Option<Value> {
     if a == b {
         return Some(a.clone());
     }
     if let (Strictness::Subset, Some(one), Some(two)) = (order, a.as_array(), b.as_array()) {
         let both: Vec<Value> = one.iter().filter(|v| two.contains(v)).cloned().collect();
-        return (!both.is_empty()).then(|| Value::Array(sorted(both)));
+        return (!both.is_empty()).then(|| Value::Array(canonical_set(both)));
     }
-    match (order.strict(a, b), order.strict(b, a)) {
+    match (order.is_at_least_as_strict(a, b), order.is_at_least_as_strict(b, a)) {
         (Some(true), _) => Some(a.clone()),
         (_, Some(true)) => Some(b.clone()),
         _ => None,
     }
 }
 
-/// One of two, the same whichever is named first.
-fn either(one: Value, two: Value) -> Value {
+/// One of two values; the choice does not depend on their order.
+fn either_value(one: Value, two: Value) -> Value {
     let texts = [one.to_string(), two.to_string()];
     if texts[0] <= texts[1] {
         one
@@ -55,32 +55,32 @@
     }
 }
 
-/// Members of a set, each once, in an order that is the same for the same set.
-fn sorted(mut set: Vec<Value>) -> Vec<Value> {
+/// The members of a set without duplicates, in a canonical order.
+fn canonical_set(mut set: Vec<Value>) -> Vec<Value> {
     set.sort_by_key(Value::to_string);
     set.dedup();
     set
 }
 
-/// A set as [`sorted`] has it, anything else as it is.
-fn normal(order: Strictness, value: &Value) -> Value {
+/// The canonical form of a value: [`canonical_set`] for a set, unchanged otherwise.
+fn canonical(order: Strictness, value: &Value) -> Value {
     match (order, value) {
-        (Strictness::Subset, Value::Array(set)) => Value::Array(sorted(set.clone())),
+        (Strictness::Subset, Value::Array(set)) => Value::Array(canonical_set(set.clone())),
         _ => value.clone(),
     }
 }
 
-struct Meeting {
+struct IntersectionBuilder {
     stops: BTreeSet<RejectedClass>,
 }
 
-impl Meeting {
-    /// The fields of two objects; `path`: where they stand, without numbers. Fields of fields are met in turn.
+impl IntersectionBuilder {
+    /// Intersects two objects field by field, recursively. `path`: where the objects are, without indices.
     fn objects(&mut self, path: &str, class: Option<&str>, a: &Value, b: &Value) -> Value {
         let empty = Map::new();
         let (a, b) = (a.as_object().unwrap_or(&empty), b.as_object().unwrap_or(&empty));
         let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
-        let mut met = Map::new();
+        let mut merged = Map::new();
         for name in names {
             let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
             let (one, two) = (a.get(name).unwrap_or(&Value::Null), b.get(name).unwrap_or(&Value::Null));
@@ -91,35 +91,35 @@
                 self.objects(&path, class, one, two)
             } else {
                 let order = compare_strictness(&path);
-                let (one, two) = (normal(order, one), normal(order, two));
+                let (one, two) = (canonical(order, one), canonical(order, two));
                 stricter(order, &one, &two).unwrap_or_else(|| {
                     self.stops.insert(RejectedClass { class: class.map(str::to_owned), path });
-                    // Nothing is asked for by it meanwhile; which of the two it says must not hang on their order.
-                    either(one, two)
+                    // No request uses the value meanwhile, but the choice must not depend on the order of the two.
+                    either_value(one, two)
                 })
             };
             if !value.is_null() {
-                met.insert(name.clone(), value);
+                merged.insert(name.clone(), value);
             }
         }
-        Value::Object(met)
+        Value::Object(merged)
     }
 
-    /// Classes, in the order in which the proxies have them.
+    /// Intersects the lists of request classes, in the order of the proxies' settings.
     fn classes(&mut self, a: &Value, b: &Value) -> Value {
         let name = |c: &Value| c["name"].as_str().unwrap_or("").to_owned();
         let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
         let (one, two) = (list(a), list(b));
         if one.iter().map(name).ne(two.iter().map(name)) {
             self.stops.insert(RejectedClass { class: None, path: "categories".into() });
-            return either(a.clone(), b.clone());
+            return either_value(a.clone(), b.clone());
         }
         let pairs = one.iter().zip(&two);
-        let met = pairs.map(|(a, b)| self.objects("categories", Some(&name(a)), a, b));
-        Value::Array(met.collect())
+        let merged = pairs.map(|(a, b)| self.objects("categories", Some(&name(a)), a, b));
+        Value::Array(merged.collect())
     }
 
-    /// Tenants, by name. One that only one of the two bounds is bounded.
+    /// Intersects the lists of tenants by name. A tenant that only one policy limits is limited.
     fn tenants(&mut self, a: &Value, b: &Value) -> Value {
         let by_name = |v: &Value| -> BTreeMap<String, Value> {
             let all = v.as_array().cloned().unwrap_or_default();
@@ -135,30 +135,33 @@
     }
 }
 
-/// What breaks neither of two policies, each a proxy's whole settings. It is the same for the two in either order, is itself for two of
-/// one kind, and nowhere looser than either.
+/// Intersects two policies, each given as a proxy's whole settings. The result does not depend on the order of the two, equals the
+/// argument for two equal policies, and is nowhere looser than either.
 pub fn intersect(a: &Value, b: &Value) -> Intersection {
-    let mut meeting = Meeting { stops: BTreeSet::new() };
-    let mut settings = meeting.objects("", None, a, b);
+    let mut builder = IntersectionBuilder { stops: BTreeSet::new() };
+    let mut settings = builder.objects("", None, a, b);
     if !(a["categories"].is_null() && b["categories"].is_null()) {
-        settings["categories"] = meeting.classes(&a["categories"], &b["categories"]);
+        settings["categories"] = builder.classes(&a["categories"], &b["categories"]);
     }
     if !(a["customers"].is_null() && b["customers"].is_null()) {
-        settings["customers"] = meeting.tenants(&a["customers"], &b["customers"]);
+        settings["customers"] = builder.tenants(&a["customers"], &b["customers"]);
     }
-    // A tenant is of no class: where two have nothing in common in one, all is refused.
-    let all = |stop: RejectedClass| RejectedClass { class: stop.class.filter(|c| !c.is_empty()), ..stop };
-    Intersection { settings, stops: meeting.stops.into_iter().map(all).collect() }
+    // A tenant belongs to no class: where its two limits have nothing in common, every request is rejected.
+    let without_empty_class = |rejected: RejectedClass| RejectedClass {
+        class: rejected.class.filter(|c| !c.is_empty()),
+        ..rejected
+    };
+    Intersection { settings, stops: builder.stops.into_iter().map(without_empty_class).collect() }
 }
 
-/// The paths of fields in which `one` is looser than `than`, or can't be compared with it.
+/// The paths of fields in which `one` is looser than `than`, or incomparable with it.
 pub fn looser_paths(one: &Value, than: &Value) -> Vec<String> {
-    let mut found = Vec::new();
-    compare("", one, than, &mut found);
-    found
+    let mut looser = Vec::new();
+    compare("", one, than, &mut looser);
+    looser
 }
 
-fn compare(path: &str, one: &Value, than: &Value, found: &mut Vec<String>) {
+fn compare(path: &str, one: &Value, than: &Value, looser: &mut Vec<String>) {
     let (Some(a), Some(b)) = (one.as_object(), than.as_object()) else { return };
     let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     for name in names {
@@ -169,16 +172,18 @@
                 let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
                 for than in list(than) {
                     match list(one).iter().find(|o| o["name"] == than["name"]) {
-                        Some(one) => compare(&path, one, &than, found),
-                        None => found.push(format!("{path}[{}]", than["name"])),
+                        Some(one) => compare(&path, one, &than, looser),
+                        None => looser.push(format!("{path}[{}]", than["name"])),
                     }
                 }
             }
-            (_, Value::Object(_), Value::Object(_)) => compare(&path, one, than, found),
-            // What is left out holds no fields.
-            (_, Value::Object(_), Value::Null) => compare(&path, one, &Map::new().into(), found),
-            (_, Value::Null, Value::Object(_)) => compare(&path, &Map::new().into(), than, found),
-            (_, one, than) if compare_strictness(&path).strict(one, than) != Some(true) => found.push(path),
+            (_, Value::Object(_), Value::Object(_)) => compare(&path, one, than, looser),
+            // An absent object has no fields.
+            (_, Value::Object(_), Value::Null) => compare(&path, one, &Map::new().into(), looser),
+            (_, Value::Null, Value::Object(_)) => compare(&path, &Map::new().into(), than, looser),
+            (_, one, than) if compare_strictness(&path).is_at_least_as_strict(one, than) != Some(true) => {
+                looser.push(path)
+            }
             _ => {}
         }
     }
--- a/crates/core/policy/src/member.rs
+++ b/crates/core/policy/src/member.rs
@@ -1,194 +1,209 @@
-//! A proxy's side: what it acts by now. It decides nothing; without word for too long it acts by the floor, and then by nothing.
+//! A proxy's side of the lease protocol: which policy set it applies now.
+//!
+//! A member decides nothing. Without a new lease it changes to the fallback policy when its lease expires, and then serves nobody.
 
-use crate::messages::{Incarnation, LeaseGrant, LeaseRequest, PolicySet};
-use crate::record::Revision;
+use crate::messages::{LeaseGrant, LeaseRequest};
+use crate::policy_set::{Incarnation, PolicySet, Revision};
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Asks that may be answered. Danger: an answer to one that is forgotten grants nothing; one a second for half a minute is more than any
-/// leave is long.
-const ASKED: usize = 32;
+/// Pending requests that are remembered. Danger: a grant that answers a forgotten request grants nothing; at one request a second,
+/// half a minute is longer than any lease.
+const MAX_PENDING_REQUESTS: usize = 32;
 
-/// What a proxy acts by.
+/// What a proxy applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ActivePolicy {
-    /// By what it was told, and has leave for.
+    /// The policy set it holds a lease for.
     Leased(PolicySet),
-    /// Its leave has run out: by the floor.
+    /// Its lease has expired: the fallback policy.
     Fallback,
-    /// It was never told anything, or has had no word for longer than the floor may be acted by: it serves nobody.
+    /// Nothing: it never received a policy set, or the time of the fallback policy is over as well. It serves nobody.
     Denied,
 }
 
-/// What a proxy does that has just started and is not answered.
+/// What a proxy does after its start until it gets its first lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StartupPolicy {
-    /// It serves nobody until it is.
+    /// It serves nobody.
     Waits,
-    /// After so long it acts by the floor that its own file names.
+    /// After this time it applies the fallback policy of its own settings file.
     FloorAfter(Nanos),
 }
 
-/// What a process tells the one that takes over from it, on the same machine and so by the same clock.
+/// What a process passes to its successor, on the same machine and therefore by the same clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSnapshot {
-    /// The newest revision that it heard of.
+    /// The newest revision that it has received.
     pub heard: Revision,
-    /// What it acts by.
+    /// The revision and policy set that it applies.
     pub told: Option<(Revision, PolicySet)>,
-    /// Until when it has leave for that.
+    /// When its lease for that expires.
     pub until: Nanos,
-    /// For so long beyond that it may act by the floor.
+    /// For how long after that it may apply the fallback policy.
     pub floor: Nanos,
 }
 
-/// A proxy.
+/// A proxy as a member of the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    boot: Incarnation,
-    /// When it started, and what it does until it is answered.
-    started: Nanos,
-    unanswered: StartupPolicy,
-    /// For so long beyond its leave it may act by the floor, as the last leave said.
-    floor: Nanos,
-    /// Counts up with each ask.
+    incarnation: Incarnation,
+    /// When the process started, and what it does until its first lease.
+    started_at: Nanos,
+    startup: StartupPolicy,
+    /// For how long after its lease expires it may apply the fallback policy, by the last grant.
+    fallback_span: Nanos,
+    /// Incremented by each request.
     seq: u64,
-    /// Asks that are not answered, the oldest first: when each was sent.
-    asked: VecDeque<(u64, Nanos)>,
-    /// The newest revision that was ever heard of; older word is passed over, whatever becomes of this one.
-    heard: Revision,
-    /// What it acts by, and until when.
-    told: Option<(Revision, PolicySet)>,
-    until: Nanos,
+    /// Pending requests, the oldest first, with when each was sent.
+    pending: VecDeque<(u64, Nanos)>,
+    /// The newest revision ever received. Older grants are ignored, whatever becomes of this revision.
+    newest_seen: Revision,
+    /// What it applies, and when the lease for that expires.
+    received: Option<(Revision, PolicySet)>,
+    lease_expires_at: Nanos,
     refused: Option<(Revision, String)>,
 }
 
 impl Member {
-    /// One that starts now and knows nothing.
-    pub fn new(boot: Incarnation, unanswered: StartupPolicy, now: Nanos) -> Self {
+    /// A process that starts now and knows nothing.
+    pub fn new(boot: Incarnation, startup: StartupPolicy, now: Nanos) -> Self {
         Member {
-            boot,
-            started: now,
-            unanswered,
-            floor: 0,
+            incarnation: boot,
+            started_at: now,
+            startup,
+            fallback_span: 0,
             seq: 0,
-            asked: VecDeque::new(),
-            heard: Revision(0),
-            told: None,
-            until: 0,
+            pending: VecDeque::new(),
+            newest_seen: Revision(0),
+            received: None,
+            lease_expires_at: 0,
             refused: None,
         }
     }
 
-    /// What a process that takes over from this one is to know.
+    /// What the successor of this process has to know.
     pub fn snapshot(&self) -> MemberSnapshot {
-        MemberSnapshot { heard: self.heard, told: self.told, until: self.until, floor: self.floor }
+        MemberSnapshot {
+            heard: self.newest_seen,
+            told: self.received,
+            until: self.lease_expires_at,
+            floor: self.fallback_span,
+        }
     }
 
-    /// A process that takes over from another now: it has heard what that one has, so that it never goes back behind it. Danger: it
-    /// has no leave. The coordinator knows of that one's alone; acted by here, it would stand after that one has said that it acts by
-    /// something newer. Until it is answered it acts by the floor.
+    /// A successor that takes over now. It has received what the incumbent has, so that it never goes back to an earlier revision. Danger:
+    /// it holds no lease. The coordinator knows of the incumbent's alone; if the successor used that, it would still apply it after the
+    /// incumbent has reported that it applies something newer. Until its own first lease it applies the fallback policy.
     pub fn take_over(
         boot: Incarnation,
-        unanswered: StartupPolicy,
-        handed: MemberSnapshot,
+        startup: StartupPolicy,
+        incumbent: MemberSnapshot,
         now: Nanos,
     ) -> Self {
-        let MemberSnapshot { heard, told, until, floor } = handed;
-        Member { heard, told, until: until.min(now), floor, ..Member::new(boot, unanswered, now) }
+        let MemberSnapshot { heard, told, until, floor } = incumbent;
+        Member {
+            newest_seen: heard,
+            received: told,
+            lease_expires_at: until.min(now),
+            fallback_span: floor,
+            ..Member::new(boot, startup, now)
+        }
     }
 
-    /// What it acts by now. A request reads it once, and ends by what it read.
+    /// What it applies now. A request reads this once, and completes by what it read.
     pub fn acting(&self, now: Nanos) -> ActivePolicy {
         self.standing(now).0
     }
 
-    /// What it acts by now, and until when, if it hears nothing.
+    /// What it applies now, and until when if no grant arrives.
     pub fn standing(&self, now: Nanos) -> (ActivePolicy, Nanos) {
-        match self.told {
-            Some((_, told)) if now < self.until => (ActivePolicy::Leased(told), self.until),
-            Some(_) => match self.until.saturating_add(self.floor) {
-                over if now < over => (ActivePolicy::Fallback, over),
+        match self.received {
+            Some((_, set)) if now < self.lease_expires_at => {
+                (ActivePolicy::Leased(set), self.lease_expires_at)
+            }
+            Some(_) => match self.lease_expires_at.saturating_add(self.fallback_span) {
+                fallback_until if now < fallback_until => (ActivePolicy::Fallback, fallback_until),
                 _ => (ActivePolicy::Denied, Nanos::MAX),
             },
-            None => match self.unanswered {
+            None => match self.startup {
                 StartupPolicy::Waits => (ActivePolicy::Denied, Nanos::MAX),
-                StartupPolicy::FloorAfter(wait) => match self.started.saturating_add(wait) {
-                    begins if now < begins => (ActivePolicy::Denied, begins),
+                StartupPolicy::FloorAfter(wait) => match self.started_at.saturating_add(wait) {
+                    fallback_from if now < fallback_from => (ActivePolicy::Denied, fallback_from),
                     _ => (ActivePolicy::Fallback, Nanos::MAX),
                 },
             },
         }
     }
 
-    /// The revision that it acts by; 0: none.
+    /// The revision that it applies; 0: none.
     pub fn revision(&self) -> Revision {
-        self.told.map_or(Revision(0), |(revision, _)| revision)
+        self.received.map_or(Revision(0), |(revision, _)| revision)
     }
 
-    /// When its leave runs out.
+    /// When its lease expires.
     pub fn until(&self) -> Nanos {
-        self.until
+        self.lease_expires_at
     }
 
-    /// What it was told last, whether or not it still has leave for it.
+    /// The last policy set it received, whether or not it still holds a lease for it.
     pub fn told(&self) -> Option<PolicySet> {
-        self.told.map(|(_, told)| told)
+        self.received.map(|(_, set)| set)
     }
 
-    /// Its process.
+    /// Its incarnation.
     pub fn boot(&self) -> Incarnation {
-        self.boot
+        self.incarnation
     }
 
-    /// What to ask now.
+    /// The request to send now.
     pub fn ask(&mut self, now: Nanos) -> LeaseRequest {
         self.seq += 1;
-        self.asked.push_back((self.seq, now));
-        while self.asked.len() > ASKED {
-            self.asked.pop_front();
+        self.pending.push_back((self.seq, now));
+        while self.pending.len() > MAX_PENDING_REQUESTS {
+            self.pending.pop_front();
         }
-        let acting = if now < self.until { self.revision() } else { Revision(0) };
+        let acting = if now < self.lease_expires_at { self.revision() } else { Revision(0) };
         LeaseRequest {
-            boot: self.boot,
+            boot: self.incarnation,
             seq: self.seq,
             acting,
-            heard: self.heard,
+            heard: self.newest_seen,
             refused: self.refused.clone(),
         }
     }
 
-    /// Takes an answer. `obey`: whether this proxy can obey what it says, or why not. Returns whether what it acts by has changed.
+    /// Processes a grant. `apply`: applies a policy set, or returns why this proxy cannot. Returns whether what it applies has changed.
     pub fn granted(
         &mut self,
         grant: &LeaseGrant,
-        obey: impl FnOnce(PolicySet) -> Result<(), String>,
+        apply: impl FnOnce(PolicySet) -> Result<(), String>,
     ) -> bool {
-        if grant.boot != self.boot || grant.revision < self.heard {
+        if grant.boot != self.incarnation || grant.revision < self.newest_seen {
             return false;
         }
-        let Some(at) = self.asked.iter().position(|(seq, _)| *seq == grant.seq) else { return false };
-        let (_, sent) = self.asked[at];
-        // Danger: counted from when it came, a grant that was long on its way, or came from one that was stopped in between, would last
-        // past the moment at which the coordinator takes it to be over.
+        let Some(index) = self.pending.iter().position(|(seq, _)| *seq == grant.seq) else { return false };
+        let (_, sent) = self.pending[index];
+        // Danger: a lease counted from when the grant arrived would last past the moment at which the coordinator takes it to be
+        // expired, if the grant was delayed or its sender paused meanwhile.
         let until = sent.saturating_add(grant.span);
-        self.floor = grant.floor;
-        if grant.revision > self.heard {
-            self.heard = grant.revision;
-            if let Err(why) = obey(grant.told) {
-                // It goes on by what it had, as long as its leave for that lasts.
-                self.refused = Some((grant.revision, why));
+        self.fallback_span = grant.floor;
+        if grant.revision > self.newest_seen {
+            self.newest_seen = grant.revision;
+            if let Err(reason) = apply(grant.told) {
+                // The member goes on with what it had, for as long as its lease for that lasts.
+                self.refused = Some((grant.revision, reason));
                 return false;
             }
             self.refused = None;
-            self.told = Some((grant.revision, grant.told));
-            self.until = until;
+            self.received = Some((grant.revision, grant.told));
+            self.lease_expires_at = until;
             return true;
         }
-        // Leave for what it can't obey is no leave for what it does.
+        // A lease for what it cannot apply does not extend the lease for what it does apply.
         if self.revision() == grant.revision {
-            self.until = self.until.max(until);
+            self.lease_expires_at = self.lease_expires_at.max(until);
         }
         false
     }
--- a/crates/core/policy/src/messages.rs
+++ b/crates/core/policy/src/messages.rs
@@ -1,127 +1,105 @@
-//! What members and the coordinator say to each other.
+//! The messages of the policy lease protocol: a member's request and the coordinator's grant.
 
-use crate::record::{PolicyNumber, Revision};
+use crate::policy_set::{Incarnation, PolicySet, Revision};
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// The start of a member's process: another one for each process, also of one name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation(pub u64);
-
-/// What a member is to act by.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum PolicySet {
-    /// By one policy alone.
-    Pure(PolicyNumber),
-    /// By two at once: by what breaks neither.
-    Joint(PolicyNumber, PolicyNumber),
-}
-
-impl PolicySet {
-    /// Whether who acts so breaks nothing of this policy.
-    pub fn includes(self, policy: PolicyNumber) -> bool {
-        match self {
-            PolicySet::Pure(one) => one == policy,
-            PolicySet::Joint(one, two) => one == policy || two == policy,
-        }
-    }
-}
-
-/// A member asks for leave to go on, and says how it stands.
+/// A member's request for a policy lease, with its own status.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Its process.
+    /// The process that sends the request.
     pub boot: Incarnation,
-    /// Counts up with each ask of the process.
+    /// Incremented by each request of the process.
     pub seq: u64,
-    /// The revision that it acts by; 0: none.
+    /// The revision that the process applies; 0: none.
     pub acting: Revision,
-    /// The newest revision that it has ever heard of. A program from before this was told says 0.
+    /// The newest revision that the process has ever received. Programs older than this field send 0.
     #[serde(default)]
     pub heard: Revision,
-    /// A revision that it can't obey, and why.
+    /// A revision that the process cannot apply, and why.
     pub refused: Option<(Revision, String)>,
 }
 
-/// The present form of asks and leaves. A later form may add fields; one that changes what a field means counts up.
+/// The coordinator's answer to a [`LeaseRequest`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct LeaseGrant {
+    /// The process that sent the request.
+    pub boot: Incarnation,
+    /// The request that is answered. Danger: the lease counts from the moment that request was sent; a grant that answers no
+    /// known request grants nothing.
+    pub seq: u64,
+    /// Revision of the stored record.
+    pub revision: Revision,
+    /// The policy set of that revision.
+    pub told: PolicySet,
+    /// Duration of the lease from when the request was sent, by the member's clock.
+    pub span: Nanos,
+    /// For how long after the lease expires the member may apply the fallback policy.
+    pub floor: Nanos,
+}
+
+/// Format version of requests and grants. A later program may add fields without incrementing it; a change to the meaning of an
+/// existing field increments it.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Why a word can't be taken.
+/// Why a message could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Something else.
-    #[error("not a word on leaves: {0}")]
+    /// The text is not a lease message.
+    #[error("not a policy lease message: {0}")]
     Malformed(String),
-    /// It is of a later form.
+    /// The message has another format version.
     #[error("form {0}; this program reads form {FORMAT_VERSION}: upgrade it first")]
     Form(u64),
 }
 
 #[derive(Serialize, Deserialize)]
-struct Formed<T> {
+struct Versioned<T> {
     form: u32,
     #[serde(flatten)]
-    word: T,
+    message: T,
 }
 
-fn text<T: Serialize>(word: &T) -> String {
-    // Plain fields always have a JSON form.
-    serde_json::to_string(&Formed { form: FORMAT_VERSION, word }).unwrap_or_default()
+fn encode<T: Serialize>(message: &T) -> String {
+    // Serialising plain fields to JSON cannot fail.
+    serde_json::to_string(&Versioned { form: FORMAT_VERSION, message }).unwrap_or_default()
 }
 
-fn read<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, MessageError> {
-    let malformed = |e: serde_json::Error| MessageError::Malformed(e.to_string());
+fn decode<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, MessageError> {
+    let malformed = |error: serde_json::Error| MessageError::Malformed(error.to_string());
     let value: serde_json::Value = serde_json::from_str(text).map_err(malformed)?;
     match value["form"].as_u64() {
         Some(form) if form != u64::from(FORMAT_VERSION) => Err(MessageError::Form(form)),
-        _ => serde_json::from_value::<Formed<T>>(value).map(|f| f.word).map_err(malformed),
+        _ => serde_json::from_value::<Versioned<T>>(value).map(|v| v.message).map_err(malformed),
     }
 }
 
 impl LeaseRequest {
-    /// As it travels.
+    /// The request as JSON text.
     pub fn text(&self) -> String {
-        text(self)
+        encode(self)
     }
 
-    /// Reads what came.
+    /// Decodes a request.
     ///
     /// # Errors
-    /// See [`WordError`].
+    /// See [`MessageError`].
     pub fn read(text: &str) -> Result<Self, MessageError> {
-        read(text)
+        decode(text)
     }
 }
 
 impl LeaseGrant {
-    /// As it travels.
+    /// The grant as JSON text.
     pub fn text(&self) -> String {
-        text(self)
+        encode(self)
     }
 
-    /// Reads what came.
+    /// Decodes a grant.
     ///
     /// # Errors
-    /// See [`WordError`].
+    /// See [`MessageError`].
     pub fn read(text: &str) -> Result<Self, MessageError> {
-        read(text)
+        decode(text)
     }
 }
-
-/// The answer to an ask.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LeaseGrant {
-    /// The process that asked.
-    pub boot: Incarnation,
-    /// Its ask. Danger: the leave counts from when that was sent; a grant that answers no ask that is known grants nothing.
-    pub seq: u64,
-    /// Of the record in the store.
-    pub revision: Revision,
-    /// What it says.
-    pub told: PolicySet,
-    /// For so long from when it asked, by its own clock.
-    pub span: Nanos,
-    /// For so long beyond that it may act by the floor.
-    pub floor: Nanos,
-}
--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -1,26 +1,18 @@
-//! What stands in the store: the only place where a change is decided.
+//! The policy record: the part of the store in which changes of policy are decided, and nowhere else.
 
-use crate::messages::PolicySet;
+use crate::policy_set::{PolicyNumber, PolicySet, Revision};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Events that are remembered.
-const EVENTS: usize = 500;
-/// A proposal's texts are at most this long, in bytes.
-const TEXT_MOST: usize = 1000;
+/// Events that a record retains; the oldest are dropped first.
+const MAX_EVENTS: usize = 500;
+/// Maximum length of an author, reason or operator name, in bytes.
+const MAX_TEXT_BYTES: usize = 1000;
 
-/// The number of a policy, never used twice: policies of one content that were proposed twice are two.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PolicyNumber(pub u64);
-
-/// Counts up with each change of what holds. 0: before all.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Revision(pub u64);
-
-/// A change that is not decided.
+/// A proposed change that is neither committed nor aborted yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PendingChange {
-    /// What is to hold.
+    /// The proposed policy.
     pub to: PolicyNumber,
     /// Who proposed it.
     pub author: String,
@@ -28,13 +20,13 @@
     pub reason: String,
 }
 
-/// Where the record stands.
+/// The phase of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "phase", rename_all = "kebab-case")]
 pub enum Phase {
-    /// One policy holds.
+    /// One policy is in force.
     Settled,
-    /// Old and new both hold, until all are known to obey both.
+    /// The old and the new policy are both in force, until all members are known to comply with both.
     Joint(PendingChange),
 }
 
@@ -42,23 +34,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "ended", rename_all = "kebab-case")]
 pub enum ChangeOutcome {
-    /// The new holds.
+    /// The new policy is in force.
     Committed,
-    /// An operator took it back.
+    /// An operator withdrew the change.
     Withdrawn {
         /// Who.
         by: String,
     },
-    /// A proxy can't obey it.
+    /// A proxy cannot apply the new policy.
     Refused {
-        /// Which.
+        /// Name of the proxy.
         name: String,
         /// Why.
         why: String,
     },
-    /// It took longer than it may.
+    /// The change exceeded its time limit.
     OverTime {
-        /// What it waited for.
+        /// Names of the proxies that the change waited for.
         held_up_by: Vec<String>,
     },
 }
@@ -76,53 +68,53 @@
     }
 }
 
-/// Something that happened.
+/// An entry of the record's event log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyEvent {
-    /// The revision that it made.
+    /// The revision that the event produced.
     pub revision: Revision,
-    /// The policy that it was about.
+    /// The policy concerned.
     pub policy: PolicyNumber,
-    /// In words.
+    /// Description for operators.
     pub what: String,
 }
 
-/// Why a proposal or command was not taken.
+/// Why a proposal or withdrawal was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Somebody else changed something since.
+    /// The record has changed since the caller read it.
     #[error("the record is at revision {now}, not {expected}: look again, and ask again if it still is what you want")]
     Changed {
-        /// What was expected.
+        /// The revision that the caller expected.
         expected: u64,
-        /// What it is.
+        /// The current revision.
         now: u64,
     },
-    /// One change at a time.
+    /// Another change is pending; there is at most one at a time.
     #[error("policy {0} is proposed and not decided yet; wait for its end, or withdraw it")]
     Undecided(u64),
-    /// Nothing to withdraw.
+    /// There is no pending change to withdraw.
     #[error("no change is under way")]
     Settled,
-    /// A field that is missing.
+    /// A field is missing or too long.
     #[error("{0}: expected {1}")]
     Field(&'static str, &'static str),
 }
 
-/// The record.
+/// The stored record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyRecord {
-    /// Counts up with each change of it.
+    /// Incremented by each change of the record.
     pub revision: Revision,
-    /// The number of the next policy.
+    /// The number that the next proposed policy will get.
     pub next: PolicyNumber,
-    /// What holds; while a change is under way, the old.
+    /// The policy in force; while a change is pending, the old one.
     pub holds: PolicyNumber,
-    /// Whether a change is under way.
+    /// Whether a change is pending.
     pub phase: Phase,
-    /// How the last change ended.
+    /// The last change that ended, and how.
     pub last: Option<(PolicyNumber, ChangeOutcome)>,
-    /// What happened, the oldest first.
+    /// Event log, the oldest entry first.
     pub events: VecDeque<PolicyEvent>,
 }
 
@@ -140,7 +132,7 @@
 }
 
 impl PolicyRecord {
-    /// What members are to act by.
+    /// The policy set that members apply.
     pub fn policy_set(&self) -> PolicySet {
         match &self.phase {
             Phase::Settled => PolicySet::Pure(self.holds),
@@ -148,7 +140,7 @@
         }
     }
 
-    fn expect(&self, expected: Option<Revision>) -> Result<(), RecordError> {
+    fn check_revision(&self, expected: Option<Revision>) -> Result<(), RecordError> {
         match expected {
             Some(expected) if expected != self.revision => {
                 Err(RecordError::Changed { expected: expected.0, now: self.revision.0 })
@@ -157,24 +149,24 @@
         }
     }
 
-    /// The record in which a new policy is proposed; its number is [`Record::next`] of before.
+    /// The record with a new policy proposed; the policy's number is [`PolicyRecord::next`] of `self`.
     ///
     /// # Errors
-    /// See [`Refusal`].
+    /// See [`RecordError`].
     pub fn propose(
         &self,
         (author, reason): (&str, &str),
         expected: Option<Revision>,
     ) -> Result<PolicyRecord, RecordError> {
-        self.expect(expected)?;
+        self.check_revision(expected)?;
         if let Phase::Joint(change) = &self.phase {
             return Err(RecordError::Undecided(change.to.0));
         }
-        let sound = |text: &str| !text.trim().is_empty() && text.len() <= TEXT_MOST;
-        if !sound(author) {
+        let is_valid = |text: &str| !text.trim().is_empty() && text.len() <= MAX_TEXT_BYTES;
+        if !is_valid(author) {
             return Err(RecordError::Field("author", "who asks, in 1000 bytes at most"));
         }
-        if !sound(reason) {
+        if !is_valid(reason) {
             return Err(RecordError::Field("reason", "why, in 1000 bytes at most"));
         }
         let (author, reason) = (author.to_owned(), reason.to_owned());
@@ -186,33 +178,33 @@
         Ok(next)
     }
 
-    /// The record as it goes on where revisions up to this one were told that it knows nothing of: the next one is later than all of them,
-    /// and so are its policies' numbers, since each revision has named one new policy at the most.
-    pub fn resumed_after(&self, told: Revision) -> PolicyRecord {
-        let revision = self.revision.max(told);
+    /// The record after a store was lost or restored from an older copy, where members have seen revisions up to `newest_seen`. The next
+    /// revision is later than all of those, and so are the numbers of new policies, since each revision names at most one new policy.
+    pub fn resumed_after(&self, newest_seen: Revision) -> PolicyRecord {
+        let revision = self.revision.max(newest_seen);
         PolicyRecord { revision, next: PolicyNumber(self.next.0.max(revision.0)), ..self.clone() }
     }
 
-    /// The record in which the change under way has ended so. `None`: there is none.
-    pub fn conclude(&self, how: ChangeOutcome) -> Option<PolicyRecord> {
+    /// The record with the pending change ended; `None` if no change is pending.
+    pub fn conclude(&self, outcome: ChangeOutcome) -> Option<PolicyRecord> {
         let Phase::Joint(change) = &self.phase else { return None };
         let mut next = self.clone();
-        if how == ChangeOutcome::Committed {
+        if outcome == ChangeOutcome::Committed {
             next.holds = change.to;
         }
         next.phase = Phase::Settled;
-        next.last = Some((change.to, how.clone()));
-        next.push_event(change.to, how.to_string());
+        next.last = Some((change.to, outcome.clone()));
+        next.push_event(change.to, outcome.to_string());
         Some(next)
     }
 
-    /// The record in which an operator has withdrawn the change.
+    /// The record with the pending change withdrawn by an operator.
     ///
     /// # Errors
-    /// See [`Refusal`].
+    /// See [`RecordError`].
     pub fn withdraw(&self, by: &str, expected: Option<Revision>) -> Result<PolicyRecord, RecordError> {
-        self.expect(expected)?;
-        if by.trim().is_empty() || by.len() > TEXT_MOST {
+        self.check_revision(expected)?;
+        if by.trim().is_empty() || by.len() > MAX_TEXT_BYTES {
             return Err(RecordError::Field("by", "who asks, in 1000 bytes at most"));
         }
         self.conclude(ChangeOutcome::Withdrawn { by: by.to_owned() }).ok_or(RecordError::Settled)
@@ -221,7 +213,7 @@
     fn push_event(&mut self, policy: PolicyNumber, what: String) {
         self.revision = Revision(self.revision.0 + 1);
         self.events.push_back(PolicyEvent { revision: self.revision, policy, what });
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/core/policy/src/strictness.rs
+++ b/crates/core/policy/src/strictness.rs
@@ -1,87 +1,88 @@
-//! Which fields a policy has, and in what order each is looser or stricter.
+//! The strictness order of each settings field that a policy may change.
 
-/// The order of a field's values.
+/// How the values of a field are ordered by strictness.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Strictness {
     /// A smaller number is stricter.
-    Least,
+    SmallerIsStricter,
     /// A larger number is stricter.
-    Most,
+    LargerIsStricter,
     /// `false` is stricter.
-    Never,
-    /// A set: fewer is stricter; left out: all that there are.
+    FalseIsStricter,
+    /// A set: a subset is stricter; an absent field stands for the full set.
     Subset,
-    /// One of these words; a later one is stricter.
+    /// One of these values; a later one is stricter.
     Rank(&'static [&'static str]),
-    /// None: two values have nothing in common. It can be changed by a stop alone.
-    None,
+    /// No order: two different values have nothing in common. Such a field can change only by rejecting requests meanwhile.
+    Incomparable,
 }
 
-/// Fields of a class, of `categories[]` in a proxy's settings.
-const CLASS: [(&str, Strictness); 9] = [
-    // Until when an answer is worth most, and until when anything at all: who goes by less gives up sooner.
-    ("promise_ns", Strictness::Least),
-    ("deadline_ns", Strictness::Least),
-    // What a repeat may do: one that is taken for unsafe is never sent twice.
+/// Fields of a request class, of `categories[]` in a proxy's settings.
+const CLASS_FIELDS: [(&str, Strictness); 9] = [
+    // Time limits of an answer: a proxy with shorter ones gives up sooner.
+    ("promise_ns", Strictness::SmallerIsStricter),
+    ("deadline_ns", Strictness::SmallerIsStricter),
+    // Effect of a retry: a request that counts as unsafe is never sent twice.
     ("effect", Strictness::Rank(&["safe", "keyed", "unsafe"])),
-    // Which nodes remember a keyed request: the fewer, the fewer repeats are lawful.
+    // Which nodes deduplicate a keyed request: the fewer they are, the fewer retries are permitted.
     ("group", Strictness::Rank(&["all", "zone", "cell"])),
-    ("dedup_window_ns", Strictness::Least),
-    // What is worth less is refused sooner.
-    ("late_value", Strictness::Least),
-    ("value", Strictness::Least),
+    ("dedup_window_ns", Strictness::SmallerIsStricter),
+    // Requests of less value are rejected sooner.
+    ("late_value", Strictness::SmallerIsStricter),
+    ("value", Strictness::SmallerIsStricter),
     ("allowed_in", Strictness::Subset),
     ("allowed_on", Strictness::Subset),
 ];
 
 /// Fields of a tenant, of `customers[]`.
-const TENANT: [(&str, Strictness); 2] = [("quota_rps", Strictness::Least), ("fraction", Strictness::Least)];
+const TENANT_FIELDS: [(&str, Strictness); 2] =
+    [("quota_rps", Strictness::SmallerIsStricter), ("fraction", Strictness::SmallerIsStricter)];
 
-/// Fields elsewhere, by their path.
-const REST: [(&str, Strictness); 7] = [
-    ("caps.attempts_cap", Strictness::Least),
-    ("caps.second_copies", Strictness::Never),
-    // Advice to stay away for longer.
-    ("caps.max_retry_after_ns", Strictness::Most),
-    ("deductions.handshake", Strictness::Most),
-    ("deductions.cross_zone", Strictness::Most),
-    ("over_share_worth", Strictness::Least),
-    // By the request or by its time: what is worth more by the one is worth less by the other.
-    ("worth_by", Strictness::None),
+/// All other fields, by their path.
+const OTHER_FIELDS: [(&str, Strictness); 7] = [
+    ("caps.attempts_cap", Strictness::SmallerIsStricter),
+    ("caps.second_copies", Strictness::FalseIsStricter),
+    // Advice to clients to wait for longer.
+    ("caps.max_retry_after_ns", Strictness::LargerIsStricter),
+    ("deductions.handshake", Strictness::LargerIsStricter),
+    ("deductions.cross_zone", Strictness::LargerIsStricter),
+    ("over_share_worth", Strictness::SmallerIsStricter),
+    // Value per request or per unit of time: more value by one measure is less by the other.
+    ("worth_by", Strictness::Incomparable),
 ];
 
-/// The order of a field, by its path in a proxy's settings, without numbers: `categories.allowed_in`, `customers.quota_rps`,
-/// `caps.attempts_cap`. What is not listed has none.
+/// The order of a field, by its path in a proxy's settings without indices: `categories.allowed_in`, `customers.quota_rps`,
+/// `caps.attempts_cap`. Unlisted fields have no order.
 pub fn compare_strictness(path: &str) -> Strictness {
-    let of = |table: &[(&str, Strictness)], field: &str| {
-        table.iter().find(|(name, _)| *name == field).map_or(Strictness::None, |(_, order)| *order)
+    let lookup = |table: &[(&str, Strictness)], field: &str| {
+        table.iter().find(|(name, _)| *name == field).map_or(Strictness::Incomparable, |(_, order)| *order)
     };
     match path.split_once('.') {
-        Some(("categories", field)) => of(&CLASS, field),
-        Some(("customers", field)) => of(&TENANT, field),
-        _ => of(&REST, path),
+        Some(("categories", field)) => lookup(&CLASS_FIELDS, field),
+        Some(("customers", field)) => lookup(&TENANT_FIELDS, field),
+        _ => lookup(&OTHER_FIELDS, path),
     }
 }
 
 impl Strictness {
-    /// Whether one value is stricter than another, or as strict; `None`: they can't be compared, or are no values of such a field.
-    /// `Value::Null` stands for a field that is left out.
-    pub fn strict(self, one: &serde_json::Value, than: &serde_json::Value) -> Option<bool> {
+    /// Whether `one` is at least as strict as `than`; `None` if they are incomparable or not values of such a field.
+    /// `Value::Null` stands for an absent field.
+    pub fn is_at_least_as_strict(self, one: &serde_json::Value, than: &serde_json::Value) -> Option<bool> {
         use serde_json::Value::Null;
         if one == than {
             return Some(true);
         }
         match self {
-            Strictness::Least | Strictness::Most => {
-                // Left out, there is no bound.
+            Strictness::SmallerIsStricter | Strictness::LargerIsStricter => {
+                // An absent field sets no bound.
                 let (a, b) = match (one, than) {
                     (Null, _) => return Some(false),
                     (_, Null) => return Some(true),
                     _ => (one.as_f64()?, than.as_f64()?),
                 };
-                Some(if self == Strictness::Least { a <= b } else { a >= b })
+                Some(if self == Strictness::SmallerIsStricter { a <= b } else { a >= b })
             }
-            Strictness::Never => match (one, than) {
+            Strictness::FalseIsStricter => match (one, than) {
                 (Null, _) => Some(false),
                 (_, Null) => Some(true),
                 _ => Some(!one.as_bool()? || than.as_bool()?),
@@ -94,11 +95,11 @@
                     Some(one.as_array()?.iter().all(|v| than.contains(v)))
                 }
             },
-            Strictness::Rank(words) => {
-                let rank = |v: &serde_json::Value| words.iter().position(|w| Some(*w) == v.as_str());
+            Strictness::Rank(ranking) => {
+                let rank = |v: &serde_json::Value| ranking.iter().position(|w| Some(*w) == v.as_str());
                 Some(rank(one)? >= rank(than)?)
             }
-            Strictness::None => None,
+            Strictness::Incomparable => None,
         }
     }
 }
--- a/crates/core/policy/tests/archive.rs
+++ b/crates/core/policy/tests/archive.rs
@@ -1,4 +1,4 @@
-//! Which policies may be proposed beside the floors that somebody may still act by, and which are kept.
+//! Which policies may be proposed beside the fallback policies still in use, and which policies are retained.
 
 use rushquay_policy::{
     ChangeOutcome, FallbackPolicy, Incarnation, LeaseRequest, LeaseTerms, Policy, PolicyArchive,
@@ -17,39 +17,45 @@
     json!({"caps": {"attempts_cap": n}})
 }
 
-fn ask(boot: u64, acting: Revision) -> LeaseRequest {
+fn lease_request(boot: u64, acting: Revision) -> LeaseRequest {
     LeaseRequest { boot: Incarnation(boot), seq: 1, acting, heard: acting, refused: None }
 }
 
-struct Stand {
-    shelf: PolicyArchive,
+struct Fixture {
+    archive: PolicyArchive,
     record: PolicyRecord,
 }
 
-impl Stand {
+impl Fixture {
     fn new() -> Self {
         let record = PolicyRecord::default();
-        Stand { shelf: PolicyArchive::lead(BTreeMap::new(), FallbackPolicy::Nobody, &record, 0), record }
+        Fixture { archive: PolicyArchive::lead(BTreeMap::new(), FallbackPolicy::Nobody, &record, 0), record }
     }
 
     fn fit(&self, settings: &Value, floor: Option<&Value>, now: u64) -> Result<Policy, UnfitPolicy> {
-        self.shelf.fit(settings, floor, (&self.record, &terms()), now)
+        self.archive.fit(settings, floor, (&self.record, &terms()), now)
     }
 
-    /// A policy is proposed, and everybody that is named joins and then acts by it alone.
-    fn hold(&mut self, settings: &Value, floor: &Value, now: u64, joins: &[u64]) -> PolicyNumber {
-        let policy = self.fit(settings, Some(floor), now).expect("it may be proposed");
+    /// Proposes and commits a policy; each process in `processes` gets a lease for every step and applies the result.
+    fn commit_policy(
+        &mut self,
+        settings: &Value,
+        floor: &Value,
+        now: u64,
+        processes: &[u64],
+    ) -> PolicyNumber {
+        let policy = self.fit(settings, Some(floor), now).expect("the policy is accepted");
         self.record = self.record.propose(("a", "b"), None).expect("proposed");
         let number = self.record.policy_set().numbers().nth(1).expect("two");
-        self.shelf.put(number, policy);
-        self.shelf.moved(&self.record);
+        self.archive.put(number, policy);
+        self.archive.moved(&self.record);
         for revision in [self.record.revision, Revision(self.record.revision.0 + 1)] {
             if revision != self.record.revision {
-                self.record = self.record.conclude(ChangeOutcome::Committed).expect("it was under way");
-                self.shelf.moved(&self.record);
+                self.record = self.record.conclude(ChangeOutcome::Committed).expect("a change is pending");
+                self.archive.moved(&self.record);
             }
-            for boot in joins {
-                self.shelf.granted(&format!("p{boot}"), &ask(*boot, revision), &self.record, now);
+            for boot in processes {
+                self.archive.granted(&format!("p{boot}"), &lease_request(*boot, revision), &self.record, now);
             }
         }
         number
@@ -57,65 +63,75 @@
 }
 
 #[test]
-fn a_policy_is_never_stricter_than_a_floor_that_somebody_may_act_by() {
-    let mut stand = Stand::new();
-    // So late that nobody stands on what an earlier leader gave leave for.
+fn a_policy_stricter_than_a_fallback_in_use_is_rejected() {
+    let mut fixture = Fixture::new();
+    // So late that no lease of an earlier leader counts any more.
     let late = 200 * SECOND;
-    stand.hold(&attempts(4), &attempts(3), late, &[1, 2]);
-    let below =
-        |stand: &Stand, settings: &Value, now: u64| match stand.fit(settings, Some(&json!("nobody")), now) {
-            Err(UnfitPolicy::BelowFloor { of, who, for_s, .. }) => Some((of, who, for_s)),
-            Err(other) => panic!("{other}"),
-            Ok(_) => None,
-        };
-    let (of, who, _) = below(&stand, &attempts(2), late).expect("whoever is cut off now makes three");
+    fixture.commit_policy(&attempts(4), &attempts(3), late, &[1, 2]);
+    let below = |fixture: &Fixture, settings: &Value, now: u64| match fixture.fit(
+        settings,
+        Some(&json!("nobody")),
+        now,
+    ) {
+        Err(UnfitPolicy::BelowFloor { of, who, for_s, .. }) => Some((of, who, for_s)),
+        Err(other) => panic!("{other}"),
+        Ok(_) => None,
+    };
+    let (of, who, _) =
+        below(&fixture, &attempts(2), late).expect("the fallback of the policy in force is in use");
     assert_eq!((of, who), (1, vec!["whoever loses its leave".to_owned()]));
-    assert_eq!(below(&stand, &attempts(3), late), None);
-    // Only one of the two joins what has the stricter floor; the other is away.
-    stand.hold(&attempts(4), &attempts(1), late, &[1]);
-    let (of, who, for_s) = below(&stand, &attempts(2), late + SECOND).expect("the other may be alive");
+    assert_eq!(below(&fixture, &attempts(3), late), None);
+    // Only one of the two gets a lease for the policy with the stricter fallback; the other is away.
+    fixture.commit_policy(&attempts(4), &attempts(1), late, &[1]);
+    let (of, who, for_s) = below(&fixture, &attempts(2), late + SECOND).expect("the other may be alive");
     assert_eq!((of, who, for_s), (1, vec!["p2".to_owned()], 99));
-    // It comes, as the process that it was, or its time on the floor is over.
-    let mut came = Stand { shelf: stand.shelf.clone(), record: stand.record.clone() };
-    came.shelf.granted("p2", &ask(2, came.record.revision), &came.record, late + SECOND);
-    assert_eq!(below(&came, &attempts(2), late + SECOND), None);
-    assert!(below(&stand, &attempts(2), late + 100 * SECOND).is_some());
-    assert_eq!(below(&stand, &attempts(2), late + 100 * SECOND + 1), None);
+    // The other requests a lease as the same process, or its time on the fallback policy is over.
+    let mut rejoined = Fixture { archive: fixture.archive.clone(), record: fixture.record.clone() };
+    rejoined.archive.granted(
+        "p2",
+        &lease_request(2, rejoined.record.revision),
+        &rejoined.record,
+        late + SECOND,
+    );
+    assert_eq!(below(&rejoined, &attempts(2), late + SECOND), None);
+    assert!(below(&fixture, &attempts(2), late + 100 * SECOND).is_some());
+    assert_eq!(below(&fixture, &attempts(2), late + 100 * SECOND + 1), None);
 }
 
-/// Whom an earlier leader gave leave is not known: each of its floors counts for as long as anybody could stand on it.
+/// The leases of an earlier leader are not known: each of its fallback policies counts for as long as anybody could apply it.
 #[test]
-fn a_new_leader_takes_every_floor_that_held_for_one_in_use() {
-    let mut stand = Stand::new();
-    stand.hold(&attempts(4), &attempts(3), 0, &[1]);
-    stand.hold(&attempts(4), &attempts(1), 0, &[1]);
-    assert!(stand.fit(&attempts(2), None, 101 * SECOND).is_ok());
-    let kept = [1, 2].map(|n| (PolicyNumber(n), stand.shelf.get(PolicyNumber(n)).expect("kept").clone()));
-    let led = PolicyArchive::lead(BTreeMap::from(kept), FallbackPolicy::Nobody, &stand.record, 200 * SECOND);
-    let fits = |now: u64| led.fit(&attempts(2), None, (&stand.record, &terms()), now);
+fn a_new_leader_counts_every_former_fallback_as_in_use() {
+    let mut fixture = Fixture::new();
+    fixture.commit_policy(&attempts(4), &attempts(3), 0, &[1]);
+    fixture.commit_policy(&attempts(4), &attempts(1), 0, &[1]);
+    assert!(fixture.fit(&attempts(2), None, 101 * SECOND).is_ok());
+    let kept = [1, 2].map(|n| (PolicyNumber(n), fixture.archive.get(PolicyNumber(n)).expect("kept").clone()));
+    let successor =
+        PolicyArchive::lead(BTreeMap::from(kept), FallbackPolicy::Nobody, &fixture.record, 200 * SECOND);
+    let fits = |now: u64| successor.fit(&attempts(2), None, (&fixture.record, &terms()), now);
     assert!(matches!(fits(300 * SECOND), Err(UnfitPolicy::BelowFloor { of: 1, .. })));
     assert!(fits(300 * SECOND + 1).is_ok());
 }
 
-/// One that was proposed and ended otherwise has told nobody to stand on its floor.
+/// A policy that was proposed and withdrawn gave nobody its fallback policy.
 #[test]
-fn a_policy_that_never_held_bounds_nothing() {
-    let mut stand = Stand::new();
+fn a_withdrawn_policy_sets_no_bound() {
+    let mut fixture = Fixture::new();
     let late = 200 * SECOND;
-    let policy = stand.fit(&attempts(9), Some(&attempts(8)), late).expect("it may be proposed");
-    stand.record = stand.record.propose(("a", "b"), None).expect("proposed");
-    stand.shelf.put(PolicyNumber(1), policy);
-    stand.shelf.moved(&stand.record);
-    stand.shelf.granted("p1", &ask(1, Revision(0)), &stand.record, late);
-    stand.record = stand.record.withdraw("a", None).expect("withdrawn");
-    stand.shelf.moved(&stand.record);
-    assert!(stand.fit(&attempts(2), Some(&json!("nobody")), late).is_ok());
+    let policy = fixture.fit(&attempts(9), Some(&attempts(8)), late).expect("the policy is accepted");
+    fixture.record = fixture.record.propose(("a", "b"), None).expect("proposed");
+    fixture.archive.put(PolicyNumber(1), policy);
+    fixture.archive.moved(&fixture.record);
+    fixture.archive.granted("p1", &lease_request(1, Revision(0)), &fixture.record, late);
+    fixture.record = fixture.record.withdraw("a", None).expect("withdrawn");
+    fixture.archive.moved(&fixture.record);
+    assert!(fixture.fit(&attempts(2), Some(&json!("nobody")), late).is_ok());
 }
 
 #[test]
-fn a_floor_names_each_field_that_its_policy_names_as_strictly() {
-    let stand = Stand::new();
-    let looser = |settings: &Value, floor: &Value| match stand.fit(settings, Some(floor), 0) {
+fn a_fallback_looser_than_its_policy_is_rejected() {
+    let fixture = Fixture::new();
+    let looser = |settings: &Value, floor: &Value| match fixture.fit(settings, Some(floor), 0) {
         Err(UnfitPolicy::Policy(why)) => why.to_string(),
         other => panic!("{other:?}"),
     };
@@ -129,16 +145,18 @@
 }
 
 #[test]
-fn the_last_few_stay_and_those_in_use_stay_for_as_long_as_they_are() {
-    let mut stand = Stand::new();
+fn recent_policies_and_those_in_use_are_retained() {
+    let mut fixture = Fixture::new();
     for n in 0..12u64 {
-        stand.hold(&attempts(9), &attempts(1), n, &[1]);
+        fixture.commit_policy(&attempts(9), &attempts(1), n, &[1]);
     }
-    let useless = |stand: &mut Stand, now: u64| stand.shelf.useless(&stand.record, &terms(), now);
-    assert_eq!(useless(&mut stand, 50 * SECOND), [], "this leader has only just begun");
-    let gone = useless(&mut stand, 300 * SECOND);
+    let useless = |fixture: &mut Fixture, now: u64| fixture.archive.useless(&fixture.record, &terms(), now);
+    assert_eq!(useless(&mut fixture, 50 * SECOND), [], "the leadership has only just begun");
+    let gone = useless(&mut fixture, 300 * SECOND);
     assert_eq!(gone, [1, 2, 3, 4].map(PolicyNumber));
-    stand.shelf.forget(&gone);
-    assert_eq!(useless(&mut stand, 300 * SECOND), []);
-    assert!(stand.shelf.get(PolicyNumber(1)).is_none() && stand.shelf.get(PolicyNumber(12)).is_some());
+    fixture.archive.forget(&gone);
+    assert_eq!(useless(&mut fixture, 300 * SECOND), []);
+    assert!(
+        fixture.archive.get(PolicyNumber(1)).is_none() && fixture.archive.get(PolicyNumber(12)).is_some()
+    );
 }
--- a/crates/core/policy/tests/intersection.rs
+++ b/crates/core/policy/tests/intersection.rs
@@ -1,4 +1,4 @@
-//! The laws of the meet, and what stops.
+//! The laws of the intersection of two policies, and which request classes are rejected.
 
 use proptest::prelude::*;
 use rushquay_policy::{intersect, looser_paths, RejectedClass};
@@ -47,8 +47,8 @@
     })
 }
 
-/// Paths at which the two have nothing in common, as `looser` names them.
-fn stopped(stops: &std::collections::BTreeSet<RejectedClass>) -> Vec<&str> {
+/// Paths at which the two have nothing in common, as [`looser_paths`] names them.
+fn rejected_paths(stops: &std::collections::BTreeSet<RejectedClass>) -> Vec<&str> {
     stops.iter().map(|s| s.path.as_str()).collect()
 }
 
@@ -56,19 +56,19 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn it_is_the_same_in_either_order_itself_for_two_of_a_kind_and_never_looser(a in policy(), b in policy(), c in policy()) {
+    fn intersection_is_commutative_idempotent_and_never_looser(a in policy(), b in policy(), c in policy()) {
         let (one, two) = (intersect(&a, &b), intersect(&b, &a));
         prop_assert_eq!(&one, &two);
         let again = intersect(&one.settings, &one.settings);
         prop_assert_eq!(&again.settings, &one.settings);
         prop_assert!(again.stops.is_empty());
-        // What is refused can't be too loose.
-        for of in [&a, &b] {
-            let loose = looser_paths(&one.settings, of);
-            let refused = stopped(&one.stops);
-            prop_assert!(loose.iter().all(|path| refused.contains(&path.as_str())), "{:?} of {} and {}: {}", loose, a, b, one.settings);
+        // A rejected field cannot be too loose.
+        for policy in [&a, &b] {
+            let loose = looser_paths(&one.settings, policy);
+            let rejected = rejected_paths(&one.stops);
+            prop_assert!(loose.iter().all(|path| rejected.contains(&path.as_str())), "{:?} of {} and {}: {}", loose, a, b, one.settings);
         }
-        // With three it does not matter which two are first, where nothing is refused.
+        // The operation is associative where nothing is rejected.
         let (left, right) = (intersect(&one.settings, &c), intersect(&a, &intersect(&b, &c).settings));
         if one.stops.is_empty() && left.stops.is_empty() && right.stops.is_empty() && intersect(&b, &c).stops.is_empty() {
             prop_assert_eq!(left.settings, right.settings);
@@ -77,46 +77,50 @@
 }
 
 #[test]
-fn field_by_field_it_takes_what_breaks_neither() {
+fn intersection_takes_the_stricter_value_of_each_field() {
     let a = json!({"categories": [{"name": "plan", "allowed_in": [0, 1, 2], "effect": "safe", "deadline_ns": 9, "group": "all"}],
                    "customers": [{"name": "hostels", "quota_rps": 50.0}, {"name": "clinics", "quota_rps": 9.0}],
                    "caps": {"attempts_cap": 4, "second_copies": true, "max_retry_after_ns": 1}});
     let b = json!({"categories": [{"name": "plan", "allowed_in": [2, 1, 3], "effect": "keyed", "deadline_ns": 5, "group": "zone"}],
                    "customers": [{"name": "hostels", "quota_rps": 70.0}],
                    "caps": {"attempts_cap": 2, "second_copies": false, "max_retry_after_ns": 7}});
-    let met = intersect(&a, &b);
-    assert!(met.stops.is_empty(), "{:?}", met.stops);
-    let plan = &met.settings["categories"][0];
+    let intersection = intersect(&a, &b);
+    assert!(intersection.stops.is_empty(), "{:?}", intersection.stops);
+    let plan = &intersection.settings["categories"][0];
     assert_eq!(
         *plan,
         json!({"name": "plan", "allowed_in": [1, 2], "effect": "keyed", "deadline_ns": 5, "group": "zone"})
     );
     let caps = json!({"attempts_cap": 2, "second_copies": false, "max_retry_after_ns": 7});
-    assert_eq!(met.settings["caps"], caps);
-    // Who is bounded by one of them is bounded.
+    assert_eq!(intersection.settings["caps"], caps);
+    // A tenant that one of them limits is limited.
     let tenants = json!([{"name": "clinics", "quota_rps": 9.0}, {"name": "hostels", "quota_rps": 50.0}]);
-    assert_eq!(met.settings["customers"], tenants);
+    assert_eq!(intersection.settings["customers"], tenants);
 }
 
 #[test]
-fn where_two_have_nothing_in_common_the_class_is_refused_and_it_is_told() {
+fn fields_with_nothing_in_common_reject_their_class() {
     let class =
         |zones: Value| json!({"categories": [{"name": "plan", "allowed_in": zones}, {"name": "read"}]});
-    let met = intersect(&class(json!([0, 1])), &class(json!([2])));
-    let told: Vec<String> = met.stops.iter().map(|s| s.to_string()).collect();
+    let intersection = intersect(&class(json!([0, 1])), &class(json!([2])));
+    let messages: Vec<String> = intersection.stops.iter().map(|s| s.to_string()).collect();
     assert_eq!(
-        told,
+        messages,
         ["plan is refused until it is decided: the two have nothing in common in categories.allowed_in"]
     );
-    // A field that has no order stops all that it is about.
-    let met = intersect(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
+    // A field without an order rejects everything that it concerns.
+    let intersection = intersect(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
     assert_eq!(
-        met.stops.into_iter().collect::<Vec<_>>(),
+        intersection.stops.into_iter().collect::<Vec<_>>(),
         [RejectedClass { class: None, path: "worth_by".into() }]
     );
-    // So does one that nobody has thought of.
-    let met = intersect(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
-    assert_eq!(met.stops.into_iter().next().map(|s| s.path).as_deref(), Some("rules.new"));
-    let met = intersect(&json!({"categories": [{"name": "a"}]}), &json!({"categories": [{"name": "b"}]}));
-    assert_eq!(met.stops.into_iter().next().map(|s| (s.class, s.path)), Some((None, "categories".into())));
+    // So does an unknown field.
+    let intersection = intersect(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
+    assert_eq!(intersection.stops.into_iter().next().map(|s| s.path).as_deref(), Some("rules.new"));
+    let intersection =
+        intersect(&json!({"categories": [{"name": "a"}]}), &json!({"categories": [{"name": "b"}]}));
+    assert_eq!(
+        intersection.stops.into_iter().next().map(|s| (s.class, s.path)),
+        Some((None, "categories".into()))
+    );
 }
--- a/crates/core/policy/tests/protocol.rs
+++ b/crates/core/policy/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! What the exploration leaves out: clocks that run fast and slow, floors, refusals, and who is named.
+//! Cases of the lease protocol beyond the state exploration: clock drift, fallback policies, rejections and blocking members.
 
 use rushquay_policy::{
     ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseTerms, Member, Phase, PolicyNumber,
@@ -11,36 +11,36 @@
     LeaseTerms { span: 5 * SECOND, drift_ppm: 10_000, limit: 60 * SECOND, floor: 100 * SECOND }
 }
 
-fn fresh(boot: u64) -> Member {
+fn new_member(boot: u64) -> Member {
     Member::new(Incarnation(boot), StartupPolicy::Waits, 0)
 }
 
-/// One exchange at this moment of the coordinator's clock and the member's.
+/// One request and its grant, at these times of the coordinator's clock and the member's.
 fn exchange(c: &mut Coordinator, m: &mut Member, name: &str, (at, own): (u64, u64)) {
-    let ask = m.ask(own);
-    if let Some(grant) = c.hear(name, &ask, at) {
+    let request = m.ask(own);
+    if let Some(grant) = c.hear(name, &request, at) {
         m.granted(&grant, |_| Ok(()));
     }
 }
 
-/// A clock that runs so many parts in a million fast.
+/// The reading of a clock that runs fast by `ppm`.
 fn clock(time: u64, ppm: i64) -> u64 {
     (i128::from(time) * i128::from(1_000_000 + ppm) / 1_000_000) as u64
 }
 
-/// Every pair of clocks within their bound: a member whose leave was granted at any moment acts by nothing any more by the time at which
-/// the coordinator takes it to be fenced. Beyond the bound that is not so, which is why it is stated.
+/// For every pair of clocks within their bound, a member whose lease was granted at any moment applies nothing any more by the time
+/// at which the coordinator takes it to be fenced. Beyond the bound this fails, which is why the bound is documented.
 #[test]
-fn a_leave_is_over_by_both_clocks_if_they_keep_their_bound() {
-    let acts_past_its_fence = |member: i64, leader: i64| {
+fn a_lease_expires_before_its_fence_within_the_drift_bound() {
+    let applies_past_its_fence = |member: i64, leader: i64| {
         (0..20u64).any(|tenth| {
             let granted = 1000 * SECOND + tenth * SECOND / 10;
             let mut c = Coordinator::lead(terms(), PolicyRecord::default(), clock(1, leader));
-            let mut m = fresh(1);
+            let mut m = new_member(1);
             exchange(&mut c, &mut m, "p0", (clock(granted, leader), clock(granted, member)));
             let proposed = c.record().propose(("a", "b"), None).expect("proposed");
             c.kept(proposed, clock(granted, leader));
-            // In steps of a millisecond: the first moment at which nobody holds it up.
+            // In steps of a millisecond: the first moment at which no member blocks.
             let free = (0..10_000u64).map(|ms| granted + ms * 1_000_000);
             let free = free.into_iter().find(|t| c.holdups(clock(*t, leader)).is_empty()).expect("it ends");
             matches!(m.acting(clock(free, member)), ActivePolicy::Leased(_))
@@ -48,26 +48,23 @@
     };
     for member in [-10_000, 0, 10_000] {
         for leader in [-10_000, 0, 10_000] {
-            assert!(!acts_past_its_fence(member, leader), "clocks {member} and {leader} ppm off");
+            assert!(!applies_past_its_fence(member, leader), "clocks {member} and {leader} ppm off");
         }
     }
-    assert!(
-        acts_past_its_fence(-60_000, 10_000),
-        "a clock beyond its bound breaks it, and would not be seen here"
-    );
+    assert!(applies_past_its_fence(-60_000, 10_000), "the test does not detect a clock beyond its bound");
 }
 
 #[test]
-fn without_word_it_acts_by_the_floor_and_then_by_nothing() {
+fn without_a_lease_a_member_falls_back_and_then_denies() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
-    let mut m = fresh(1);
-    assert_eq!(m.acting(0), ActivePolicy::Denied, "it has not been answered");
+    let mut m = new_member(1);
+    assert_eq!(m.acting(0), ActivePolicy::Denied, "it has no lease yet");
     exchange(&mut c, &mut m, "p0", (0, 0));
     assert_eq!(m.acting(5 * SECOND - 1), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))));
     assert_eq!(m.acting(5 * SECOND), ActivePolicy::Fallback);
     assert_eq!(m.acting(105 * SECOND - 1), ActivePolicy::Fallback);
     assert_eq!(m.acting(105 * SECOND), ActivePolicy::Denied);
-    // One that may begin by its file's floor does so after its wait.
+    // A process that may start with its own fallback policy does so after its wait.
     let started = Member::new(Incarnation(2), StartupPolicy::FloorAfter(3 * SECOND), 0);
     assert_eq!(
         (started.acting(3 * SECOND - 1), started.acting(3 * SECOND)),
@@ -76,9 +73,9 @@
 }
 
 #[test]
-fn one_that_cannot_obey_it_aborts_it_everywhere_and_is_named() {
+fn a_member_that_rejects_a_policy_aborts_the_change_and_is_named() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
-    let (mut able, mut older) = (fresh(1), fresh(2));
+    let (mut able, mut older) = (new_member(1), new_member(2));
     for m in [("able", &mut able), ("older", &mut older)] {
         exchange(&mut c, m.1, m.0, (0, 0));
     }
@@ -86,17 +83,17 @@
     c.kept(proposed, SECOND);
     exchange(&mut c, &mut able, "able", (SECOND, SECOND));
     assert_eq!(able.acting(SECOND), ActivePolicy::Leased(PolicySet::Joint(PolicyNumber(0), PolicyNumber(1))));
-    let ask = older.ask(SECOND);
-    let grant = c.hear("older", &ask, SECOND).expect("a leave");
+    let request = older.ask(SECOND);
+    let grant = c.hear("older", &request, SECOND).expect("a leave");
     older.granted(&grant, |_| Err("caps.attempts_cap: not known here".into()));
     assert_eq!(
         older.acting(SECOND),
         ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
-        "it goes on as it was"
+        "it keeps what it applied"
     );
-    // Its leave for that is not renewed by one for what it can't obey.
-    let ask = older.ask(2 * SECOND);
-    let grant = c.hear("older", &ask, 2 * SECOND).expect("a leave");
+    // A lease for what it cannot apply does not extend the lease it has.
+    let request = older.ask(2 * SECOND);
+    let grant = c.hear("older", &request, 2 * SECOND).expect("a leave");
     older.granted(&grant, |_| Ok(()));
     assert_eq!(older.until(), 5 * SECOND);
     let record = c.step(2 * SECOND).expect("it ends");
@@ -108,15 +105,15 @@
     assert_eq!(
         able.acting(2 * SECOND),
         ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
-        "it holds nowhere"
+        "the change is aborted everywhere"
     );
 }
 
-/// One that is down can't block the fleet: it is fenced. One that asks and never hears the answer neither.
+/// A member that is down cannot block the fleet: it is fenced. Neither can one that sends requests and never receives the grant.
 #[test]
-fn one_that_is_down_or_hears_nothing_is_fenced_and_named_until_then() {
+fn an_unreachable_member_is_fenced_and_named_as_blocking() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
-    let (mut well, mut down, mut deaf) = (fresh(1), fresh(2), fresh(3));
+    let (mut well, mut down, mut deaf) = (new_member(1), new_member(2), new_member(3));
     for (name, m) in [("well", &mut well), ("down", &mut down), ("deaf", &mut deaf)] {
         exchange(&mut c, m, name, (0, 0));
     }
@@ -138,14 +135,14 @@
         assert!(names.contains(&"down".to_owned()) && names.contains(&"deaf".to_owned()), "{names:?}");
     }
     let committed = committed.expect("it is committed");
-    assert!(committed <= terms().over() + SECOND / 5, "after {committed} ns");
+    assert!(committed <= terms().lease_expiry() + SECOND / 5, "after {committed} ns");
     for m in [&down, &deaf] {
         assert_eq!(m.acting(committed), ActivePolicy::Fallback);
     }
 }
 
 #[test]
-fn what_cannot_be_asked_changes_nothing() {
+fn invalid_proposals_and_withdrawals_are_rejected() {
     let record = PolicyRecord::default();
     let proposed = record.propose(("ravi", "b"), Some(Revision(1))).expect("proposed");
     assert_eq!(proposed.propose(("a", "b"), None), Err(RecordError::Undecided(1)));
@@ -167,12 +164,12 @@
     assert_eq!(serde_json::from_str::<PolicyRecord>(&text).expect("read"), committed);
 }
 
-/// A store that was lost, or set back to an older copy: who has heard of a later revision shows it. Nobody has leave by what it says, and a
-/// policy that is proposed anew goes on behind all that was ever told.
+/// A store that was lost, or restored from an older copy, shows by members that have seen a later revision. It grants nobody a lease,
+/// and a policy that is proposed anew follows all revisions that members have seen.
 #[test]
-fn a_store_that_is_behind_what_was_told_gives_nobody_leave() {
+fn a_store_behind_its_members_grants_no_lease() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
-    let (mut old, mut young) = (fresh(1), fresh(2));
+    let (mut old, mut young) = (new_member(1), new_member(2));
     let mut record = PolicyRecord::default();
     for _ in 0..3 {
         record = record
@@ -184,7 +181,7 @@
     c.kept(record.clone(), 0);
     exchange(&mut c, &mut old, "old", (0, 0));
     assert_eq!(old.acting(0), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(3))));
-    // Its store knows nothing.
+    // The store is empty now.
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), SECOND);
     exchange(&mut c, &mut old, "old", (SECOND, SECOND));
     assert_eq!(c.behind(), Some(("old", Revision(7))));
@@ -192,7 +189,7 @@
     assert_eq!(
         young.acting(SECOND),
         ActivePolicy::Denied,
-        "by what the store says it would act beside the other's"
+        "applying the stored policy would conflict with the other member"
     );
     assert_eq!(c.step(100 * SECOND), None);
     let begun = c
--- a/crates/core/policy/tests/state_exploration.rs
+++ b/crates/core/policy/tests/state_exploration.rs
@@ -1,6 +1,6 @@
-//! Every order of words, losses, crashes and takeovers at a small size: three proxies and two leaders on one store, with leaves that
-//! run out. In each state no two policies hold alone at once, and none holds that was not decided; from each, once faults are over, the
-//! change ends everywhere alike.
+//! Exhaustive and random exploration of the lease protocol at a small size: three proxies and two leaders on one store, with message
+//! loss, crashes, takeovers and expiring leases. In no state are two policies applied alone at once, nor one that was not decided;
+//! from each state, once faults are over, the change ends alike everywhere.
 
 use rushquay_policy::{
     ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseGrant, LeaseRequest, LeaseTerms, Member,
@@ -15,57 +15,57 @@
 const FLOOR: u64 = 1;
 const LIMIT: u64 = 5;
 const LAST: u64 = 14;
-/// Faults on a way.
+/// Maximum faults on a path.
 const FAULTS: u8 = 3;
 const NAMES: [&str; 3] = ["p0", "p1", "p2"];
 
-/// What is taken out, to see that it is missed.
+/// The safeguard that is removed, to show that its absence is detected.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Without {
+enum Removed {
     Nothing,
-    /// A leave counts from when the grant came.
-    CountingFromTheAsk,
-    /// What was told holds however long ago that was.
-    LeavesThatRunOut,
-    /// Members take word of an earlier revision.
-    RevisionsInOrder,
-    /// Members take answers to asks of an earlier process.
-    BootsAndNumbers,
-    /// A process that takes over goes on with the leave of the one before.
-    LeavesOfOnesOwn,
-    /// A change is committed though some have not joined and may still act by the old.
-    WaitingForAll,
-    /// A new leader does not wait for what its predecessor granted.
-    WaitingAfterATakeover,
-    /// A leader tells members before its decision is in the store.
-    KeepingFirst,
-    /// The store takes writes of a lease that is over.
-    TheFenceOfTheStore,
-    /// A leader grants after its lease is over.
-    TheLease,
-    /// Old goes to new with no joint phase between.
-    TheJointPhase,
+    /// A lease counts from when the request was sent.
+    LeaseStartAtRequest,
+    /// Leases expire.
+    LeaseExpiry,
+    /// Members ignore earlier revisions.
+    RevisionOrder,
+    /// Members ignore grants for requests of an earlier process.
+    RequestMatching,
+    /// A successor does not use the lease of the incumbent.
+    SeparateSuccessorLease,
+    /// A change is committed only when all members have joined or are fenced.
+    WaitForAllMembers,
+    /// A new leader waits for the leases of its predecessor.
+    WaitAfterTakeover,
+    /// A decision is persisted before members are told.
+    PersistBeforeTelling,
+    /// The store rejects writes of an expired epoch.
+    StoreFencing,
+    /// A leader grants leases only while it holds its own.
+    LeaderLease,
+    /// A joint phase lies between old and new.
+    JointPhase,
 }
 
-const ALL: [Without; 11] = [
-    Without::CountingFromTheAsk,
-    Without::LeavesThatRunOut,
-    Without::RevisionsInOrder,
-    Without::BootsAndNumbers,
-    Without::LeavesOfOnesOwn,
-    Without::WaitingForAll,
-    Without::WaitingAfterATakeover,
-    Without::KeepingFirst,
-    Without::TheFenceOfTheStore,
-    Without::TheLease,
-    Without::TheJointPhase,
+const ALL_SAFEGUARDS: [Removed; 11] = [
+    Removed::LeaseStartAtRequest,
+    Removed::LeaseExpiry,
+    Removed::RevisionOrder,
+    Removed::RequestMatching,
+    Removed::SeparateSuccessorLease,
+    Removed::WaitForAllMembers,
+    Removed::WaitAfterTakeover,
+    Removed::PersistBeforeTelling,
+    Removed::StoreFencing,
+    Removed::LeaderLease,
+    Removed::JointPhase,
 ];
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Leader {
     epoch: u64,
     lease: u64,
-    stopped: bool,
+    paused: bool,
     coordinator: Coordinator,
 }
 
@@ -74,23 +74,23 @@
     now: u64,
     store: PolicyRecord,
     epoch: u64,
-    /// Until when nobody else may lead.
+    /// When the leader's lease expires.
     lease: u64,
     leaders: [Option<Leader>; 2],
     members: [Member; 3],
-    /// A process that has handed over and still serves.
-    before: Option<Member>,
+    /// An incumbent that has handed over and still serves.
+    incumbent: Option<Member>,
     boots: u64,
-    /// A write of a leader that has crashed since, on its way to the store, and its epoch.
+    /// A write in flight of a leader that has crashed since, and its epoch.
     writing: Option<(u64, PolicyRecord)>,
-    /// Grants on their way, and when what they answer was asked.
-    net: Vec<(usize, LeaseGrant, u64)>,
-    /// The last ask of each, to come once more.
-    asked: [Option<(LeaseRequest, u64)>; 3],
-    /// What the store ever had decided.
+    /// Grants in flight, and when their requests were sent.
+    in_flight: Vec<(usize, LeaseGrant, u64)>,
+    /// The last request of each member, for duplication.
+    requested: [Option<(LeaseRequest, u64)>; 3],
+    /// The policies that were ever decided in the store.
     decided: BTreeSet<PolicyNumber>,
-    /// How each change ended, by the store: committed or not; and one that ended both ways.
-    ends: BTreeMap<PolicyNumber, bool>,
+    /// How each change ended in the store: committed or not; and a change that ended both ways.
+    outcomes: BTreeMap<PolicyNumber, bool>,
     both: Option<PolicyNumber>,
     faults: u8,
     proposals: u8,
@@ -100,21 +100,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Tick,
-    /// A member asks a leader, whose answer is on its way then.
+    /// A member sends a request to a leader, whose grant is in flight then.
     Exchange(usize, usize),
-    /// A grant arrives; it may come once more.
+    /// A grant arrives; it may be duplicated.
     Deliver(usize, bool),
-    /// The last ask of a member comes again, or late.
-    Again(usize, usize),
-    /// A leader looks whether a change has ended; it may crash with its write on the way.
+    /// The last request of a member arrives again.
+    Duplicate(usize, usize),
+    /// A leader checks whether a change has ended; it may crash with its write in flight.
     Decide(usize, bool),
-    /// That write arrives.
+    /// The write in flight arrives.
     Arrive,
     Propose(usize),
     Withdraw(usize),
     Crash(usize),
-    Stop(usize),
-    Wake(usize),
+    Pause(usize),
+    Resume(usize),
     TakeOver(usize),
     Restart(usize),
     HandOver,
@@ -136,15 +136,15 @@
         store: record,
         epoch: 1,
         lease: LEASE,
-        leaders: [Some(Leader { epoch: 1, lease: LEASE, stopped: false, coordinator }), None],
+        leaders: [Some(Leader { epoch: 1, lease: LEASE, paused: false, coordinator }), None],
         members: [member(1, 0), member(2, 0), member(3, 0)],
-        before: None,
+        incumbent: None,
         boots: 3,
         writing: None,
-        net: Vec::new(),
-        asked: [None, None, None],
+        in_flight: Vec::new(),
+        requested: [None, None, None],
         decided: BTreeSet::from([PolicyNumber(0)]),
-        ends: BTreeMap::new(),
+        outcomes: BTreeMap::new(),
         both: None,
         faults: 0,
         proposals: 0,
@@ -153,13 +153,13 @@
 }
 
 impl World {
-    fn leads(&self, l: usize, without: Without) -> bool {
+    fn leads(&self, l: usize, removed: Removed) -> bool {
         let leads =
-            |leader: &Leader| !leader.stopped && (self.now < leader.lease || without == Without::TheLease);
+            |leader: &Leader| !leader.paused && (self.now < leader.lease || removed == Removed::LeaderLease);
         self.leaders[l].as_ref().is_some_and(leads)
     }
 
-    fn steps(&self, without: Without) -> Vec<Step> {
+    fn steps(&self, removed: Removed) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.now < LAST {
             steps.push(Step::Tick);
@@ -171,11 +171,11 @@
                 }
                 continue;
             };
-            if leader.stopped {
-                steps.push(Step::Wake(l));
+            if leader.paused {
+                steps.push(Step::Resume(l));
                 continue;
             }
-            if self.leads(l, without) {
+            if self.leads(l, removed) {
                 steps.extend((0..3).map(|m| Step::Exchange(m, l)));
                 let joint = matches!(leader.coordinator.record().phase, Phase::Joint(_));
                 if joint {
@@ -189,15 +189,17 @@
                 }
                 if self.faults < FAULTS {
                     steps.push(Step::Crash(l));
-                    steps.push(Step::Stop(l));
+                    steps.push(Step::Pause(l));
                     if joint {
                         steps.push(Step::Decide(l, true));
                     }
-                    steps.extend((0..3).filter(|m| self.asked[*m].is_some()).map(|m| Step::Again(m, l)));
+                    steps.extend(
+                        (0..3).filter(|m| self.requested[*m].is_some()).map(|m| Step::Duplicate(m, l)),
+                    );
                 }
             }
         }
-        for n in 0..self.net.len() {
+        for n in 0..self.in_flight.len() {
             steps.push(Step::Deliver(n, false));
             if self.faults < FAULTS {
                 steps.push(Step::Deliver(n, true));
@@ -208,32 +210,33 @@
         }
         if self.faults < FAULTS {
             steps.push(Step::Restart(1));
-            if self.before.is_none() {
+            if self.incumbent.is_none() {
                 steps.push(Step::HandOver);
             }
         }
         steps
     }
 
-    fn send(&mut self, m: usize, grant: LeaseGrant, asked: u64) {
-        // Two of one member's are on their way at the most: the older one is lost.
-        let of = |net: &[(usize, LeaseGrant, u64)]| net.iter().filter(|(to, ..)| *to == m).count();
-        if of(&self.net) >= 2 {
-            let at = self.net.iter().position(|(to, ..)| *to == m).expect("two");
-            self.net.remove(at);
+    fn send(&mut self, m: usize, grant: LeaseGrant, requested: u64) {
+        // At most two grants to one member are in flight: the older one is lost.
+        let of =
+            |in_flight: &[(usize, LeaseGrant, u64)]| in_flight.iter().filter(|(to, ..)| *to == m).count();
+        if of(&self.in_flight) >= 2 {
+            let at = self.in_flight.iter().position(|(to, ..)| *to == m).expect("two");
+            self.in_flight.remove(at);
         }
-        self.net.push((m, grant, asked));
+        self.in_flight.push((m, grant, requested));
     }
 
-    /// The store takes a record, unless the epoch is over.
-    fn store(&mut self, epoch: u64, record: PolicyRecord, without: Without) -> bool {
-        if epoch != self.epoch && without != Without::TheFenceOfTheStore {
+    /// Stores a record, unless the epoch has expired.
+    fn store(&mut self, epoch: u64, record: PolicyRecord, removed: Removed) -> bool {
+        if epoch != self.epoch && removed != Removed::StoreFencing {
             return false;
         }
         self.store = record;
         if let Some((number, how)) = &self.store.last {
             let committed = *how == ChangeOutcome::Committed;
-            if self.ends.insert(*number, committed).is_some_and(|before| before != committed) {
+            if self.outcomes.insert(*number, committed).is_some_and(|incumbent| incumbent != committed) {
                 self.both = Some(*number);
             }
         }
@@ -243,18 +246,18 @@
         true
     }
 
-    /// A leader writes a record; `crashes`: it does so with its write on the way.
-    fn keep(&mut self, l: usize, record: PolicyRecord, crashes: bool, without: Without) {
+    /// A leader persists a record; `crashes`: it crashes with the write in flight.
+    fn keep(&mut self, l: usize, record: PolicyRecord, crashes: bool, removed: Removed) {
         let Some(leader) = &mut self.leaders[l] else { return };
         let epoch = leader.epoch;
-        if without == Without::KeepingFirst && crashes {
-            // It tells already, and the store hears of it never.
+        if removed == Removed::PersistBeforeTelling && crashes {
+            // Members are told, and the record never reaches the store.
             return leader.coordinator.kept(record, self.now);
         }
         if crashes {
             self.writing = Some((epoch, record));
             self.leaders[l] = None;
-        } else if self.store(epoch, record.clone(), without) {
+        } else if self.store(epoch, record.clone(), removed) {
             let now = self.now;
             self.leaders[l].iter_mut().for_each(|leader| leader.coordinator.kept(record.clone(), now));
         } else {
@@ -262,14 +265,14 @@
         }
     }
 
-    fn take(&mut self, step: Step, without: Without) {
+    fn take(&mut self, step: Step, removed: Removed) {
         let fault = matches!(
             step,
             Step::Crash(_)
-                | Step::Stop(_)
+                | Step::Pause(_)
                 | Step::Restart(_)
                 | Step::HandOver
-                | Step::Again(..)
+                | Step::Duplicate(..)
                 | Step::Decide(_, true)
                 | Step::Deliver(_, true)
         );
@@ -280,53 +283,55 @@
                 self.now += 1;
                 let (now, epoch) = (self.now, self.epoch);
                 for leader in self.leaders.iter_mut().flatten() {
-                    // It renews in time, unless it is stopped or another leads.
-                    if !leader.stopped && leader.epoch == epoch && now <= leader.lease {
+                    // A leader renews its lease in time, unless it is paused or another one leads.
+                    if !leader.paused && leader.epoch == epoch && now <= leader.lease {
                         leader.lease = now + LEASE;
                         self.lease = now + LEASE;
                     }
                 }
             }
             Step::Exchange(m, l) => {
-                let ask = self.members[m].ask(now);
-                self.asked[m] = Some((ask.clone(), now));
+                let request = self.members[m].ask(now);
+                self.requested[m] = Some((request.clone(), now));
                 let Some(leader) = &mut self.leaders[l] else { return };
-                if let Some(grant) = leader.coordinator.hear(NAMES[m], &ask, now) {
+                if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
                     self.send(m, grant, now);
                 }
             }
-            Step::Again(m, l) => {
-                let Some((ask, asked)) = self.asked[m].clone() else { return };
+            Step::Duplicate(m, l) => {
+                let Some((request, requested)) = self.requested[m].clone() else { return };
                 let Some(leader) = &mut self.leaders[l] else { return };
-                if let Some(grant) = leader.coordinator.hear(NAMES[m], &ask, now) {
-                    self.send(m, grant, asked);
+                if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
+                    self.send(m, grant, requested);
                 }
             }
             Step::Deliver(n, again) => {
-                let (m, mut grant, asked) = self.net[n];
+                let (m, mut grant, requested) = self.in_flight[n];
                 if !again {
-                    self.net.remove(n);
+                    self.in_flight.remove(n);
                 }
                 let member = &mut self.members[m];
-                if without == Without::CountingFromTheAsk {
-                    grant.span += now - asked;
+                if removed == Removed::LeaseStartAtRequest {
+                    grant.span += now - requested;
                 }
-                if without == Without::BootsAndNumbers {
-                    // As if it answered what this process asks just now.
-                    let ask = member.ask(now);
-                    (grant.boot, grant.seq) = (ask.boot, ask.seq);
+                if removed == Removed::RequestMatching {
+                    // As if it answered the latest request of this process.
+                    let request = member.ask(now);
+                    (grant.boot, grant.seq) = (request.boot, request.seq);
                 }
-                if without == Without::RevisionsInOrder {
+                if removed == Removed::RevisionOrder {
                     grant.revision = Revision(grant.revision.0.max(member.revision().0 + 1));
                 }
                 member.granted(&grant, |_| Ok(()));
             }
             Step::Decide(l, lost) => {
                 let Some(leader) = &mut self.leaders[l] else { return };
-                let decided = match without {
-                    Without::WaitingForAll => leader.coordinator.record().conclude(ChangeOutcome::Committed),
-                    Without::WaitingAfterATakeover => {
-                        // As if it had led for longer than any leave lasts.
+                let decided = match removed {
+                    Removed::WaitForAllMembers => {
+                        leader.coordinator.record().conclude(ChangeOutcome::Committed)
+                    }
+                    Removed::WaitAfterTakeover => {
+                        // As if it had led for longer than any lease lasts.
                         let holdups = leader.coordinator.holdups(now);
                         let only = holdups.iter().all(|h| h.name.is_empty());
                         if only {
@@ -338,12 +343,12 @@
                     _ => leader.coordinator.step(now),
                 };
                 if let Some(record) = decided {
-                    self.keep(l, record, lost, without);
+                    self.keep(l, record, lost, removed);
                 }
             }
             Step::Arrive => {
                 if let Some((epoch, record)) = self.writing.take() {
-                    self.store(epoch, record, without);
+                    self.store(epoch, record, removed);
                 }
             }
             Step::Propose(l) => {
@@ -351,27 +356,27 @@
                 let proposed = leader.coordinator.record().propose(("a", "b"), None);
                 if let Ok(mut record) = proposed {
                     self.proposals += 1;
-                    if without == Without::TheJointPhase {
+                    if removed == Removed::JointPhase {
                         record = record.conclude(ChangeOutcome::Committed).expect("it was proposed");
                     }
-                    self.keep(l, record, false, without);
+                    self.keep(l, record, false, removed);
                 }
             }
             Step::Withdraw(l) => {
                 let Some(leader) = &self.leaders[l] else { return };
                 if let Ok(record) = leader.coordinator.record().withdraw("a", None) {
                     self.withdrawals += 1;
-                    self.keep(l, record, false, without);
+                    self.keep(l, record, false, removed);
                 }
             }
             Step::Crash(l) => self.leaders[l] = None,
-            Step::Stop(l) => self.leaders[l].iter_mut().for_each(|leader| leader.stopped = true),
-            Step::Wake(l) => {
+            Step::Pause(l) => self.leaders[l].iter_mut().for_each(|leader| leader.paused = true),
+            Step::Resume(l) => {
                 if let Some(leader) = &mut self.leaders[l] {
-                    leader.stopped = false;
+                    leader.paused = false;
                     if now >= leader.lease
-                        && without != Without::TheLease
-                        && without != Without::TheFenceOfTheStore
+                        && removed != Removed::LeaderLease
+                        && removed != Removed::StoreFencing
                     {
                         self.leaders[l] = None;
                     }
@@ -382,7 +387,7 @@
                 self.lease = now + LEASE;
                 let coordinator = Coordinator::lead(terms(), self.store.clone(), now);
                 self.leaders[l] =
-                    Some(Leader { epoch: self.epoch, lease: now + LEASE, stopped: false, coordinator });
+                    Some(Leader { epoch: self.epoch, lease: now + LEASE, paused: false, coordinator });
             }
             Step::Restart(m) => {
                 self.boots += 1;
@@ -391,28 +396,28 @@
             Step::HandOver => {
                 self.boots += 1;
                 let old = self.members[0].clone();
-                // With its leave it goes on as the process that the leader knows, and the one before it acts by the same leave.
-                if without != Without::LeavesOfOnesOwn {
+                // With the incumbent's lease it is the same process to the leader, while the incumbent uses that lease too.
+                if removed != Removed::SeparateSuccessorLease {
                     self.members[0] =
                         Member::take_over(Incarnation(self.boots), StartupPolicy::Waits, old.snapshot(), now);
                 }
-                self.before = Some(old);
+                self.incumbent = Some(old);
             }
         }
     }
 
-    /// What each process acts by.
-    fn acting(&self, without: Without) -> Vec<PolicySet> {
-        let now = if without == Without::LeavesThatRunOut { 0 } else { self.now };
+    /// What each process applies.
+    fn acting(&self, removed: Removed) -> Vec<PolicySet> {
+        let now = if removed == Removed::LeaseExpiry { 0 } else { self.now };
         let acts = |m: &Member| match m.acting(now) {
             ActivePolicy::Leased(told) => Some(told),
             ActivePolicy::Fallback | ActivePolicy::Denied => None,
         };
-        self.members.iter().chain(&self.before).filter_map(acts).collect()
+        self.members.iter().chain(&self.incumbent).filter_map(acts).collect()
     }
 
-    fn breach(&self, without: Without) -> Option<String> {
-        let acting = self.acting(without);
+    fn violation(&self, removed: Removed) -> Option<String> {
+        let acting = self.acting(removed);
         let numbers: BTreeSet<PolicyNumber> = acting
             .iter()
             .flat_map(|told| match *told {
@@ -433,15 +438,15 @@
         undecided.map(|n| format!("{n:?} holds alone somewhere and was never decided"))
     }
 
-    /// Once faults are over: whoever may leads, everybody asks and is heard, and all looks are taken.
-    fn ends(&self) -> Result<(), String> {
+    /// Plays on without faults: a leader is elected, all requests are answered and all decisions taken.
+    fn terminates(&self) -> Result<(), String> {
         let mut world = self.clone();
         world.leaders.iter_mut().for_each(|l| {
-            if l.as_ref().is_some_and(|l| l.stopped || l.epoch != self.epoch || self.now >= l.lease) {
+            if l.as_ref().is_some_and(|l| l.paused || l.epoch != self.epoch || self.now >= l.lease) {
                 *l = None;
             }
         });
-        (world.before, world.writing) = (None, None);
+        (world.incumbent, world.writing) = (None, None);
         for _ in 0..24 {
             world.now += 1;
             let now = world.now;
@@ -449,7 +454,7 @@
                 if now < world.lease {
                     continue;
                 }
-                world.take(Step::TakeOver(0), Without::Nothing);
+                world.take(Step::TakeOver(0), Removed::Nothing);
             }
             let l = world.leaders.iter().position(Option::is_some).expect("one leads");
             for leader in world.leaders.iter_mut().flatten() {
@@ -457,13 +462,13 @@
             }
             world.lease = now + LEASE;
             for m in 0..3 {
-                world.net.clear();
-                world.take(Step::Exchange(m, l), Without::Nothing);
-                world.take(Step::Deliver(0, false), Without::Nothing);
+                world.in_flight.clear();
+                world.take(Step::Exchange(m, l), Removed::Nothing);
+                world.take(Step::Deliver(0, false), Removed::Nothing);
             }
-            world.take(Step::Decide(l, false), Without::Nothing);
-            if let Some(breach) = world.breach(Without::Nothing) {
-                return Err(format!("on the way to the end: {breach}"));
+            world.take(Step::Decide(l, false), Removed::Nothing);
+            if let Some(violation) = world.violation(Removed::Nothing) {
+                return Err(format!("on the path to the end: {violation}"));
             }
         }
         let all: Vec<ActivePolicy> = world.members.iter().map(|m| m.acting(world.now)).collect();
@@ -486,23 +491,23 @@
 }
 
 #[test]
-fn no_order_of_steps_faults_and_words_breaks_the_promise() {
+fn no_interleaving_within_the_state_bound_violates_safety() {
     let most = states(25_000);
     let mut known = HashSet::from([digest(&first())]);
     let mut open = VecDeque::from([first()]);
     let (mut taken, mut ended) = (0usize, 0usize);
     while let Some(world) = open.pop_front() {
         taken += 1;
-        // Each way ends; that is played from a part of the states, since it takes longer than a step.
+        // Liveness is checked from a part of the states only, since it takes longer than a step.
         if taken.is_multiple_of(8) {
             ended += 1;
-            world.ends().unwrap_or_else(|why| panic!("{why}\n{world:#?}"));
+            world.terminates().unwrap_or_else(|why| panic!("{why}\n{world:#?}"));
         }
-        for step in world.steps(Without::Nothing) {
+        for step in world.steps(Removed::Nothing) {
             let mut next = world.clone();
-            next.take(step, Without::Nothing);
-            if let Some(breach) = next.breach(Without::Nothing) {
-                panic!("{breach} after {step:?}\n{next:#?}");
+            next.take(step, Removed::Nothing);
+            if let Some(violation) = next.violation(Removed::Nothing) {
+                panic!("{violation} after {step:?}\n{next:#?}");
             }
             if known.len() < most && known.insert(digest(&next)) {
                 open.push_back(next);
@@ -512,7 +517,7 @@
     println!("{} states, {taken} taken up, {ended} played to their end", known.len());
 }
 
-/// A generator of its own: the same seed is the same way on every machine.
+/// A self-contained random generator: a seed gives the same path on every machine.
 struct Draw(u64);
 
 impl Draw {
@@ -522,55 +527,58 @@
     }
 }
 
-/// A way of so many steps from a seed; the steps, how changes ended on it, and what broke.
-fn wander(
+/// A random path of at most `most` steps: its steps, how changes ended on it, and the violation found.
+fn random_path(
     seed: u64,
     most: usize,
-    without: Without,
+    removed: Removed,
 ) -> (Vec<Step>, BTreeMap<PolicyNumber, bool>, Option<String>) {
-    let (mut draw, mut world, mut way) = (Draw(seed), first(), Vec::new());
+    let (mut draw, mut world, mut path) = (Draw(seed), first(), Vec::new());
     for _ in 0..most {
-        let steps = world.steps(without);
+        let steps = world.steps(removed);
         if steps.is_empty() {
             break;
         }
         let step = steps[draw.below(steps.len())];
-        world.take(step, without);
-        way.push(step);
-        if let Some(breach) = world.breach(without) {
-            return (way, world.ends, Some(breach));
+        world.take(step, removed);
+        path.push(step);
+        if let Some(violation) = world.violation(removed) {
+            return (path, world.outcomes, Some(violation));
         }
     }
-    if without == Without::Nothing {
-        if let Err(why) = world.ends() {
-            return (way, world.ends, Some(why));
+    if removed == Removed::Nothing {
+        if let Err(why) = world.terminates() {
+            return (path, world.outcomes, Some(why));
         }
     }
-    (way, world.ends, None)
+    (path, world.outcomes, None)
 }
 
 #[test]
-fn long_ways_break_nothing_and_end() {
-    let ways = states(25_000) as u64 / 5;
+fn long_random_paths_stay_safe_and_terminate() {
+    let paths = states(25_000) as u64 / 5;
     let (mut committed, mut aborted) = (0, 0);
-    for seed in 1..=ways {
-        let (way, ends, breach) = wander(seed, 70, Without::Nothing);
-        assert_eq!(breach, None, "seed {seed}: {way:?}");
-        committed += ends.values().filter(|committed| **committed).count();
-        aborted += ends.values().filter(|committed| !**committed).count();
+    for seed in 1..=paths {
+        let (path, outcomes, violation) = random_path(seed, 70, Removed::Nothing);
+        assert_eq!(violation, None, "seed {seed}: {path:?}");
+        committed += outcomes.values().filter(|committed| **committed).count();
+        aborted += outcomes.values().filter(|committed| !**committed).count();
     }
-    println!("{ways} ways of 70 steps, seeds 1 to {ways}: {committed} changes committed, {aborted} ended otherwise");
-    assert!(committed > ways as usize / 20 && aborted > ways as usize / 20, "the ways lead nowhere");
+    println!("{paths} paths of 70 steps, seeds 1 to {paths}: {committed} changes committed, {aborted} ended otherwise");
+    assert!(
+        committed > paths as usize / 20 && aborted > paths as usize / 20,
+        "too few changes end either way"
+    );
 }
 
 #[test]
-fn each_guard_that_is_taken_out_is_missed() {
-    for without in ALL {
+fn removing_any_safeguard_is_detected() {
+    for removed in ALL_SAFEGUARDS {
         let found = (1..=400_000u64).find_map(|seed| {
-            let (way, _, breach) = wander(seed, 60, without);
-            breach.map(|breach| (seed, way, breach))
+            let (path, _, violation) = random_path(seed, 60, removed);
+            violation.map(|violation| (seed, path, violation))
         });
-        let (seed, way, breach) = found.unwrap_or_else(|| panic!("{without:?} is not missed"));
-        println!("| {without:?} | seed {seed}, {} steps | {breach} |", way.len());
+        let (seed, path, violation) = found.unwrap_or_else(|| panic!("removing {removed:?} is not detected"));
+        println!("| {removed:?} | seed {seed}, {} steps | {violation} |", path.len());
     }
 }
