--- a/crates/core/rollout/examples/rollout_figures.rs
+++ b/crates/core/rollout/examples/rollout_figures.rs
@@ -1,7 +1,7 @@
-//! Figures of changes in stages, in virtual time.
+//! Measures rollouts in virtual time.
 //!
-//! `cargo run --release --locked -p rushquay-rollout --example rollout_figures -- verdict 1000` plays so many changes for each
-//! defect; `-- fleet` plays changes of 300 and of 10,000 proxies.
+//! `cargo run --release --locked -p rushquay-rollout --example rollout_figures -- verdict 1000` plays so many rollouts for each
+//! defect; `-- fleet` plays rollouts over 300 and over 10,000 proxies.
 
 mod sim;
 
@@ -9,7 +9,7 @@
 use sim::{play, Defect, World};
 use std::time::Instant;
 
-/// Longer than any of these changes should take, in seconds.
+/// Longer than any of these rollouts should take, in seconds.
 const MOST: u64 = 7200;
 
 fn main() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A change of 300 and of 10,000 proxies.
+/// A rollout over 300 and over 10,000 proxies.
 fn fleet() {
     println!("| proxies | at once | seconds of the change | most on their way | real seconds a virtual one | record in bytes |");
     println!("| --- | --- | --- | --- | --- | --- |");
@@ -83,7 +83,7 @@
         let mut world = World::new(proxies, 7);
         world.plan.at_once = at_once;
         world.plan.limit_s = 600_000.0;
-        // One proxy alone would hardly see enough of the smallest class.
+        // One proxy alone would get too few requests of the smallest class.
         world.plan.stages[0].count = Some(4);
         let (start, mut record) = (Instant::now(), 0);
         let end = play(&world, 20_000, |board, _| {
--- a/crates/core/rollout/examples/sim/mod.rs
+++ b/crates/core/rollout/examples/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: proxies that count drawn requests, and the roster, evidence and board that drive a change over them as
-//! the control service does.
+//! A simulated fleet in virtual time: proxies with random requests, and the membership, analysis and registry that drive a rollout over
+//! them as the control service does.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Poisson};
@@ -12,7 +12,7 @@
 };
 use serde_json::json;
 
-/// A class of requests: how many a second at each proxy, the part that ends badly, and the median time in milliseconds.
+/// A request class: its rate at each proxy, the part of bad outcomes, and the median time in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
     pub name: &'static str,
@@ -21,15 +21,15 @@
     pub median_ms: f64,
 }
 
-/// What the new does worse.
+/// The defect of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Defect {
     None,
-    /// This part more of a class ends badly.
+    /// This part more of a class has bad outcomes.
     Bad(&'static str, f64),
     /// The same in one data centre alone.
     BadIn(&'static str, &'static str, f64),
-    /// All times so many times as long.
+    /// All response times are multiplied by this.
     Slow(f64),
 }
 
@@ -39,11 +39,11 @@
     pub zones: usize,
     pub classes: Vec<Class>,
     pub defect: Defect,
-    /// Of all requests in a second at a proxy so many end badly together, at times: bursts.
+    /// Bursts: this many of the requests in a second at a proxy have bad outcomes together, at times.
     pub burst: (f64, f64),
-    /// The part of reports that are lost.
+    /// The part of reports that is lost.
     pub lost: f64,
-    /// From then to then, in seconds, this part more of all ends badly everywhere.
+    /// From and until, in seconds, this part more of all requests have bad outcomes everywhere.
     pub trouble: Option<(u64, u64, f64)>,
     pub plan: PlanText,
     pub seed: u64,
@@ -75,16 +75,16 @@
 
 #[derive(Debug)]
 pub struct End {
-    /// `None`: it had not ended by the last second.
+    /// `None`: the rollout had not ended by the last second.
     pub done: Option<bool>,
     pub why: Option<RollbackReason>,
-    /// Seconds from the beginning of the change.
+    /// Seconds from the start of the rollout.
     pub seconds: u64,
-    /// Proxies that ever acted by the new.
+    /// Proxies that ever applied the new version.
     pub tried: usize,
-    /// Bad ends that the defect made.
+    /// Bad outcomes caused by the defect.
     pub harmed: f64,
-    /// The most that were on their way at once.
+    /// Maximum number of proxies in transit at once.
     pub on_way: usize,
 }
 
@@ -97,16 +97,16 @@
     tried: bool,
 }
 
-/// Seconds in which nothing is changed, so that what is usual is known.
+/// Seconds without a rollout, for the baseline.
 const BEFORE: u64 = 70;
 
-/// Plays one change, for so many seconds at most. `watch` sees the board after each second.
+/// Plays one rollout, for so many seconds at most. `watch` gets the registry after each second.
 pub fn play(world: &World, most: u64, mut watch: impl FnMut(&RolloutRegistry, &[FleetView<'_>])) -> End {
     let mut random = Pcg64Mcg::seed_from_u64(world.seed);
     let terms = MembershipTimeouts { most: world.proxies * 2, ..MembershipTimeouts::default() };
-    let (mut roster, mut board) = (Membership::new(terms), RolloutRegistry::default());
-    let mut evidence = Analysis::new(Bounds::default());
-    let base = board.record().holds;
+    let (mut membership, mut registry) = (Membership::new(terms), RolloutRegistry::default());
+    let mut analysis = Analysis::new(Bounds::default());
+    let base = registry.record().holds;
     let proxy = |n: usize| Proxy {
         name: format!("p{n}"),
         zone: format!("z{}", n % world.zones),
@@ -128,15 +128,15 @@
                 reason: "r".into(),
                 displace: false,
             };
-            board.start(ask, None, evidence.usual(), now).expect("begun");
-            evidence.begin(4);
+            registry.start(ask, None, analysis.usual(), now).expect("begun");
+            analysis.begin(4);
         }
-        let to = board.record().change.as_ref().map_or(base, |c| c.to);
+        let to = registry.record().change.as_ref().map_or(base, |c| c.to);
         let trouble =
             world.trouble.filter(|(from, to, _)| (*from..*to).contains(&second)).map_or(0.0, |t| t.2);
         for p in &mut proxies {
-            // What was handed out in the second before is taken.
-            p.acting = board.given(&p.name).1.digest();
+            // Assignments of the previous second are applied.
+            p.acting = registry.given(&p.name).1.digest();
             let new = p.acting == to && to != base;
             p.tried |= new;
             end.harmed += serve(world, p, new, trouble, &mut random);
@@ -157,46 +157,46 @@
                 leaving: false,
                 figures: p.figures.clone(),
             };
-            roster.hear(&p.name, report, 1, now);
+            membership.hear(&p.name, report, 1, now);
         }
-        let serving = roster.instances().filter(|i| roster.standing(i, now) == MemberStatus::Serving);
-        let seen: Vec<FleetView<'_>> = roster
+        let serving = membership.instances().filter(|i| membership.standing(i, now) == MemberStatus::Serving);
+        let seen: Vec<FleetView<'_>> = membership
             .instances()
             .map(|i| FleetView {
                 name: &i.told.name,
                 zone: &i.told.zone,
-                standing: roster.standing(i, now),
+                standing: membership.standing(i, now),
                 acting: i.told.acting,
                 since: i.since(),
                 quiet: now - i.heard.unwrap_or(0),
                 refused: None,
             })
             .collect();
-        let Some(change) = board.running() else {
-            evidence.look(serving, |_| false, (base, base), SECOND);
+        let Some(change) = registry.running() else {
+            analysis.look(serving, |_| false, (base, base), SECOND);
             continue;
         };
         let (from, to) = (change.from, change.to);
-        evidence.look(serving, |name| change.moved.contains_key(name), (from, to), SECOND);
+        analysis.look(serving, |name| change.moved.contains_key(name), (from, to), SECOND);
         let verdict = match change.stage() {
-            Some(stage) => evidence.verdict(change.plan.stage(stage).soak, change.plan.last(stage), now),
+            Some(stage) => analysis.verdict(change.plan.stage(stage).soak, change.plan.last(stage), now),
             None => Verdict::Waiting(String::new()),
         };
         let before = change.phase.clone();
-        board.step(&seen, &verdict, now);
-        let change = board.record().change.as_ref().expect("it was begun");
+        registry.step(&seen, &verdict, now);
+        let change = registry.record().change.as_ref().expect("it was begun");
         if change.phase != before {
             match change.phase {
                 Phase::Moving { .. }
                     if matches!(before, Phase::Held { why: HoldReason::Silent { .. }, .. }) => {}
-                Phase::Moving { .. } => evidence.begin(change.plan.stages().len()),
-                Phase::Soaking { .. } => evidence.soak(now),
+                Phase::Moving { .. } => analysis.begin(change.plan.stages().len()),
+                Phase::Soaking { .. } => analysis.soak(now),
                 _ => {}
             }
         }
         let on_way = seen.iter().filter(|s| change.given(s.name) == to && s.acting != to).count();
         end.on_way = end.on_way.max(on_way);
-        watch(&board, &seen);
+        watch(&registry, &seen);
         end.seconds = second - BEFORE;
         match &change.phase {
             Phase::Done => end.done = Some(true),
@@ -209,7 +209,7 @@
     end
 }
 
-/// A second of requests at a proxy; returns how many more ended badly than without the defect.
+/// Plays a second of requests at a proxy; returns how many more had bad outcomes than without the defect.
 fn serve(world: &World, p: &mut Proxy, new: bool, trouble: f64, random: &mut Pcg64Mcg) -> f64 {
     let mut harmed = 0.0;
     let burst = if random.random::<f64>() < world.burst.0 { world.burst.1 } else { 0.0 };
--- /dev/null
+++ b/crates/core/rollout/src/fleet_view.rs
@@ -0,0 +1,24 @@
+//! The fleet as a rollout sees it.
+
+use crate::Nanos;
+use rushquay_config_version::Digest;
+use rushquay_membership::MemberStatus;
+
+/// A member as the rollout sees it.
+#[derive(Clone, Copy, Debug)]
+pub struct FleetView<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Its data centre.
+    pub zone: &'a str,
+    /// Its status.
+    pub standing: MemberStatus,
+    /// The version that it applies.
+    pub acting: Digest,
+    /// Since when its reports have arrived without a gap.
+    pub since: Nanos,
+    /// How long ago its last report arrived.
+    pub quiet: Nanos,
+    /// A version that it cannot apply, and why.
+    pub refused: Option<(Digest, &'a str)>,
+}
--- a/crates/core/rollout/src/plan.rs
+++ b/crates/core/rollout/src/plan.rs
@@ -1,52 +1,52 @@
-//! In which stages a change is made, how many may be on their way at once, and how long it may take.
+//! The plan of a rollout: its stages, how many members may be in transit at once, and its time limits.
 
 use crate::{Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// Which proxies a stage adds.
+/// Which proxies a stage moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageSelector {
-    /// So many more.
+    /// This many more.
     Count(usize),
-    /// So many more that this share of all, or of the zone, has changed; over 0, below 1.
+    /// As many more as it takes for this share of all, or of the zone, to have moved; above 0, below 1.
     Share(f64),
-    /// All that are left.
+    /// All that remain.
     All,
 }
 
-/// A stage.
+/// A stage of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
-    /// Which proxies.
+    /// The proxies it moves.
     pub pick: StageSelector,
-    /// Of this data centre alone; `None`: of all.
+    /// Only in this data centre; `None`: in all.
     pub zone: Option<String>,
-    /// For so long at least old and new are compared once all of the stage have changed.
+    /// Minimum time for which the cohorts are compared after all members of the stage have changed.
     pub soak: Nanos,
 }
 
-/// A plan, checked.
+/// A validated plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "PlanText", into = "PlanText")]
 pub struct Plan {
     stages: Vec<Stage>,
-    /// Proxies, all of one data centre, that may be on their way at once.
+    /// Maximum number of proxies in transit at once, all of one data centre.
     pub at_once: usize,
-    /// The same on the way back.
+    /// The same during a rollback.
     pub back_at_once: usize,
-    /// One that serves and was told acts by it within this time.
+    /// A serving proxy applies what it was told within this time.
     pub confirm: Nanos,
-    /// So long the change waits for a trouble to pass, for proxies that are silent, or for evidence, before it goes back.
+    /// How long the rollout waits for a problem to pass, for missing reports, or for evidence, before it is rolled back.
     pub patience: Nanos,
-    /// So long it may take in all, holds included; what passes while no control service leads does not count.
+    /// Time limit of the rollout, holds included; time in which no control service leads does not count.
     pub limit: Nanos,
 }
 
-/// A stage as it is written.
+/// A stage in a plan document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StageText {
-    /// So many more proxies.
+    /// This many more proxies.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub count: Option<usize>,
     /// Up to this share of all.
@@ -55,28 +55,28 @@
     /// In this data centre.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Seconds.
+    /// Soak time in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub soak_s: Option<f64>,
 }
 
-/// A plan as it is written; what is left out is as in [`PlanText::default`].
+/// A plan document; omitted fields are as in [`PlanText::default`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlanText {
-    /// The stages but the last, which takes all that are left.
+    /// All stages but the last, which moves all that remain.
     pub stages: Vec<StageText>,
-    /// Proxies on their way at once.
+    /// Proxies in transit at once.
     pub at_once: usize,
-    /// The same on the way back.
+    /// The same during a rollback.
     pub back_at_once: usize,
-    /// Seconds from being told to acting.
+    /// Seconds from being told to applying.
     pub confirm_s: f64,
     /// Seconds that a hold may last.
     pub patience_s: f64,
-    /// Seconds that the whole may take.
+    /// Seconds that the rollout may take.
     pub limit_s: f64,
-    /// Seconds at the end of each stage that says nothing else.
+    /// Soak time of stages without one of their own, in seconds.
     pub soak_s: f64,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// A field that can't be used.
+/// An invalid field of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct PlanError {
@@ -105,56 +105,56 @@
     pub expected: &'static str,
 }
 
-const SPAN: &str = "seconds from 0.1 to 604800";
+const EXPECTED_DURATION: &str = "seconds from 0.1 to 604800";
 
-fn span(field: impl Into<String>, seconds: f64) -> Result<Nanos, PlanError> {
+fn duration(field: impl Into<String>, seconds: f64) -> Result<Nanos, PlanError> {
     match (0.1..=604_800.0).contains(&seconds) {
         true => Ok((seconds * SECOND as f64).round() as Nanos),
-        false => Err(PlanError { field: field.into(), expected: SPAN }),
+        false => Err(PlanError { field: field.into(), expected: EXPECTED_DURATION }),
     }
 }
 
 impl TryFrom<PlanText> for Plan {
     type Error = PlanError;
     fn try_from(text: PlanText) -> Result<Self, PlanError> {
-        let fault = |field: String, expected| Err(PlanError { field, expected });
+        let invalid = |field: String, expected| Err(PlanError { field, expected });
         if text.stages.len() > 50 {
-            return fault("stages".into(), "50 at most");
+            return invalid("stages".into(), "50 at most");
         }
         let (mut stages, mut share_before) = (Vec::new(), 0.0);
         for (i, stage) in text.stages.iter().enumerate() {
             let pick = match (stage.count, stage.share) {
                 (Some(count), None) if (1..=100_000).contains(&count) => StageSelector::Count(count),
-                (Some(_), None) => return fault(format!("stages[{i}].count"), "1 to 100000"),
+                (Some(_), None) => return invalid(format!("stages[{i}].count"), "1 to 100000"),
                 (None, Some(share)) if share > 0.0 && share < 1.0 => StageSelector::Share(share),
-                (None, Some(_)) => return fault(format!("stages[{i}].share"), "over 0 and below 1"),
-                _ => return fault(format!("stages[{i}]"), "count or share, one of them"),
+                (None, Some(_)) => return invalid(format!("stages[{i}].share"), "over 0 and below 1"),
+                _ => return invalid(format!("stages[{i}]"), "count or share, one of them"),
             };
             if let (StageSelector::Share(share), None) = (pick, &stage.zone) {
                 if share <= share_before {
-                    return fault(format!("stages[{i}].share"), "more than in the stage before");
+                    return invalid(format!("stages[{i}].share"), "more than in the stage before");
                 }
                 share_before = share;
             }
             if stage.zone.as_ref().is_some_and(|z| z.trim().is_empty()) {
-                return fault(format!("stages[{i}].zone"), "the name of a data centre");
+                return invalid(format!("stages[{i}].zone"), "the name of a data centre");
             }
-            let soak = span(format!("stages[{i}].soak_s"), stage.soak_s.unwrap_or(text.soak_s))?;
+            let soak = duration(format!("stages[{i}].soak_s"), stage.soak_s.unwrap_or(text.soak_s))?;
             stages.push(Stage { pick, zone: stage.zone.clone(), soak });
         }
-        stages.push(Stage { pick: StageSelector::All, zone: None, soak: span("soak_s", text.soak_s)? });
+        stages.push(Stage { pick: StageSelector::All, zone: None, soak: duration("soak_s", text.soak_s)? });
         for (field, n) in [("at_once", text.at_once), ("back_at_once", text.back_at_once)] {
             if !(1..=10_000).contains(&n) {
-                return fault(field.into(), "1 to 10000");
+                return invalid(field.into(), "1 to 10000");
             }
         }
         Ok(Plan {
             stages,
             at_once: text.at_once,
             back_at_once: text.back_at_once,
-            confirm: span("confirm_s", text.confirm_s)?,
-            patience: span("patience_s", text.patience_s)?,
-            limit: span("limit_s", text.limit_s)?,
+            confirm: duration("confirm_s", text.confirm_s)?,
+            patience: duration("patience_s", text.patience_s)?,
+            limit: duration("limit_s", text.limit_s)?,
         })
     }
 }
@@ -182,17 +182,17 @@
 }
 
 impl Plan {
-    /// The stages; the last takes all that are left.
+    /// The stages; the last one moves all that remain.
     pub fn stages(&self) -> &[Stage] {
         &self.stages
     }
 
-    /// One of them; past the last, the last.
+    /// A stage by its index; beyond the last, the last one.
     pub fn stage(&self, number: usize) -> &Stage {
         &self.stages[number.min(self.stages.len() - 1)]
     }
 
-    /// Whether it is the last.
+    /// Whether this index is that of the last stage.
     pub fn last(&self, number: usize) -> bool {
         number + 1 >= self.stages.len()
     }
--- a/crates/core/rollout/src/registry.rs
+++ b/crates/core/rollout/src/registry.rs
@@ -1,102 +1,105 @@
-//! The record of all changes: what holds, the change that runs, and what happened.
+//! The registry of rollouts: the version in force, the rollout that runs, and the event log.
 
+use crate::finding::Verdict;
+use crate::fleet_view::FleetView;
+use crate::phase::{Phase, RollbackReason};
 use crate::plan::{Plan, PlanError, PlanText};
-use crate::state_machine::{FleetView, Phase, RollbackReason, Rollout, Verdict};
+use crate::state_machine::Rollout;
 use crate::Nanos;
 use rushquay_config_version::{ConfigVersion, Digest, FieldError};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Events that are remembered.
-const EVENTS: usize = 500;
+/// Events that a record retains; the oldest are dropped first.
+const MAX_EVENTS: usize = 500;
 
-/// What an operator asks for.
+/// An operator's request to start a rollout.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutRequest {
-    /// The settings that are to hold, whole: what stands in none of them is as each proxy's file says.
+    /// The complete settings to put into force; what they leave out is as in each proxy's own file.
     pub settings: Value,
-    /// In which stages.
+    /// The plan.
     #[serde(default)]
     pub plan: PlanText,
-    /// Who asks.
+    /// Who requests it.
     pub author: String,
     /// Why.
     pub reason: String,
-    /// Take the place of a change that runs.
+    /// Displace a rollout that runs.
     #[serde(default)]
     pub displace: bool,
 }
 
-/// Why nothing was changed.
+/// Why a request was rejected; nothing was changed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RegistryError {
-    /// Somebody else changed something since.
+    /// The record has changed since the caller read it.
     #[error("the board is at revision {now}, not {expected}: look again, and ask again if it still is what you want")]
     Changed {
-        /// What was expected.
+        /// The revision that the caller expected.
         expected: u64,
-        /// What it is.
+        /// The current revision.
         now: u64,
     },
-    /// A field of the settings.
+    /// A field of the settings is invalid.
     #[error("{0}")]
     Settings(#[from] FieldError),
-    /// A field of the plan.
+    /// A field of the plan is invalid.
     #[error("plan.{0}")]
     Plan(#[from] PlanError),
-    /// A field that is missing.
+    /// A field is missing or too long.
     #[error("{0}: expected {1}")]
     Field(&'static str, &'static str),
-    /// One change at a time.
+    /// Another rollout runs; there is at most one at a time.
     #[error("change {0} runs ({1}); wait for its end, take it back, or displace it")]
     Runs(u64, String),
-    /// A trouble could not be told from the usual.
+    /// There is no baseline by which a fleet-wide problem could be recognised.
     #[error("how the fleet does is not known yet: ask again after some seconds of traffic, or displace to go on without")]
     Unwatched,
-    /// Nothing to change.
+    /// The settings are in force already.
     #[error("generation {0:?} holds already")]
     Holds(Digest),
-    /// It can't be done in this phase.
+    /// The command is not possible in the present phase.
     #[error("no change can be {0} now: {1}")]
     Phase(&'static str, String),
 }
 
-/// Something that happened.
+/// An entry of the event log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutEvent {
     /// When, Unix time in nanoseconds.
     pub at: Nanos,
-    /// The change.
+    /// Number of the rollout.
     pub change: u64,
-    /// What.
+    /// Description, for operators.
     pub what: String,
 }
 
-/// What is kept of the board, in one record.
+/// The stored record of the registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegistryRecord {
-    /// Counts up with each change of the record.
+    /// Incremented by each change of the record.
     pub revision: u64,
-    /// The number of the next change.
+    /// The number that the next rollout will get.
     pub next: u64,
-    /// What holds where no change says otherwise.
+    /// The version in force where no rollout says otherwise.
     pub holds: Digest,
-    /// The number of the change that made it hold; 0: none did.
+    /// The number of the rollout that put it into force; 0: none did.
     pub by: u64,
-    /// The last change, whether it runs or is over.
+    /// The last rollout, whether it runs or has ended.
     pub change: Option<Rollout>,
-    /// How the fleet did before it.
+    /// The baseline before it.
     #[serde(default)]
     pub usual: Option<[f64; 2]>,
-    /// What happened, the oldest first.
+    /// Event log, the oldest entry first.
     pub events: VecDeque<RolloutEvent>,
-    /// The documents of the generations that are named here.
+    /// The documents of the config versions named in the record.
     pub generations: BTreeMap<Digest, Value>,
 }
 
-/// The board.
+/// The registry of rollouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutRegistry {
     record: RegistryRecord,
@@ -122,10 +125,10 @@
 }
 
 impl RolloutRegistry {
-    /// Goes on from what was kept, under another leader.
+    /// Restores a registry from its stored record, under a new leader.
     ///
     /// # Errors
-    /// A generation in it that this program does not read.
+    /// The record contains a config version that this program cannot read.
     pub fn restore(mut record: RegistryRecord, now: Nanos) -> Result<Self, FieldError> {
         let mut generations = BTreeMap::new();
         for document in record.generations.values() {
@@ -138,56 +141,58 @@
         Ok(RolloutRegistry { record, generations })
     }
 
-    /// What is to be kept.
+    /// The record to persist.
     pub fn record(&self) -> &RegistryRecord {
         &self.record
     }
 
-    /// Whether a change was ever begun; before that nobody is told what holds.
+    /// Whether any rollout was ever started; before that no member gets an assignment.
     pub fn begun(&self) -> bool {
         self.record.next > 1
     }
 
-    /// The change that runs.
+    /// The rollout that runs.
     pub fn running(&self) -> Option<&Rollout> {
         self.record.change.as_ref().filter(|c| !c.phase.over())
     }
 
-    /// What an instance is to act by, and the change that says so.
+    /// The version that a member is to apply, and the number of the rollout that assigned it.
     pub fn given(&self, name: &str) -> (u64, &ConfigVersion) {
         let running = self.running();
         let digest = running.map_or(self.record.holds, |c| c.given(name));
         let by = running.map_or(self.record.by, |c| c.id);
-        // What is named here is kept here.
+        // The versions named in the record are retained.
         let generation = self.generations.get(&digest).or(self.generations.values().next());
         (by, generation.unwrap_or_else(|| unreachable!("the base is always kept")))
     }
 
-    /// A generation that something here names.
+    /// A config version that the record names.
     pub fn generation(&self, digest: &Digest) -> Option<&ConfigVersion> {
         self.generations.get(digest)
     }
 
-    /// What an operator asks for, checked: nothing is changed by it.
+    /// Validates a request without changing anything.
     ///
     /// # Errors
-    /// See [`BoardRefusal`].
+    /// See [`RegistryError`].
     pub fn check(
         &self,
-        ask: &RolloutRequest,
+        request: &RolloutRequest,
         expected: Option<u64>,
     ) -> Result<(ConfigVersion, Plan), RegistryError> {
-        self.expect(expected)?;
-        let generation = ConfigVersion::read(&ask.settings)?;
-        let plan = Plan::try_from(ask.plan.clone())?;
-        if ask.author.trim().is_empty() || ask.author.len() > 200 {
+        self.check_revision(expected)?;
+        let generation = ConfigVersion::read(&request.settings)?;
+        let plan = Plan::try_from(request.plan.clone())?;
+        if request.author.trim().is_empty() || request.author.len() > 200 {
             return Err(RegistryError::Field("author", "who asks, in 200 characters at most"));
         }
-        if ask.reason.trim().is_empty() || ask.reason.len() > 1000 {
+        if request.reason.trim().is_empty() || request.reason.len() > 1000 {
             return Err(RegistryError::Field("reason", "why, in 1000 characters at most"));
         }
         match self.running() {
-            Some(change) if !ask.displace => Err(RegistryError::Runs(change.id, change.phase.to_string())),
+            Some(change) if !request.displace => {
+                Err(RegistryError::Runs(change.id, change.phase.to_string()))
+            }
             None if generation.digest() == self.record.holds => {
                 Err(RegistryError::Holds(generation.digest()))
             }
@@ -195,7 +200,7 @@
         }
     }
 
-    fn expect(&self, expected: Option<u64>) -> Result<(), RegistryError> {
+    fn check_revision(&self, expected: Option<u64>) -> Result<(), RegistryError> {
         let now = self.record.revision;
         match expected {
             Some(expected) if expected != now => Err(RegistryError::Changed { expected, now }),
@@ -203,101 +208,103 @@
         }
     }
 
-    /// Begins a change. Returns the names of those that a change that it displaces leaves behind: they go back at once, in no
-    /// stages.
+    /// Starts a rollout. Returns the names of the members that a displaced rollout leaves behind: they go back at once, without stages.
     ///
     /// # Errors
-    /// See [`BoardRefusal`]; nothing is changed.
+    /// See [`RegistryError`]; nothing is changed.
     pub fn start(
         &mut self,
-        ask: RolloutRequest,
+        request: RolloutRequest,
         expected: Option<u64>,
         usual: Option<[f64; 2]>,
         now: Nanos,
     ) -> Result<Vec<String>, RegistryError> {
-        let (generation, plan) = self.check(&ask, expected)?;
-        // Danger: begun in the midst of a trouble, or before anything was seen, a change has no guard against one.
-        if usual.is_none() && !ask.displace {
+        let (generation, plan) = self.check(&request, expected)?;
+        // Danger: a rollout that starts during a fleet-wide problem, or before anything was observed, has no guard against one.
+        if usual.is_none() && !request.displace {
             return Err(RegistryError::Unwatched);
         }
         let (id, from, to) = (self.record.next, self.record.holds, generation.digest());
-        let mut left = Vec::new();
+        let mut left_behind = Vec::new();
         if let Some(running) = self.record.change.as_mut().filter(|c| !c.phase.over()) {
-            left = running.moved.keys().chain(running.returned.keys()).cloned().collect();
+            left_behind = running.moved.keys().chain(running.returned.keys()).cloned().collect();
             let (number, why) = (running.id, RollbackReason::Displaced { by: id });
             running.phase = Phase::GoneBack { why };
-            self.tell(
+            self.push_event(
                 number,
-                format!("displaced by change {id}; {} proxies are left to go back at once", left.len()),
+                format!(
+                    "displaced by change {id}; {} proxies are left to go back at once",
+                    left_behind.len()
+                ),
                 now,
             );
         }
         self.record.next += 1;
         self.record.generations.insert(to, generation.document());
         self.generations.insert(to, generation);
-        let RolloutRequest { author, reason, .. } = ask;
-        self.tell(id, format!("{author} begins: {reason}"), now);
+        let RolloutRequest { author, reason, .. } = request;
+        self.push_event(id, format!("{author} begins: {reason}"), now);
         self.record.change = Some(Rollout::new(id, (from, to), plan, (author, reason), now));
         self.record.usual = usual;
         self.prune();
-        Ok(left)
+        Ok(left_behind)
     }
 
-    /// Does something with the change that runs.
-    fn with(
+    /// Applies an operator's command to the rollout that runs. `command` returns false if it is not possible in the present phase.
+    fn command_running(
         &mut self,
         what: &'static str,
         by: &str,
         expected: Option<u64>,
         now: Nanos,
-        does: impl FnOnce(&mut Rollout) -> bool,
+        command: impl FnOnce(&mut Rollout) -> bool,
     ) -> Result<(), RegistryError> {
-        self.expect(expected)?;
+        self.check_revision(expected)?;
         if by.trim().is_empty() || by.len() > 200 {
             return Err(RegistryError::Field("by", "who asks, in 200 characters at most"));
         }
-        let stands = self.record.change.as_ref().map_or("there is none".into(), |c| c.phase.to_string());
+        let phase_text = self.record.change.as_ref().map_or("there is none".into(), |c| c.phase.to_string());
         let Some(change) = self.record.change.as_mut().filter(|c| !c.phase.over()) else {
-            return Err(RegistryError::Phase(what, stands));
+            return Err(RegistryError::Phase(what, phase_text));
         };
         let id = change.id;
-        match does(change) {
-            true => self.tell(id, format!("{what} by {by}"), now),
-            false => return Err(RegistryError::Phase(what, stands)),
+        match command(change) {
+            true => self.push_event(id, format!("{what} by {by}"), now),
+            false => return Err(RegistryError::Phase(what, phase_text)),
         }
         Ok(())
     }
 
-    /// An operator holds the change.
+    /// Holds the rollout for an operator.
     ///
     /// # Errors
-    /// See [`BoardRefusal`].
+    /// See [`RegistryError`].
     pub fn hold(&mut self, by: &str, expected: Option<u64>, now: Nanos) -> Result<(), RegistryError> {
-        self.with("held", by, expected, now, |c| c.hold(by, now))
+        self.command_running("held", by, expected, now, |c| c.hold(by, now))
     }
 
-    /// An operator lets it go on.
+    /// Resumes the rollout for an operator.
     ///
     /// # Errors
-    /// See [`BoardRefusal`].
+    /// See [`RegistryError`].
     pub fn resume(&mut self, by: &str, expected: Option<u64>, now: Nanos) -> Result<(), RegistryError> {
-        self.with("resumed", by, expected, now, Rollout::resume)
+        self.command_running("resumed", by, expected, now, Rollout::resume)
     }
 
-    /// An operator takes it back.
+    /// Rolls back for an operator.
     ///
     /// # Errors
-    /// See [`BoardRefusal`].
+    /// See [`RegistryError`].
     pub fn back(&mut self, by: &str, expected: Option<u64>, now: Nanos) -> Result<(), RegistryError> {
-        let forward = |c: &mut Rollout| {
-            let forward = c.phase.back().is_none();
+        let roll_back = |c: &mut Rollout| {
+            let is_forward = c.phase.back().is_none();
             c.go_back(RollbackReason::Operator { by: by.to_owned() });
-            forward
+            is_forward
         };
-        self.with("taken back", by, expected, now, forward)
+        self.command_running("taken back", by, expected, now, roll_back)
     }
 
-    /// Moves the change on by one step at the most; true if something is to be kept before anybody is told.
+    /// Advances the rollout by one transition at most; returns true if the record has to be persisted before members are told.
     pub fn step(&mut self, seen: &[FleetView<'_>], verdict: &Verdict, now: Nanos) -> bool {
         let Some(change) = self.record.change.as_mut() else { return false };
         let (id, before) = (change.id, change.phase.clone());
@@ -310,7 +317,7 @@
         }
         match phase == before {
             true => self.record.revision += 1,
-            false => self.tell(id, phase.to_string(), now),
+            false => self.push_event(id, phase.to_string(), now),
         }
         if phase.over() {
             self.prune();
@@ -318,21 +325,21 @@
         true
     }
 
-    fn tell(&mut self, change: u64, what: String, now: Nanos) {
+    fn push_event(&mut self, change: u64, what: String, now: Nanos) {
         self.record.revision += 1;
         self.record.events.push_back(RolloutEvent { at: now, change, what });
-        while self.record.events.len() > EVENTS {
+        while self.record.events.len() > MAX_EVENTS {
             self.record.events.pop_front();
         }
     }
 
-    /// Keeps the generations that something names, and the base.
+    /// Retains the config versions that the record names, and the base.
     fn prune(&mut self) {
         let change = self.record.change.as_ref();
-        let named = [Some(self.record.holds), change.map(|c| c.from), change.map(|c| c.to)];
+        let names = [Some(self.record.holds), change.map(|c| c.from), change.map(|c| c.to)];
         let base = ConfigVersion::base().digest();
-        let keeps = |digest: &Digest| *digest == base || named.contains(&Some(*digest));
-        self.generations.retain(|digest, _| keeps(digest));
-        self.record.generations.retain(|digest, _| keeps(digest));
+        let is_named = |digest: &Digest| *digest == base || names.contains(&Some(*digest));
+        self.generations.retain(|digest, _| is_named(digest));
+        self.record.generations.retain(|digest, _| is_named(digest));
     }
 }
--- a/crates/core/rollout/src/timeline.rs
+++ b/crates/core/rollout/src/timeline.rs
@@ -1,23 +1,24 @@
-//! The course of a change as its leader saw it: old and new by class over time, and its steps. For people; nothing is decided by it, and
-//! whoever leads next begins anew.
+//! The timeline of a rollout as its leader saw it: both cohorts by class over time, and the steps.
+//!
+//! It serves operators; no decision depends on it, and a new leader begins anew.
 
 use crate::{Nanos, SECOND};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// So many points are kept; a longer change has them further apart.
-const POINTS: usize = 240;
-/// So many steps.
-const MARKS: usize = 200;
+/// Maximum number of points; a longer rollout has them further apart.
+const MAX_POINTS: usize = 240;
+/// Maximum number of marks.
+const MAX_MARKS: usize = 200;
 
-/// Requests of one side in a span of time.
+/// Requests of one cohort in an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Sample {
-    /// All that ended.
+    /// All completed requests.
     pub all: u64,
     /// Refused, failed or late.
     pub bad: u64,
-    /// Of those served, the ones that took longer than nine in ten before the change.
+    /// Requests served more slowly than nine in ten before the rollout.
     pub slow: u64,
 }
 
@@ -29,66 +30,66 @@
     }
 }
 
-/// A span of time.
+/// An interval of the timeline.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Point {
-    /// When it began, Unix time.
+    /// Start, in Unix time.
     pub at: Nanos,
-    /// By class: the new, and the old of the same data centres.
+    /// By class: the new cohort, and the old one of the same data centres.
     pub classes: BTreeMap<String, [Sample; 2]>,
 }
 
-/// What was seen since the change began, or since this leader leads.
+/// The timeline since the start of the rollout, or of this leadership.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Timeline {
-    /// The number of the change; 0: none was seen.
+    /// The number of the rollout; 0: none.
     pub change: u64,
     /// Nanoseconds from one point to the next.
     pub every: Nanos,
     /// The points, the oldest first.
     pub points: Vec<Point>,
-    /// Its steps, when each was made, and in words.
+    /// The steps of the rollout, with when each was made, for operators.
     pub marks: Vec<(Nanos, String)>,
 }
 
 impl Timeline {
-    /// A change is seen from now on.
+    /// The timeline of a rollout that begins now.
     pub fn new(change: u64) -> Self {
         Timeline { change, every: SECOND, ..Timeline::default() }
     }
 
-    /// It has moved on.
+    /// Adds a step of the rollout.
     pub fn mark(&mut self, now: Nanos, what: String) {
-        if self.marks.len() < MARKS {
+        if self.marks.len() < MAX_MARKS {
             self.marks.push((now, what));
         }
     }
 
-    /// What came in a look. Looks of one span are added up; what lies before the last span counts in it, since clocks may go back.
+    /// Adds samples. Those of one interval are summed; a time before the last interval counts in that, since clocks may go backwards.
     pub fn add(&mut self, now: Nanos, classes: &BTreeMap<String, [Sample; 2]>) {
         let due = self.points.last().is_none_or(|last| now >= last.at.saturating_add(self.every));
         if due {
-            if self.points.len() >= POINTS {
-                self.halve();
+            if self.points.len() >= MAX_POINTS {
+                self.merge_pairs();
             }
             self.points.push(Point { at: now, classes: BTreeMap::new() });
         }
         let Some(last) = self.points.last_mut() else { return };
-        join(&mut last.classes, classes);
+        add_classes(&mut last.classes, classes);
     }
 
-    /// Two points become one.
-    fn halve(&mut self) {
+    /// Merges points in pairs.
+    fn merge_pairs(&mut self) {
         self.every = self.every.saturating_mul(2);
         let pair = |two: &[Point]| {
             let mut one = two[0].clone();
-            two[1..].iter().for_each(|next| join(&mut one.classes, &next.classes));
+            two[1..].iter().for_each(|next| add_classes(&mut one.classes, &next.classes));
             one
         };
         self.points = self.points.chunks(2).map(pair).collect();
     }
 
-    /// Classes of which anything was seen.
+    /// Classes with any samples.
     pub fn classes(&self) -> Vec<String> {
         let mut names: Vec<String> = self.points.iter().flat_map(|p| p.classes.keys().cloned()).collect();
         names.sort();
@@ -97,7 +98,7 @@
     }
 }
 
-fn join(into: &mut BTreeMap<String, [Sample; 2]>, more: &BTreeMap<String, [Sample; 2]>) {
+fn add_classes(into: &mut BTreeMap<String, [Sample; 2]>, more: &BTreeMap<String, [Sample; 2]>) {
     for (class, sides) in more {
         let sum = into.entry(class.clone()).or_default();
         sum.iter_mut().zip(sides).for_each(|(sum, side)| sum.add(*side));
@@ -105,29 +106,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_long_change_keeps_its_points_further_apart_and_loses_no_request() {
-        let mut course = Timeline::new(7);
-        let one = |n| {
-            BTreeMap::from([("plan".to_owned(), [Sample { all: n, bad: 1, slow: 0 }, Sample::default()])])
-        };
-        for look in 0..5000u64 {
-            course.add(look * SECOND / 5, &one(3));
-        }
-        let all: u64 = course.points.iter().map(|p| p.classes["plan"][0].all).sum();
-        assert_eq!(all, 15_000);
-        assert!(
-            course.points.len() <= POINTS && course.every > SECOND,
-            "{} every {}",
-            course.points.len(),
-            course.every
-        );
-        // A clock that goes back.
-        course.add(0, &one(1));
-        assert_eq!(course.points.last().map(|p| p.at > 0), Some(true));
-        assert_eq!(course.classes(), ["plan"]);
-    }
-}
+mod tests;
--- a/crates/core/rollout/tests/registry.rs
+++ b/crates/core/rollout/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What operators may ask of the board, and what is kept of it.
+//! The commands of operators to the rollout registry, and its stored record.
 
 use rushquay_config_version::ConfigVersion;
 use rushquay_membership::MemberStatus;
@@ -8,7 +8,7 @@
 };
 use serde_json::{json, Value};
 
-fn ask(settings: Value) -> RolloutRequest {
+fn request(settings: Value) -> RolloutRequest {
     RolloutRequest {
         settings,
         plan: PlanText::default(),
@@ -20,19 +20,25 @@
 
 const USUAL: Option<[f64; 2]> = Some([0.01, 1.0]);
 
-fn one(share: f64) -> Value {
+fn settings_with_share(share: f64) -> Value {
     json!({"over_share_worth": share})
 }
 
 #[test]
-fn two_changes_at_once_are_refused_and_an_emergency_says_what_it_leaves_behind() {
-    let mut board = RolloutRegistry::default();
-    let revision = board.record().revision;
-    assert_eq!(board.start(ask(one(0.1)), Some(revision), None, 0), Err(RegistryError::Unwatched));
-    assert_eq!(board.start(ask(one(0.1)), Some(revision), USUAL, 0), Ok(Vec::new()));
-    assert!(matches!(board.start(ask(one(0.2)), None, USUAL, 0), Err(RegistryError::Runs(1, _))));
+fn a_second_rollout_is_rejected_and_displacing_returns_the_proxies_left_behind() {
+    let mut registry = RolloutRegistry::default();
+    let revision = registry.record().revision;
+    assert_eq!(
+        registry.start(request(settings_with_share(0.1)), Some(revision), None, 0),
+        Err(RegistryError::Unwatched)
+    );
+    assert_eq!(registry.start(request(settings_with_share(0.1)), Some(revision), USUAL, 0), Ok(Vec::new()));
     assert!(matches!(
-        board.start(ask(one(0.2)), Some(revision), USUAL, 0),
+        registry.start(request(settings_with_share(0.2)), None, USUAL, 0),
+        Err(RegistryError::Runs(1, _))
+    ));
+    assert!(matches!(
+        registry.start(request(settings_with_share(0.2)), Some(revision), USUAL, 0),
         Err(RegistryError::Changed { .. })
     ));
     let base = ConfigVersion::base().digest();
@@ -46,56 +52,63 @@
         refused: None,
     };
     let fleet = [seen("p0"), seen("p1")];
-    assert!(board.step(&fleet, &Verdict::Waiting(String::new()), SECOND));
-    let told = board.running().expect("it runs").moved.keys().cloned().collect::<Vec<_>>();
-    assert_eq!(told.len(), 1);
-    let emergency = RolloutRequest { displace: true, ..ask(one(0.2)) };
-    assert_eq!(board.start(emergency, None, None, 2 * SECOND), Ok(told.clone()));
-    assert_eq!(board.given(&told[0]).1.digest(), base, "what was left behind goes back at once");
-    assert!(board.record().events.iter().any(|e| e.change == 1 && e.what.contains("displaced by change 2")));
+    assert!(registry.step(&fleet, &Verdict::Waiting(String::new()), SECOND));
+    let moved = registry.running().expect("it runs").moved.keys().cloned().collect::<Vec<_>>();
+    assert_eq!(moved.len(), 1);
+    let displacing = RolloutRequest { displace: true, ..request(settings_with_share(0.2)) };
+    assert_eq!(registry.start(displacing, None, None, 2 * SECOND), Ok(moved.clone()));
+    assert_eq!(registry.given(&moved[0]).1.digest(), base, "what was left behind goes back at once");
+    assert!(registry
+        .record()
+        .events
+        .iter()
+        .any(|e| e.change == 1 && e.what.contains("displaced by change 2")));
 }
 
 #[test]
-fn what_cannot_be_asked_changes_nothing() {
-    let mut board = RolloutRegistry::default();
-    let before = board.clone();
+fn rejected_requests_change_nothing() {
+    let mut registry = RolloutRegistry::default();
+    let before = registry.clone();
     let refused = |r: Result<Vec<String>, RegistryError>| r.expect_err("refused").to_string();
-    assert!(refused(board.start(ask(json!({})), None, USUAL, 0)).contains("holds already"));
-    assert!(refused(board.start(ask(json!({"zone": 1})), None, USUAL, 0)).contains("settings.zone"));
-    let nobody = RolloutRequest { author: " ".into(), ..ask(one(0.1)) };
-    assert!(refused(board.start(nobody, None, USUAL, 0)).contains("author"));
+    assert!(refused(registry.start(request(json!({})), None, USUAL, 0)).contains("holds already"));
+    assert!(refused(registry.start(request(json!({"zone": 1})), None, USUAL, 0)).contains("settings.zone"));
+    let nobody = RolloutRequest { author: " ".into(), ..request(settings_with_share(0.1)) };
+    assert!(refused(registry.start(nobody, None, USUAL, 0)).contains("author"));
     let text: PlanText =
         serde_json::from_value(json!({"stages": [{"share": 0.5}, {"share": 0.2}]})).expect("JSON");
-    let plan = RolloutRequest { plan: text, ..ask(one(0.1)) };
-    assert!(refused(board.start(plan, None, USUAL, 0)).contains("plan.stages[1].share"));
-    for (what, done) in [("held", board.hold("a", None, 0)), ("resumed", board.resume("a", None, 0))] {
+    let plan = RolloutRequest { plan: text, ..request(settings_with_share(0.1)) };
+    assert!(refused(registry.start(plan, None, USUAL, 0)).contains("plan.stages[1].share"));
+    for (what, done) in [("held", registry.hold("a", None, 0)), ("resumed", registry.resume("a", None, 0))] {
         assert!(done.expect_err("refused").to_string().contains(what));
     }
-    assert_eq!(board, before);
+    assert_eq!(registry, before);
 }
 
-/// A record of today is read tomorrow, and one with a generation that this program doesn't know is refused whole.
+/// A record is restored by the next leader; one with a config version that this program cannot read is rejected whole.
 #[test]
-fn the_record_is_read_by_the_next_leader_whole_or_not_at_all() {
-    let mut board = RolloutRegistry::default();
-    board.start(ask(one(0.1)), None, USUAL, 7 * SECOND).expect("begun");
-    let kept = serde_json::to_value(board.record()).expect("JSON");
-    let record: RegistryRecord = serde_json::from_value(kept.clone()).expect("read");
-    let again = RolloutRegistry::restore(record, 9 * SECOND).expect("restored");
-    assert_eq!(again.running().map(|c| (c.id, c.to)), board.running().map(|c| (c.id, c.to)));
-    let mut later = kept;
-    let digest = again.running().expect("it runs").to.to_string();
+fn the_record_is_restored_whole_or_not_at_all() {
+    let mut registry = RolloutRegistry::default();
+    registry.start(request(settings_with_share(0.1)), None, USUAL, 7 * SECOND).expect("begun");
+    let stored = serde_json::to_value(registry.record()).expect("JSON");
+    let record: RegistryRecord = serde_json::from_value(stored.clone()).expect("read");
+    let restored = RolloutRegistry::restore(record, 9 * SECOND).expect("restored");
+    assert_eq!(restored.running().map(|c| (c.id, c.to)), registry.running().map(|c| (c.id, c.to)));
+    let mut later = stored;
+    let digest = restored.running().expect("it runs").to.to_string();
     later["generations"][digest] = json!({"a field of tomorrow": 1});
     let record: RegistryRecord = serde_json::from_value(later).expect("a record all the same");
     assert!(RolloutRegistry::restore(record, 9 * SECOND).is_err());
 }
 
-/// Time in which nobody led does not count against a change's time.
+/// Time without a leader does not count towards the limit of a rollout.
 #[test]
-fn time_without_a_leader_does_not_count() {
+fn time_without_a_leader_does_not_count_towards_the_limit() {
     let text: PlanText = serde_json::from_value(json!({"limit_s": 60.0, "soak_s": 10.0})).expect("JSON");
     let plan = text.try_into().expect("a plan");
-    let (from, to) = (ConfigVersion::base().digest(), ConfigVersion::read(&one(0.1)).expect("good").digest());
+    let (from, to) = (
+        ConfigVersion::base().digest(),
+        ConfigVersion::read(&settings_with_share(0.1)).expect("good").digest(),
+    );
     let mut change = Rollout::new(1, (from, to), plan, ("a".into(), "r".into()), 0);
     let seen = |acting| FleetView {
         name: "p0",
@@ -117,6 +130,6 @@
         change.step(&[seen(to)], &wait, second * SECOND);
     }
     assert!(matches!(change.phase.back(), Some(RollbackReason::OverTime)), "{:?}", change.phase);
-    // It serves, and does not go back.
+    // The proxy serves, and does not return to the old version.
     assert!(matches!(&change.phase, Phase::Stuck { names, .. } if names == &["p0"]), "{:?}", change.phase);
 }
--- a/crates/core/rollout/tests/state_exploration.rs
+++ b/crates/core/rollout/tests/state_exploration.rs
@@ -1,5 +1,5 @@
-//! Every order of steps, faults and words at a small size: three proxies in two data centres and two leaders on one store. What
-//! must never be is looked for in each state; and from each state, once faults end, the change must end.
+//! Exhaustive exploration of a rollout at a small size: three proxies in two data centres and two leaders on one store. Invariants are
+//! checked in each state; and from each state, once faults end, the rollout must end.
 
 use rushquay_config_version::Digest;
 use rushquay_membership::MemberStatus;
@@ -11,18 +11,18 @@
 const ZONES: [&str; 3] = ["a", "a", "b"];
 const NAMES: [&str; 3] = ["p0", "p1", "p2"];
 
-/// What is taken out, to see that it is missed.
+/// The safeguard that is removed, to show that its absence is detected.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Without {
+enum Removed {
     Nothing,
-    /// A leader tells proxies before its step is in the store.
-    KeepingFirst,
-    /// The store takes writes of a lease that is over.
-    TheFenceOfTheStore,
-    /// Proxies take word from an epoch that is over.
-    TheFenceOfProxies,
-    /// Whoever leads next begins anew.
-    WhatWasKept,
+    /// A step is persisted before proxies are told.
+    PersistBeforeTelling,
+    /// The store rejects writes of an expired epoch.
+    StoreFencing,
+    /// Proxies ignore assignments of an expired epoch.
+    ProxyFencing,
+    /// A new leader restores the stored record.
+    StoredRecord,
 }
 
 #[derive(Clone, PartialEq, Debug)]
@@ -46,7 +46,7 @@
     epoch: u64,
     leaders: [Option<Leader>; 2],
     proxies: [Proxy; 3],
-    /// Whom the store has ever had told the new.
+    /// Proxies that the stored record has ever moved to the new version.
     told: [bool; 3],
     faults: u8,
 }
@@ -100,18 +100,18 @@
             (false, false) => MemberStatus::Unheard,
         };
         let acting = if p.acting { to } else { from };
-        // Whoever is away has been for long.
+        // An absent proxy has been absent for long.
         let quiet = if p.up { 0 } else { 100 * SECOND };
         FleetView { name: NAMES[n], zone: ZONES[n], standing, acting, since: 0, quiet, refused: None }
     };
     (0..3).map(one).collect()
 }
 
-/// Faults that may happen on one way.
+/// Maximum faults on a path.
 const FAULTS: u8 = 2;
 
 impl World {
-    /// What tells this state from others: times by how far they are back, and no further than anything asks.
+    /// The identity of a state: times by how long ago they are, up to what any timeout can tell apart.
     fn key(&self) -> String {
         let ago = |t: u64| (self.now.saturating_sub(t) / SECOND).min(6);
         let change = |c: &Rollout| {
@@ -142,34 +142,34 @@
         )
     }
 
-    fn next(&self, without: Without, broken: &mut Vec<String>) -> Vec<World> {
+    fn next(&self, removed: Removed, violations: &mut Vec<String>) -> Vec<World> {
         let mut all = Vec::new();
         // Time passes.
         all.push(World { now: self.now + SECOND, ..self.clone() });
         for i in 0..2 {
-            // Somebody takes over, whether the other knows or not.
+            // Another leader takes over, whether the present one knows or not.
             if self.faults < FAULTS && self.leaders[i].is_none() {
-                all.push(self.taken_over(i, without));
+                all.push(self.taken_over(i, removed));
             }
             let Some(leader) = &self.leaders[i] else { continue };
             if self.faults < FAULTS {
-                let mut gone = self.clone();
-                (gone.leaders[i], gone.faults) = (None, gone.faults + 1);
-                all.push(gone);
+                let mut crashed = self.clone();
+                (crashed.leaders[i], crashed.faults) = (None, crashed.faults + 1);
+                all.push(crashed);
             }
             for verdict in
                 [Verdict::Waiting(String::new()), Verdict::Passed, worse(), Verdict::Trouble("t".into())]
             {
-                all.extend(self.stepped(i, leader, &verdict, without, broken));
+                all.extend(self.stepped(i, leader, &verdict, removed, violations));
             }
             for p in 0..3 {
-                all.extend(self.delivered(&leader.change, leader.epoch, p, without));
+                all.extend(self.delivered(&leader.change, leader.epoch, p, removed));
             }
         }
         for p in 0..3 {
             if self.faults < FAULTS || !self.proxies[p].up {
                 let mut other = self.clone();
-                // A process that comes back acts by its own file, and has forgotten every epoch.
+                // A process that restarts applies its own file, and has forgotten every epoch.
                 other.proxies[p] = Proxy { acting: false, up: !self.proxies[p].up, fence: 0 };
                 other.faults += u8::from(self.proxies[p].up);
                 all.push(other);
@@ -178,11 +178,11 @@
         all
     }
 
-    fn taken_over(&self, i: usize, without: Without) -> World {
+    fn taken_over(&self, i: usize, removed: Removed) -> World {
         let mut next = self.clone();
         next.epoch += 1;
-        let kept = if without == Without::WhatWasKept { first().store } else { self.store.clone() };
-        let mut change = kept;
+        let restored = if removed == Removed::StoredRecord { first().store } else { self.store.clone() };
+        let mut change = restored;
         change.taken_over(self.now);
         next.leaders[i] = Some(Leader { epoch: next.epoch, change, heard: [false; 3] });
         next.faults += u8::from(self.epoch > 0);
@@ -194,47 +194,47 @@
         i: usize,
         leader: &Leader,
         verdict: &Verdict,
-        without: Without,
-        broken: &mut Vec<String>,
+        removed: Removed,
+        violations: &mut Vec<String>,
     ) -> Vec<World> {
         let mut change = leader.change.clone();
-        let looked = seen(self, leader);
+        let fleet = seen(self, leader);
         let mut next = self.clone();
         let heard: Vec<bool> = (0..3).map(|n| leader.heard[n] || self.proxies[n].up).collect();
         let heard = [heard[0], heard[1], heard[2]];
-        if !change.step(&looked, verdict, self.now) {
+        if !change.step(&fleet, verdict, self.now) {
             if heard != leader.heard {
                 next.leaders[i] = Some(Leader { heard, change, ..leader.clone() });
                 return vec![next];
             }
             return Vec::new();
         }
-        check(&leader.change, &change, verdict, &looked, broken);
+        check(&leader.change, &change, verdict, &fleet, violations);
         let mut all = Vec::new();
-        if without == Without::KeepingFirst {
-            // Told, and killed before it was kept.
+        if removed == Removed::PersistBeforeTelling {
+            // Proxies are told, and the leader is killed before the step is persisted.
             for p in 0..3 {
-                let told = self.delivered(&change, leader.epoch, p, without);
+                let told = self.delivered(&change, leader.epoch, p, removed);
                 all.extend(told.map(|mut w| {
                     w.leaders[i] = None;
                     w
                 }));
             }
         }
-        if leader.epoch == self.epoch || without == Without::TheFenceOfTheStore {
+        if leader.epoch == self.epoch || removed == Removed::StoreFencing {
             for (n, name) in NAMES.iter().enumerate() {
                 next.told[n] |= change.moved.contains_key(*name) || change.phase == Phase::Done;
             }
             if self.store.phase.back().is_some() && change.phase.back().is_none() || self.store.phase.over() {
-                broken.push(format!("the store held {}, and now {}", self.store.phase, change.phase));
+                violations.push(format!("the store held {}, and now {}", self.store.phase, change.phase));
             }
             let left = self.store.moved.keys().find(|n| !change.moved.contains_key(*n));
             if let (Some(left), None) = (left, change.phase.back()) {
-                broken.push(format!("{left} is told back, and the change does not go back"));
+                violations.push(format!("{left} is told back, and the change does not go back"));
             }
             next.store = change.clone();
             next.leaders[i] = Some(Leader { epoch: leader.epoch, change, heard });
-            // Killed between the write and the first word: the store has it, and nobody else.
+            // The leader is killed between the write and the first assignment: only the store has the step.
             if self.faults < FAULTS {
                 let mut killed = next.clone();
                 (killed.leaders[i], killed.faults) = (None, killed.faults + 1);
@@ -247,10 +247,10 @@
         all
     }
 
-    /// A leader's word comes to a proxy, however late.
-    fn delivered(&self, change: &Rollout, epoch: u64, p: usize, without: Without) -> Option<World> {
+    /// An assignment of a leader reaches a proxy, however late.
+    fn delivered(&self, change: &Rollout, epoch: u64, p: usize, removed: Removed) -> Option<World> {
         let proxy = &self.proxies[p];
-        if !proxy.up || epoch < proxy.fence && without != Without::TheFenceOfProxies {
+        if !proxy.up || epoch < proxy.fence && removed != Removed::ProxyFencing {
             return None;
         }
         let acting = change.given(NAMES[p]) == digests().1;
@@ -262,27 +262,27 @@
         })
     }
 
-    /// What must hold in each state.
-    fn holds(&self, broken: &mut Vec<String>) {
+    /// The invariants of each state.
+    fn check_invariants(&self, violations: &mut Vec<String>) {
         for (n, p) in self.proxies.iter().enumerate() {
             if p.acting && !self.told[n] {
-                broken.push(format!("{} acts by the new, and the store never had it told", NAMES[n]));
+                violations.push(format!("{} acts by the new, and the store never had it told", NAMES[n]));
             }
         }
-        // Who went back on the word of the leader of today stays so, whatever an older one still says.
+        // A proxy that returned by the present leader's assignment stays so, whatever an older leader still sends.
         let told = |p: &&Proxy| p.up && p.acting && p.fence == self.epoch;
         if matches!(self.store.phase, Phase::GoneBack { .. }) && self.proxies.iter().any(|p| told(&p)) {
-            broken.push("all has gone back, and one that has heard so acts by the new".into());
+            violations.push("all has gone back, and a proxy that was told so applies the new version".into());
         }
         let runs = self.leaders.iter().flatten().filter(|l| l.epoch == self.epoch).count();
         if runs > 1 {
-            broken.push("two leaders of one epoch".into());
+            violations.push("two leaders of one epoch".into());
         }
     }
 
-    /// Faults end, one leader goes on, all are up and hear it: the change must end, and all must act as it says.
-    fn ends(&self) -> Result<(), String> {
-        let mut world = self.taken_over(0, Without::Nothing);
+    /// Without further faults, with one leader and all proxies up, the rollout must end, and all proxies must apply the result.
+    fn terminates(&self) -> Result<(), String> {
+        let mut world = self.taken_over(0, Removed::Nothing);
         world.leaders[1] = None;
         world.proxies.iter_mut().for_each(|p| p.up = true);
         for _ in 0..200 {
@@ -290,13 +290,13 @@
             let leader = world.leaders[0].clone().expect("it leads");
             let mut ignored = Vec::new();
             if let Some(next) =
-                world.stepped(0, &leader, &Verdict::Passed, Without::Nothing, &mut ignored).pop()
+                world.stepped(0, &leader, &Verdict::Passed, Removed::Nothing, &mut ignored).pop()
             {
                 world = next;
             }
             let leader = world.leaders[0].clone().expect("it leads");
             for p in 0..3 {
-                if let Some(next) = world.delivered(&leader.change, leader.epoch, p, Without::Nothing) {
+                if let Some(next) = world.delivered(&leader.change, leader.epoch, p, Removed::Nothing) {
                     world = next;
                 }
             }
@@ -309,88 +309,88 @@
     }
 }
 
-/// What must hold of each step.
+/// The invariants of each step.
 fn check(
     before: &Rollout,
     after: &Rollout,
     verdict: &Verdict,
     seen: &[FleetView<'_>],
-    broken: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
     let new: Vec<&str> =
         after.moved.keys().filter(|n| !before.moved.contains_key(*n)).map(String::as_str).collect();
     if !new.is_empty() {
-        let way = |s: &&FleetView<'_>| after.moved.contains_key(s.name) && s.acting != after.to;
-        let on_way: Vec<&FleetView<'_>> = seen.iter().filter(way).collect();
+        let is_in_transit = |s: &&FleetView<'_>| after.moved.contains_key(s.name) && s.acting != after.to;
+        let on_way: Vec<&FleetView<'_>> = seen.iter().filter(is_in_transit).collect();
         let zones: HashSet<&str> = on_way.iter().map(|s| s.zone).collect();
         if on_way.len() > after.plan.at_once || zones.len() > 1 {
-            broken.push(format!("{} on their way in {zones:?}", on_way.len()));
+            violations.push(format!("{} in transit in {zones:?}", on_way.len()));
         }
     }
     let stage = |c: &Rollout| if c.phase == Phase::Done { Some(usize::MAX) } else { c.stage() };
     if let (Some(from), Some(to)) = (stage(before), stage(after)) {
         if to > from && *verdict != Verdict::Passed {
-            broken.push(format!("stage {from} was left for {to} on {verdict:?}"));
+            violations.push(format!("stage {from} was left for {to} on {verdict:?}"));
         }
         let behind = seen.iter().any(|s| before.moved.contains_key(s.name) && s.acting != before.to);
         if to > from && behind {
-            broken.push(format!("stage {from} was left while one of it does not act by the new"));
+            violations.push(format!("stage {from} was left while one of it does not act by the new"));
         }
     }
     if matches!(verdict, Verdict::Worse(_)) && before.phase.back().is_none() && after.phase.back().is_none() {
-        broken.push("the new are worse, and it does not go back".into());
+        violations.push("the new are worse, and it does not go back".into());
     }
     if before.phase.back().is_some() && after.phase.back().is_none() {
-        broken.push("it went back, and goes on again".into());
+        violations.push("it went back, and goes on again".into());
     }
 }
 
-/// All states that can be reached, at most so many; what is broken, and on which way first.
-fn explore(without: Without, most: usize) -> (usize, usize, Vec<String>) {
+/// Explores all reachable states, up to `most`; returns the number of states, of those played to their end, and the violations.
+fn explore(removed: Removed, most: usize) -> (usize, usize, Vec<String>) {
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([first()]);
-    let mut broken = Vec::new();
-    let mut ends = 0;
+    let mut violations = Vec::new();
+    let mut terminated = 0;
     seen.insert(first().key());
     while let Some(world) = queue.pop_front() {
-        world.holds(&mut broken);
-        if without == Without::Nothing {
-            match world.ends() {
-                Ok(()) => ends += 1,
-                Err(why) => broken.push(why),
+        world.check_invariants(&mut violations);
+        if removed == Removed::Nothing {
+            match world.terminates() {
+                Ok(()) => terminated += 1,
+                Err(why) => violations.push(why),
             }
         }
-        if !broken.is_empty() || seen.len() >= most {
-            return (seen.len(), ends, broken);
+        if !violations.is_empty() || seen.len() >= most {
+            return (seen.len(), terminated, violations);
         }
-        for next in world.next(without, &mut broken) {
+        for next in world.next(removed, &mut violations) {
             if seen.insert(next.key()) {
                 queue.push_back(next);
             }
         }
     }
-    (seen.len(), ends, broken)
+    (seen.len(), terminated, violations)
 }
 
-/// `RUSHQUAY_STATES=2000000 cargo test --release ... explore -- --nocapture` looks at more of them.
+/// `RUSHQUAY_STATES=2000000 cargo test --release ... state_exploration -- --nocapture` explores more of them.
 fn states() -> usize {
     std::env::var("RUSHQUAY_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(40_000)
 }
 
 #[test]
-fn no_order_of_steps_faults_and_words_breaks_the_promise() {
-    let (states, ends, broken) = explore(Without::Nothing, states());
-    println!("{states} states, {ends} of them played to their end");
-    assert!(broken.is_empty(), "{broken:?}");
+fn no_interleaving_within_the_state_bound_violates_an_invariant() {
+    let (states, terminated, violations) = explore(Removed::Nothing, states());
+    println!("{states} states, {terminated} of them played to their end");
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
-fn each_guard_that_is_taken_out_is_missed() {
-    for without in
-        [Without::KeepingFirst, Without::TheFenceOfProxies, Without::TheFenceOfTheStore, Without::WhatWasKept]
+fn removing_any_safeguard_is_detected() {
+    for removed in
+        [Removed::PersistBeforeTelling, Removed::ProxyFencing, Removed::StoreFencing, Removed::StoredRecord]
     {
-        let (states, _, broken) = explore(without, 400_000);
-        println!("{without:?}: {states} states, {broken:?}");
-        assert!(!broken.is_empty(), "nothing breaks without {without:?} in {states} states");
+        let (states, _, violations) = explore(removed, 400_000);
+        println!("{removed:?}: {states} states, {violations:?}");
+        assert!(!violations.is_empty(), "nothing breaks without {removed:?} in {states} states");
     }
 }
