--- a/crates/services/control-service/src/discovery.rs
+++ b/crates/services/control-service/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows the list at discovery: the whole first, then a watch renewed at once.
 
-use crate::shared::SourceEvent;
+use crate::state::SourceEvent;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/services/control-service/src/policy/error.rs
+++ b/crates/services/control-service/src/error.rs
@@ -1,7 +1,45 @@
-//! Why a change of policy is not begun or ended as asked, in words that say what to do.
+//! Errors of operator commands. The HTTP status of each is chosen in [`crate::http`].
 
-use axum::http::StatusCode;
+use crate::durable_store::{PersistError, PersistFailure};
+use rushquay_overrides::OverrideError;
 use rushquay_policy::{RecordError, UnfitPolicy};
+use rushquay_rollout::RegistryError;
+
+/// Why an operator's command was rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The override set rejected it.
+    #[error(transparent)]
+    Override(#[from] OverrideError),
+    /// Another instance leads.
+    #[error("this control service stands by: {0}")]
+    NotLeader(String),
+    /// The rollout registry rejected it.
+    #[error(transparent)]
+    Rollout(#[from] RegistryError),
+    /// A policy change could not be proposed or withdrawn.
+    #[error(transparent)]
+    Policy(#[from] PolicyCommandError),
+    /// The command was rejected because its record could not be written durably.
+    #[error("not done, since it can't be kept: {0}")]
+    NotPersisted(String),
+}
+
+impl CommandError {
+    /// The error for a failed write, with what is known of the state that the store is left in.
+    pub(crate) fn not_persisted(error: &PersistError) -> Self {
+        let reason = &error.reason;
+        CommandError::NotPersisted(match error.failure {
+            PersistFailure::NoStore | PersistFailure::Fenced => reason.clone(),
+            PersistFailure::Unsure => {
+                format!("{reason}; whether it stands is for the next leader to find: look again")
+            }
+            PersistFailure::Failed => {
+                format!("{reason}; what held before is written again once the store works: look again")
+            }
+        })
+    }
+}
 
 /// Why a change of policy was not begun or ended as asked.
 #[derive(Debug, thiserror::Error)]
@@ -44,22 +82,3 @@
     #[error("no proxy {0:?} has asked for leave here; rushquay policy status names those that have")]
     Unknown(String),
 }
-
-impl PolicyCommandError {
-    /// As an answer over HTTP.
-    pub(crate) fn status(&self) -> StatusCode {
-        match self {
-            PolicyCommandError::Record(RecordError::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
-            PolicyCommandError::Record(RecordError::Field(..))
-            | PolicyCommandError::Unfit(_)
-            | PolicyCommandError::Class(..) => StatusCode::UNPROCESSABLE_ENTITY,
-            PolicyCommandError::Record(_)
-            | PolicyCommandError::RolloutRuns(_)
-            | PolicyCommandError::PolicyUndecided(_)
-            | PolicyCommandError::Behind { .. }
-            | PolicyCommandError::Whole
-            | PolicyCommandError::TooSoon(_) => StatusCode::CONFLICT,
-            PolicyCommandError::Unknown(_) => StatusCode::NOT_FOUND,
-        }
-    }
-}
--- a/crates/services/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -1,6 +1,6 @@
 //! Follows the list in a file: read again when it changes on disk, and when asked to.
 
-use crate::shared::SourceEvent;
+use crate::state::SourceEvent;
 use rushquay_endpoints::{validate_list, EndpointList};
 use std::os::unix::fs::MetadataExt as _;
 use std::path::{Path, PathBuf};
--- /dev/null
+++ b/crates/services/control-service/src/http/rollout.rs
@@ -0,0 +1,109 @@
+//! Rollouts and the proxies that take part in them over HTTP: `/v1/rollout` and `/v1/roster`.
+
+use super::rejection::Rejection;
+use super::report::render_report;
+use super::versioned::{change_component, require_component, respond, Author, HistoryQuery};
+use crate::error::{CommandError, PolicyCommandError};
+use crate::policy::PolicyController;
+use crate::rollout::RolloutController;
+use crate::state::ServiceState;
+use axum::extract::{Path, Query, State};
+use axum::http::header::CONTENT_TYPE;
+use axum::http::{HeaderMap, StatusCode};
+use axum::response::{IntoResponse, Response};
+use axum::routing::{get, post};
+use axum::{Json, Router};
+use rushquay_rollout::{RegistryError, RolloutRequest};
+use serde_json::{json, Value};
+use std::sync::Arc;
+
+pub fn routes() -> Router<Arc<ServiceState>> {
+    Router::new()
+        .route("/v1/rollout", get(status).post(start))
+        .route("/v1/rollout/plan", post(plan))
+        .route("/v1/rollout/history", get(history))
+        .route("/v1/rollout/report", get(report))
+        .route("/v1/rollout/{action}", post(steer))
+        .route("/v1/roster", get(members))
+}
+
+fn controller(service: &ServiceState) -> Result<&RolloutController, Rejection> {
+    let off = "changes in stages are off; give the control service's settings a [rollout] section";
+    require_component(service, service.rollout.as_ref(), off)
+}
+
+async fn status(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
+    Ok(respond(StatusCode::OK, controller(&service)?.status(service.leader.unix_now())))
+}
+
+async fn members(State(service): State<Arc<ServiceState>>) -> Result<Json<Value>, Rejection> {
+    Ok(Json(controller(&service)?.members(service.leader.unix_now())))
+}
+
+async fn history(
+    State(service): State<Arc<ServiceState>>,
+    Query(query): Query<HistoryQuery>,
+) -> Result<Json<Value>, Rejection> {
+    Ok(Json(controller(&service)?.history(query.limit())))
+}
+
+/// The last rollout as an HTML page. Danger: rendered on an async worker it would hold up the streams.
+async fn report(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
+    let (rollout, timeline) = controller(&service)?.last_rollout();
+    let Some(rollout) = rollout else {
+        return Err(Rejection::new(StatusCode::NOT_FOUND, "no change was ever begun here"));
+    };
+    let internal = |error: String| Rejection::new(StatusCode::INTERNAL_SERVER_ERROR, error);
+    let rendered = tokio::task::spawn_blocking(move || render_report(&rollout, &timeline)).await;
+    let page = rendered.map_err(|e| internal(e.to_string()))?.map_err(|e| internal(e.to_string()))?;
+    Ok(([(CONTENT_TYPE, "text/html; charset=utf-8")], page).into_response())
+}
+
+async fn plan(
+    State(service): State<Arc<ServiceState>>,
+    Json(request): Json<RolloutRequest>,
+) -> Result<Response, Rejection> {
+    let plan = controller(&service)?.plan(&request, service.leader.unix_now())?;
+    Ok(respond(StatusCode::OK, plan))
+}
+
+async fn start(
+    State(service): State<Arc<ServiceState>>,
+    headers: HeaderMap,
+    Json(request): Json<RolloutRequest>,
+) -> Result<Response, Rejection> {
+    change_component(service, headers, StatusCode::CREATED, move |service, expected| {
+        let rollout = controller(service)?;
+        let _change = service.change_lock.acquire();
+        if let Some(policy) = service.policies.as_ref().and_then(PolicyController::undecided) {
+            return Err(CommandError::from(PolicyCommandError::PolicyUndecided(policy.0)).into());
+        }
+        let (mut body, revision) = rollout.command(&service.leader, |registry, baseline, now| {
+            let left_behind = registry.start(request, expected, baseline, now)?;
+            Ok(json!({"change": registry.running(), "left_behind": left_behind}))
+        })?;
+        body["revision"] = json!(revision);
+        Ok((body, revision))
+    })
+    .await
+}
+
+async fn steer(
+    State(service): State<Arc<ServiceState>>,
+    Path(action): Path<String>,
+    headers: HeaderMap,
+    Json(Author { by }): Json<Author>,
+) -> Result<Response, Rejection> {
+    change_component(service, headers, StatusCode::OK, move |service, expected| {
+        let steered =
+            controller(service)?.command(&service.leader, |registry, _, now| match action.as_str() {
+                "hold" => registry.hold(&by, expected, now),
+                "resume" => registry.resume(&by, expected, now),
+                "back" => registry.back(&by, expected, now),
+                _ => Err(RegistryError::Field("path", "hold, resume or back")),
+            });
+        let ((), revision) = steered?;
+        Ok((json!({"revision": revision}), revision))
+    })
+    .await
+}
--- /dev/null
+++ b/crates/services/control-service/src/leadership_loop.rs
@@ -0,0 +1,190 @@
+//! The thread that campaigns for the lease, renews it and steps down: it does what [`Elector`] says, against a store of leases.
+
+use crate::durable_store::LeasedStore;
+use crate::leadership::Leadership;
+use crate::persistence::Records;
+use crate::state::ServiceState;
+use rushquay_lease::{Action, Elector, Epoch, Role};
+use rushquay_overrides::OverrideSet;
+use rushquay_state::{Campaign, HeldLease, SharedError, StoredState};
+use rushquay_xds::client::Outage;
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::{error, info, warn};
+
+/// The longest wait before the thread checks whether it is to end.
+const MAX_WAIT: Duration = Duration::from_millis(500);
+
+/// Runs until [`Leadership::end`] is called.
+pub(crate) fn run(service: &ServiceState, leadership: &Leadership) {
+    let mut leadership_loop = LeadershipLoop {
+        service,
+        leadership,
+        elector: Elector::new(leadership.terms),
+        held: None,
+        outage: Outage::default(),
+    };
+    while !leadership.lock().is_ending {
+        leadership_loop.step();
+    }
+    if let Some(held) = leadership_loop.held {
+        service.step_down();
+        match leadership.store.resign(held) {
+            Ok(()) => info!(epoch = held.epoch, "lease resigned"),
+            Err(error) => warn!(epoch = held.epoch, %error, "lease not resigned; it expires by itself"),
+        }
+    }
+}
+
+struct LeadershipLoop<'a> {
+    service: &'a ServiceState,
+    leadership: &'a Leadership,
+    elector: Elector,
+    held: Option<HeldLease>,
+    outage: Outage,
+}
+
+impl LeadershipLoop<'_> {
+    fn now(&self) -> u64 {
+        self.service.leader.monotonic_now()
+    }
+
+    fn step(&mut self) {
+        if std::mem::take(&mut self.leadership.lock().is_fenced) {
+            self.leadership.set_lease_valid_until(0);
+            self.step_down("a write was fenced");
+            return;
+        }
+        let now = self.now();
+        match self.elector.act(now) {
+            Action::Wait(until) => self.wait(until.saturating_sub(now)),
+            Action::StepDown => self.step_down("the lease has expired"),
+            Action::Renew => self.renew(),
+            Action::Campaign => self.campaign(),
+        }
+        let until = match self.elector.role() {
+            Role::Leader { until, .. } if self.held.is_some() => *until,
+            _ => 0,
+        };
+        self.leadership.set_lease_valid_until(until);
+    }
+
+    fn wait(&mut self, nanos: u64) {
+        let most = Duration::from_nanos(nanos).min(MAX_WAIT);
+        if matches!(self.elector.role(), Role::Standby { .. }) {
+            self.leadership.store.wait(most);
+            self.elector.free(self.now());
+            return;
+        }
+        self.leadership.wait(most);
+    }
+
+    fn renew(&mut self) {
+        let Some(held) = self.held else { return self.elector.lost(self.now()) };
+        let requested_at = self.now();
+        match self.leadership.store.renew(held) {
+            Ok(()) => {
+                self.on_store_reached();
+                self.elector.renewed(requested_at);
+            }
+            Err(SharedError::Fenced(_)) => self.step_down("another instance holds the lease"),
+            Err(error) => self.on_store_unreachable(&error),
+        }
+    }
+
+    fn campaign(&mut self) {
+        let (requested_at, leadership) = (self.now(), self.leadership);
+        let ttl = Duration::from_nanos(leadership.terms.ttl);
+        match leadership.store.campaign(&leadership.instance_name, ttl) {
+            Ok(Campaign::Taken { by }) => {
+                self.on_store_reached();
+                let mut inner = leadership.lock();
+                if inner.state.leader.as_ref() != Some(&by) {
+                    info!(leader = %by, "another instance leads");
+                }
+                inner.state.leader = Some(by.clone());
+                drop(inner);
+                self.elector.beaten(Some(by), self.now());
+            }
+            Ok(Campaign::Won(held)) => {
+                self.on_store_reached();
+                if self.elector.won(Epoch(held.epoch), requested_at, self.now()) {
+                    self.take_over(held);
+                }
+            }
+            Err(error) => self.on_store_unreachable(&error),
+        }
+    }
+
+    fn take_over(&mut self, held: HeldLease) {
+        let (start, leadership) = (self.now(), self.leadership);
+        let (stored, overrides, records) = match self.load() {
+            Ok(loaded) => loaded,
+            Err(error) => {
+                // Danger: leading on from nothing would forget every drain and override.
+                error!(epoch = held.epoch, %error, "stored state unreadable; lease resigned");
+                let _ = leadership.store.resign(held);
+                leadership.lock().state.fault = Some(error.to_string());
+                return self.elector.lost(self.now());
+            }
+        };
+        // Reading took its time; nothing is published under a lease that has expired.
+        if !self.confirm(held) {
+            return self.elector.lost(self.now());
+        }
+        self.held = Some(held);
+        let store = Arc::new(LeasedStore { store: leadership.store.clone(), held });
+        self.service.lead(Epoch(held.epoch), stored, overrides, &records, store);
+        let took = (self.now() - start) / 1_000_000;
+        let mut inner = leadership.lock();
+        inner.state.leader = Some(leadership.instance_name.clone());
+        inner.state.epoch = held.epoch;
+        inner.state.takeovers += 1;
+        inner.state.takeover_ms = took;
+        info!(leader = %leadership.instance_name, epoch = held.epoch, took_ms = took, "this instance leads");
+    }
+
+    /// Reads what the last leader persisted.
+    fn load(&self) -> Result<(StoredState, OverrideSet, Records), SharedError> {
+        let limits = *self.service.overrides.set().policy();
+        let (stored, overrides) = self.leadership.store.load(limits)?;
+        Ok((stored, overrides, self.leadership.store.load_records()?))
+    }
+
+    /// Renews a lease that was just won; returns whether this instance still leads.
+    fn confirm(&mut self, held: HeldLease) -> bool {
+        let requested_at = self.now();
+        match self.leadership.store.renew(held) {
+            Ok(()) => self.elector.renewed(requested_at),
+            Err(SharedError::Fenced(_)) => return false,
+            Err(error) => self.on_store_unreachable(&error),
+        }
+        self.elector.leads(self.now()).is_some()
+    }
+
+    fn step_down(&mut self, reason: &str) {
+        if let Some(held) = self.held.take() {
+            self.service.step_down();
+            warn!(epoch = held.epoch, reason, "stepped down");
+        }
+        let mut inner = self.leadership.lock();
+        (inner.state.epoch, inner.state.leader) = (0, None);
+        drop(inner);
+        self.elector.lost(self.now());
+    }
+
+    fn on_store_reached(&mut self) {
+        if let Some(n) = self.outage.over() {
+            info!(store = %self.leadership.store.name(), failures = n, "lease store reachable again");
+        }
+        self.leadership.lock().state.fault = None;
+    }
+
+    fn on_store_unreachable(&mut self, error: &SharedError) {
+        if let Some(n) = self.outage.failed(&error.to_string()) {
+            warn!(%error, failure = n, "lease store unreachable");
+        }
+        self.leadership.lock().state.fault = Some(error.to_string());
+        self.elector.unknown(self.now());
+    }
+}
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -1,27 +1,30 @@
-//! The control service on sockets: follows the node list at discovery or in a file, and hands it out as xDS, with an
-//! admin page.
+//! The control service: follows the endpoint list at discovery or in a file and serves it over xDS, with an admin page and API. Several
+//! instances elect a leader; it alone publishes, and runs rollouts and policy changes.
+//!
+//! [`start`] is the entry. The decisions are those of the core crates; this crate has the sockets, the clocks, the threads and the order
+//! of locks (module `state`).
 #![forbid(unsafe_code)]
 
-mod admin;
-mod api;
 mod discovery;
+mod durable_store;
+mod error;
 mod file;
+mod http;
 mod leadership;
-mod metrics;
+mod leadership_loop;
 mod persistence;
 mod policy;
-mod policy_api;
+mod record_status;
 mod reopening_store;
-mod report;
 mod rollout;
-mod rollout_api;
 mod service;
 mod settings;
-mod shared;
+mod state;
+mod sync;
 mod time;
 
-pub use admin::serve_pages;
 pub use file::{Watched, LOOK_EVERY};
+pub use http::serve_pages;
 pub use leadership::LeadershipState;
 pub use policy::PolicySettings;
 pub use rollout::RolloutSettings;
--- a/crates/services/control-service/src/persistence.rs
+++ b/crates/services/control-service/src/persistence.rs
@@ -1,335 +1,293 @@
-//! Keeps what the service knows in a file, on a thread of its own: a disk that is slow or full holds nobody up.
+//! Writes the state of the service to a store, the endpoint list on a thread of its own: a disk that is slow or full holds nobody up.
 
+use crate::durable_store::{DurableStore, PersistError, PersistFailure};
 use crate::reopening_store::ReopeningStore;
+use crate::sync::lock;
 use rushquay_endpoints::SourcedEndpoint;
 use rushquay_overrides::{OverrideLimits, OverrideSet};
 use rushquay_state::{
-    EndpointWrite, HeldLease, OverrideWrite, RecordWrite, SharedError, SharedState, StateError, StateStore,
-    StoredState,
+    EndpointWrite, OverrideWrite, RecordWrite, SharedError, StateError, StateStore, StoredState,
 };
 use rushquay_xds::client::Outage;
 use serde_json::Value;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// A write that failed is tried again after this.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The delay before a failed write is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A file that can't be opened for a failure of the disk is opened again after this, so often at most.
-const OPEN_AGAIN: Duration = Duration::from_millis(250);
-const OPENS_MOST: u32 = 20;
+/// The delay before opening a file is retried after a disk error, and the most attempts.
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_OPEN_ATTEMPTS: u32 = 20;
 
-/// Records of other parts, by name.
+/// Records of the controllers, by name.
 pub type Records = BTreeMap<String, Value>;
 
-/// What keeps changes: a file of this instance alone, or what instances share.
-pub trait DurableStore: Send + Sync {
-    /// Keeps a change of node knowledge.
-    ///
-    /// # Errors
-    /// Nothing of it is kept, or it is not known whether.
-    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError>;
-    /// Keeps the book of overrides.
-    ///
-    /// # Errors
-    /// The same.
-    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError>;
-    /// Keeps records of other parts.
-    ///
-    /// # Errors
-    /// The same.
-    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError>;
-    /// Reads node knowledge.
-    ///
-    /// # Errors
-    /// The store can't be read.
-    fn saved(&self) -> Result<StoredState, SharedError>;
-}
-
-/// What instances share, for as long as a lease is held.
-pub struct LeasedStore {
-    pub store: Arc<dyn SharedState>,
-    pub held: HeldLease,
-}
-
-impl DurableStore for LeasedStore {
-    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError> {
-        self.store.keep(self.held, change)
-    }
-    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError> {
-        self.store.keep_book(self.held, change)
-    }
-    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError> {
-        self.store.keep_records(self.held, change)
-    }
-    fn saved(&self) -> Result<StoredState, SharedError> {
-        Ok(self.store.load(OverrideLimits::default())?.0)
-    }
-}
-
-/// What is known of a write that did not go well.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PersistFailure {
-    /// There is no store: nothing of it stands anywhere.
-    NoStore,
-    /// Another instance leads, or soon will: it never will be kept.
-    Fenced,
-    /// No answer came: it may yet come to be kept.
-    Unsure,
-    /// The store failed: a part of it, or all, may stand there.
-    Failed,
-}
-
-/// Why something is not kept.
-#[derive(Clone, Debug)]
-pub struct PersistError {
-    pub why: String,
-    pub failure: PersistFailure,
-}
-
-/// How the file stands, for the admin page.
+/// The state of persistence, for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct PersistenceState {
-    /// Why nothing is kept, or not all; `None`: all is.
-    pub fault: Option<String>,
-    /// Version of the list last kept.
+    /// Why nothing is persisted, or not all; `None`: all is.
+    pub error: Option<String>,
+    /// Version of the list last persisted.
     pub version: Option<u64>,
-    /// Transactions.
+    /// Write transactions.
     pub writes: u64,
 }
 
+/// A version of the endpoint list.
+struct VersionedList {
+    version: u64,
+    nodes: Vec<SourcedEndpoint>,
+}
+
 #[derive(Default)]
-struct Slot {
-    /// The newest that is to be kept; what it replaced need not be.
-    next: Option<(u64, Vec<SourcedEndpoint>)>,
-    ending: bool,
+struct Inner {
+    /// The newest list that is to be written; those that it replaced need not be.
+    pending: Option<VersionedList>,
+    is_ending: bool,
     state: PersistenceState,
 }
 
+/// What the writing thread has in common with the rest of the service.
 #[derive(Default)]
-struct Shared {
-    slot: Mutex<Slot>,
+struct Mailbox {
+    inner: Mutex<Inner>,
     changed: Condvar,
 }
 
-/// The keeper of a file. Dropping it writes what is still to be written.
+impl Mailbox {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        lock(&self.inner)
+    }
+
+    /// Waits for a list; `None`: none is left and the thread is to end. Also returns whether it is to end after this one.
+    fn wait(&self) -> Option<(VersionedList, bool)> {
+        let mut inner = self.lock();
+        while inner.pending.is_none() && !inner.is_ending {
+            inner = self.changed.wait(inner).unwrap_or_else(PoisonError::into_inner);
+        }
+        Some((inner.pending.take()?, inner.is_ending))
+    }
+}
+
+/// A store and the thread that writes to it. Dropping it writes what is still pending.
 pub struct Persistence {
-    /// The file; `None`: what instances share.
+    /// The file; `None`: state that instances share.
     pub path: Option<PathBuf>,
-    shared: Arc<Shared>,
+    mailbox: Arc<Mailbox>,
     store: Option<Arc<dyn DurableStore>>,
-    thread: Thread,
+    thread: WriterThread,
 }
 
-/// The writing thread; dropped, it writes what is still to be written.
-struct Thread(Option<(JoinHandle<()>, Arc<Shared>)>);
-
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Slot> {
-        self.slot.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
+/// The writing thread; when this is dropped it writes what is still pending, and ends.
+struct WriterThread(Option<(JoinHandle<()>, Arc<Mailbox>)>);
 
 impl Persistence {
-    /// Opens the file and reads what it holds. One that can't be used is named in a line; the service then runs from
-    /// memory, and the file stays as it is.
-    pub fn open(path: &Path, policy: OverrideLimits) -> (Persistence, StoredState, OverrideSet, Records) {
-        let shared = Arc::new(Shared::default());
-        match open_patiently(path, policy) {
-            Ok((store, saved, book, records)) => {
+    /// Opens the file and reads what it holds. One that can't be used is logged; the service then runs from memory, and the file stays as
+    /// it is.
+    pub fn open(path: &Path, limits: OverrideLimits) -> (Persistence, StoredState, OverrideSet, Records) {
+        match open_with_retries(path, limits) {
+            Ok((store, stored, overrides, records)) => {
                 let store = Arc::new(ReopeningStore::new(path, store));
-                let keeper =
-                    Persistence { path: Some(path.to_owned()), ..Persistence::on(store, saved.clone()) };
-                (keeper, saved, book, records)
+                let persistence =
+                    Persistence { path: Some(path.to_owned()), ..Persistence::on(store, stored.clone()) };
+                (persistence, stored, overrides, records)
             }
-            Err(e) => {
-                warn!(file = %path.display(), fault = %e, "state can't be used: running from memory");
-                shared.lock().state.fault = Some(e.to_string());
+            Err(error) => {
+                warn!(file = %path.display(), %error, "state file unusable; running from memory");
+                let mailbox = Arc::new(Mailbox::default());
+                mailbox.lock().state.error = Some(error.to_string());
                 let path = Some(path.to_owned());
-                let keeper = Persistence { path, shared, store: None, thread: Thread(None) };
-                (keeper, StoredState::default(), OverrideSet::new(policy), Records::new())
+                let persistence = Persistence { path, mailbox, store: None, thread: WriterThread(None) };
+                (persistence, StoredState::default(), OverrideSet::new(limits), Records::new())
             }
         }
     }
 
-    /// Keeps what differs from what is kept already.
-    pub fn on(store: Arc<dyn DurableStore>, saved: StoredState) -> Persistence {
-        let shared = Arc::new(Shared::default());
-        shared.lock().state.version = saved.version;
-        let known = saved.nodes.into_iter().map(|s| (s.member.id.clone(), s)).collect();
-        let (own, held) = (shared.clone(), store.clone());
-        let thread = std::thread::spawn(move || keep(&*held, &own, known, saved.version));
-        let thread = Thread(Some((thread, shared.clone())));
-        Persistence { path: None, shared, store: Some(store), thread }
+    /// Writes to a store what differs from what it holds already.
+    pub fn on(store: Arc<dyn DurableStore>, stored: StoredState) -> Persistence {
+        let mailbox = Arc::new(Mailbox::default());
+        mailbox.lock().state.version = stored.version;
+        let mut writer = EndpointWriter::new(store.clone(), mailbox.clone(), stored);
+        let thread = std::thread::spawn(move || writer.run());
+        let thread = WriterThread(Some((thread, mailbox.clone())));
+        Persistence { path: None, mailbox, store: Some(store), thread }
     }
 
-    /// Has this kept, soon.
-    pub fn keep(&self, version: u64, nodes: Vec<SourcedEndpoint>) {
+    /// Has the thread write this endpoint list; does not wait for it.
+    pub fn write_endpoints(&self, version: u64, nodes: Vec<SourcedEndpoint>) {
         if self.thread.0.is_some() {
-            self.shared.lock().next = Some((version, nodes));
-            self.shared.changed.notify_one();
+            self.mailbox.lock().pending = Some(VersionedList { version, nodes });
+            self.mailbox.changed.notify_one();
         }
     }
 
-    /// Keeps the book of overrides, and returns once it is kept. It waits for the disk.
+    /// Writes a change of the override set and returns once it is durable. Blocks on the store.
     ///
     /// # Errors
-    /// Why it is not kept.
-    pub fn keep_book(&self, change: &OverrideWrite) -> Result<(), PersistError> {
-        self.at_once(|store| store.keep_book(change))
+    /// Why it is not durable.
+    pub fn write_overrides(&self, write: &OverrideWrite) -> Result<(), PersistError> {
+        Ok(self.store()?.write_overrides(write)?)
     }
 
-    /// Keeps records of other parts, and returns once they are kept. It waits for the disk.
+    /// Writes records of the controllers and returns once they are durable. Blocks on the store.
     ///
     /// # Errors
-    /// Why they are not kept.
-    pub fn keep_records(&self, change: &RecordWrite) -> Result<(), PersistError> {
-        self.at_once(|store| store.keep_records(change))
+    /// Why they are not durable.
+    pub fn write_records(&self, write: &RecordWrite) -> Result<(), PersistError> {
+        Ok(self.store()?.write_records(write)?)
     }
 
-    fn at_once(
-        &self,
-        keeps: impl FnOnce(&dyn DurableStore) -> Result<(), SharedError>,
-    ) -> Result<(), PersistError> {
-        let fault = |e: SharedError| {
-            let failure = match e {
-                SharedError::Fenced(_) => PersistFailure::Fenced,
-                SharedError::Unreachable(_) => PersistFailure::Unsure,
-                SharedError::State(_) => PersistFailure::Failed,
-            };
-            PersistError { why: e.to_string(), failure }
-        };
-        match &self.store {
-            Some(store) => keeps(&**store).map_err(fault),
-            None => {
-                let why = self.state().fault.unwrap_or_default();
-                Err(PersistError { why, failure: PersistFailure::NoStore })
-            }
-        }
+    fn store(&self) -> Result<&dyn DurableStore, PersistError> {
+        self.store.as_deref().ok_or_else(|| PersistError {
+            reason: self.state().error.unwrap_or_default(),
+            failure: PersistFailure::NoStore,
+        })
     }
 
-    /// How the file stands.
+    /// A copy of the present state.
     pub fn state(&self) -> PersistenceState {
-        self.shared.lock().state.clone()
+        self.mailbox.lock().state.clone()
     }
 }
 
-impl Drop for Thread {
+impl Drop for WriterThread {
     fn drop(&mut self) {
-        if let Some((thread, shared)) = self.0.take() {
-            shared.lock().ending = true;
-            shared.changed.notify_one();
+        if let Some((thread, mailbox)) = self.0.take() {
+            mailbox.lock().is_ending = true;
+            mailbox.changed.notify_one();
             let _ = thread.join();
         }
     }
 }
 
-/// Opens a store and reads what it holds, again and again for a while where the disk fails.
-fn open_patiently(
+/// Opens a store and reads what it holds, with retries for a while where the disk fails.
+fn open_with_retries(
     path: &Path,
-    policy: OverrideLimits,
+    limits: OverrideLimits,
 ) -> Result<(StateStore, StoredState, OverrideSet, Records), StateError> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let opened = StateStore::open(path).and_then(|store| {
-            let (saved, book, records) = (store.read()?, store.read_book(policy)?, store.read_records()?);
-            Ok((store, saved, book, records))
+            let (stored, overrides, records) =
+                (store.read()?, store.read_book(limits)?, store.read_records()?);
+            Ok((store, stored, overrides, records))
         });
         match opened {
-            Err(e @ (StateError::Io(..) | StateError::Full(_))) if tries < OPENS_MOST => {
-                warn!(file = %path.display(), fault = %e, "state can't be opened yet");
-                std::thread::sleep(OPEN_AGAIN);
+            Err(error @ (StateError::Io(..) | StateError::Full(_))) if attempts < MAX_OPEN_ATTEMPTS => {
+                warn!(file = %path.display(), %error, "state file not opened; retrying");
+                std::thread::sleep(OPEN_RETRY_DELAY);
             }
             other => return other,
         }
     }
 }
 
-/// Writes what has changed against what is known to be kept, until the end.
-fn keep(
-    store: &dyn DurableStore,
-    shared: &Shared,
-    mut known: BTreeMap<String, SourcedEndpoint>,
-    mut version: Option<u64>,
-) {
-    let mut outage = Outage::default();
-    // A write failed: it is not known what of it is kept.
-    let mut doubtful = false;
-    loop {
-        let (next, ending) = {
-            let mut slot = shared.lock();
-            while slot.next.is_none() && !slot.ending {
-                slot = shared.changed.wait(slot).unwrap_or_else(PoisonError::into_inner);
-            }
-            (slot.next.take(), slot.ending)
-        };
-        let Some((now, nodes)) = next else { return };
-        let read = if doubtful { store.saved().map(Some) } else { Ok(None) };
-        let kept = read.and_then(|saved| {
-            if let Some(saved) = saved {
-                version = saved.version;
-                known = saved.nodes.into_iter().map(|s| (s.member.id.clone(), s)).collect();
-            }
-            let change = difference(&known, version, now, &nodes);
-            change.as_ref().map_or(Ok(()), |change| store.keep(change)).map(|()| change.is_some())
-        });
-        doubtful = kept.is_err();
-        match kept {
-            Ok(written) => {
-                known = nodes.into_iter().map(|s| (s.member.id.clone(), s)).collect();
-                version = Some(now);
-                if let Some(n) = outage.over() {
-                    info!(failures = n, "state is written again");
-                }
-                let state = &mut shared.lock().state;
-                (state.fault, state.version) = (None, version);
-                state.writes += u64::from(written);
-            }
-            Err(e) => {
-                failed(&e, &mut outage);
-                let mut slot = shared.lock();
-                slot.state.fault = Some(e.to_string());
-                // What was written under a lease that is over is the next leader's to write.
-                if matches!(e, SharedError::Fenced(_)) {
-                    return;
-                }
-                // Unless something newer has come meanwhile.
-                slot.next.get_or_insert((now, nodes));
-                if ending {
-                    return;
+/// The work of the writing thread.
+struct EndpointWriter {
+    store: Arc<dyn DurableStore>,
+    mailbox: Arc<Mailbox>,
+    /// What the store holds, by endpoint id.
+    stored: BTreeMap<String, SourcedEndpoint>,
+    stored_version: Option<u64>,
+    /// A write failed: how much of it the store holds is not known.
+    is_in_doubt: bool,
+    outage: Outage,
+}
+
+fn by_id(nodes: Vec<SourcedEndpoint>) -> BTreeMap<String, SourcedEndpoint> {
+    nodes.into_iter().map(|s| (s.member.id.clone(), s)).collect()
+}
+
+impl EndpointWriter {
+    fn new(store: Arc<dyn DurableStore>, mailbox: Arc<Mailbox>, stored: StoredState) -> Self {
+        EndpointWriter {
+            store,
+            mailbox,
+            stored: by_id(stored.nodes),
+            stored_version: stored.version,
+            is_in_doubt: false,
+            outage: Outage::default(),
+        }
+    }
+
+    /// Writes what differs from what the store holds, until the end.
+    fn run(&mut self) {
+        let mailbox = self.mailbox.clone();
+        while let Some((list, is_ending)) = mailbox.wait() {
+            let written = self.write(&list);
+            self.is_in_doubt = written.is_err();
+            match written {
+                Ok(has_written) => self.on_written(list, has_written),
+                Err(error) => {
+                    self.log_failure(&error);
+                    let mut inner = mailbox.lock();
+                    inner.state.error = Some(error.to_string());
+                    // What belongs to a lease that is over is the next leader's to write.
+                    if matches!(error, SharedError::Fenced(_)) {
+                        return;
+                    }
+                    // Unless a newer list has arrived meanwhile.
+                    inner.pending.get_or_insert(list);
+                    if is_ending {
+                        return;
+                    }
+                    let waited = mailbox.changed.wait_timeout(inner, WRITE_RETRY_DELAY);
+                    drop(waited.unwrap_or_else(PoisonError::into_inner));
                 }
-                drop(shared.changed.wait_timeout(slot, AGAIN).unwrap_or_else(PoisonError::into_inner));
             }
         }
     }
-}
 
-fn failed(e: &SharedError, outage: &mut Outage) {
-    if let Some(n) = outage.failed(&e.to_string()) {
-        warn!(fault = %e, failure = n, "state is not written: the last good state stands, serving goes on");
+    /// Writes what differs; returns whether anything did.
+    fn write(&mut self, list: &VersionedList) -> Result<bool, SharedError> {
+        if self.is_in_doubt {
+            let stored = self.store.read_endpoints()?;
+            self.stored_version = stored.version;
+            self.stored = by_id(stored.nodes);
+        }
+        let Some(write) = difference(&self.stored, self.stored_version, list) else { return Ok(false) };
+        self.store.write_endpoints(&write)?;
+        Ok(true)
+    }
+
+    fn on_written(&mut self, list: VersionedList, has_written: bool) {
+        self.stored = by_id(list.nodes);
+        self.stored_version = Some(list.version);
+        if let Some(failures) = self.outage.over() {
+            info!(failures, "endpoint list is persisted again");
+        }
+        let state = &mut self.mailbox.lock().state;
+        (state.error, state.version) = (None, self.stored_version);
+        state.writes += u64::from(has_written);
+    }
+
+    fn log_failure(&mut self, error: &SharedError) {
+        if let Some(failure) = self.outage.failed(&error.to_string()) {
+            warn!(%error, failure, "endpoint list not persisted; last stored list stays, serving continues");
+        }
     }
 }
 
 /// What is to be written; `None`: nothing.
 fn difference(
-    known: &BTreeMap<String, SourcedEndpoint>,
-    version: Option<u64>,
-    now: u64,
-    nodes: &[SourcedEndpoint],
+    stored: &BTreeMap<String, SourcedEndpoint>,
+    stored_version: Option<u64>,
+    list: &VersionedList,
 ) -> Option<EndpointWrite> {
-    let set: Vec<SourcedEndpoint> =
-        nodes.iter().filter(|s| known.get(&s.member.id) != Some(s)).cloned().collect();
-    let live: std::collections::BTreeSet<&str> = nodes.iter().map(|s| s.member.id.as_str()).collect();
-    let gone: Vec<String> = known.keys().filter(|id| !live.contains(id.as_str())).cloned().collect();
-    let new = version != Some(now);
-    (new || !set.is_empty() || !gone.is_empty()).then(|| EndpointWrite {
+    let changed = list.nodes.iter().filter(|s| stored.get(&s.member.id) != Some(s));
+    let set: Vec<SourcedEndpoint> = changed.cloned().collect();
+    let live: BTreeSet<&str> = list.nodes.iter().map(|s| s.member.id.as_str()).collect();
+    let gone: Vec<String> = stored.keys().filter(|id| !live.contains(id.as_str())).cloned().collect();
+    let is_new_version = stored_version != Some(list.version);
+    (is_new_version || !set.is_empty() || !gone.is_empty()).then(|| EndpointWrite {
         whole: false,
-        version: new.then_some(now),
+        version: is_new_version.then_some(list.version),
         set,
         gone,
     })
--- a/crates/services/control-service/src/policy/history.rs
+++ b/crates/services/control-service/src/policy/history.rs
@@ -1,89 +1,91 @@
-//! By which revision each proxy acted, and when: for people who ask later.
+//! Which revision each proxy applied, and when: for people who ask later.
 
+use rushquay_endpoints::Nanos;
 use rushquay_policy::{Incarnation, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-type Nanos = u64;
-
 /// Changes that are remembered of a proxy.
-const CHANGES: usize = 64;
+const MAX_CHANGES: usize = 64;
 /// Proxies that are remembered.
-const PROXIES: usize = 20_000;
+const MAX_PROXIES: usize = 20_000;
 
-/// From then on a process acted so.
+/// The revision that a process applied from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
-    /// When it was heard, Unix time in nanoseconds.
+pub struct RevisionChange {
+    /// When the leader received it, in Unix nanoseconds.
     pub at: Nanos,
     /// The process.
-    pub boot: Incarnation,
-    /// By what it acts; 0: it has no leave, or is gone.
+    #[serde(rename = "boot")]
+    pub incarnation: Incarnation,
+    /// What it applies; 0: it has no lease, or is gone.
     pub revision: Revision,
 }
 
-/// All of them.
+/// The recent changes of each proxy.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyHistory {
-    by: BTreeMap<String, VecDeque<Change>>,
-    changed: BTreeSet<String>,
-    kept: Nanos,
+    by_proxy: BTreeMap<String, VecDeque<RevisionChange>>,
+    /// Proxies with changes that are not persisted.
+    unpersisted: BTreeSet<String>,
+    /// When records were last handed out to be persisted.
+    last_due: Nanos,
 }
 
 impl PolicyHistory {
-    /// What was kept. What can't be read is left: it decides nothing.
-    pub fn restore<'a>(kept: impl Iterator<Item = (&'a str, &'a Value)>) -> Self {
+    /// Restores what was persisted. A record that can't be read is skipped: it decides nothing.
+    pub fn restore<'a>(records: impl Iterator<Item = (&'a str, &'a Value)>) -> Self {
         let read =
-            |(name, told): (&str, &Value)| Some((name.to_owned(), Deserialize::deserialize(told).ok()?));
-        PolicyHistory { by: kept.filter_map(read).collect(), ..PolicyHistory::default() }
+            |(name, json): (&str, &Value)| Some((name.to_owned(), Deserialize::deserialize(json).ok()?));
+        PolicyHistory { by_proxy: records.filter_map(read).collect(), ..PolicyHistory::default() }
     }
 
-    /// A process says by which revision it acts.
-    pub fn heard(&mut self, name: &str, boot: Incarnation, revision: Revision, at: Nanos) {
-        if !self.by.contains_key(name) && self.by.len() >= PROXIES {
+    /// Records the revision that a process reports to apply.
+    pub fn record(&mut self, name: &str, incarnation: Incarnation, revision: Revision, at: Nanos) {
+        if !self.by_proxy.contains_key(name) && self.by_proxy.len() >= MAX_PROXIES {
             return;
         }
-        let changes = self.by.entry(name.to_owned()).or_default();
-        let last = changes.iter().rev().find(|c| c.boot == boot).map(|c| c.revision);
-        // One that is asked for the first time and acts by nothing has nothing to tell.
+        let changes = self.by_proxy.entry(name.to_owned()).or_default();
+        let last = changes.iter().rev().find(|c| c.incarnation == incarnation).map(|c| c.revision);
+        // A process that is new and applies nothing is no change.
         if last.unwrap_or_default() == revision {
             return;
         }
-        changes.push_back(Change { at, boot, revision });
-        while changes.len() > CHANGES {
+        changes.push_back(RevisionChange { at, incarnation, revision });
+        while changes.len() > MAX_CHANGES {
             changes.pop_front();
         }
-        self.changed.insert(name.to_owned());
+        self.unpersisted.insert(name.to_owned());
     }
 
-    /// A process has let its leave run out.
-    pub fn gone(&mut self, name: &str, boot: Incarnation, at: Nanos) {
-        self.heard(name, boot, Revision(0), at);
+    /// Records that a process has let its lease expire.
+    pub fn record_lease_end(&mut self, name: &str, incarnation: Incarnation, at: Nanos) {
+        self.record(name, incarnation, Revision(0), at);
     }
 
     /// The changes of a proxy, the oldest first.
-    pub fn of(&self, name: &str) -> Option<&VecDeque<Change>> {
-        self.by.get(name)
+    pub fn changes(&self, name: &str) -> Option<&VecDeque<RevisionChange>> {
+        self.by_proxy.get(name)
     }
 
-    /// What is to be kept now: so many at the most, and none sooner than `every` after the last.
-    pub fn due(&mut self, now: Nanos, every: Nanos, most: usize) -> Vec<(String, Value)> {
-        if self.changed.is_empty() || now.saturating_sub(self.kept) < every {
+    /// Takes the records that are to be persisted now: at most `limit`, and none sooner than `period` after the last.
+    pub fn take_due(&mut self, now: Nanos, period: Nanos, limit: usize) -> Vec<(String, Value)> {
+        if self.unpersisted.is_empty() || now.saturating_sub(self.last_due) < period {
             return Vec::new();
         }
-        self.kept = now;
-        let names: Vec<String> = self.changed.iter().take(most).cloned().collect();
-        let told = |name: String| {
-            self.changed.remove(&name);
-            let told = serde_json::to_value(self.by.get(&name)).unwrap_or_default();
-            (name, told)
+        self.last_due = now;
+        let names: Vec<String> = self.unpersisted.iter().take(limit).cloned().collect();
+        let take = |name: String| {
+            self.unpersisted.remove(&name);
+            let json = serde_json::to_value(self.by_proxy.get(&name)).unwrap_or_default();
+            (name, json)
         };
-        names.into_iter().map(told).collect()
+        names.into_iter().map(take).collect()
     }
 
-    /// These were not kept.
-    pub fn again(&mut self, names: Vec<String>) {
-        self.changed.extend(names);
+    /// Has records that could not be persisted taken again.
+    pub fn retry(&mut self, names: impl IntoIterator<Item = String>) {
+        self.unpersisted.extend(names);
     }
 }
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -1,132 +1,128 @@
-//! Policies as people and scrapers see them.
+//! Policies as JSON for the admin API, and as figures for `/metrics`.
 
-use super::{lock, PolicyCommandError, PolicyController, State};
-use crate::shared::{CommandError, Shared};
+use super::controller::PolicyController;
+use super::record::RevisionStart;
+use super::state::{blocker_name, PolicyState};
+use crate::error::{CommandError, PolicyCommandError};
+use crate::state::LeaderContext;
+use crate::sync::lock;
+use rushquay_endpoints::Nanos;
 use rushquay_policy::{intersect, Phase, Policy, PolicyNumber, PolicySet};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeSet;
 
-type Nanos = u64;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-const SECOND: f64 = 1e9;
+/// Members that a status lists at most.
+const MAX_LISTED_MEMBERS: usize = 1000;
 
-/// Members that are named in a status.
-const MEMBERS_MOST: usize = 1000;
-
-/// Whom a change waits for, in words.
-pub(super) fn holdup_name(name: &str) -> String {
-    match name {
-        "" => "a leader that has only just begun".into(),
-        name => name.into(),
-    }
-}
-
-/// A record's word in words.
-fn in_words(told: PolicySet) -> String {
-    match told {
+/// A policy set in words.
+fn in_words(policy_set: PolicySet) -> String {
+    match policy_set {
         PolicySet::Pure(one) => format!("policy {} alone", one.0),
         PolicySet::Joint(old, new) => format!("policies {} and {} at once", old.0, new.0),
     }
 }
 
-/// Fields that hold no objects, by their paths; classes and tenants by name.
-fn leaves(path: &str, value: &Value, into: &mut Map<String, Value>) {
+/// Collects the fields that hold no objects by their paths; classes and tenants by name.
+fn flatten(path: &str, value: &Value, into: &mut Map<String, Value>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
                 let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                leaves(&path, value, into);
+                flatten(&path, value, into);
             }
         }
         Value::Array(list) if list.iter().any(|one| one["name"].is_string()) => {
             for one in list {
-                leaves(&format!("{path}[{}]", one["name"].as_str().unwrap_or("")), one, into);
+                flatten(&format!("{path}[{}]", one["name"].as_str().unwrap_or("")), one, into);
             }
         }
         value => drop(into.insert(path.to_owned(), value.clone())),
     }
 }
 
-/// What there is to count.
-pub(crate) struct PolicyFigures {
+/// Figures for `/metrics`.
+pub(crate) struct PolicyStats {
     /// The record's revision.
     pub revision: u64,
     /// The policy that holds.
     pub holds: u64,
-    /// Whether a change is under way.
-    pub joint: bool,
-    /// Processes that have leave.
+    /// Whether a change is pending.
+    pub is_joint: bool,
+    /// Processes that hold a lease.
     pub members: i64,
-    /// Whom the change waits for.
-    pub holdups: i64,
-    /// Whether leaves are given.
-    pub up: bool,
+    /// Processes that the change waits for.
+    pub blockers: i64,
+    /// Whether leases are granted.
+    pub is_up: bool,
 }
 
-impl State {
-    /// What changes from a policy to another, field by field, and what holds in between.
-    pub(super) fn compared(&self, holds: PolicyNumber, new: &Policy) -> Value {
-        let old = self.shelf.get(holds).map_or(json!({}), |p| p.settings.document());
+impl PolicyState {
+    /// What changes from one policy to another, field by field, and what holds during the joint phase.
+    pub(super) fn compare(&self, holds: PolicyNumber, new: &Policy) -> Value {
+        let old = self.archive.get(holds).map_or(json!({}), |p| p.settings.document());
         let new_settings = new.settings.document();
         let (mut before, mut after, mut joint) = (Map::new(), Map::new(), Map::new());
-        leaves("", &old, &mut before);
-        leaves("", &new_settings, &mut after);
-        let met = meet_by_name(&old, &new_settings);
-        leaves("", &met.0, &mut joint);
+        flatten("", &old, &mut before);
+        flatten("", &new_settings, &mut after);
+        let (intersection, rejected_classes) = intersect_by_name(&old, &new_settings);
+        flatten("", &intersection, &mut joint);
         let paths: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
         let differs = |path: &&&String| before.get(**path) != after.get(**path) && !path.ends_with("].name");
         let fields: Vec<Value> = paths
             .iter()
             .filter(differs)
             .map(|path| {
-                let of = |fields: &Map<String, Value>| fields.get(*path).cloned();
-                json!({"field": path, "old": of(&before), "new": of(&after), "joint": of(&joint)})
+                let value = |fields: &Map<String, Value>| fields.get(*path).cloned();
+                json!({"field": path, "old": value(&before), "new": value(&after), "joint": value(&joint)})
             })
             .collect();
-        json!({"from": holds, "fields": fields, "stops": met.1, "floor": new.floor.document(),
+        json!({"from": holds, "fields": fields, "stops": rejected_classes, "floor": new.floor.document(),
                "note": "what is null is as each proxy's file says"})
     }
 }
 
-/// The meet of two documents that name only some classes each. A proxy meets whole settings; here a class that one of them does not name
-/// is as each proxy's file says, and the other's word for it stands.
-fn meet_by_name(old: &Value, new: &Value) -> (Value, Vec<String>) {
-    let classes = |of: &Value| of["categories"].as_array().cloned().unwrap_or_default();
-    let (one, two) = (classes(old), classes(new));
-    let both: Vec<&Value> =
-        one.iter().filter(|a| two.iter().any(|b| b["name"] == a["name"])).map(|a| &a["name"]).collect();
-    let pick = |of: &[Value]| -> Vec<Value> {
-        both.iter().filter_map(|name| of.iter().find(|c| c["name"] == **name).cloned()).collect()
+/// The intersection of two documents that name only some classes each. A proxy intersects whole settings; here a class that only one
+/// document names is as in that document, because the other leaves it to each proxy's file.
+fn intersect_by_name(old: &Value, new: &Value) -> (Value, Vec<String>) {
+    let classes = |document: &Value| document["categories"].as_array().cloned().unwrap_or_default();
+    let (old_classes, new_classes) = (classes(old), classes(new));
+    let is_in_new = |class: &&Value| new_classes.iter().any(|new| new["name"] == class["name"]);
+    let common: Vec<&Value> = old_classes.iter().filter(is_in_new).map(|class| &class["name"]).collect();
+    let pick = |classes: &[Value]| -> Vec<Value> {
+        common.iter().filter_map(|name| classes.iter().find(|c| c["name"] == **name).cloned()).collect()
     };
-    let with = |of: &Value, classes: Vec<Value>| {
-        let mut of = of.clone();
-        if let Some(fields) = of.as_object_mut() {
+    let with_classes = |document: &Value, classes: Vec<Value>| {
+        let mut document = document.clone();
+        if let Some(fields) = document.as_object_mut() {
             fields.insert("categories".into(), Value::Array(classes));
         }
-        of
+        document
     };
-    let met = intersect(&with(old, pick(&one)), &with(new, pick(&two)));
-    let mut settings = met.settings;
-    let alone = one.iter().chain(&two).filter(|c| !both.contains(&&c["name"]));
+    let intersection =
+        intersect(&with_classes(old, pick(&old_classes)), &with_classes(new, pick(&new_classes)));
+    let mut settings = intersection.settings;
+    let in_one_only = old_classes.iter().chain(&new_classes).filter(|c| !common.contains(&&c["name"]));
     if let Some(list) = settings["categories"].as_array_mut() {
-        list.extend(alone.cloned());
+        list.extend(in_one_only.cloned());
     }
-    (settings, met.stops.iter().map(ToString::to_string).collect())
+    (settings, intersection.stops.iter().map(ToString::to_string).collect())
 }
 
 impl PolicyController {
-    /// How all stands, for people.
-    pub(crate) fn shown(&self, shared: &Shared) -> (Value, u64) {
-        let now = shared.clock.steady();
+    /// The status of policies and the record's revision.
+    pub(crate) fn status(&self, leader: &LeaderContext) -> (Value, u64) {
+        let now = leader.monotonic_now();
         let state = lock(&self.state);
         let record = state.coordinator.record();
-        let left = |at: Nanos| at.saturating_sub(now) as f64 / SECOND;
-        let holdups: Vec<Value> = match record.phase {
+        let seconds_until = |at: Nanos| at.saturating_sub(now) as f64 / NANOS_PER_SECOND;
+        let blockers: Vec<Value> = match record.phase {
             Phase::Settled => Vec::new(),
             Phase::Joint(_) => {
                 let all = state.coordinator.holdups(now).into_iter();
                 all.map(|h| {
-                    json!({"name": holdup_name(&h.name), "boot": h.boot, "fenced_in_s": left(h.fenced_at)})
+                    json!({"name": blocker_name(&h.name), "boot": h.boot, "fenced_in_s": seconds_until(h.fenced_at)})
                 })
                 .collect()
             }
@@ -134,14 +130,14 @@
         let change = match &record.phase {
             Phase::Settled => None,
             Phase::Joint(change) => {
-                let since = state.stood.get(&record.revision.0).map_or(shared.unix_now(), |s| s.at);
-                let policy = state.shelf.get(change.to);
+                let since = state.revision_starts.get(&record.revision.0).map_or(leader.unix_now(), |s| s.at);
+                let policy = state.archive.get(change.to);
                 Some(json!({
                     "to": change.to, "author": change.author, "reason": change.reason,
                     "policy": policy.map(Policy::document),
-                    "compared": policy.map(|p| state.compared(record.holds, p)),
-                    "since_s": shared.unix_now().saturating_sub(since) as f64 / SECOND,
-                    "gives_up_in_s": left(state.coordinator.gives_up()),
+                    "compared": policy.map(|p| state.compare(record.holds, p)),
+                    "since_s": leader.unix_now().saturating_sub(since) as f64 / NANOS_PER_SECOND,
+                    "gives_up_in_s": seconds_until(state.coordinator.gives_up()),
                 }))
             }
         };
@@ -152,48 +148,48 @@
             .collect();
         let count = members.len();
         let joined = state.coordinator.members().filter(|m| m.2 >= record.revision).count();
-        members.truncate(MEMBERS_MOST);
+        members.truncate(MAX_LISTED_MEMBERS);
         let last = record
             .last
             .as_ref()
             .map(|(n, ended)| json!({"policy": n, "ended": ended, "in_words": ended.to_string()}));
         let shown = json!({
             "revision": record.revision, "holds": record.holds, "in_words": in_words(record.policy_set()),
-            "holding": state.shelf.get(record.holds).map(Policy::document), "change": change,
-            "waits_for": holdups, "last": last, "members": members, "processes": count, "joined": joined,
-            "fault": state.fault.clone().or(state.whole().err().map(|e| e.to_string())), "now_ns": shared.unix_now(),
+            "holding": state.archive.get(record.holds).map(Policy::document), "change": change,
+            "waits_for": blockers, "last": last, "members": members, "processes": count, "joined": joined,
+            "fault": state.error.clone().or(state.require_complete_store().err().map(|e| e.to_string())), "now_ns": leader.unix_now(),
         });
         (shown, record.revision.0)
     }
 
-    /// What happened, the newest first.
-    pub(crate) fn history(&self, most: usize) -> Value {
+    /// The last events, the newest first.
+    pub(crate) fn history(&self, limit: usize) -> Value {
         let state = lock(&self.state);
-        let events = state.coordinator.record().events.iter().rev().take(most).map(|e| {
-            let stood = state.stood.get(&e.revision.0);
-            json!({"revision": e.revision, "policy": e.policy, "what": e.what, "at": stood.map(|s| s.at),
-                   "told": stood.map(|s| in_words(s.told))})
+        let events = state.coordinator.record().events.iter().rev().take(limit).map(|e| {
+            let start = state.revision_starts.get(&e.revision.0);
+            json!({"revision": e.revision, "policy": e.policy, "what": e.what, "at": start.map(|s| s.at),
+                   "told": start.map(|s| in_words(s.policy_set))})
         });
         json!({"events": events.collect::<Vec<_>>()})
     }
 
-    /// By what a proxy acted, the newest last; at a moment (Unix time in nanoseconds), where one is named.
+    /// Which revisions a proxy applied, the newest last; with `at` (Unix nanoseconds) only the ones of that moment.
     pub(crate) fn explain(&self, name: &str, at: Option<Nanos>) -> Result<Value, CommandError> {
         let state = lock(&self.state);
-        let changes = state.acted.of(name).ok_or_else(|| PolicyCommandError::Unknown(name.into()))?;
-        let told = |revision: u64| match (revision, state.stood.get(&revision)) {
+        let changes = state.history.changes(name).ok_or_else(|| PolicyCommandError::Unknown(name.into()))?;
+        let describe = |revision: u64| match (revision, state.revision_starts.get(&revision)) {
             (0, _) => "no leave: by the floor, or not there".to_owned(),
             (1, None) => in_words(PolicySet::Pure(PolicyNumber(0))),
-            (_, Some(stood)) => in_words(stood.told),
+            (_, Some(RevisionStart { policy_set, .. })) => in_words(*policy_set),
             (_, None) => "a revision from too long ago".into(),
         };
         let shown: Vec<Value> = changes
             .iter()
             .enumerate()
             .map(|(i, c)| {
-                let until = changes.iter().skip(i + 1).find(|n| n.boot == c.boot).map(|n| n.at);
-                json!({"from": c.at, "until": until, "boot": c.boot, "revision": c.revision,
-                       "acted_by": told(c.revision.0)})
+                let until = changes.iter().skip(i + 1).find(|n| n.incarnation == c.incarnation).map(|n| n.at);
+                json!({"from": c.at, "until": until, "boot": c.incarnation, "revision": c.revision,
+                       "acted_by": describe(c.revision.0)})
             })
             .filter(|c| {
                 let within = |at: Nanos| {
@@ -206,19 +202,19 @@
                   "note": "times are those at which the leader was told; a change of policy is never told late in a way that matters"}))
     }
 
-    /// What there is to count, for `/metrics`.
-    pub(crate) fn figures(&self, shared: &Shared) -> PolicyFigures {
-        let now = shared.clock.steady();
+    /// Figures for `/metrics`.
+    pub(crate) fn stats(&self, leader: &LeaderContext) -> PolicyStats {
+        let now = leader.monotonic_now();
         let state = lock(&self.state);
         let record = state.coordinator.record();
-        let joint = matches!(record.phase, Phase::Joint(_));
-        PolicyFigures {
+        let is_joint = matches!(record.phase, Phase::Joint(_));
+        PolicyStats {
             revision: record.revision.0,
             holds: record.holds.0,
-            joint,
+            is_joint,
             members: state.coordinator.members().count() as i64,
-            holdups: if joint { state.coordinator.holdups(now).len() as i64 } else { 0 },
-            up: state.fault.is_none() && state.whole().is_ok(),
+            blockers: if is_joint { state.coordinator.holdups(now).len() as i64 } else { 0 },
+            is_up: state.error.is_none() && state.require_complete_store().is_ok(),
         }
     }
 }
--- a/crates/services/control-service/src/reopening_store.rs
+++ b/crates/services/control-service/src/reopening_store.rs
@@ -1,58 +1,62 @@
-//! A store in a file of this instance alone, which is opened anew after a failure.
+//! A store in a file of this instance alone that is reopened after a failure.
 //!
-//! The embedded store refuses every call after an input or output error, for good: what it holds in memory may differ from what is on
-//! the disk. A disk that fails for a while (EIO, ENOSPC, a failed sync) must not end the keeping, so the store is closed, and the next
-//! call opens it again and reads what the disk really holds.
+//! The embedded store rejects every call after an I/O error, for good: what it holds in memory may differ from what is on the disk. A
+//! disk that fails for a while (EIO, ENOSPC, a failed sync) must not end persistence, so the store is closed, and the next call opens
+//! it again and reads what the disk really holds.
 
-use crate::persistence::DurableStore;
+use crate::durable_store::DurableStore;
+use crate::sync::lock;
 use rushquay_state::{
     EndpointWrite, OverrideWrite, RecordWrite, SharedError, StateError, StateStore, StoredState,
 };
 use std::path::{Path, PathBuf};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
-/// A store that is opened anew after a failure.
+/// A store that is reopened after a failure.
 pub struct ReopeningStore {
     path: PathBuf,
     store: Mutex<Option<StateStore>>,
 }
 
 impl ReopeningStore {
-    /// Around a store that has just been opened from this file.
+    /// Wraps a store that has just been opened from this file.
     pub fn new(path: &Path, store: StateStore) -> Self {
         ReopeningStore { path: path.to_owned(), store: Mutex::new(Some(store)) }
     }
 
-    /// Does something with the store, which is opened first where the last call failed.
-    fn with<T>(&self, does: impl FnOnce(&StateStore) -> Result<T, StateError>) -> Result<T, SharedError> {
-        let mut open = self.store.lock().unwrap_or_else(PoisonError::into_inner);
-        let store = match open.take() {
+    /// Runs an operation on the store, which is opened first where the last one failed.
+    fn with<T>(
+        &self,
+        operation: impl FnOnce(&StateStore) -> Result<T, StateError>,
+    ) -> Result<T, SharedError> {
+        let mut slot = lock(&self.store);
+        let store = match slot.take() {
             Some(store) => store,
             None => StateStore::open(&self.path)?,
         };
-        let done = does(&store);
-        // A damaged record is the record's own fault; after anything else the store is not to be trusted.
-        if matches!(done, Ok(_) | Err(StateError::Record { .. })) {
-            *open = Some(store);
+        let result = operation(&store);
+        // A damaged record says nothing of the store; after any other error the store is not to be trusted.
+        if matches!(result, Ok(_) | Err(StateError::Record { .. })) {
+            *slot = Some(store);
         }
-        Ok(done?)
+        Ok(result?)
     }
 }
 
 impl DurableStore for ReopeningStore {
-    fn keep(&self, change: &EndpointWrite) -> Result<(), SharedError> {
-        self.with(|store| store.keep(change))
+    fn write_endpoints(&self, write: &EndpointWrite) -> Result<(), SharedError> {
+        self.with(|store| store.keep(write))
     }
 
-    fn keep_book(&self, change: &OverrideWrite) -> Result<(), SharedError> {
-        self.with(|store| store.keep_book(change))
+    fn write_overrides(&self, write: &OverrideWrite) -> Result<(), SharedError> {
+        self.with(|store| store.keep_book(write))
     }
 
-    fn keep_records(&self, change: &RecordWrite) -> Result<(), SharedError> {
-        self.with(|store| store.keep_records(change))
+    fn write_records(&self, write: &RecordWrite) -> Result<(), SharedError> {
+        self.with(|store| store.keep_records(write))
     }
 
-    fn saved(&self) -> Result<StoredState, SharedError> {
+    fn read_endpoints(&self) -> Result<StoredState, SharedError> {
         self.with(StateStore::read)
     }
 }
--- /dev/null
+++ b/crates/services/control-service/src/rollout/controller.rs
@@ -0,0 +1,172 @@
+//! The rollout controller: its life under a leader, and the commands of operators.
+
+use super::persistence::{read_members, REGISTRY_RECORD};
+use super::settings::RolloutSettings;
+use super::state::{read_registry, RolloutState};
+use crate::error::CommandError;
+use crate::persistence::Records;
+use crate::state::LeaderContext;
+use crate::sync::lock;
+use rushquay_endpoints::Nanos;
+use rushquay_rollout::{preview, RegistryError, RolloutRegistry, RolloutRequest, Verdict};
+use rushquay_xds::client::Topic;
+use rushquay_xds_grpc::StreamEvent;
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::sync::Mutex;
+use tracing::warn;
+
+/// Supervisors put this before the name of their proxy in their node id.
+const SUPERVISOR_PREFIX: &str = "host/";
+
+/// The fleet and its rollouts.
+///
+/// Lock order: decision, state.
+pub struct RolloutController {
+    pub(super) settings: RolloutSettings,
+    pub(super) state: Mutex<RolloutState>,
+    /// Held from a decision until it is persisted and applied: one at a time.
+    decision: Mutex<()>,
+}
+
+impl RolloutController {
+    pub(crate) fn new(settings: RolloutSettings) -> Self {
+        let state = Mutex::new(RolloutState::new(&settings));
+        RolloutController { settings, state, decision: Mutex::new(()) }
+    }
+
+    /// The id of the running rollout.
+    pub(crate) fn running(&self) -> Option<u64> {
+        lock(&self.state).registry.running().map(|rollout| rollout.id)
+    }
+
+    /// The classes that any proxy has reported; none before the first report.
+    pub(crate) fn classes(&self) -> BTreeSet<String> {
+        let state = lock(&self.state);
+        state.membership.instances().flat_map(|member| member.figures.classes.keys().cloned()).collect()
+    }
+
+    /// Continues from what was persisted, under this leader.
+    pub(crate) fn lead(&self, records: &Records, now: Nanos) {
+        let _decision = lock(&self.decision);
+        let registry = read_registry(records.get(REGISTRY_RECORD), now);
+        let members = read_members(records);
+        let mut state = lock(&self.state);
+        state.restore_members(members, &self.settings, now);
+        match registry {
+            Ok(registry) => state.restore_registry(registry, now),
+            // Danger: if the registry were begun anew, it would publish the base to a fleet that applies something else.
+            Err(error) => {
+                warn!(%error, "rollout record unreadable; proxies keep their config versions");
+                state.error = Some(format!(
+                    "the record of changes can't be read: {error}; use the version that wrote it"
+                ));
+            }
+        }
+    }
+
+    pub(crate) fn step_down(&self) {
+        lock(&self.state).error = Some("another instance leads".into());
+    }
+
+    /// Takes what a subscriber reports, or the end of its stream.
+    pub(crate) fn on_stream_event(&self, node: &str, event: StreamEvent, now: Nanos) {
+        let mut state = lock(&self.state);
+        if let Some(proxy) = node.strip_prefix(SUPERVISOR_PREFIX) {
+            if let StreamEvent::Metadata(stream, Topic::Report, text) = event {
+                state.on_supervisor_report(proxy, &text, stream, now);
+            }
+            return;
+        }
+        match event {
+            StreamEvent::Ended(stream) => state.membership.ended(node, stream, now),
+            StreamEvent::Metadata(_, Topic::PolicyLease, _) => {}
+            StreamEvent::Metadata(stream, Topic::Report, text) => state.on_report(node, &text, stream, now),
+        }
+    }
+
+    /// Analyzes the fleet, moves the rollout on, persists what has changed and publishes what was persisted. Blocks on the store.
+    pub(crate) fn tick(&self, leader: &LeaderContext) {
+        let _decision = lock(&self.decision);
+        let now = leader.unix_now();
+        if !leader.is_leading() || lock(&self.state).error.is_some() {
+            return;
+        }
+        if self.step(leader, now).is_err() {
+            return;
+        }
+        self.resolve_doubt(leader, now);
+        self.persist_members(leader, now);
+        self.publish_assignments(leader);
+    }
+
+    /// Moves the running rollout on by what the fleet reports. Fails where the step could not be persisted.
+    fn step(&self, leader: &LeaderContext, now: Nanos) -> Result<(), CommandError> {
+        let stepped = {
+            let mut state = lock(&self.state);
+            let verdict = state.analyze(now);
+            state.verdict = describe(&verdict);
+            state.registry.running().is_some().then(|| {
+                let mut registry = state.registry.clone();
+                let has_moved = registry.step(&state.fleet_view(now), &verdict, now);
+                (has_moved, registry)
+            })
+        };
+        match stepped {
+            None => Ok(()),
+            // Nothing but its time has advanced. Danger: if that were dropped, a soak of minutes would count as time without a leader, and
+            // a rollout would never run out of its own.
+            Some((false, registry)) => {
+                lock(&self.state).registry = registry;
+                Ok(())
+            }
+            Some((true, registry)) => self.persist_registry(leader, registry, now),
+        }
+    }
+
+    /// Runs an operator's command on the registry; returns its result and the registry's revision. Blocks on the store.
+    pub(crate) fn command<T>(
+        &self,
+        leader: &LeaderContext,
+        command: impl FnOnce(&mut RolloutRegistry, Option<[f64; 2]>, Nanos) -> Result<T, RegistryError>,
+    ) -> Result<(T, u64), CommandError> {
+        let _decision = lock(&self.decision);
+        leader.require_leadership()?;
+        let now = leader.unix_now();
+        let (mut registry, baseline) = {
+            let state = lock(&self.state);
+            if let Some(error) = &state.error {
+                return Err(CommandError::NotPersisted(error.clone()));
+            }
+            (state.registry.clone(), state.analysis.usual())
+        };
+        let result = command(&mut registry, baseline, now)?;
+        let revision = registry.record().revision;
+        self.persist_registry(leader, registry, now)?;
+        self.publish_assignments(leader);
+        Ok((result, revision))
+    }
+
+    /// What a rollout would do now, and the registry's revision.
+    pub(crate) fn plan(&self, request: &RolloutRequest, now: Nanos) -> Result<(Value, u64), CommandError> {
+        let state = lock(&self.state);
+        let (config_version, plan) = state.registry.check(request, None)?;
+        let record = state.registry.record();
+        let stages = preview(&plan, &state.fleet_view(now), record.next);
+        let least_s: f64 = stages.iter().map(|s| s.soak_s).sum();
+        let unfinished = record.change.as_ref().filter(|rollout| !rollout.phase.over());
+        let displaced = unfinished.map(|rollout| rollout.moved.keys().collect::<Vec<_>>());
+        let body = json!({"from": record.holds, "to": config_version.digest(), "stages": stages,
+                          "least_s": least_s, "displaced_leaves": displaced});
+        Ok((body, record.revision))
+    }
+}
+
+/// A verdict in words.
+fn describe(verdict: &Verdict) -> String {
+    match verdict {
+        Verdict::Waiting(what) | Verdict::Trouble(what) => what.clone(),
+        Verdict::Passed => "the stage has passed".into(),
+        Verdict::Worse(finding) => finding.to_string(),
+    }
+}
--- /dev/null
+++ b/crates/services/control-service/src/rollout/mod.rs
@@ -0,0 +1,12 @@
+//! Rollouts: proxies report, the registry decides, and each step is persisted before it is published.
+
+mod assignment;
+mod controller;
+mod persistence;
+mod settings;
+mod state;
+mod view;
+
+pub use controller::RolloutController;
+pub use settings::RolloutSettings;
+pub(crate) use view::RolloutStats;
--- /dev/null
+++ b/crates/services/control-service/src/rollout/persistence.rs
@@ -0,0 +1,127 @@
+//! Writing what the rollout controller decides and which proxies it knows.
+
+use super::controller::RolloutController;
+use super::state::RolloutState;
+use crate::durable_store::PersistError;
+use crate::error::CommandError;
+use crate::persistence::Records;
+use crate::state::LeaderContext;
+use crate::sync::lock;
+use rushquay_endpoints::Nanos;
+use rushquay_membership::{Member, MemberRecord};
+use rushquay_rollout::RolloutRegistry;
+use rushquay_state::RecordWrite;
+use rushquay_xds_resources::remove_settings;
+use std::collections::BTreeMap;
+
+/// Name of the registry's record.
+pub const REGISTRY_RECORD: &str = "rollout/board";
+/// Prefix of the records of members; the proxy's name follows.
+const MEMBER_PREFIX: &str = "roster/";
+/// Member records in one write. Danger: a fleet that comes back at once would hold the store, and the lease with it.
+const MAX_MEMBERS_PER_WRITE: usize = 500;
+
+/// Changes of the membership that are to be persisted.
+struct MemberWrite {
+    set: Vec<MemberRecord>,
+    gone: Vec<String>,
+}
+
+impl MemberWrite {
+    fn to_records(&self) -> RecordWrite {
+        let name = |proxy: &str| format!("{MEMBER_PREFIX}{proxy}");
+        let json = |member| serde_json::to_value(member).unwrap_or_default();
+        RecordWrite {
+            set: self.set.iter().map(|member| (name(&member.name), json(member))).collect(),
+            gone: self.gone.iter().map(|proxy| name(proxy)).collect(),
+        }
+    }
+}
+
+/// Reads the members that an earlier leader persisted; one that can't be read is skipped.
+pub fn read_members(records: &Records) -> BTreeMap<String, MemberRecord> {
+    let members = records.iter().filter(|(name, _)| name.starts_with(MEMBER_PREFIX));
+    let members = members.filter_map(|(_, json)| serde_json::from_value::<MemberRecord>(json.clone()).ok());
+    members.map(|member| (member.name.clone(), member)).collect()
+}
+
+impl RolloutController {
+    /// Persists a registry, and applies it only then. Danger: published first, a step would be known to proxies and to no successor.
+    pub(super) fn persist_registry(
+        &self,
+        leader: &LeaderContext,
+        registry: RolloutRegistry,
+        now: Nanos,
+    ) -> Result<(), CommandError> {
+        let record = serde_json::to_value(registry.record()).unwrap_or_default();
+        let set = BTreeMap::from([(REGISTRY_RECORD.to_owned(), record)]);
+        if let Err(error) = leader.persist_records(&RecordWrite { set, gone: Vec::new() }) {
+            return Err(self.on_write_failed(leader, &error));
+        }
+        let mut state = lock(&self.state);
+        state.record_status.on_written();
+        // The lease may have ended meanwhile: the next leader finds the step and makes it.
+        leader.require_leadership()?;
+        state.apply(registry, now);
+        Ok(())
+    }
+
+    fn on_write_failed(&self, leader: &LeaderContext, error: &PersistError) -> CommandError {
+        lock(&self.state).record_status.on_write_failed("rollout", error);
+        leader.reject_unpersisted(error)
+    }
+
+    /// Writes the registry that counts once more where a write of another failed.
+    pub(super) fn resolve_doubt(&self, leader: &LeaderContext, now: Nanos) {
+        let registry = {
+            let state = lock(&self.state);
+            state.record_status.is_in_doubt().then(|| state.registry.clone())
+        };
+        if let Some(registry) = registry {
+            // A failure is retried at the next tick.
+            let _ = self.persist_registry(leader, registry, now);
+        }
+    }
+
+    /// Persists what has changed of the members, and forgets those that are gone for good.
+    pub(super) fn persist_members(&self, leader: &LeaderContext, now: Nanos) {
+        let write = lock(&self.state).member_write(now);
+        let records = write.to_records();
+        if records == RecordWrite::default() {
+            return;
+        }
+        // A failure is retried at the next tick.
+        if leader.persist_records(&records).is_err() {
+            return;
+        }
+        let mut state = lock(&self.state);
+        state.persisted_members.extend(write.set.into_iter().map(|member| (member.name.clone(), member)));
+        for proxy in &write.gone {
+            state.persisted_members.remove(proxy);
+        }
+        if !write.gone.is_empty() {
+            leader.hub.change(|store, at| {
+                for proxy in &write.gone {
+                    remove_settings(store, proxy, at);
+                }
+            });
+        }
+    }
+}
+
+impl RolloutState {
+    /// Retires members that are gone for good; returns what differs from what is persisted.
+    fn member_write(&mut self, now: Nanos) -> MemberWrite {
+        for proxy in self.membership.forget(now) {
+            self.declared.remove(&proxy);
+            self.supervisors.remove(&proxy);
+        }
+        let has_changed =
+            |member: &&Member| self.persisted_members.get(&member.told.name) != Some(&member.told);
+        let changed = self.membership.instances().filter(has_changed);
+        let set = changed.take(MAX_MEMBERS_PER_WRITE).map(|member| member.told.clone()).collect();
+        let is_gone = |name: &&String| self.membership.get(name).is_none();
+        let gone = self.persisted_members.keys().filter(is_gone).cloned().collect();
+        MemberWrite { set, gone }
+    }
+}
--- /dev/null
+++ b/crates/services/control-service/src/rollout/settings.rs
@@ -0,0 +1,83 @@
+//! The `[rollout]` section of the settings file.
+
+use rushquay_endpoints::Nanos;
+use rushquay_membership::{MembershipTimeouts, SECOND};
+use rushquay_rollout::Bounds;
+use serde::Deserialize;
+use std::time::Duration;
+
+/// `[rollout]` of the settings file: its presence has the service track proxies and accept rollouts.
+#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct RolloutSettings {
+    /// A proxy that reported within this many seconds counts as serving.
+    pub late_s: f64,
+    /// Seconds within which a proxy that ended is expected to have restarted.
+    pub restart_s: f64,
+    /// Seconds of absence after which a proxy is forgotten.
+    pub retire_s: f64,
+    /// The most proxies that are known at once.
+    pub most: usize,
+    /// The period of the rollout controller in milliseconds, 100 to 60000.
+    pub look_ms: u64,
+    /// The probability that a rollout that is no worse is stopped.
+    pub alpha: f64,
+    /// The probability that a stage passes although the new config version is worse than allowed.
+    pub beta: f64,
+    /// The new config version may have this many times the bad outcomes of the old...
+    pub times: f64,
+    /// ...and this part of all requests on top.
+    pub beyond: f64,
+}
+
+impl Default for RolloutSettings {
+    fn default() -> Self {
+        let (timeouts, bounds) = (MembershipTimeouts::default(), Bounds::default());
+        let seconds = |span: Nanos| span as f64 / SECOND as f64;
+        RolloutSettings {
+            late_s: seconds(timeouts.late),
+            restart_s: seconds(timeouts.restart),
+            retire_s: seconds(timeouts.retire),
+            most: timeouts.most,
+            look_ms: 1000,
+            alpha: bounds.alpha,
+            beta: bounds.beta,
+            times: bounds.times,
+            beyond: bounds.beyond,
+        }
+    }
+}
+
+impl RolloutSettings {
+    /// The first field that is out of its range, and what is expected of it.
+    pub(crate) fn out_of_range(&self) -> Option<(&'static str, String)> {
+        let spans = [("late_s", self.late_s), ("restart_s", self.restart_s), ("retire_s", self.retire_s)];
+        let span = spans.into_iter().find(|(_, s)| !(0.1..=2_592_000.0).contains(s));
+        let span = span.map(|(name, s)| (name, format!("seconds from 0.1 to 2592000, found {s}")));
+        let chances = [("alpha", self.alpha), ("beta", self.beta)];
+        let chance = chances.into_iter().find(|(_, c)| !(1e-9..=0.5).contains(c));
+        let chance = chance.map(|(name, c)| (name, format!("a chance from 1e-9 to 0.5, found {c}")));
+        let times =
+            (!(1.0..=100.0).contains(&self.times)).then(|| ("times", "a number from 1 to 100".into()));
+        let beyond = (!(0.0..=1.0).contains(&self.beyond)).then(|| ("beyond", "a part from 0 to 1".into()));
+        let most = (!(1..=1_000_000).contains(&self.most)).then(|| ("most", "1 to 1000000".into()));
+        let look = (!(100..=60_000).contains(&self.look_ms)).then(|| ("look_ms", "100 to 60000".into()));
+        span.or(chance).or(times).or(beyond).or(most).or(look)
+    }
+
+    /// The period of the rollout controller.
+    pub(crate) fn period(&self) -> Duration {
+        Duration::from_millis(self.look_ms)
+    }
+
+    pub(super) fn timeouts(&self) -> MembershipTimeouts {
+        let nanos = |seconds: f64| (seconds * SECOND as f64) as Nanos;
+        let (late, restart, retire) = (nanos(self.late_s), nanos(self.restart_s), nanos(self.retire_s));
+        MembershipTimeouts { late, restart, retire, most: self.most }
+    }
+
+    pub(super) fn bounds(&self) -> Bounds {
+        let RolloutSettings { alpha, beta, times, beyond, .. } = *self;
+        Bounds { alpha, beta, times, beyond, ..Bounds::default() }
+    }
+}
--- /dev/null
+++ b/crates/services/control-service/src/rollout/state.rs
@@ -0,0 +1,232 @@
+//! What the rollout controller holds in memory while it leads.
+
+use crate::record_status::RecordStatus;
+use rushquay_config_version::Digest;
+use rushquay_endpoints::Nanos;
+use rushquay_membership::{Member, MemberRecord, MemberStatus, Membership, Report, ReportOutcome};
+use rushquay_rollout::{
+    Analysis, FleetView, HoldReason, Phase, RegistryRecord, Rollout, RolloutRegistry, Timeline, Verdict,
+};
+use rushquay_supervisor::SupervisorReport;
+use std::collections::BTreeMap;
+use tracing::{info, warn};
+
+use super::settings::RolloutSettings;
+
+/// The last report of a proxy's supervisor.
+pub struct SupervisorEntry {
+    pub report: SupervisorReport,
+    pub received_at: Nanos,
+    /// The stream that it came on.
+    stream: u64,
+}
+
+pub struct RolloutState {
+    pub registry: RolloutRegistry,
+    pub membership: Membership,
+    /// The last report of each proxy's supervisor, by proxy. Reports come every second and are not persisted.
+    pub supervisors: BTreeMap<String, SupervisorEntry>,
+    pub analysis: Analysis,
+    /// What was measured of the last rollout, for people.
+    pub timeline: Timeline,
+    /// What is persisted of each member.
+    pub persisted_members: BTreeMap<String, MemberRecord>,
+    /// What was last published to each member: the rollout and the config version.
+    pub declared: BTreeMap<String, (u64, Digest)>,
+    /// What the analysis last said, for people.
+    pub verdict: String,
+    last_analyzed: Nanos,
+    pub record_status: RecordStatus,
+    /// Why nothing is decided or published; `None`: it is.
+    pub error: Option<String>,
+}
+
+impl RolloutState {
+    /// The state of an instance that has not led yet.
+    pub fn new(settings: &RolloutSettings) -> Self {
+        RolloutState {
+            registry: RolloutRegistry::default(),
+            membership: Membership::new(settings.timeouts()),
+            supervisors: BTreeMap::new(),
+            analysis: Analysis::new(settings.bounds()),
+            timeline: Timeline::default(),
+            persisted_members: BTreeMap::new(),
+            declared: BTreeMap::new(),
+            verdict: String::new(),
+            last_analyzed: 0,
+            record_status: RecordStatus::default(),
+            error: Some("this instance has not led yet".into()),
+        }
+    }
+
+    /// Continues with the members that an earlier leader persisted, and with no measurements.
+    pub fn restore_members(
+        &mut self,
+        members: BTreeMap<String, MemberRecord>,
+        settings: &RolloutSettings,
+        now: Nanos,
+    ) {
+        self.membership = Membership::restore(settings.timeouts(), members.values().cloned(), now);
+        self.analysis = Analysis::new(settings.bounds());
+        self.timeline = Timeline::default();
+        (self.persisted_members, self.declared, self.last_analyzed) = (members, BTreeMap::new(), now);
+        self.supervisors = BTreeMap::new();
+        self.record_status.on_read();
+        self.verdict = "this instance leads since a moment".into();
+    }
+
+    /// Continues with the registry that an earlier leader persisted.
+    pub fn restore_registry(&mut self, registry: RolloutRegistry, now: Nanos) {
+        if let Some(rollout) = registry.running() {
+            info!(rollout_id = rollout.id, phase = %rollout.phase, "rollout restored");
+            self.analysis.told_usual(registry.record().usual);
+            self.analysis.begin(rollout.plan.stages().len());
+            if matches!(rollout.phase, Phase::Soaking { .. }) {
+                self.analysis.soak(now);
+            }
+        }
+        (self.registry, self.error) = (registry, None);
+    }
+
+    /// The fleet as a rollout sees it.
+    pub fn fleet_view(&self, now: Nanos) -> Vec<FleetView<'_>> {
+        // A proxy can't apply what its own process rejects, or what its supervisor could not start.
+        let rejected_by_supervisor = |member: &Member| {
+            let report = &self.supervisors.get(&member.told.name)?.report;
+            report.refused.as_ref().map(|(version, reason)| (*version, reason.as_str()))
+        };
+        let with_supervisor = |member| {
+            let view = member_view(&self.membership, member, now);
+            FleetView { refused: view.refused.or(rejected_by_supervisor(member)), ..view }
+        };
+        self.membership.instances().map(with_supervisor).collect()
+    }
+
+    /// Takes a proxy's report, or a malformed one.
+    pub fn on_report(&mut self, proxy: &str, text: &str, stream: u64, now: Nanos) {
+        let report = match Report::read(text) {
+            Ok(report) => report,
+            Err(error) => return warn!(proxy, %error, "proxy report rejected"),
+        };
+        match self.membership.hear(proxy, report, stream, now) {
+            ReportOutcome::Full => warn!(proxy, "membership is full; raise rollout.most"),
+            ReportOutcome::New => info!(proxy, "proxy joined"),
+            ReportOutcome::Restarted => info!(proxy, "proxy restarted"),
+            _ => {}
+        }
+    }
+
+    /// Takes a supervisor's report. Danger: a report that is late or of an earlier supervisor would reject what is applied by now.
+    pub fn on_supervisor_report(&mut self, proxy: &str, text: &str, stream: u64, now: Nanos) {
+        let report = match SupervisorReport::read(text) {
+            Ok(report) => report,
+            Err(error) => return warn!(proxy, %error, "supervisor report rejected"),
+        };
+        // No more supervisors are known than proxies: one without a proxy is of no use to any rollout.
+        if self.membership.get(proxy).is_none() {
+            return;
+        }
+        let known = self.supervisors.get(proxy);
+        if known.is_some_and(|k| (stream, report.seq) <= (k.stream, k.report.seq)) {
+            return;
+        }
+        if let Some((config_version, reason)) = &report.refused {
+            if known.and_then(|k| k.report.refused.as_ref()) != report.refused.as_ref() {
+                warn!(proxy, %config_version, reason, "supervisor cannot apply a config version");
+            }
+        }
+        self.supervisors.insert(proxy.to_owned(), SupervisorEntry { report, received_at: now, stream });
+    }
+
+    /// Analyzes what the fleet has reported since the last tick.
+    pub fn analyze(&mut self, now: Nanos) -> Verdict {
+        let span = now.saturating_sub(std::mem::replace(&mut self.last_analyzed, now));
+        let membership = &self.membership;
+        let serving =
+            membership.instances().filter(|member| membership.standing(member, now) == MemberStatus::Serving);
+        let Some(rollout) = self.registry.running() else {
+            self.analysis.rest();
+            let holds = self.registry.record().holds;
+            self.analysis.look(serving, |_| false, (holds, holds), span);
+            return Verdict::Waiting("no change runs".into());
+        };
+        let is_moved = |name: &str| rollout.moved.contains_key(name);
+        let program = |version: &Digest| self.registry.generation(version).and_then(|v| v.program());
+        self.analysis.replaces(program(&rollout.from) != program(&rollout.to));
+        self.analysis.look(serving, is_moved, (rollout.from, rollout.to), span);
+        if self.timeline.change != rollout.id {
+            self.timeline = Timeline::new(rollout.id);
+            self.timeline.mark(now, rollout.phase.to_string());
+        }
+        self.timeline.add(now, self.analysis.last());
+        let Some(stage) = rollout.stage() else { return Verdict::Waiting("going back".into()) };
+        let is_last = rollout.plan.last(stage);
+        self.analysis.verdict(rollout.plan.stage(stage).soak, is_last, now)
+    }
+
+    /// Takes a registry that was persisted.
+    pub fn apply(&mut self, registry: RolloutRegistry, now: Nanos) {
+        let before = rollout_phase(self.registry.record().change.as_ref());
+        let after = rollout_phase(registry.record().change.as_ref());
+        if before != after {
+            if let Some(rollout) = &registry.record().change {
+                let was_silent = before.is_some_and(|(_, phase)| is_held_for_silence(&phase));
+                self.on_phase(rollout, was_silent, now);
+            }
+        }
+        self.registry = registry;
+    }
+
+    /// A rollout is in another phase than before.
+    fn on_phase(&mut self, rollout: &Rollout, was_silent: bool, now: Nanos) {
+        info!(rollout_id = rollout.id, phase = %rollout.phase, "rollout phase changed");
+        if self.timeline.change == rollout.id {
+            self.timeline.mark(now, rollout.phase.to_string());
+        }
+        match rollout.phase {
+            // Proxies that were silent have gone on counting; after any other hold the counts are no evidence of anything.
+            Phase::Moving { .. } if was_silent => {}
+            Phase::Moving { .. } => self.analysis.begin(rollout.plan.stages().len()),
+            Phase::Soaking { .. } => self.analysis.soak(now),
+            _ => {}
+        }
+    }
+}
+
+fn rollout_phase(rollout: Option<&Rollout>) -> Option<(u64, Phase)> {
+    rollout.map(|r| (r.id, r.phase.clone()))
+}
+
+fn is_held_for_silence(phase: &Phase) -> bool {
+    matches!(phase, Phase::Held { why: HoldReason::Silent { .. }, .. })
+}
+
+fn member_view<'m>(membership: &'m Membership, member: &'m Member, now: Nanos) -> FleetView<'m> {
+    FleetView {
+        name: &member.told.name,
+        zone: &member.told.zone,
+        standing: membership.standing(member, now),
+        acting: member.told.acting,
+        since: member.since(),
+        quiet: now.saturating_sub(member.heard.unwrap_or(member.since())),
+        refused: member.told.refused.as_ref().map(|r| (r.generation, r.why.as_str())),
+    }
+}
+
+/// Why a stored registry can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// It is malformed.
+    #[error(transparent)]
+    Form(#[from] serde_json::Error),
+    /// It contradicts itself.
+    #[error("{0}")]
+    Content(String),
+}
+
+/// Reads the registry that an earlier leader persisted, if one did.
+pub fn read_registry(record: Option<&serde_json::Value>, now: Nanos) -> Result<RolloutRegistry, ReadError> {
+    let Some(record) = record else { return Ok(RolloutRegistry::default()) };
+    let record: RegistryRecord = serde_json::from_value(record.clone())?;
+    RolloutRegistry::restore(record, now).map_err(|e| ReadError::Content(e.to_string()))
+}
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -1,57 +1,61 @@
-//! The fleet and its changes as people and scrapers see them.
+//! The fleet and its rollouts as JSON for the admin API, and as figures for `/metrics`.
 
-use super::{lock, RolloutController};
+use super::controller::RolloutController;
+use crate::sync::lock;
+use rushquay_endpoints::Nanos;
 use rushquay_membership::{Member, MemberStatus};
 use rushquay_rollout::{Rollout, Timeline};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-type Nanos = u64;
+/// Proxies that a status lists at most.
+const MAX_LISTED_PROXIES: usize = 50;
 
-/// What there is to count.
-pub(crate) struct RolloutFigures {
-    /// Proxies, by how they stand.
-    pub standings: BTreeMap<&'static str, i64>,
-    /// Proxies that serve and don't act by what they were given.
-    pub not_as_given: i64,
-    /// The number of the change that runs; 0: none.
-    pub change: u64,
-    /// Where the last change stands.
+/// Figures for `/metrics`.
+pub(crate) struct RolloutStats {
+    /// Proxies by status.
+    pub by_status: BTreeMap<&'static str, i64>,
+    /// Proxies that serve and don't apply what they were assigned.
+    pub not_as_assigned: i64,
+    /// The id of the running rollout; 0: none.
+    pub rollout_id: u64,
+    /// The phase of the last rollout.
     pub phase: &'static str,
     /// Its stage, from 1; 0: in none.
     pub stage: i64,
-    /// Proxies that were told the new.
-    pub told: i64,
-    /// For how long the change has run.
-    pub ran: Nanos,
-    /// The most evidence that the new do worse, as a part of what stops the change.
+    /// Proxies that were assigned the new config version.
+    pub moved: i64,
+    /// How long the rollout has run.
+    pub run_time: Nanos,
+    /// The strongest evidence that the new config version does worse, as a part of what stops the rollout.
     pub evidence: f64,
-    /// Whether anything is decided or handed out.
-    pub up: bool,
+    /// Whether anything is decided or published.
+    pub is_up: bool,
 }
 
 impl RolloutController {
-    /// How all stands, for people.
-    pub(crate) fn shown(&self, now: Nanos) -> (Value, u64) {
+    /// The status of rollouts and the registry's revision.
+    pub(crate) fn status(&self, now: Nanos) -> (Value, u64) {
         let state = lock(&self.state);
-        let record = state.board.record();
-        let mut runs: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
-        let mut waits = Vec::new();
-        for one in state.roster.instances() {
-            let standing = state.roster.standing(one, now);
+        let record = state.registry.record();
+        let mut fleet: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
+        let mut not_as_assigned = Vec::new();
+        for one in state.membership.instances() {
+            let standing = state.membership.standing(one, now);
             let at = (one.told.zone.clone(), one.told.acting.to_string());
-            *runs.entry(at).or_default().entry(standing).or_default() += 1;
-            let given = state.board.given(&one.told.name).1.digest();
+            *fleet.entry(at).or_default().entry(standing).or_default() += 1;
+            let given = state.registry.given(&one.told.name).1.digest();
             if given != one.told.acting {
-                waits.push(json!({"name": one.told.name, "zone": one.told.zone, "standing": standing,
+                not_as_assigned
+                    .push(json!({"name": one.told.name, "zone": one.told.zone, "standing": standing,
                                   "acting": one.told.acting, "given": given, "refused": one.told.refused}));
             }
         }
-        let runs = runs
+        let fleet = fleet
             .into_iter()
             .map(|((zone, acting), count)| json!({"zone": zone, "acting": acting, "proxies": count}));
-        let runs: Vec<Value> = runs.collect();
-        waits.truncate(50);
+        let fleet: Vec<Value> = fleet.collect();
+        not_as_assigned.truncate(MAX_LISTED_PROXIES);
         let change = record.change.as_ref().map(|c| {
             let mut shown = json!(c);
             shown["told"] = json!(c.moved.len());
@@ -65,70 +69,70 @@
         });
         let shown = json!({
             "revision": record.revision, "holds": record.holds,
-            "holding": record.generations.get(&record.holds), "change": change, "fault": state.fault,
-            "waits_for": state.verdict, "evidence": state.evidence.scores(), "usual": record.usual,
-            "fleet": runs, "not_as_given": waits, "proxies": state.roster.len(), "now_ns": now,
+            "holding": record.generations.get(&record.holds), "change": change, "fault": state.error,
+            "waits_for": state.verdict, "evidence": state.analysis.scores(), "usual": record.usual,
+            "fleet": fleet, "not_as_given": not_as_assigned, "proxies": state.membership.len(), "now_ns": now,
         });
         (shown, record.revision)
     }
 
-    /// All that is known of each proxy, for people.
-    pub(crate) fn roster(&self, now: Nanos) -> Value {
+    /// All that is known of each proxy.
+    pub(crate) fn members(&self, now: Nanos) -> Value {
         let state = lock(&self.state);
-        let one = |i: &Member| {
+        let member_json = |i: &Member| {
             let mut shown = json!(i.told);
-            shown["standing"] = json!(state.roster.standing(i, now));
-            shown["given"] = json!(state.board.given(&i.told.name).1.digest());
+            shown["standing"] = json!(state.membership.standing(i, now));
+            shown["given"] = json!(state.registry.given(&i.told.name).1.digest());
             shown["heard_s_ago"] = json!(i.heard.map(|at| now.saturating_sub(at) as f64 / 1e9));
             shown["requests"] = json!(i.figures.all());
             shown["memory"] = json!(i.figures.memory);
             shown["descriptors"] = json!(i.figures.descriptors);
-            if let Some(host) = state.hosts.get(&i.told.name) {
-                shown["host"] = json!(host.report);
-                shown["host"]["heard_s_ago"] = json!(now.saturating_sub(host.at) as f64 / 1e9);
+            if let Some(supervisor) = state.supervisors.get(&i.told.name) {
+                shown["host"] = json!(supervisor.report);
+                shown["host"]["heard_s_ago"] = json!(now.saturating_sub(supervisor.received_at) as f64 / 1e9);
             }
             shown
         };
-        let all: Vec<Value> = state.roster.instances().map(one).collect();
+        let all: Vec<Value> = state.membership.instances().map(member_json).collect();
         json!({"now_ns": now, "proxies": all})
     }
 
-    /// The last change and what was seen of it.
-    pub(crate) fn course(&self) -> (Option<Rollout>, Timeline) {
+    /// The last rollout and what was measured of it.
+    pub(crate) fn last_rollout(&self) -> (Option<Rollout>, Timeline) {
         let state = lock(&self.state);
-        (state.board.record().change.clone(), state.course.clone())
+        (state.registry.record().change.clone(), state.timeline.clone())
     }
 
-    /// What there is to count, for `/metrics`.
-    pub(crate) fn figures(&self, now: Nanos) -> RolloutFigures {
+    /// Figures for `/metrics`.
+    pub(crate) fn stats(&self, now: Nanos) -> RolloutStats {
         let state = lock(&self.state);
-        let mut standings: BTreeMap<&'static str, i64> = BTreeMap::new();
-        for one in state.roster.instances() {
-            *standings.entry(state.roster.standing(one, now).as_str()).or_default() += 1;
+        let mut by_status: BTreeMap<&'static str, i64> = BTreeMap::new();
+        for one in state.membership.instances() {
+            *by_status.entry(state.membership.standing(one, now).as_str()).or_default() += 1;
         }
-        let running = state.board.running();
-        let not_as_given = state.roster.instances().filter(|i| {
-            state.roster.standing(i, now) == MemberStatus::Serving
-                && state.board.given(&i.told.name).1.digest() != i.told.acting
+        let running = state.registry.running();
+        let not_as_assigned = state.membership.instances().filter(|i| {
+            state.membership.standing(i, now) == MemberStatus::Serving
+                && state.registry.given(&i.told.name).1.digest() != i.told.acting
         });
-        let scores = state.evidence.scores();
-        RolloutFigures {
-            standings,
-            not_as_given: not_as_given.count() as i64,
-            change: running.map_or(0, |c| c.id),
-            phase: state.board.record().change.as_ref().map_or("none", |c| c.phase.as_str()),
+        let scores = state.analysis.scores();
+        RolloutStats {
+            by_status,
+            not_as_assigned: not_as_assigned.count() as i64,
+            rollout_id: running.map_or(0, |c| c.id),
+            phase: state.registry.record().change.as_ref().map_or("none", |c| c.phase.as_str()),
             stage: running.and_then(|c| c.stage()).map_or(0, |s| s as i64 + 1),
-            told: running.map_or(0, |c| c.moved.len() as i64),
-            ran: running.map_or(0, |c| c.ran),
+            moved: running.map_or(0, |c| c.moved.len() as i64),
+            run_time: running.map_or(0, |c| c.ran),
             evidence: scores.iter().map(|s| s.evidence / s.stops_at).fold(0.0, f64::max),
-            up: state.fault.is_none(),
+            is_up: state.error.is_none(),
         }
     }
 
-    /// What happened, the newest first.
-    pub(crate) fn history(&self, most: usize) -> Value {
+    /// The last events, the newest first.
+    pub(crate) fn history(&self, limit: usize) -> Value {
         let state = lock(&self.state);
-        let events: Vec<_> = state.board.record().events.iter().rev().take(most).collect();
+        let events: Vec<_> = state.registry.record().events.iter().rev().take(limit).collect();
         json!({"events": events})
     }
 }
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -1,11 +1,11 @@
-//! Starts the service and holds its parts together: the list comes in, the state decides, the hub hands out.
+//! Starts the service: binds its listeners, restores its state, and spawns its tasks.
 
-use crate::leadership::{self, Leadership, LeadershipState};
+use crate::leadership::{Leadership, LeadershipState};
 use crate::persistence::Persistence;
 use crate::settings::{Settings, SourceOption};
-use crate::shared::{Shared, SourceEvent};
+use crate::state::{ServiceState, SourceEvent};
 use crate::time::Clocks;
-use crate::{admin, discovery, file};
+use crate::{discovery, file, http, leadership_loop};
 use rushquay_control_state::Origin;
 use rushquay_endpoints::EndpointList;
 use rushquay_xds_grpc::{require_tls_beyond_loopback, serve, Hub, Tls, TlsError};
@@ -17,42 +17,46 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-const TICK: Duration = Duration::from_secs(1);
+/// The period of the endpoint list's timers and of override expiry.
+const TICK_PERIOD: Duration = Duration::from_secs(1);
+/// Events of the endpoint source that wait to be taken.
+const SOURCE_EVENT_QUEUE: usize = 16;
+
 /// What to start.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Where subscribers connect.
     pub listen: SocketAddr,
-    /// Where the node list comes from.
+    /// The endpoint source.
     pub source: SourceOption,
     /// Where the admin page is.
     pub admin: Option<SocketAddr>,
-    /// All else.
+    /// The settings file.
     pub settings: Settings,
-    /// Where to keep what is known; `None`: in memory alone.
+    /// The state file; `None`: state is held in memory alone.
     pub state: Option<PathBuf>,
 }
 
 /// Why the service can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// TLS, or the lack of it.
+    /// TLS files that can't be used, or TLS that is missing.
     #[error(transparent)]
     Tls(#[from] TlsError),
     /// An address that can't be listened on.
     #[error("--{option} {addr}: {source}; give an address of this machine with a free port, or port 0")]
     Listen {
-        /// Which option.
+        /// The option that names it.
         option: &'static str,
-        /// Which address.
+        /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A node list that can't be used at the start.
+    /// An endpoint list file that can't be used at the start.
     #[error("--nodes: {0}")]
     Nodes(String),
-    /// Instances that share state, and what they are to share.
+    /// Settings of several instances that can't be used.
     #[error("{0}")]
     Standby(String),
 }
@@ -63,39 +67,40 @@
     pub xds: SocketAddr,
     /// Where the admin page is.
     pub admin: Option<SocketAddr>,
-    shared: Arc<Shared>,
-    again: mpsc::Sender<()>,
+    state: Arc<ServiceState>,
+    reread: mpsc::Sender<()>,
     stop: watch::Sender<bool>,
     tasks: Vec<JoinHandle<()>>,
-    guard: Option<std::thread::JoinHandle<()>>,
+    leadership_thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl ControlService {
-    /// Reads the node file again.
+    /// Reads the endpoint list file again.
     pub fn reread(&self) {
-        let _ = self.again.try_send(());
+        let _ = self.reread.try_send(());
     }
 
     /// The subscribers' side, for tests and measurements.
     pub fn hub(&self) -> &Arc<Hub> {
-        &self.shared.hub
+        &self.state.leader.hub
     }
 
-    /// Takes a list as if the source had told it, for tests and measurements: the moment is then known.
+    /// Takes a list as if the source had sent it, for tests and measurements: the moment is then known.
     pub fn tell(&self, list: EndpointList) {
-        self.shared.on_source_event(SourceEvent::EndpointList(list));
+        self.state.on_source_event(SourceEvent::EndpointList(list));
     }
 
-    /// How it stands among several instances; `None`: it is alone.
+    /// The leadership of this instance; `None`: it is the only one.
     pub fn standby(&self) -> Option<LeadershipState> {
-        self.shared.standby.as_ref().map(|s| s.state())
+        self.state.leader.gate.leadership().map(|leadership| leadership.state())
     }
 
-    /// Ends the service: no new streams, and those that are open are cut. A lease is given back.
+    /// Ends the service: no new streams, and those that are open are cut. A lease is resigned.
     pub async fn stop(mut self) {
-        if let (Some(standby), Some(guard)) = (&self.shared.standby, self.guard.take()) {
-            standby.end();
-            let _ = tokio::task::spawn_blocking(move || guard.join()).await;
+        let thread = self.leadership_thread.take();
+        if let (Some(leadership), Some(thread)) = (self.state.leader.gate.leadership(), thread) {
+            leadership.end();
+            let _ = tokio::task::spawn_blocking(move || thread.join()).await;
         }
         let _ = self.stop.send(true);
         for task in std::mem::take(&mut self.tasks) {
@@ -108,25 +113,25 @@
 impl Drop for ControlService {
     fn drop(&mut self) {
         let _ = self.stop.send(true);
-        if let Some(standby) = &self.shared.standby {
-            standby.end();
+        if let Some(leadership) = self.state.leader.gate.leadership() {
+            leadership.end();
         }
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
-/// What is done at each look.
-type Look = fn(&Shared);
+/// The tick of a controller.
+type ControllerTick = fn(&ServiceState);
 
-/// Looks so often, for good.
-async fn looks(shared: Arc<Shared>, every: Duration, does: Look) {
-    let mut look = tokio::time::interval(every);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+/// Ticks a controller at this period, for good.
+async fn run_controller(state: Arc<ServiceState>, period: Duration, controller_tick: ControllerTick) {
+    let mut interval = tokio::time::interval(period);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        look.tick().await;
-        // It may wait for the disk.
-        let of = shared.clone();
-        let _ = tokio::task::spawn_blocking(move || does(&of)).await;
+        interval.tick().await;
+        // It may block on the store.
+        let state = state.clone();
+        let _ = tokio::task::spawn_blocking(move || controller_tick(&state)).await;
     }
 }
 
@@ -138,7 +143,7 @@
     start_by(options, Clocks::default()).await
 }
 
-/// The same, by these clocks.
+/// As [`start`], with these clocks.
 ///
 /// # Errors
 /// See [`StartError`]; nothing is left running.
@@ -146,99 +151,122 @@
     let tls = options.settings.tls.as_ref().map(Tls::read).transpose()?;
     require_tls_beyond_loopback("--listen", options.listen, tls.is_some())?;
     if let Some(admin) = options.admin {
-        // The admin page speaks plain HTTP.
+        // The admin page is plain HTTP.
         require_tls_beyond_loopback("--admin", admin, false)?;
     }
-    let first = match &options.source {
-        SourceOption::Nodes(path) => Some(file::read(path).map_err(StartError::Nodes)?),
+    let first_list = match &options.source {
+        SourceOption::Nodes(path) => Some(file::read(path).map_err(|e| StartError::Nodes(e.to_string()))?),
         SourceOption::Discovery(_) => None,
     };
-    let listen = async |option, addr: SocketAddr| {
-        let listener = TcpListener::bind(addr).await;
-        let bound = listener.and_then(|l| l.local_addr().map(|a| (l, a)));
-        bound.map_err(|source| StartError::Listen { option, addr, source })
-    };
-    let standby = match &options.settings.standby {
-        Some(_) if options.state.is_some() => {
-            let why = "--state and [standby] name two places for one state; give one of them";
-            return Err(StartError::Standby(why.into()));
-        }
-        Some(told) => {
-            let terms = told.terms().map_err(|e| StartError::Standby(format!("standby.{e}")))?;
-            Some(Leadership::new(told.name.clone(), told.store(&clocks).map_err(StartError::Standby)?, terms))
-        }
-        None => None,
-    };
+    let leadership = leadership(&options, &clocks)?;
     let (xds_listener, xds) = listen("listen", options.listen).await?;
     let admin_listener = match options.admin {
         Some(addr) => Some(listen("admin", addr).await?),
         None => None,
     };
+    let admin = admin_listener.as_ref().map(|(_, addr)| *addr);
 
-    let origin = match options.source {
-        SourceOption::Discovery(_) => Origin::Discovery,
-        SourceOption::Nodes(_) => Origin::File,
-    };
-    let source_name = match &options.source {
-        SourceOption::Discovery(addr) => format!("discovery {addr}"),
-        SourceOption::Nodes(path) => format!("file {}", path.display()),
-    };
-    let policy = options.settings.overrides.policy();
-    let shared = Shared::new(options.settings, origin, source_name, standby.clone(), clocks);
-    let hub = shared.hub.clone();
+    let (origin, source_name) = describe_source(&options.source);
+    let limits = options.settings.overrides.policy();
+    let state = ServiceState::new(options.settings, origin, source_name, leadership.clone(), clocks);
     if let Some(path) = options.state {
-        // Reading a file of a fleet takes a millisecond, and nothing runs yet.
-        let (keeper, saved, book, records) = Persistence::open(&path, policy);
-        shared.restore(saved, book, &records, keeper);
+        // Reading the state of a fleet takes a millisecond, and nothing runs yet.
+        let (persistence, stored, overrides, records) = Persistence::open(&path, limits);
+        state.restore(stored, overrides, &records, persistence);
     }
-    if let Some(list) = first {
-        shared.on_source_event(SourceEvent::EndpointList(list));
+    if let Some(list) = first_list {
+        state.on_source_event(SourceEvent::EndpointList(list));
     }
-    let guard = standby.clone().map(|standby| {
-        let of = shared.clone();
-        std::thread::spawn(move || leadership::run(&of, &standby))
+    let leadership_thread = leadership.map(|leadership| {
+        let state = state.clone();
+        std::thread::spawn(move || leadership_loop::run(&state, &leadership))
     });
 
-    let (told, mut news) = mpsc::channel(16);
-    let (again, asked) = mpsc::channel(1);
+    let (reread, reread_requests) = mpsc::channel(1);
     let (stop, stopped) = watch::channel(false);
-    let mut tasks = Vec::new();
-    tasks.push(match options.source {
-        SourceOption::Discovery(addr) => tokio::spawn(discovery::follow(addr, told)),
-        SourceOption::Nodes(path) => tokio::spawn(file::follow(path, told, asked)),
-    });
-    let taking = shared.clone();
-    tasks.push(tokio::spawn(async move {
-        let mut tick = tokio::time::interval(TICK);
-        loop {
-            tokio::select! {
-                Some(told) = news.recv() => taking.on_source_event(told),
-                _ = tick.tick() => {
-                    taking.tick();
-                    // It may wait for the disk.
-                    let expiring = taking.clone();
-                    let _ = tokio::task::spawn_blocking(move || expiring.expire()).await;
-                }
+    let mut tasks = spawn_source(&state, options.source, reread_requests);
+    tasks.extend(spawn_controllers(&state));
+    tasks.push(spawn_xds(xds_listener, state.leader.hub.clone(), tls, stopped));
+    if let Some((listener, _)) = admin_listener {
+        tasks.push(tokio::spawn(http::serve(listener, state.clone())));
+    }
+    Ok(ControlService { xds, admin, state, reread, stop, tasks, leadership_thread })
+}
+
+async fn listen(option: &'static str, addr: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
+    let listener = TcpListener::bind(addr).await;
+    let bound = listener.and_then(|l| l.local_addr().map(|a| (l, a)));
+    bound.map_err(|source| StartError::Listen { option, addr, source })
+}
+
+/// This instance among several, where the settings name others.
+fn leadership(options: &Options, clocks: &Clocks) -> Result<Option<Arc<Leadership>>, StartError> {
+    let Some(standby) = &options.settings.standby else { return Ok(None) };
+    if options.state.is_some() {
+        let reason = "--state and [standby] name two places for one state; give one of them";
+        return Err(StartError::Standby(reason.into()));
+    }
+    let terms = standby.terms().map_err(|e| StartError::Standby(format!("standby.{e}")))?;
+    let store = standby.store(clocks).map_err(StartError::Standby)?;
+    Ok(Some(Leadership::new(standby.name.clone(), store, terms)))
+}
+
+fn describe_source(source: &SourceOption) -> (Origin, String) {
+    match source {
+        SourceOption::Discovery(addr) => (Origin::Discovery, format!("discovery {addr}")),
+        SourceOption::Nodes(path) => (Origin::File, format!("file {}", path.display())),
+    }
+}
+
+/// Spawns the task that follows the endpoint source, and the one that takes its events.
+fn spawn_source(
+    state: &Arc<ServiceState>,
+    source: SourceOption,
+    reread_requests: mpsc::Receiver<()>,
+) -> Vec<JoinHandle<()>> {
+    let (events, received) = mpsc::channel(SOURCE_EVENT_QUEUE);
+    let follower = match source {
+        SourceOption::Discovery(addr) => tokio::spawn(discovery::follow(addr, events)),
+        SourceOption::Nodes(path) => tokio::spawn(file::follow(path, events, reread_requests)),
+    };
+    vec![follower, tokio::spawn(take_events(state.clone(), received))]
+}
+
+/// Takes the events of the endpoint source, and ticks in between.
+async fn take_events(state: Arc<ServiceState>, mut events: mpsc::Receiver<SourceEvent>) {
+    let mut interval = tokio::time::interval(TICK_PERIOD);
+    loop {
+        tokio::select! {
+            Some(event) = events.recv() => state.on_source_event(event),
+            _ = interval.tick() => {
+                state.tick();
+                // It may block on the store.
+                let state = state.clone();
+                let _ = tokio::task::spawn_blocking(move || state.expire_overrides()).await;
             }
         }
-    }));
-    let look_at_policies: Look = |of| of.policies.iter().for_each(|p| p.tick(of));
-    let look_at_changes: Look = |of| of.rollout.iter().for_each(|r| r.tick(of));
-    for (every, does) in
-        [(shared.policy_every(), look_at_policies), (shared.rollout_every(), look_at_changes)]
-    {
-        tasks.extend(every.map(|every| tokio::spawn(looks(shared.clone(), every, does))));
     }
-    let mut ending = stopped.clone();
-    tasks.push(tokio::spawn(async move {
-        let stop = async move { drop(ending.wait_for(|stop| *stop).await) };
-        if let Err(e) = serve(xds_listener, hub, tls.as_ref(), stop).await {
-            tracing::error!(fault = %e, "xDS ends");
+}
+
+fn spawn_controllers(state: &Arc<ServiceState>) -> Vec<JoinHandle<()>> {
+    let policy_tick: ControllerTick = |state| state.policies.iter().for_each(|p| p.tick(&state.leader));
+    let rollout_tick: ControllerTick = |state| state.rollout.iter().for_each(|r| r.tick(&state.leader));
+    [(state.policy_period(), policy_tick), (state.rollout_period(), rollout_tick)]
+        .into_iter()
+        .filter_map(|(period, tick)| Some(tokio::spawn(run_controller(state.clone(), period?, tick))))
+        .collect()
+}
+
+fn spawn_xds(
+    listener: TcpListener,
+    hub: Arc<Hub>,
+    tls: Option<Tls>,
+    mut stopped: watch::Receiver<bool>,
+) -> JoinHandle<()> {
+    tokio::spawn(async move {
+        let stop = async move { drop(stopped.wait_for(|is_stopped| *is_stopped).await) };
+        if let Err(error) = serve(listener, hub, tls.as_ref(), stop).await {
+            tracing::error!(%error, "xDS server ended");
         }
-    }));
-    let admin = admin_listener.as_ref().map(|(_, addr)| *addr);
-    if let Some((listener, _)) = admin_listener {
-        tasks.push(tokio::spawn(admin::serve(listener, shared.clone())));
-    }
-    Ok(ControlService { xds, admin, shared, again, stop, tasks, guard })
+    })
 }
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::PolicySettings;
 use crate::rollout::RolloutSettings;
-use crate::time::{boot, Clocks};
+use crate::time::{boot_id, Clocks};
 use rushquay_control_state::{ConfigError, ControlConfig};
 use rushquay_etcd::{EtcdShared, Prefix};
 use rushquay_lease::{LeaseTerms, LeaseTermsError};
@@ -93,7 +93,7 @@
         self.check().map_err(|f| f.to_string())?;
         if let Some(path) = &self.file {
             let (steady, now) = (clocks.steady.clone(), (clocks.wall)() / SECOND);
-            return Ok(Arc::new(SharedFile::new(path, &boot(), move || steady()).first_epoch(now)));
+            return Ok(Arc::new(SharedFile::new(path, &boot_id(), move || steady()).first_epoch(now)));
         }
         let prefix = Prefix::new(&self.prefix).ok_or("standby.prefix: expected a name")?;
         let tls = self.tls.as_ref().map(Tls::read).transpose().map_err(|e| format!("standby.{e}"))?;
@@ -248,10 +248,10 @@
                 return Err(ConfigError { field: field.into(), expected });
             }
         }
-        if let Some((field, expected)) = self.rollout.and_then(|r| r.fault()) {
+        if let Some((field, expected)) = self.rollout.and_then(|r| r.out_of_range()) {
             return Err(ConfigError { field: format!("rollout.{field}"), expected });
         }
-        if let Some((field, expected)) = self.policy.as_ref().and_then(PolicySettings::fault) {
+        if let Some((field, expected)) = self.policy.as_ref().and_then(PolicySettings::out_of_range) {
             return Err(ConfigError { field: format!("policy.{field}"), expected });
         }
         if !(0.0..=1.0).contains(&self.overrides.stay) {
