--- a/crates/core/admin/src/lib.rs
+++ b/crates/core/admin/src/lib.rs
@@ -1,5 +1,6 @@
 //! What operators call and read: how a call is read, which of the waiting callers gives way, the ledger that each request
 //! and attempt passes through once, and the text of the figures. No I/O and no clock: time is passed in.
+#![forbid(unsafe_code)]
 
 mod causes;
 mod command;
--- a/crates/core/admission/src/lib.rs
+++ b/crates/core/admission/src/lib.rs
@@ -1,5 +1,6 @@
 //! Which of the clients' connections gives way when a new one comes and there is no room. Decided by evidence alone: what
 //! has come on a connection, when, and whether it ever asked. No I/O and no clock: time is passed in.
+#![forbid(unsafe_code)]
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/envoy/src/catalogue/batch.rs
+++ b/crates/core/envoy/src/catalogue/batch.rs
@@ -38,7 +38,7 @@
                 }
             }
             Change::Shed(cluster, refused, overloads) => {
-                drop(self.sheds.insert(cluster, (refused, overloads)))
+                drop(self.sheds.insert(cluster, (refused, overloads)));
             }
             Change::Split(cluster, parts) => drop(self.splits.insert(cluster, parts)),
             Change::Routes(table) => self.routes = Some(table),
--- a/crates/core/envoy/src/cluster.rs
+++ b/crates/core/envoy/src/cluster.rs
@@ -225,7 +225,7 @@
     match &common.locality_config_specifier {
         Some(LocalityConfigSpecifier::LocalityWeightedLbConfig(_)) => sharing.by_locality = true,
         Some(LocalityConfigSpecifier::ZoneAwareLbConfig(zone)) => {
-            sharing.fail_on_panic = zone.fail_traffic_on_panic
+            sharing.fail_on_panic = zone.fail_traffic_on_panic;
         }
         None => {}
     }
--- a/crates/core/envoy/src/lib.rs
+++ b/crates/core/envoy/src/lib.rs
@@ -5,10 +5,9 @@
 //! - [`fields`]: every field of every message that is read, and what becomes of it. [`text`], [`wire`]: the two forms.
 //! - [`catalogue`]: all that is declared, and the changes that follow. [`session`]: the stream that feeds it.
 //!
-//! What it makes of an endpoint or a route is decided in `rushquay-pools` and `rushquay-routes`.
+//! What it makes of an endpoint or a route is decided in `rushquay-load-assignment` and `rushquay-routing`.
 #![forbid(unsafe_code)]
-// Files in use still have fields that Envoy has put others in the place of.
-#![allow(deprecated)]
+#![allow(deprecated, reason = "fields that Envoy replaced are still in use")]
 
 mod bootstrap;
 pub mod catalogue;
@@ -18,7 +17,7 @@
 pub mod fields;
 mod listener;
 // Made by `examples/types.rs`; not to be changed by hand.
-#[allow(missing_docs, dead_code, clippy::all)]
+#[allow(missing_docs, dead_code, clippy::all, clippy::pedantic, reason = "generated")]
 #[rustfmt::skip]
 mod pb;
 pub mod resource;
--- a/crates/core/envoy/src/wire.rs
+++ b/crates/core/envoy/src/wire.rs
@@ -151,7 +151,7 @@
     while !left.is_empty() {
         match take(&mut left)? {
             (1, Raw::Bytes(text)) => {
-                url = std::str::from_utf8(text).map_err(|_| "a type URL that is no text")?
+                url = std::str::from_utf8(text).map_err(|_| "a type URL that is no text")?;
             }
             (2, Raw::Bytes(body)) => value = body,
             _ => {}
--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -1,5 +1,6 @@
 //! What each of many proxies must do for the sake of all. Proxies share nothing, so each takes its part of what is scarce
 //! by what it is told (how many there are) and by what it meets (how often there was no room).
+#![forbid(unsafe_code)]
 
 mod keep;
 
--- a/crates/core/fleet-stats/src/lib.rs
+++ b/crates/core/fleet-stats/src/lib.rs
@@ -1,5 +1,6 @@
 //! An account of what proxies do to a fleet: each proxy counts by cause and writes a line a second, and the lines of all
 //! proxies are summed. What is harmless at one proxy and harmful at a hundred shows only in the sum.
+#![forbid(unsafe_code)]
 
 mod kind;
 mod sum;
--- a/crates/core/load-assignment/src/pool.rs
+++ b/crates/core/load-assignment/src/pool.rs
@@ -245,7 +245,7 @@
                 Some(told) => News::between(told, &held.node),
             };
             match news {
-                News::None => continue,
+                News::None => {}
                 News::Weight if !due => waiting = true,
                 News::Weight | News::Urgent => {
                     weights |= news == News::Weight;
--- a/crates/core/load-assignment/tests/shares.rs
+++ b/crates/core/load-assignment/tests/shares.rs
@@ -66,9 +66,9 @@
                 let load = (health(p, which) * 100).checked_div(total).unwrap_or(0).min(100 - given);
                 given += load;
                 if which == 0 {
-                    healthy[usize::from(p)] = load
+                    healthy[usize::from(p)] = load;
                 } else {
-                    degraded[usize::from(p)] = load
+                    degraded[usize::from(p)] = load;
                 }
             }
         }
--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -1,5 +1,6 @@
 //! What is decided of bodies and heads that come and go slowly: when a peer has made too little progress ([`Pace`]), and
 //! whether what was passed on can be sent again ([`Replay`]). No I/O and no clock: time is passed in.
+#![forbid(unsafe_code)]
 
 mod pace;
 mod replay;
--- a/crates/testing/fault-injection/src/connection/mod.rs
+++ b/crates/testing/fault-injection/src/connection/mod.rs
@@ -314,10 +314,10 @@
             FaultAction::Pause(span) => l.out.items.push_back(Item::Pause(span)),
             FaultAction::Delay(span) => l.delay = Some((name.clone(), span)),
             FaultAction::Throttle(rate) => {
-                l.out.items.push_back(Item::Shape(name.clone(), Shape::Throttle(rate)))
+                l.out.items.push_back(Item::Shape(name.clone(), Shape::Throttle(rate)));
             }
             FaultAction::Split(n, gap) => {
-                l.out.items.push_back(Item::Shape(name.clone(), Shape::Split(n, gap)))
+                l.out.items.push_back(Item::Shape(name.clone(), Shape::Split(n, gap)));
             }
             FaultAction::Merge(n, within) => {
                 l.out.items.push_back(Item::Shape(name.clone(), Shape::Merge(n, within)));
--- a/crates/testing/fault-injection/tests/common/mod.rs
+++ b/crates/testing/fault-injection/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A machine between two played ends, in virtual time: reads are cut as the caller says.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rushquay_fault_injection::{
     Connection, Cut, Direction, Nanos, Performed, Plan, RuleSet, Script, Trace, Transmit, MILLI,
--- a/crates/testing/fleet-harness/src/fleet.rs
+++ b/crates/testing/fleet-harness/src/fleet.rs
@@ -382,16 +382,16 @@
             return process;
         }
         let text = |path: &Path| path.to_str().expect("a path").to_owned();
-        let tmp = self.dir.join(format!("{}.tmp", proxy.name));
-        std::fs::create_dir_all(&tmp).expect("a folder");
+        let handover_dir = self.dir.join(format!("{}.tmp", proxy.name));
+        std::fs::create_dir_all(&handover_dir).expect("a folder");
         let (config, rollout, subscription) =
             (text(&proxy.config), text(&proxy.rollout), text(&proxy.subscription));
-        let tmp = text(&tmp);
+        let handover_dir = text(&handover_dir);
         let mut variables = vec![
             ("PROXY_CONFIG", config.as_str()),
             ("PROXY_CONTROL", subscription.as_str()),
             ("PROXY_ROLLOUT", rollout.as_str()),
-            ("TMPDIR", tmp.as_str()),
+            ("TMPDIR", handover_dir.as_str()),
         ];
         let policy = proxy.policy.as_deref().map(text);
         variables.extend(policy.iter().map(|policy| ("PROXY_POLICY", policy.as_str())));
--- a/crates/testing/scenario-runner/src/main.rs
+++ b/crates/testing/scenario-runner/src/main.rs
@@ -1,4 +1,5 @@
 //! `rushquay-emulate`: plays scenarios in virtual time.
+#![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use rushquay_scenario_runner::{play, Scenario};
--- a/examples/control_figures.rs
+++ b/examples/control_figures.rs
@@ -49,6 +49,7 @@
 /// An operator takes a node out, over the admin address.
 async fn take_out(admin: std::net::SocketAddr, node: &str) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    #[expect(clippy::disallowed_methods, reason = "overrides expire at a Unix time")]
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_nanos();
     let ask = json!({"scope": {"node": node}, "effect": "out", "until": now as u64 + 3_600_000_000_000u64,
                      "author": "figures", "reason": "to measure", "force": true});
--- a/examples/skewed.rs
+++ b/examples/skewed.rs
@@ -27,6 +27,7 @@
 fn clocks(steady: impl Fn() -> u64 + Send + Sync + 'static) -> Clocks {
     let step = told("SKEW_STEP_S");
     let wall = move || {
+        #[expect(clippy::disallowed_methods, reason = "a machine whose wall clock runs fast or slow")]
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         (now.as_nanos() as u64).saturating_add_signed(step * 1_000_000_000)
     };
--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -250,7 +250,7 @@
         let revision = state.member.revision().0;
         match self.layers.apply_policy(say) {
             Ok(()) => {
-                crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)))
+                crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)));
             }
             // It was checked before it was taken; a floor may still name what is not here.
             Err(why) => {
--- a/src/proxy/observability/fleet_stats.rs
+++ b/src/proxy/observability/fleet_stats.rs
@@ -86,6 +86,7 @@
 }
 
 fn write() {
+    #[expect(clippy::disallowed_methods, reason = "a line of the log says when it was written")]
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let Some(account) = ACCOUNT.with_borrow_mut(|a| a.as_mut().map(std::mem::take)) else { return };
     if !account.is_empty() {
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -111,11 +111,7 @@
     if let Some(operators) = &operators {
         crate::proxy::log(format_args!("operators at {}", operators.addr));
     }
-    let own = OWN_DESCRIPTORS
-        + config.control.as_ref().map_or(0, |_| subscription::DESCRIPTORS)
-        + config.envoy.as_ref().map_or(0, |_| envoy::DESCRIPTORS)
-        + operators.as_ref().map_or(0, |_| admin::DESCRIPTORS)
-        + meeting.as_ref().map_or(0, |_| handover::DESCRIPTORS);
+    let own = reserved_descriptors(&config, operators.is_some(), meeting.is_some());
     let descriptors = Descriptors::new(capacity(share, own));
     // Danger: two clocks that were begun round a step of the wall clock differ by that for good, and what one of them dates is compared
     // with what the other does.
@@ -136,13 +132,7 @@
     let left = |c: SlowStartAllowance| ColdLeft { server: c.node, started: c.started, left: c.left };
     front.take_cold(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
     tokio::task::spawn_local(pause_detection::watch());
-    let sweeper = front.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            sleep(IDLE_SWEEP_INTERVAL).await;
-            sweeper.sweep();
-        }
-    });
+    tokio::task::spawn_local(sweep_idle_connections(front.clone()));
     // What the old process acts by counts before anybody can be asked.
     if let (Some(given), Some(rollout)) = (inherited.settings, &rollout) {
         rollout.inherit(&given);
@@ -170,15 +160,7 @@
         let lives = server.clone();
         tokio::task::spawn_local(Supervised::send_heartbeats(socket, move || lives.serving.get()));
     }
-    let watched = server.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            sleep(STATUS_INTERVAL).await;
-            let now = Instant::now();
-            watched.clients.borrow().iter().for_each(|c| c.look(now));
-            watched.publish_status();
-        }
-    });
+    tokio::task::spawn_local(watch_clients(server.clone()));
     if is_beside {
         match server.wait_to_take_over(&mut stop, &mut predecessor).await {
             TakeOver::Stopped => return Ok(()),
@@ -210,6 +192,33 @@
     Ok(())
 }
 
+/// Descriptors that are none of the budget for connections.
+fn reserved_descriptors(config: &Config, has_operators: bool, has_handover: bool) -> usize {
+    OWN_DESCRIPTORS
+        + config.control.as_ref().map_or(0, |_| subscription::DESCRIPTORS)
+        + config.envoy.as_ref().map_or(0, |_| envoy::DESCRIPTORS)
+        + if has_operators { admin::DESCRIPTORS } else { 0 }
+        + if has_handover { handover::DESCRIPTORS } else { 0 }
+}
+
+/// Closes connections to nodes that have been idle for too long, for as long as the process runs.
+async fn sweep_idle_connections(backend: Backend) {
+    loop {
+        sleep(IDLE_SWEEP_INTERVAL).await;
+        backend.sweep();
+    }
+}
+
+/// Looks after slow clients and publishes the status, for as long as the process runs.
+async fn watch_clients(server: Rc<Server>) {
+    loop {
+        sleep(STATUS_INTERVAL).await;
+        let now = Instant::now();
+        server.clients.borrow().iter().for_each(|client| client.look(now));
+        server.publish_status();
+    }
+}
+
 /// How many connections there is room for. Danger: each may come to hold a body and what is read ahead of it. So many are
 /// taken as there is memory for, even if all of them do.
 fn capacity(share: ResourceShare, own: usize) -> usize {
--- a/src/supervisor/mod.rs
+++ b/src/supervisor/mod.rs
@@ -89,6 +89,10 @@
     let _ = std::fs::remove_file(&socket_path);
     let socket =
         UnixDatagram::bind(&socket_path).map_err(|e| format!("dir: {}: {e}", socket_path.display()))?;
+    #[expect(
+        clippy::disallowed_methods,
+        reason = "names this start of the supervisor; no span is measured by it"
+    )]
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let running = Rc::new(Running {
         files,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A hand-driven proxy for the module's tests: it keeps the clock, the list and what the module did.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rushquay::api::*;
 use rushquay::Balancer;
--- a/tests/compatibility/admin_pages.rs
+++ b/tests/compatibility/admin_pages.rs
@@ -94,6 +94,7 @@
     while fleet.get("/v1/policy").await["last"].is_null() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
+    #[expect(clippy::disallowed_methods, reason = "an override expires at a Unix time")]
     let until =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_nanos()
             as u64;
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,5 @@
 //! What a module holds does not grow without end, whatever comes and goes.
+#![allow(unsafe_code, reason = "an allocator that counts what is held")]
 
 mod common;
 use common::*;
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
 //! The real program between clients, nodes and discovery that a test plays by hand on loopback sockets.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
--- a/tests/rollout/bad.rs
+++ b/tests/rollout/bad.rs
@@ -32,7 +32,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_change_that_slows_the_smallest_class_is_stopped_at_its_first_proxy() {
     let spoil = |f: &Fleet| {
-        f.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.slower(Duration::from_millis(60)))
+        f.nodes_of(rushquay_fleet_harness::SPARE).for_each(|n| n.slower(Duration::from_millis(60)));
     };
     let (fleet, end) = stopped(22, "plan", spoil).await;
     assert!(words(&end).contains("plan: slower than"), "{}", words(&end));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -400,6 +400,7 @@
 fn what_a_cold_node_may_still_be_sent_goes_from_process_to_process() {
     let (place, seen) = (Place::new(), Seen::new());
     let mut cold = member("c1", node("c1", &seen), "std", "ready");
+    #[expect(clippy::disallowed_methods, reason = "the endpoint list dates starts by Unix time")]
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after it");
     cold["started_ms"] = json!(now.as_secs_f64() * 1e3);
     let mut servers = vec![cold];
