--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -1,5 +1,5 @@
-//! The sole owner of the decision module and of all requests, attempts and timers: events of the network go in,
-//! the module's actions come out. Each request gets one final answer.
+//! Owns the decision module and all requests, attempts and timers: network events go in, the module's actions come out. Each request
+//! gets exactly one final answer.
 
 use crate::api::*;
 use crate::proxy::clock::{margin, Clock};
@@ -22,37 +22,37 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// A request is on its way to a node for so long at most (PROTOCOL's slack).
+/// Slack for the time a request is on its way to a node.
 const WAY: Nanos = 50_000_000;
 
-/// What a client asks for, in the module's terms; its id is given on arrival.
+/// A client's request as the module reads it; its id is assigned on arrival.
 pub struct PendingRequest {
     pub request: Request,
     pub job: UpstreamRequest,
-    /// The client's time runs from its last byte, which may come so much later.
+    /// The deadline runs from the last byte of the body, which may arrive this much later.
     pub upload: Nanos,
-    /// What its cluster and route say beside; `None`: nothing.
+    /// What its cluster and route add; `None`: nothing.
     pub terms: Option<Rc<AttemptPolicy>>,
 }
 
 struct Attempt {
     server: ServerId,
     sent: Nanos,
-    /// While it is out.
+    /// Its task while it is in flight.
     out: Option<(Rc<Cancellation>, AbortHandle)>,
-    /// What its route and cluster make of it.
+    /// Retry rules of its route and cluster.
     made: Made,
-    /// How it ended, if it has.
+    /// How it ended; `None`: it is in flight.
     status: Option<Status>,
 }
 
 impl Attempt {
-    /// One that was never sent.
+    /// An attempt that was never sent.
     fn unsent(server: ServerId, sent: Nanos) -> Self {
         Attempt { server, sent, out: None, made: Made::unsent(), status: Some(Status::Moot) }
     }
 
-    /// It has ended so; `code`: the status of its answer, or 0.
+    /// Records how it ended; `code`: the status of its response, or 0.
     fn ended(&mut self, status: Status, code: u16) {
         self.made.ended(status, code);
         self.status = Some(status);
@@ -62,36 +62,36 @@
 
 struct Pending {
     id: RequestId,
-    /// A repeat rests on a group that remembers it.
+    /// A retry relies on a group of nodes that deduplicates it.
     keyed: bool,
-    /// For how long its class's repeats are remembered; `None`: they need not be.
+    /// How long the nodes deduplicate retries of its class; `None`: it needs no deduplication.
     remembered: Option<Nanos>,
     job: Rc<UpstreamRequest>,
     terms: Option<Rc<AttemptPolicy>>,
     deadline: Nanos,
-    /// When its client stops waiting.
+    /// When its client gives up.
     client_until: Nanos,
-    /// For how long its client waits behind the last byte of a body that is passed on as it comes; `None`: its last byte has come.
+    /// How long its client waits after the last byte of a streamed body; `None`: the last byte has arrived.
     behind_body: Option<Nanos>,
-    /// Until the final answer is given.
+    /// Where the final answer goes; `None`: it was given.
     answer: Option<oneshot::Sender<Answer>>,
     attempts: Vec<Attempt>,
 }
 
 impl Pending {
-    /// Its attempts that are out.
+    /// Its attempts.
     fn out(&self) -> impl Iterator<Item = &Cancellation> {
         self.attempts.iter().filter_map(|a| a.out.as_ref()).map(|(cancellation, _)| &**cancellation)
     }
 
-    /// By when a repeat has to begin, so that it meets nodes that remember every attempt before it; `None`: whenever.
+    /// By when a retry has to begin, so that the nodes still deduplicate it against every attempt before; `None`: no limit.
     fn repeat_by(&self) -> Option<Nanos> {
         let may_have_run = |a: &&Attempt| a.status.is_none_or(|s| !s.never_ran());
         let first = self.attempts.iter().filter(may_have_run).map(|a| a.sent).min()?;
         Some(first.saturating_add(self.remembered?).saturating_sub(WAY))
     }
 
-    /// Whether a repeat would still meet the group that remembers its attempts.
+    /// Whether a retry would still reach the group that deduplicates it.
     fn harmless(&self) -> bool {
         let remembered =
             |t: &Rc<AttemptPolicy>| t.remembered(self.attempts.iter().map(|a| (a.sent, &a.made)));
@@ -107,7 +107,7 @@
 
 pub struct Engine {
     clock: Clock,
-    /// What new requests begin under.
+    /// The configuration that new requests start under.
     active_config: RefCell<Rc<ActiveConfig>>,
     cancel: bool,
     origin: Option<u32>,
@@ -115,12 +115,12 @@
     core: RefCell<Core>,
     upstreams: Rc<Upstreams>,
     myself: Weak<Engine>,
-    /// Where operators want some requests.
+    /// Requests that operators pinned to endpoints.
     pins: RefCell<Pins<ServerId>>,
 }
 
 impl Engine {
-    /// Starts the module on a list that may be old.
+    /// Starts the module on an endpoint list that may be stale.
     pub fn new(
         acting: Rc<ActiveConfig>,
         seed: u64,
@@ -147,26 +147,26 @@
         engine
     }
 
-    /// What new requests begin under.
+    /// The configuration that new requests start under.
     pub fn acting(&self) -> Rc<ActiveConfig> {
         self.active_config.borrow().clone()
     }
 
-    /// Goes by these from the next request on: the same classes, data centres and machine kinds on other terms. Requests
-    /// that are open end under what they began with.
+    /// Applies this configuration from the next request on: the same classes, zones and machine kinds under other terms. Open
+    /// requests end under the configuration that they started with.
     pub fn apply_config(&self, acting: Rc<ActiveConfig>) {
         let tenants = acting.tenants_before(&self.active_config.borrow().names);
         self.core.borrow_mut().balancer.obey(acting.settings.clone(), &tenants);
         *self.active_config.borrow_mut() = acting;
     }
 
-    /// Operators want these requests at these nodes.
+    /// Replaces the pins that operators set.
     pub fn pin(&self, pins: Pins<ServerId>) {
         *self.pins.borrow_mut() = pins;
     }
 
-    /// Where operators want a request. Pins end by themselves, by this proxy's clock at the latest a moment after the
-    /// control service's word that they did.
+    /// Where operators pinned a request. Pins expire by this proxy's clock, at the latest a moment after the control service
+    /// reports that they did.
     pub fn pinned(&self, class: &str, key: &str) -> Option<ServerId> {
         let pins = self.pins.borrow();
         if pins.is_empty() {
@@ -175,37 +175,37 @@
         pins.find(class, key, self.clock.now()).copied()
     }
 
-    /// How many requests have no answer yet, or have an attempt out.
+    /// How many requests are unanswered or have an attempt in flight.
     pub fn open(&self) -> usize {
         self.core.borrow().pending.len()
     }
 
-    /// How many cache nodes are listed, and how many of them the module avoids now.
+    /// How many cache nodes are listed, and how many of them the module avoids at present.
     pub fn endpoint_counts(&self) -> (usize, usize) {
         self.core.borrow().balancer.avoided(self.clock.now())
     }
 
-    /// Gives away what may still be sent to cold nodes.
+    /// Gives up the slow-start allowance, for a successor.
     pub fn release_slow_start_allowance(&self) -> Vec<ColdLeft> {
         self.core.borrow_mut().balancer.give_cold(self.clock.now())
     }
 
-    /// Takes what the process before this one gave.
+    /// Takes over the slow-start allowance of the incumbent.
     pub fn inherit_slow_start_allowance(&self, given: &[ColdLeft]) {
         self.core.borrow_mut().balancer.take_cold(self.clock.now(), given);
     }
 
-    /// Whether a request could be served now.
+    /// Whether a request could be served at present.
     pub fn can_serve(&self) -> bool {
         self.upstreams.any_ready()
     }
 
-    /// Time on the one clock, in nanoseconds.
+    /// The time in nanoseconds on the proxy's one clock.
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// News of the list.
+    /// A change of the endpoint list.
     pub fn list(&self, kind: ListKind, members: &[Endpoint]) {
         let names = &self.acting().names;
         let entries: Vec<(Entry, Option<SocketAddr>)> = members.iter().map(|m| names.entry(m)).collect();
@@ -216,12 +216,12 @@
         self.entries(kind, entries.into_iter().map(|(e, _)| e).collect());
     }
 
-    /// News of the list for the module alone.
+    /// A change of the endpoint list for the module alone.
     pub fn entries(&self, kind: ListKind, entries: Vec<Entry>) {
         self.feed(&mut self.core.borrow_mut(), Event::List { kind, entries });
     }
 
-    /// A request has come; its answer comes from the ticket.
+    /// Submits a request; its answer comes from the ticket.
     pub fn submit(&self, asked: PendingRequest) -> Ticket {
         let PendingRequest { mut request, job, upload, terms } = asked;
         let core = &mut *self.core.borrow_mut();
@@ -255,12 +255,12 @@
         core.pending.insert(id, pending);
         fleet_stats::count(Kind::Arrival, 1);
         self.feed(core, Event::Arrival(request));
-        // With half of the margin left a request that the module has left unanswered is failed.
+        // With half of the margin left, a request that the module has not answered is failed.
         let guard = Duration::from_nanos(patience - margin / 2);
         Ticket { id, answered: Some(answered), guard, engine: self.myself.clone() }
     }
 
-    /// The client has gone, or has been told that it is too late: nothing more is done for the request.
+    /// The client has gone or was told that its deadline passed: nothing more is done for the request.
     fn leave(&self, id: RequestId) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
@@ -275,7 +275,7 @@
         }
     }
 
-    /// An attempt has ended by itself.
+    /// Handles the end of an attempt.
     fn ended(&self, id: RequestId, number: usize, ended: AttemptOutcome) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
@@ -300,7 +300,7 @@
         Self::forget(core, id);
     }
 
-    /// How an attempt ended, as the module is told it.
+    /// How an attempt ended, as the module reads it.
     fn outcome(&self, pending: &Pending, number: usize, status: Status, hit: Option<bool>) -> Event {
         let Attempt { server, sent, .. } = pending.attempts[number];
         let elapsed = self.clock.now().saturating_sub(sent);
@@ -308,7 +308,7 @@
         Event::Outcome { id: pending.id, attempt: number as u32, server, status, elapsed, last, hit }
     }
 
-    /// Gives an event to the module and does what it says, and so on with what follows at once from that.
+    /// Passes an event to the module and carries out its actions, and so on with the events that follow immediately.
     fn feed(&self, core: &mut Core, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -325,8 +325,8 @@
             Action::Send { id, server, timeout } => events.extend(self.send(core, id, server, timeout)),
             Action::Cancel { id, attempt } => events.extend(self.call_off(core, id, attempt as usize)),
             Action::Refuse { id, retry_after } => {
-                // Danger: a refusal says that to ask again is harmless. Where the group that would have dropped the repeat
-                // is another by now, it is not.
+                // Danger: a rejection promises that a retry is harmless. If the group that would have dropped the duplicate has changed by
+                // now, it is not.
                 let harmless = core.pending.get(&id).is_none_or(Pending::harmless);
                 let answer = match harmless {
                     true => Answer::Refused(Duration::from_nanos(retry_after)),
@@ -345,13 +345,13 @@
                 });
             }
             Action::Close(server) => self.upstreams.close_idle(server),
-            // Danger: where lists are pushed the module asks for nothing, and would keep the list that it was started with.
-            // Here the list is followed from the start, by a clock of its own (rushquay_endpoints::Follow).
+            // Danger: where lists are pushed the module subscribes to nothing, and would keep the list that it was started with.
+            // The list is watched from the start, on a schedule of its own (`rushquay_endpoints::WatchSchedule`).
             Action::Subscribe => {}
         }
     }
 
-    /// Starts an attempt; an event comes back when it ends before it began.
+    /// Starts an attempt; returns an event if it ended before it was sent.
     fn send(&self, core: &mut Core, id: RequestId, server: ServerId, timeout: Nanos) -> Option<Event> {
         let now = self.clock.now();
         let pending = core.pending.get_mut(&id)?;
@@ -361,7 +361,7 @@
             pending.attempts.push(Attempt::unsent(server, now));
             return Some(self.outcome(pending, number, Status::Moot, None));
         }
-        // The module's patience is made for what a node gets at once.
+        // The module's timeout is meant for a request that the node receives immediately.
         let mut wait = if timeout == 0 || pending.job.upload().is_some() { left } else { timeout.min(left) };
         let mut made = Made::default();
         if let Some(terms) = &pending.terms {
@@ -412,7 +412,7 @@
         None
     }
 
-    /// Ends an attempt that is out, and its connection with it.
+    /// Cancels an attempt in flight and closes its connection.
     fn call_off(&self, core: &mut Core, id: RequestId, number: usize) -> Option<Event> {
         let pending = core.pending.get_mut(&id)?;
         let attempt = pending.attempts.get_mut(number)?;
@@ -441,18 +441,18 @@
         let last = pending.attempts.last().and_then(|a| a.status);
         fleet_stats::unserved(&answer, last);
         self.count_unserved(pending.job.id(), &answer, cause_of(last));
-        // A client that has just gone needs none.
+        // A client that has just gone needs no answer.
         let _ = sender.send(answer);
         pending.out().for_each(Cancellation::answered);
         if self.cancel {
-            // Danger: what is still out when the request is over would go on for nobody.
+            // Danger: attempts still in flight when the request is over would go on for no client.
             let attempts = pending.attempts.len();
             events.extend((0..attempts).filter_map(|n| self.call_off(core, id, n)));
         }
         Self::forget(core, id);
     }
 
-    /// Counts a final answer that serves nothing, by what preceded it.
+    /// Counts a rejection or failure by what preceded it.
     fn count_unserved(&self, request: &str, answer: &Answer, after: Cause) {
         let ledger = self.upstreams.ledger();
         let status = match answer {
@@ -468,7 +468,7 @@
         request_trace::event(|| Traced::Answered { request, status, after: Some(after) });
     }
 
-    /// Drops a request that has had its answer and has no attempt out.
+    /// Forgets a request that was answered and has no attempt in flight.
     fn forget(core: &mut Core, id: RequestId) {
         let over = |p: &Pending| p.answer.is_none() && p.attempts.iter().all(|a| a.out.is_none());
         if core.pending.get(&id).is_some_and(over) {
@@ -477,7 +477,7 @@
     }
 }
 
-/// A claim on one final answer. Dropped before the answer has come, it tells the module that the client left.
+/// A claim on one final answer. Dropping it before the answer arrives tells the module that the client has gone.
 pub struct Ticket {
     id: RequestId,
     answered: Option<oneshot::Receiver<Answer>>,
@@ -486,7 +486,7 @@
 }
 
 impl Ticket {
-    /// Waits for the final answer, at most until just before the client stops waiting.
+    /// Waits for the final answer, at most until just before the client gives up.
     pub async fn answer(&mut self) -> Answer {
         let Some(answered) = self.answered.as_mut() else { return Answer::Overdue };
         let got = tokio::time::timeout(self.guard, answered).await;
@@ -514,7 +514,7 @@
     }
 }
 
-/// What an attempt's end is counted as.
+/// The label that an attempt's end is counted under.
 fn cause_of(last: Option<Status>) -> Cause {
     match last {
         None => Cause::NotSent,
--- a/src/proxy/http/answer.rs
+++ b/src/proxy/http/answer.rs
@@ -1,4 +1,4 @@
-//! How a request ends.
+//! The final answer of a request.
 
 use crate::proxy::Body;
 use hyper::Response;
@@ -8,15 +8,15 @@
 /// The final answer of a request.
 pub enum Answer {
     Served(Response<Body>),
-    /// Not done, a repeat is harmless; with the advised wait.
+    /// Rejected: it had no effect and may be retried, after the advised wait.
     Refused(Duration),
     Failed,
-    /// The module had no answer in time.
+    /// The module gave no answer in time.
     Overdue,
 }
 
 impl Answer {
-    /// How the request ends with it.
+    /// The outcome that the answer is counted under.
     pub fn end(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Completed,
--- a/src/proxy/http/request_framing.rs
+++ b/src/proxy/http/request_framing.rs
@@ -1,4 +1,4 @@
-//! Hands a client's bytes to hyper one request at a time, and looks at each head before hyper does.
+//! Passes a client's bytes to hyper one request at a time, and checks the framing of each head first.
 
 use crate::proxy::listener::read_buffer::{ReadBuffer, ALL, HEADERS_MOST, PART};
 use crate::proxy::upstream::socket::{Io, Socket};
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// Hyper's end of a client's connection.
+/// The stream that hyper reads a client's connection from.
 pub struct RequestFraming {
     io: Io,
     intake: Rc<ReadBuffer>,
@@ -21,7 +21,7 @@
         RequestFraming { io: Io(socket), intake }
     }
 
-    /// How many bytes may go on, once the head held is whole or can never be; hyper says what is wrong with it.
+    /// How many bytes may be passed on, once the held head is complete or can never be; hyper reports what is wrong with it.
     fn look(&self) -> Option<u64> {
         let held = self.intake.held.borrow();
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
@@ -39,10 +39,10 @@
         let coded = named("transfer-encoding").next().is_some();
         let cut = request.path.is_some_and(|path| path.contains('#'));
         let fault = match (told, coded) {
-            // Danger: a proxy and a node that each believe another of the two see other requests in the same
-            // bytes. Hyper takes the one out and shows nothing of it.
+            // Danger: a proxy and a node that each trust a different one of the two lengths see different requests in the same
+            // bytes (request smuggling). Hyper removes one of them silently.
             (Some(_), true) => Some("both Content-Length and Transfer-Encoding"),
-            // Danger: hyper drops this part, so that another path would go on.
+            // Danger: hyper drops the fragment, so that a different path would be forwarded.
             _ if cut => Some("bad path"),
             _ => None,
         };
@@ -55,7 +55,7 @@
         Some(whole.unwrap_or(ALL))
     }
 
-    /// Reads until a head is whole, or the client ends its sending.
+    /// Reads until a head is complete, or the client half-closes.
     fn poll_head(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let intake = &self.intake;
         while intake.pass.get() == 0 {
@@ -75,14 +75,14 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Hands on what is held, and returns how much that is.
+    /// Passes on held bytes, and returns how many.
     fn hand_over(&self, buf: &mut ReadBuf<'_>, most: usize) -> usize {
         let mut held = self.intake.held.borrow_mut();
         let n = most.min(held.len());
         buf.put_slice(&held[..n]);
         held.drain(..n);
         if held.is_empty() {
-            // An idle connection holds nothing.
+            // An idle connection holds no buffer.
             *held = Vec::new();
         } else if self.intake.pass.get() == n as u64 {
             self.intake.head_since.set(Some(Instant::now()));
--- a/src/proxy/http/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -1,4 +1,4 @@
-//! One request of a client: read, judged, handed to its engine, and answered once.
+//! The way of one request: parsed, admitted, submitted to its engine, and answered once.
 
 use crate::api::Nanos;
 use crate::proxy::clock::margin;
@@ -26,16 +26,16 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that has ended its sending is taken for gone if its machine says so within this time, and this part of what it
-/// waits. Danger: a machine that is busy says so late; and one that is not gone is kept waiting.
+/// How long to wait for a reset from a client that has half-closed, and the part of its remaining time that this may take.
+/// Danger: a busy machine resets late; and a client that has not gone is kept waiting.
 const GONE_WITHIN: Duration = Duration::from_millis(100);
 const GONE_PART: u32 = 4;
-/// Nobody is left to read this.
+/// A body that nobody will read.
 const GONE: &str = "the client has gone";
-/// An answer that comes so long after the client stopped waiting is none.
+/// An answer this long after the client's deadline breaks a rule.
 const LATE_AFTER: Duration = Duration::from_millis(500);
 
-/// A request's id, taken while its answer is due.
+/// The id of an unanswered request, released on drop.
 struct OpenRequestId<'a> {
     server: &'a Server,
     id: HeaderValue,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What is counted of a request that was taken.
+/// Counts how a request ends.
 struct RequestAccounting<'a> {
     server: &'a Server,
     entry: Entry,
@@ -57,7 +57,7 @@
 }
 
 impl RequestAccounting<'_> {
-    /// It ends so.
+    /// Counts the outcome of the request.
     fn ended(&mut self, end: RequestOutcome) {
         self.entry.answered(end);
         if let Some(rollout) = &self.server.rollout {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// It is failed before it was judged, which says nothing of old and new versions.
+    /// Counts a failure before the request was submitted; it says nothing about the version under rollout.
     fn failed(&mut self, cause: Cause) {
         self.entry.answered(RequestOutcome::Failed);
         self.server.metrics.failures.one_more(cause);
@@ -82,7 +82,7 @@
         client.ends_by_close.set(request.version() == Version::HTTP_10);
         let may_ask = request.version() == Version::HTTP_11;
         let (mut head, body) = request.into_parts();
-        // What is held here lives until the answer has been given, the cluster among it.
+        // The guard keeps the cluster alive until the answer was given.
         let forward = match self.route(&mut head) {
             Ok(forward) => forward,
             Err(response) => {
@@ -105,13 +105,13 @@
         response
     }
 
-    /// Counts what is turned away before the class of a request is known.
+    /// Counts a request or connection that is turned away before its class is known.
     pub fn count_turned_away(&self, connection: u64, reason: TurnedAway) {
         self.metrics.turned_away.one_more(reason);
         request_trace::event(|| Event::TurnedAway { connection, reason });
     }
 
-    /// Where a request goes, where routes say so.
+    /// The route of a request, if this proxy has routes.
     fn route(&self, head: &mut Parts) -> Result<Option<Box<Forward>>, Box<Response<Body>>> {
         match &self.backend {
             Backend::One { .. } => Ok(None),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reads a request, and answers it if it can be used.
+    /// Parses a request, and answers it if it is valid.
     async fn take(
         &self,
         head: Parts,
@@ -154,8 +154,8 @@
             account.ended(RequestOutcome::Rejected);
             return with_accounting(respond_with(Answer::Refused(wait)), account);
         }
-        // Danger: nodes and the bookkeeping of repeats know a request by its id; a second one that bears it is
-        // somebody else's, and must not disturb the first.
+        // Danger: nodes and the deduplication of retries identify a request by its id; a second request with the same id is
+        // another client's, and must not disturb the first.
         let id = asked.job.headers[CORRELATION_ID].clone();
         if !self.open_request_ids.borrow_mut().insert(id.clone()) {
             account.failed(Cause::DuplicateId);
@@ -166,7 +166,7 @@
         with_accounting(response, account)
     }
 
-    /// Hands a request to its engine, and gives what comes of it, unless the client goes before.
+    /// Submits a request to its engine and returns its answer, unless the client goes first.
     async fn answer(
         &self,
         mut asked: PendingRequest,
@@ -191,7 +191,7 @@
         let answer = tokio::select! {
             biased;
             answer = ticket.answer() => answer,
-            // The engine's guard is made for the slowest upload.
+            // The engine's own timeout is made for the slowest upload.
             () = overdue(upload, patience) => Answer::Overdue,
             () = client.read_buffer.until_gone(&client.socket, may_ask) => {
                 return plain(StatusCode::BAD_GATEWAY, GONE);
@@ -211,7 +211,7 @@
         respond_with(answer)
     }
 
-    /// Danger: what this process has not answered when it ends is lost.
+    /// Caps the remaining time to the end of this process. Danger: a request that is unanswered when it ends is lost.
     fn cap_to_shutdown(&self, asked: &mut PendingRequest) {
         let Some(end) = self.ends_at.get() else { return };
         let left = end.saturating_duration_since(Instant::now()).saturating_sub(FINAL_WRITE_WINDOW);
@@ -220,8 +220,8 @@
         asked.upload = asked.upload.min(left);
     }
 
-    /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the one before it on its
-    /// connection was answered. An attempt for it would be for nobody.
+    /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the previous request on its
+    /// connection was answered. An attempt would serve nobody.
     async fn client_has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
         if !client.socket.ended() {
             return false;
@@ -236,18 +236,18 @@
     }
 }
 
-/// Takes what has passed off the time that is left.
+/// Subtracts elapsed time from the remaining time.
 fn reduce_remaining(remaining: &mut Nanos, passed: Duration) {
     *remaining = remaining.saturating_sub(passed.as_nanos() as Nanos);
 }
 
-/// Keeps the account until the answer has been passed on.
+/// Keeps the accounting alive until the response was written.
 fn with_accounting(mut response: Response<Body>, account: RequestAccounting<'_>) -> Response<Body> {
     response.body_mut().carry(account.entry);
     response
 }
 
-/// What cannot be used is turned away.
+/// The response to an invalid request.
 fn unusable(status: StatusCode, why: &'static str) -> Response<Body> {
     let mut response = bad(status, why);
     if status == StatusCode::METHOD_NOT_ALLOWED {
@@ -266,7 +266,7 @@
     });
 }
 
-/// Returns when a client that has sent a long body whole stops waiting soon; never where there is none.
+/// Returns shortly before the deadline of a client that has sent its long body completely; never if there is no such body.
 async fn overdue(upload: Option<Rc<Upload>>, patience: Nanos) {
     let Some(upload) = upload else { return std::future::pending().await };
     upload.whole().await;
--- a/src/proxy/http/request_parsing.rs
+++ b/src/proxy/http/request_parsing.rs
@@ -1,4 +1,4 @@
-//! A client's request read into the module's terms, and the module's answers as responses.
+//! Parses a client's request for the decision module.
 
 use crate::api::{self, Nanos};
 use crate::proxy::config::active_config::ActiveConfig;
@@ -20,25 +20,25 @@
 const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const NO_KEY: (StatusCode, &str) = (StatusCode::BAD_REQUEST, "no Idempotency-Key");
-/// An id is at most this long.
+/// Longest request id, in bytes.
 const ID_MOST: usize = 128;
-/// A long body has come whole by then: half a gigabyte from the slowest client that is well.
+/// The longest that an upload may take: half a gigabyte from the slowest healthy client.
 const UPLOAD_MOST: Nanos = 3600 * 1_000_000_000;
 
-/// The name of a request's class: the first part of its path, unless its route says another.
+/// The name of a request's class: the first segment of its path, unless its route names another.
 pub fn class_of<'a>(head: &'a Parts, forward: Option<&'a Forward>) -> &'a str {
     let first = head.uri.path().strip_prefix('/').unwrap_or("").split('/').next().unwrap_or("");
     forward.and_then(|f| f.class.as_deref()).unwrap_or(first)
 }
 
-/// What a request is about: the last part of its path, behind the first.
+/// The key of a request: the last segment of its path, behind the first.
 fn key_of(head: &Parts) -> Option<&str> {
     let mut parts = head.uri.path().strip_prefix('/').unwrap_or("").split('/');
     parts.next();
     parts.next_back().filter(|k| !k.is_empty())
 }
 
-/// Reads a request into the module's terms, or says what is wrong with it.
+/// Parses a request for the module, or says why it is invalid.
 pub async fn parse_request(
     under: &Rc<ActiveConfig>,
     class: usize,
@@ -62,7 +62,7 @@
     let rule = &under.settings.classes[class];
     let patience = match only(&TIME_LEFT, "more than one X-Time-Left")? {
         None => rule.deadline,
-        // Danger: what is kept for a request is kept for so long.
+        // Danger: the state of a request is held for this long.
         Some(told) => time_left(told).ok_or((StatusCode::BAD_REQUEST, "bad X-Time-Left"))?.min(rule.deadline),
     };
     let patience = forward.and_then(|f| f.timeout).map_or(patience, |most| patience.min(most));
@@ -77,14 +77,14 @@
     }
     let mut body = body;
     let length = body.size_hint().exact();
-    // Danger: a client that stalls in the midst of its body would keep its connection, which counts as busy.
+    // Danger: a client that stalls in the middle of its body would keep its connection, which counts as busy.
     let (held, whole) = beginning(&mut body, CLIENT_PATIENCE, None).await.map_err(|e| match e {
         Unread::Stopped => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         Unread::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
     })?;
-    // The request begins here: by the leave that there is now it goes to its end.
+    // The request starts here: it runs to its end under the policy lease that is valid now.
     policy.iter().for_each(|p| p.refresh());
-    // Danger: while the body came other settings may have been taken, by which its repeats would be told by a key.
+    // Danger: while the body arrived, other settings may have been applied under which retries need an idempotency key.
     let under = engine.acting();
     if unkeyed && under.keyed(class as u32) {
         return Err(NO_KEY);
@@ -110,7 +110,7 @@
     let uri = path.parse().map_err(|_| (StatusCode::BAD_REQUEST, "bad path"))?;
     let mut headers = head.headers;
     strip(&mut headers);
-    // The body is passed on with the length that it has.
+    // The body is forwarded with its actual length.
     headers.remove(header::CONTENT_LENGTH);
     let terms = forward.map(|f| f.terms.clone());
     Ok(PendingRequest {
@@ -121,7 +121,7 @@
     })
 }
 
-/// An id is printable and has no blanks: anything else may be read otherwise by who it is passed on to.
+/// An id is printable ASCII without spaces: the next hop may read anything else differently.
 fn well_formed(id: &HeaderValue) -> bool {
     (1..=ID_MOST).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
 }
--- a/src/proxy/http/responses.rs
+++ b/src/proxy/http/responses.rs
@@ -1,4 +1,4 @@
-//! The module's answers as responses, and what is turned away.
+//! HTTP responses for the module's answers and for invalid requests.
 
 use crate::proxy::http::answer::Answer;
 use crate::proxy::Body;
@@ -6,7 +6,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode, Version};
 
-/// Headers that belong to one connection and do not go on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -17,7 +17,7 @@
     header::UPGRADE,
     header::EXPECT,
 ];
-/// Takes out what belongs to one connection alone.
+/// Removes hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -36,7 +36,7 @@
         Answer::Served(response) => {
             let (mut head, body) = response.into_parts();
             strip(&mut head.headers);
-            // Danger: hyper believes a length that stands here; the body held has one of its own.
+            // Danger: hyper trusts a length in the headers; the buffered body has its own.
             head.headers.remove(header::CONTENT_LENGTH);
             head.version = Version::HTTP_11;
             Response::from_parts(head, body)
@@ -55,8 +55,8 @@
     }
 }
 
-/// Turns away what is malformed or too large. Danger: a client that sends the like again and again on one connection
-/// costs more than one that has to connect for it; and what follows on it may be the rest of this one.
+/// Rejects a malformed or oversized request and closes the connection. Danger: a client that repeats it on one connection costs more
+/// than one that has to reconnect; and what follows may be the rest of this request.
 pub fn bad(status: StatusCode, why: &'static str) -> Response<Body> {
     let mut response = plain(status, why);
     closing(&mut response);
--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -1,4 +1,4 @@
-//! Taking connections, and which of them gives way where there is no room.
+//! Accepts client connections, and chooses which one to close when descriptors run out.
 
 use crate::proxy::http::request_body::steady;
 use crate::proxy::listener::client_connection::Client;
@@ -14,9 +14,9 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection that is to make room does so within this time, or another is asked to.
+/// How long a connection that was asked to close may take before another one is asked.
 pub const YIELD_WITHIN: Duration = Duration::from_millis(2);
-/// Where the system lacks what a connection needs, accepting goes on after this.
+/// Pause before the next accept after a failure for lack of descriptors or memory.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(10);
 /// Of the descriptors that there are so many in four are for clients; where the process drains, and dials little, so many.
 const CLIENTS_PART: usize = 2;
@@ -29,7 +29,7 @@
         self.descriptors.most() * part / 4
     }
 
-    /// Takes connections for good. One that has no place yet stands in `waiting`, so that it outlives this.
+    /// Accepts connections until dropped. One that has no descriptor permit yet is queued in `waiting`, so that it survives the drop.
     pub async fn accept_all(self: Rc<Self>, listener: Rc<TcpListener>) -> Infallible {
         loop {
             self.admit_waiting().await;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The system has no descriptor or memory for a connection. Danger: accept fails at once, and again, and again; and who is sent
-    /// away for a newcomer must be of no use: one that has just come, or still writes, is a newcomer too.
+    /// Handles an accept that failed for lack of descriptors or memory. Danger: accept fails again immediately, in a busy loop; and a
+    /// connection that is closed for a newcomer must be idle: one that was just accepted, or still sends a request, is a newcomer too.
     async fn lacks(&self, why: &io::Error) {
         if let Some(n) = self.shortage.borrow_mut().failed(&why.to_string()) {
             crate::proxy::log(format_args!("accept: {why} (failure {n})"));
@@ -59,14 +59,14 @@
         sleep(SHORTAGE_WAIT).await;
     }
 
-    /// Gives each connection that waits a place, as soon as there is one.
+    /// Admits the queued connections, each as soon as a permit is free.
     pub async fn admit_waiting(self: &Rc<Self>) {
         while !self.waiting.borrow().is_empty() {
             let permit = self.place().await;
             let Some(stream) = self.waiting.borrow_mut().pop_front() else { return };
             self.connected(stream, permit);
-            // Danger: clients too have only so many connections; those that they ask once on and keep would leave
-            // them none to ask on.
+            // Danger: clients have limited connections as well; those they used once and keep open would leave
+            // them none to send requests on.
             let staying = self.clients.borrow().iter().filter(|c| !c.closing()).count();
             if staying > self.clients_most() / 2 {
                 self.yield_client(SlotRequest::Slack);
@@ -74,19 +74,19 @@
         }
     }
 
-    /// A place for a connection, once there is one.
+    /// Waits for a permit for a client connection.
     async fn place(&self) -> Permit {
         loop {
             if let Some(permit) = self.place_now() {
                 return permit;
             }
-            // Danger: who was sent away may have asked just then and stays until it has its answer; the next one
-            // must not wait for that.
+            // Danger: the connection that was asked to close may have received a request just then and stays open until it is
+            // answered; the newcomer must not wait for that.
             let _ = timeout(YIELD_WITHIN, self.descriptors.freed()).await;
         }
     }
 
-    /// A place for a connection, if there is one; else somebody is asked to make room.
+    /// A permit for a client connection if one is free; otherwise asks another connection to close.
     pub fn place_now(&self) -> Option<Permit> {
         if self.clients.borrow().len() >= self.clients_most() {
             self.make_place();
@@ -99,7 +99,7 @@
         permit
     }
 
-    /// Has a connection leave, unless one is about to.
+    /// Asks a connection to close, unless one is closing already.
     fn make_place(&self) {
         let lingers = self.clients.borrow().iter().find(|c| c.lingering.get()).cloned();
         match lingers {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Asks a client's connection to end, if one is to give way; of several alike one that has sent nothing more.
+    /// Asks the client connection that is worth least to close, if any may; among equals one with no unread input.
     fn yield_client(&self, want: SlotRequest) {
         let (clients, now) = (self.clients.borrow(), Instant::now());
         let leaves = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Whether a connection is about to leave its place. Danger: to send another away for each that comes
-    /// before it has left would empty the house of those that ask.
+    /// Whether a connection is closing already. Danger: asking another one to close for every newcomer that arrives
+    /// before the first has closed would disconnect clients that are sending requests.
     fn one_leaves(&self) -> bool {
         let leaves =
             |c: &Rc<Client>| c.cause() == Some(CloseCause::MadeRoom) && !c.busy.get() && !c.socket.stalled();
--- a/src/proxy/listener/client_connection.rs
+++ b/src/proxy/listener/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection, as others see it: what it has asked, whether it is busy, and how it ends.
+//! The state of a client connection that other tasks see: whether it is busy, and when and why it closes.
 
 use crate::api;
 use crate::proxy::http::request_body::steady;
@@ -14,41 +14,41 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// A connection that has asked nothing for so long since it came, whatever part of a head it sent, is closed.
+/// A connection without a complete request head this long after it was accepted is closed.
 const ASK_WITHIN: Duration = Duration::from_secs(2);
-/// A peer that had its last answer just now is given so long to read it before its connection is closed. Danger: a close over
-/// bytes that were not read resets the connection, and what the system still holds of the answer goes with it.
+/// How long a peer may take to read its last response before the connection is closed. Danger: closing with unread
+/// received bytes resets the connection, and the part of the response that the kernel still holds is lost.
 const LINGER: Duration = Duration::from_secs(1);
-/// The kernel takes something of an answer within this time.
+/// How long a write of a response may make no progress.
 const TAKE_WITHIN: Duration = Duration::from_secs(10);
-/// A connection that has been without a request for so long is closed.
+/// How long a connection may be idle between requests.
 const IDLE_MOST: Duration = Duration::from_secs(10);
-/// A head that has begun comes whole within this time, and something of it within the other. The slowest that is well
-/// takes two seconds.
+/// How long a request head may take in all, and how long it may make no progress. The slowest healthy client takes
+/// two seconds.
 const HEAD_WITHIN: Duration = Duration::from_secs(4);
 const HEAD_SILENT: Duration = Duration::from_millis(2500);
-/// The same while the process drains, which waits for it.
+/// The same during graceful shutdown, which waits for it.
 const HEAD_SILENT_DRAINING: Duration = Duration::from_millis(1200);
 
-/// A client's connection, as others see it.
+/// A client connection, as seen by other tasks.
 pub struct Client {
-    /// Its number in this process, for the trace.
+    /// Its number in this process, for the request trace.
     pub number: u64,
     pub socket: Rc<Socket>,
     pub read_buffer: Rc<ReadBuffer>,
     pub busy: Cell<bool>,
-    /// It speaks HTTP/1.0, where the end of the connection may be the end of an answer.
+    /// The client speaks HTTP/1.0, where closing the connection may delimit a response.
     pub ends_by_close: Cell<bool>,
     came: Instant,
-    /// When it came or was last answered.
+    /// When it was accepted or last answered.
     since: Cell<Instant>,
-    /// Wakes the connection's own task when it is to end.
+    /// Wakes the connection's own task when the connection is to be closed.
     pub ending: Notify,
-    /// Why it ends; `None`: it does not.
+    /// Why it is to be closed; `None`: it is not.
     cause: Cell<Option<CloseCause>>,
-    /// All is said; the peer is given time to read it.
+    /// Everything is written; the peer is given time to read it.
     pub lingering: Cell<bool>,
-    /// Its place is needed at once.
+    /// Its descriptor is needed immediately.
     pub hurry: Notify,
 }
 
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Has the connection end as soon as nothing is owed on it. The first cause stands, unless a later one no longer waits.
+    /// Closes the connection once no response is owed on it. The first cause is kept, unless a later one closes immediately.
     pub fn end(&self, cause: CloseCause) {
         let at_once = !matches!(cause, CloseCause::Idle | CloseCause::Drain);
         if self.cause.get().is_none() || at_once {
@@ -79,17 +79,17 @@
         self.ending.notify_one();
     }
 
-    /// Why it ends; `None`: it does not.
+    /// Why it is to be closed; `None`: it is not.
     pub fn cause(&self) -> Option<CloseCause> {
         self.cause.get()
     }
 
-    /// Whether it is to end.
+    /// Whether it is to be closed.
     pub fn closing(&self) -> bool {
         self.cause.get().is_some()
     }
 
-    /// What is known of it, for the guard of closes.
+    /// The facts that `may_close` decides by.
     pub fn facts(&self) -> ConnectionFacts {
         let behind = self.read_buffer.behind();
         ConnectionFacts {
@@ -102,18 +102,18 @@
         }
     }
 
-    /// Gives the peer time to read its last answer.
+    /// Gives the peer time to read its last response.
     pub async fn linger(&self) {
         let cause = self.cause.get().unwrap_or(CloseCause::AnswerSaidSo);
         self.cause.set(Some(cause));
-        // Danger: an orderly end would make a part of an answer look whole.
+        // Danger: an orderly close would make a partial response look complete.
         if cause == CloseCause::BrokenAnswer {
             return;
         }
         self.socket.end();
         let left = LINGER.saturating_sub(self.since.get().elapsed());
         let hurried = matches!(cause, CloseCause::NotRead | CloseCause::NoRequest);
-        // Danger: one that has sent another request waits for the end of the connection to send it elsewhere.
+        // Danger: a client that has sent another request waits for the close before it sends that request elsewhere.
         if hurried || left.is_zero() || self.socket.silent() {
             return;
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What is known of it, for the choice of who gives way.
+    /// The facts that the choice of the connection to close is made by.
     pub fn evidence(&self, now: Instant) -> Evidence {
         let at = |then: Instant| {
             steady().saturating_sub(now.saturating_duration_since(then).as_nanos() as api::Nanos)
@@ -134,8 +134,8 @@
         Evidence { asked, begun, since: at(self.since.get()), moved: at(self.socket.moved()) }
     }
 
-    /// Ends what stands still. Danger: silence, a head that does not end and an answer that is not read would each hold a
-    /// descriptor for good.
+    /// Closes the connection if it makes no progress. Danger: a silent client, a head that never completes and a response that is not
+    /// read would each hold a descriptor forever.
     pub fn look(&self, now: Instant) {
         let over = |from: Instant, most: Duration| now.saturating_duration_since(from) > most;
         let moved = self.socket.moved();
@@ -148,7 +148,7 @@
         let draining = self.cause.get() == Some(CloseCause::Drain);
         let silent = if draining { HEAD_SILENT_DRAINING } else { HEAD_SILENT };
         let stopped = match self.read_buffer.head_since.get() {
-            // Who writes slowly is told from who has stopped by what has come lately.
+            // A slow sender differs from a stalled one by having sent something recently.
             Some(since) => over(since, HEAD_WITHIN) || over(since.max(moved), silent),
             None => self.read_buffer.heads.get() == 0 && over(self.came, ASK_WITHIN),
         };
@@ -160,7 +160,7 @@
     }
 }
 
-/// A request is being answered, until this is dropped.
+/// Marks a request as being answered until it is dropped.
 pub struct Busy(Rc<Client>);
 
 impl Busy {
--- a/src/proxy/listener/descriptors.rs
+++ b/src/proxy/listener/descriptors.rs
@@ -1,10 +1,10 @@
-//! The budget of descriptors that all sockets of the proxy share.
+//! The descriptor budget that all sockets of the proxy share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The descriptors that sockets may take.
+/// A counting semaphore of descriptors.
 pub struct Descriptors {
     most: Cell<usize>,
     taken: Cell<usize>,
@@ -16,23 +16,23 @@
         Rc::new(Descriptors { most: Cell::new(most), taken: Cell::new(0), freed: Notify::new() })
     }
 
-    /// How many there are, taken or not.
+    /// The size of the budget.
     pub fn most(&self) -> usize {
         self.most.get()
     }
 
-    /// How many are taken; may be more than there are, after there were more.
+    /// Descriptors in use; more than the budget for a while after it was reduced.
     pub fn taken(&self) -> usize {
         self.taken.get()
     }
 
-    /// So many there are from now on.
+    /// Changes the size of the budget.
     pub fn resize(&self, most: usize) {
         self.most.set(most);
         self.freed.notify_one();
     }
 
-    /// Takes one, if any is free.
+    /// Takes one if any is free.
     pub fn take(self: &Rc<Self>) -> Option<Permit> {
         if self.taken.get() >= self.most.get() {
             return None;
@@ -41,13 +41,13 @@
         Some(Permit(self.clone()))
     }
 
-    /// Waits until one is given back.
+    /// Waits until one is returned.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 }
 
-/// A descriptor taken from the budget; it returns when this is dropped.
+/// A descriptor taken from the budget; returned when this is dropped.
 pub struct Permit(Rc<Descriptors>);
 
 impl Drop for Permit {
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process: what has come is answered, and the door closes behind it.
+//! Graceful shutdown: what has been received is answered, then the listener is closed.
 
 use crate::proxy::listener::acceptor::YIELD_WITHIN;
 use crate::proxy::observability::request_trace::{self, Event};
@@ -15,21 +15,21 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// New connections come for some time after SIGTERM; accepting goes on for at least the first span, until none
-/// has come for the second, and ends after the third.
+/// Clients go on connecting for some time after SIGTERM: accepting goes on for at least `ACCEPT_FOR`, until no connection has
+/// arrived for `QUIET_FOR`, and for `ACCEPT_MOST` at the most.
 const ACCEPT_FOR: Duration = Duration::from_millis(450);
 const QUIET_FOR: Duration = Duration::from_millis(100);
 const ACCEPT_MOST: Duration = Duration::from_millis(600);
-/// A proxy may be killed so long after the longest deadline after SIGTERM; it ends a little sooner.
+/// The process ends this long after SIGTERM plus the longest request deadline; later it may be killed.
 const END_BEFORE: Duration = Duration::from_millis(600);
-/// So long before the end of the process nothing more is read, and the last answers are written.
+/// Reserved before the end of the process to write the last responses; nothing more is read in this time.
 pub const FINAL_WRITE_WINDOW: Duration = Duration::from_millis(50);
-/// Connections taken from the queue of the door at its closing; no queue is longer.
+/// Most connections accepted from the listen queue when the listener is closed; no queue is longer.
 const QUEUED_MOST: usize = 4096;
 
 impl Server {
-    /// Answers what comes and asks clients away, then ends idle connections, and waits for the rest. `accepting` is the accepting
-    /// that the signal interrupted.
+    /// Answers requests while clients are asked to reconnect elsewhere, closes idle connections, and waits for the rest. `accepting`
+    /// is the accept loop that the signal interrupted.
     pub async fn drain(
         self: &Rc<Self>,
         accepting: Pin<Box<impl Future<Output = Infallible>>>,
@@ -46,7 +46,7 @@
         self.rollout.iter().for_each(|r| r.begin_shutdown());
         self.publish_status();
         self.wait_for_successor(keeper, start + longest).await;
-        // Danger: where the successor has died nobody else takes what waits at the door.
+        // Danger: if the successor has died, no other process accepts the queued connections.
         let alone = !keeper.succeeded();
         if alone {
             self.close_listener(accepting, &listener, keeper, start, end).await;
@@ -54,24 +54,24 @@
         keeper.close();
         drop(listener);
         if alone {
-            // Those who were let in last have their requests read.
+            // Time for the requests on the connections that were accepted last to arrive.
             sleep(QUIET_FOR).await;
         }
         self.clients.borrow().iter().for_each(|c| c.end(CloseCause::Drain));
         self.await_last_responses(end).await;
-        // No number was given to a connection that never had a place.
+        // A connection that was never admitted has no number.
         self.waiting.borrow_mut().drain(..).for_each(|_| self.count_turned_away(0, TurnedAway::NeverLetIn));
         request_trace::event(|| Event::State { state: "ended" });
     }
 
-    /// Waits, while a new process has the door, until all clients have left, and `last` at the latest. Danger: an idle connection that
-    /// is closed just as its client asks on it costs that request a turn at the door. Who asks is sent over by the answer; what never
-    /// asks goes last.
+    /// While a successor accepts connections, waits until all clients have left, and until `last` at the latest. Danger: closing an idle
+    /// connection just as its client sends a request on it forces that request onto a new connection. Active clients are moved by
+    /// `Connection: close` on their response; idle ones are closed last.
     async fn wait_for_successor(self: &Rc<Self>, keeper: &HandoverServer, last: Instant) {
         if !keeper.succeeded() {
             return;
         }
-        // What was taken from the door is this process's to answer.
+        // What this process has accepted is its own to answer.
         let _ = timeout_at(last, self.admit_waiting()).await;
         while keeper.succeeded() && !self.clients.borrow().is_empty() {
             tokio::select! {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Accepts for as long as clients may still come, then takes all that waits at the door. Danger: what waits there is reset with
-    /// it, and the runtime may not have heard of it yet.
+    /// Accepts for as long as clients may still connect, then drains the listen queue. Danger: connections that are queued when the
+    /// listener closes are reset, and the runtime may not have been notified of them yet.
     async fn close_listener(
         self: &Rc<Self>,
         mut accepting: Pin<Box<impl Future<Output = Infallible>>>,
@@ -103,11 +103,11 @@
             }
         }
         drop(accepting);
-        // Whoever has no place yet waits until a request is answered, or the process ends.
+        // Connections without a permit wait until a request is answered, or the process ends.
         let last = end - 2 * FINAL_WRITE_WINDOW;
         let _ = timeout_at(last, self.admit_waiting()).await;
         let mut taken = 0;
-        // A new process that said only now that it serves has the door.
+        // A successor that reported ready only now owns the listener.
         while taken < QUEUED_MOST && Instant::now() < last && !keeper.succeeded() {
             let Some(permit) = self.place_now() else {
                 let _ = timeout(YIELD_WITHIN, self.descriptors.freed()).await;
@@ -117,7 +117,7 @@
             match (queued.streams.into_iter().next(), queued.shortage) {
                 (Some(stream), _) => self.connected(stream, permit),
                 (None, None) => return,
-                // It lacks descriptors, which those who leave give back.
+                // Descriptors are short; closing connections return some.
                 (None, Some(_)) => {
                     self.backend.yield_idle();
                     sleep(YIELD_WITHIN).await;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Waits until all clients have left. What has been read of those that have not is answered just before the end.
+    /// Waits until all clients have left. Requests that were read from the others are answered just before the end.
     async fn await_last_responses(&self, end: Instant) {
         let last_word = end - FINAL_WRITE_WINDOW;
         while !self.clients.borrow().is_empty() {
--- a/src/proxy/listener/listener_socket.rs
+++ b/src/proxy/listener/listener_socket.rs
@@ -1,4 +1,4 @@
-//! The address where clients connect: taken alone, or shared with a process that can't be asked for it.
+//! The socket that clients connect to: bound alone, or shared with a process that cannot hand it over.
 
 use rushquay_sockets::patiently;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -6,26 +6,26 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Connections that may wait to be accepted.
+/// Length of the listen queue.
 const BACKLOG: i32 = 1024;
 
-/// A place at an address.
+/// A socket bound to the address.
 pub enum ListenSocket {
-    /// Nobody else listens there.
+    /// No other process listens there.
     Alone(TcpListener),
-    /// Another process does; clients come here as well once this listens.
+    /// Another process listens there; clients are spread over both once this one listens.
     Beside(Socket),
 }
 
-/// Takes the address. Every version shares it by SO_REUSEPORT, so that the next one can come up beside it even where it
-/// can't be handed the socket.
+/// Binds the address. Every version sets SO_REUSEPORT, so that the next one can start beside it even if the socket cannot be
+/// handed over.
 ///
 /// # Errors
 /// An address that can't be listened on.
 pub fn bind(addr: SocketAddr) -> Result<ListenSocket, String> {
     let failed = |e: io::Error| format!("PROXY_LISTEN: {addr}: {e}");
     let socket = patiently(|| socket(addr)).map_err(failed)?;
-    // Shared from the start it could not tell whether anybody else is there.
+    // Binding with SO_REUSEPORT first could not tell whether another process is there.
     match socket.bind(&addr.into()) {
         Ok(()) => {
             if let Err(e) = socket.set_reuse_port(true) {
@@ -48,15 +48,15 @@
 fn socket(addr: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    // What is left of connections of a process before must not keep this one out.
+    // Connections of a previous process in TIME_WAIT must not prevent the bind.
     socket.set_reuse_address(true)?;
     Ok(socket)
 }
 
-/// From now on clients connect here.
+/// Starts listening on a bound socket.
 ///
 /// # Errors
-/// Where the system refuses it.
+/// The system refuses it.
 pub fn listen(socket: Socket) -> io::Result<TcpListener> {
     patiently(|| socket.listen(BACKLOG))?;
     TcpListener::from_std(socket.into())
--- a/src/proxy/listener/mod.rs
+++ b/src/proxy/listener/mod.rs
@@ -1,4 +1,4 @@
-//! Connections from clients: accepting them, who keeps a place, reading ahead, and the end of the process.
+//! Connections from clients: accepting, admission, reading ahead, and graceful shutdown.
 
 pub(crate) mod acceptor;
 pub(crate) mod client_connection;
--- a/src/proxy/listener/pause_detection.rs
+++ b/src/proxy/listener/pause_detection.rs
@@ -1,15 +1,15 @@
-//! Moments in which this process stood still: stopped, or without a processor. What came meanwhile is read when it goes on, and its
-//! time runs from when it came, which nobody has seen: at the latest it came right behind the last moment in which it ran.
+//! Detects pauses of this process (SIGSTOP, no processor). Requests that arrive during a pause are read after it, and their deadline
+//! runs from an arrival that was not observed; it is taken to be right after the last moment in which the process ran.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The process is seen to run so often.
+/// Interval of the ticks that show that the process runs.
 const TICK: Duration = Duration::from_millis(25);
-/// A tick that is overdue by so much shows that it stood still.
+/// A tick that is overdue by this much shows a pause.
 const OVERDUE: Duration = Duration::from_millis(50);
-/// What is read so long after it went on may have come while it stood.
+/// What is read within this time after a pause may have arrived during it.
 const BEHIND: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy)]
@@ -19,12 +19,12 @@
 }
 
 thread_local! {
-    // A proxy is one thread.
+    // A proxy runs on one thread.
     static RAN: Cell<Option<Instant>> = const { Cell::new(None) };
     static LAST: Cell<Option<Stall>> = const { Cell::new(None) };
 }
 
-/// Watches for stalls for as long as the process lives.
+/// Watches for pauses for as long as the process runs.
 pub async fn watch() {
     loop {
         ran(Instant::now());
@@ -32,7 +32,7 @@
     }
 }
 
-/// The process runs at this moment.
+/// Records that the process runs now.
 fn ran(now: Instant) {
     if let Some(from) = RAN.replace(Some(now)) {
         if now.saturating_duration_since(from) > TICK + OVERDUE {
@@ -41,10 +41,10 @@
     }
 }
 
-/// Since when what is read now may have been there.
+/// The earliest time at which input that is read now may have arrived.
 pub fn earliest(now: Instant) -> Instant {
     match (RAN.get(), LAST.get()) {
-        // It has just gone on, and nobody has looked yet.
+        // The pause has just ended, and no tick has recorded it yet.
         (Some(ran), _) if now.saturating_duration_since(ran) > TICK + OVERDUE => ran,
         (_, Some(stall)) if now.saturating_duration_since(stall.to) < BEHIND => stall.from,
         _ => now,
--- a/src/proxy/listener/read_buffer.rs
+++ b/src/proxy/listener/read_buffer.rs
@@ -1,5 +1,5 @@
-//! What has come on a client's connection and was not handed on yet, and when it came. A request's time runs from its last byte,
-//! also where it stands behind others that are being answered.
+//! Input of a client connection that was read ahead, with its arrival times. A request's deadline runs from the arrival of its last
+//! byte, also if it is queued behind pipelined requests that are being answered.
 
 use crate::proxy::listener::pause_detection;
 use crate::proxy::upstream::socket::Socket;
@@ -11,70 +11,70 @@
 use tokio::io::Interest;
 use tokio::time::Instant;
 
-/// As many headers as hyper takes.
+/// The number of headers that hyper accepts.
 pub const HEADERS_MOST: usize = 100;
-/// Read in one go while a head is due.
+/// Size of one read while a head is expected.
 pub const PART: usize = 4096;
-/// All that is still to come goes on.
+/// A limit that passes on all input to come.
 pub const ALL: u64 = u64::MAX;
 
-/// Bytes up to this place of the stream had come at this time.
+/// The bytes up to this position of the stream had arrived by this time.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     end: u64,
     at: Instant,
 }
 
-/// What stands behind the request that is in work.
+/// Input behind the request that is being answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferedInput {
-    /// Nothing was read.
+    /// None was read.
     Nothing,
-    /// A part of a head.
+    /// An incomplete head.
     Part,
-    /// At least one whole head.
+    /// At least one complete head.
     Request,
 }
 
-/// What has come on a client's connection.
+/// The input of a client connection.
 #[derive(Default)]
 pub struct ReadBuffer {
-    /// Read and not yet handed on.
+    /// Bytes that were read and not yet passed on.
     pub held: RefCell<Vec<u8>>,
-    /// So many bytes may be handed on: what is left of a head that was looked at and of its body.
+    /// How many bytes may be passed on: the rest of a head that was checked, and of its body.
     pub pass: Cell<u64>,
-    /// When the first byte of a head came that is not whole yet.
+    /// When the first byte of an incomplete head arrived.
     pub head_since: Cell<Option<Instant>>,
-    /// Whole heads that have come.
+    /// Complete heads received.
     pub heads: Cell<u64>,
-    /// Why the last of them must not be used.
+    /// Why the last of them is rejected.
     pub fault: Cell<Option<&'static str>>,
-    /// Its body has no length told ahead, so nothing behind it is looked at.
+    /// Its body has no known length, so nothing behind it is parsed.
     pub last: Cell<bool>,
-    /// Nothing more is read ahead.
+    /// Reading ahead has ended.
     closed: Cell<bool>,
-    /// So many bytes were read in all, and handed on.
+    /// Bytes read in all, and passed on.
     read: Cell<u64>,
     handed: Cell<u64>,
-    /// Where the request that was looked at last ends; [`ALL`]: nobody knows.
+    /// Stream position at which the last parsed request ends; [`ALL`]: unknown.
     request_end: Cell<u64>,
     arrivals: RefCell<VecDeque<Arrival>>,
 }
 
 impl ReadBuffer {
-    /// So many bytes have come.
+    /// Records that bytes have arrived.
     pub fn came(&self, bytes: usize, at: Instant) {
         self.read.set(self.read.get() + bytes as u64);
         let mut arrivals = self.arrivals.borrow_mut();
         let end = self.request_end.get();
-        // Nobody asks for the time of what came before the end of the request in work.
+        // Arrival times before the end of the request in progress are not needed any more.
         while arrivals.front().is_some_and(|a| end == ALL || a.end < end) {
             arrivals.pop_front();
         }
         arrivals.push_back(Arrival { end: self.read.get(), at: pause_detection::earliest(at) });
     }
 
-    /// So many bytes were handed on.
+    /// Records that bytes were passed on.
     pub fn handed(&self, bytes: usize) {
         self.handed.set(self.handed.get() + bytes as u64);
         if self.pass.get() != ALL {
@@ -82,18 +82,18 @@
         }
     }
 
-    /// A head that is held is not whole: its request can't have ended yet.
+    /// The held head is incomplete, so its request has not ended.
     pub fn incomplete(&self) {
         self.arrivals.borrow_mut().clear();
     }
 
-    /// A head was looked at, and so many bytes belong to its request; [`ALL`]: nobody knows.
+    /// Records that a head was parsed and how many bytes belong to its request; [`ALL`]: unknown.
     pub fn request(&self, length: u64) {
         self.pass.set(length);
         self.request_end.set(self.handed.get().saturating_add(length));
     }
 
-    /// For how long the request in work has been here whole.
+    /// How long the request in progress has been complete.
     pub fn waited(&self, now: Instant) -> Duration {
         let arrivals = self.arrivals.borrow();
         let end = self.request_end.get();
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Reads nothing more ahead from now on.
+    /// Ends reading ahead.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// How many bytes may be read ahead now. Danger: what is read of a body has to wait for whoever takes it.
+    /// How many bytes may be read ahead now. Danger: bytes of a body that are read here stay in memory until the body is consumed.
     fn room(&self) -> usize {
         match self.pass.get() {
             0 if !self.closed.get() => BUFFER_MOST.saturating_sub(self.held.borrow().len()),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Reads what has come behind the request in work, as far as there is room; false: the client sends nothing more.
+    /// Reads input behind the request in progress as far as there is room; false: the client has ended its sending.
     pub fn read_ahead(&self, socket: &Socket) -> bool {
         let mut part = [0; PART];
         while self.room() > 0 {
@@ -139,14 +139,14 @@
             match socket.try_read(&mut part[..most]) {
                 Ok(n) if n > 0 => self.take(&part[..n], Instant::now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
-                // The end, or an error, is met again by whoever reads next.
+                // The next reader meets the same end or error.
                 _ => return false,
             }
         }
         true
     }
 
-    /// Holds what was read.
+    /// Stores input that was read.
     pub fn take(&self, part: &[u8], now: Instant) {
         let mut held = self.held.borrow_mut();
         let pass = usize::try_from(self.pass.get()).unwrap_or(usize::MAX);
@@ -157,7 +157,7 @@
         self.came(part.len(), now);
     }
 
-    /// Returns once the client has gone while its request is in work; what it sends meanwhile is read ahead.
+    /// Returns once the client has gone while its request is in progress; what it sends meanwhile is read ahead.
     pub async fn until_gone(&self, socket: &Socket, may_ask: bool) {
         while self.room() > 0 {
             let ready = socket.ready(Interest::READABLE | Interest::PRIORITY).await;
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,4 +1,4 @@
-//! The process: what it is made of, when it serves, and what it hands over.
+//! The proxy process: its components, when it reports ready, and what it hands over to a successor.
 
 use crate::api::ColdLeft;
 use crate::proxy::clock::Clock;
@@ -44,48 +44,49 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, Instant};
 
-/// Idle connections to nodes are looked at so often.
+/// Interval of the sweep over idle upstream connections.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// Descriptors that are no sockets of the budget: standard streams, the listener, the runtime's own, discovery's.
+/// Descriptors outside the budget: standard streams, the listener, the runtime's own, discovery's.
 const OWN_DESCRIPTORS: usize = 20 + discovery::DESCRIPTORS;
-/// Memory that is no connection's.
+/// Memory in bytes that does not belong to any connection.
 const OWN_MEMORY: usize = 8 << 20;
-/// A process that serves.
+/// A running proxy.
 pub(crate) struct Server {
     pub backend: Backend,
     pub descriptors: Rc<Descriptors>,
-    /// Descriptors that are none of the budget.
+    /// Descriptors outside the budget.
     reserved_descriptors: usize,
-    /// It was told to end.
+    /// Graceful shutdown has begun.
     pub draining: Cell<bool>,
-    /// Connections are accepted: beside another process once the guard of serving has let it, else from the start on. A host goes by this
-    /// alone. Danger: it kills what does not say yes, and what waits for a node or for leave must be there when that comes.
+    /// Connections are accepted: next to an incumbent once `may_serve` permits it, otherwise from the start. The supervisor decides by this
+    /// alone. Danger: it kills a process that does not report this, and one that waits for an endpoint or a policy lease must still be there
+    /// when that arrives.
     serving: Cell<bool>,
-    /// When a connection last came.
+    /// When a connection was last accepted.
     pub last_connection_at: Cell<Instant>,
-    /// When this process ends, once it was told to.
+    /// When this process ends; set when graceful shutdown begins.
     pub ends_at: Cell<Option<Instant>>,
     pub clients: RefCell<Vec<Rc<Client>>>,
-    /// Connections that were accepted and have no place yet.
+    /// Connections that were accepted and have no descriptor permit yet.
     pub waiting: RefCell<VecDeque<TcpStream>>,
     /// Failures of accept for lack of descriptors or memory.
     pub shortage: RefCell<Outage>,
-    /// The ids of all requests that lack their answer. Their hash is keyed, since clients choose them.
+    /// The ids of all unanswered requests. The hash is keyed, since clients choose the ids.
     pub open_request_ids: RefCell<HashSet<HeaderValue>>,
-    /// Told when a client has left.
+    /// Notified when a client connection has closed.
     pub client_left: Notify,
-    /// Connections are numbered for the trace.
+    /// The last connection number, for the request trace.
     connections: Cell<u64>,
     pub metrics: Arc<RequestMetrics>,
-    /// Its part in changes; `None`: it has none.
+    /// Its part in rollouts; `None`: it has none.
     pub rollout: Option<Rc<RolloutClient>>,
-    /// Its part in changes of policy; `None`: it has none.
+    /// Its part in policies; `None`: it has none.
     pub policy: Option<Rc<PolicyClient>>,
 }
 
-/// Serves until `stop`, then drains; follows another discovery when the file names one at a `hangup`. `told` hears
-/// where it listens.
+/// Serves until `stop`, then shuts down gracefully; on `hangup` follows another discovery if the file names one. `told` is called
+/// with the address it listens on.
 ///
 /// # Errors
 /// An address that can't be listened on.
@@ -113,8 +114,8 @@
     }
     let own = reserved_descriptors(&config, operators.is_some(), meeting.is_some());
     let descriptors = Descriptors::new(capacity(share, own));
-    // Danger: two clocks that were begun round a step of the wall clock differ by that for good, and what one of them dates is compared
-    // with what the other does.
+    // Danger: two clocks that are started around a step of the wall clock differ by that step forever, and timestamps of one are
+    // compared with those of the other.
     let clock = Clock::by(&config.clocks);
     let host = config.hosted.as_ref().map(|h| h.socket.clone());
     let Components { front, rollout, policy } = match config.envoy.clone() {
@@ -127,13 +128,13 @@
         }
         None => single_cluster(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
     };
-    // Danger: a starter that hears of the address takes the process for started, and nothing that may fail comes behind.
+    // Danger: a caller that is told the address takes the process for started; nothing that may fail follows.
     told(bound);
     let left = |c: SlowStartAllowance| ColdLeft { server: c.node, started: c.started, left: c.left };
     front.take_cold(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
     tokio::task::spawn_local(pause_detection::watch());
     tokio::task::spawn_local(sweep_idle_connections(front.clone()));
-    // What the old process acts by counts before anybody can be asked.
+    // The incumbent's configuration applies before the control service can be reached.
     if let (Some(given), Some(rollout)) = (inherited.settings, &rollout) {
         rollout.inherit(&given);
     }
@@ -178,7 +179,7 @@
     let holder = if is_beside { Incumbent::beside(whole, share) } else { Incumbent::new(whole) };
     let keeper = HandoverServer::start(meeting.as_deref(), listener.clone(), holder, server.clone());
     server.succeed(predecessor, is_beside, keeper.clone()).await;
-    // Danger: whoever is told yes may at once end the old process, or start the next version. Both must find all ready.
+    // Danger: whoever sees this process ready may immediately end the incumbent or start the next version. Everything must be ready.
     server.serving.set(true);
     server.publish_status();
     request_trace::event(|| Event::State { state: "serving" });
@@ -192,7 +193,7 @@
     Ok(())
 }
 
-/// Descriptors that are none of the budget for connections.
+/// Descriptors outside the budget for connections.
 fn reserved_descriptors(config: &Config, has_operators: bool, has_handover: bool) -> usize {
     OWN_DESCRIPTORS
         + config.control.as_ref().map_or(0, |_| subscription::DESCRIPTORS)
@@ -219,8 +220,8 @@
     }
 }
 
-/// How many connections there is room for. Danger: each may come to hold a body and what is read ahead of it. So many are
-/// taken as there is memory for, even if all of them do.
+/// How many connections fit. Danger: each of them may hold a whole body and input that is read ahead; the bound is such that
+/// memory suffices even if all of them do.
 fn capacity(share: ResourceShare, own: usize) -> usize {
     let room = share.memory.saturating_sub(OWN_MEMORY) / (BODY_MOST + 2 * BUFFER_MOST);
     share.sockets.saturating_sub(own).min(room).max(8)
@@ -245,14 +246,14 @@
     }
 }
 
-/// What answers requests, and its parts in changes.
+/// What answers requests, and what takes part in rollouts and policies.
 struct Components {
     front: Backend,
     rollout: Option<Rc<RolloutClient>>,
     policy: Option<Rc<PolicyClient>>,
 }
 
-/// One decision module on the list of the proxy's own discovery, with a control service's where one is subscribed to.
+/// One decision module on the endpoint list of the proxy's own discovery, merged with a control service's if it subscribes to one.
 fn single_cluster(
     config: Config,
     clock: Clock,
@@ -298,7 +299,7 @@
         self.connections.get()
     }
 
-    /// Brings what operators read up to date where it changes by itself, with time.
+    /// Updates the status and gauges that change with time alone.
     pub fn publish_status(&self) {
         let (listed, avoided) = self.backend.members();
         self.metrics.members.set(listed as u64);
@@ -310,12 +311,12 @@
         });
     }
 
-    /// Whether this process may say that it serves, and why not.
+    /// Whether this process may report that it serves, and why not.
     pub fn readiness(&self) -> Result<(), NotReady> {
         may_serve(&self.serve_facts())
     }
 
-    /// What is known of this process, for the guard of serving.
+    /// The facts that `may_serve` decides by.
     pub fn serve_facts(&self) -> ServeFacts {
         ServeFacts {
             node_known: self.backend.can_serve(),
