--- a/src/proxy/config/active_config.rs
+++ b/src/proxy/config/active_config.rs
@@ -1,4 +1,4 @@
-//! What a proxy acts by: settings and the names that stand for what is in them. Taken whole, between two requests.
+//! The active configuration of a proxy: settings, and the names in them. Replaced as a whole, between two requests.
 
 use crate::api::{Effect, Nanos, Settings};
 use crate::proxy::config::interner::Interner;
@@ -6,11 +6,11 @@
 
 /// Settings in force, with their names.
 pub struct ActiveConfig {
-    /// What the module goes by.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// What its numbers stand for.
+    /// The names behind the module's numbers.
     pub names: Interner,
-    /// By class: a repeat rests on a group that remembers it.
+    /// By class: whether a retry relies on deduplication by a group of nodes.
     keyed: Vec<bool>,
 }
 
@@ -20,12 +20,12 @@
         ActiveConfig { settings, names, keyed }
     }
 
-    /// Whether a repeat of a write of this class rests on a group that remembers it.
+    /// Whether the retry of a write of this class relies on deduplication by a group of nodes.
     pub fn keyed(&self, class: u32) -> bool {
         self.keyed.get(class as usize).is_some_and(|k| *k)
     }
 
-    /// For how long repeats of a class are remembered; `None`: they may run again, or must not be sent.
+    /// How long nodes deduplicate retries of a class; `None`: they may run again, or must not be sent.
     pub fn remembered(&self, class: u32) -> Option<Nanos> {
         self.settings
             .classes
@@ -34,18 +34,18 @@
             .map(|c| c.dedup_window)
     }
 
-    /// The longest time that a class gives.
+    /// The longest deadline of any class.
     pub fn longest(&self) -> Duration {
         Duration::from_nanos(self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0))
     }
 
-    /// For each tenant here the number that it has there; `None`: it was not one.
+    /// For each tenant of this configuration its number in the other; `None`: it is new.
     pub fn tenants_before(&self, before: &Interner) -> Vec<Option<usize>> {
         let had = |name: &String| before.tenants.iter().position(|t| t == name);
         self.names.tenants.iter().map(had).collect()
     }
 
-    /// The time up to which an answer of this class is worth all that it can be.
+    /// The latency objective of a class.
     pub fn aim(&self, class: usize) -> Nanos {
         self.settings.classes.get(class).map_or(Nanos::MAX, |c| c.aim)
     }
--- a/src/proxy/config/interner.rs
+++ b/src/proxy/config/interner.rs
@@ -1,10 +1,10 @@
-//! The names that stand on the sockets for what the module knows by number.
+//! Names on the wire for what the decision module knows by number.
 
 use crate::api::{server_id, Entry, State};
 use rushquay_endpoints::{Endpoint, EndpointState};
 use std::net::SocketAddr;
 
-/// The names that stand on the sockets for what the module knows by number.
+/// Names on the wire for what the decision module knows by number.
 #[derive(Default)]
 pub struct Interner {
     /// Of classes.
@@ -18,12 +18,12 @@
 }
 
 impl Interner {
-    /// The module's form of a cache node, and where to connect.
+    /// An endpoint as the module reads it, and where to connect.
     pub fn entry(&self, m: &Endpoint) -> (Entry, Option<SocketAddr>) {
         // A name that the settings do not list is none of those that they do.
         let index =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len()) as u32;
-        // Danger: two such zones taken for one would be taken for one group that drops repeats.
+        // Danger: two unlisted zones that are taken for one would be taken for one deduplication group.
         let zone = match index(&self.zones, &m.zone) {
             known if (known as usize) < self.zones.len() || m.zone.is_empty() => known,
             _ => (1 << 30) + (server_id(&m.zone) >> 34) as u32,
--- a/src/proxy/config/layers.rs
+++ b/src/proxy/config/layers.rs
@@ -1,4 +1,4 @@
-//! What this proxy acts by, in layers: the settings of its file, a generation over them, and a policy over both.
+//! The layers of the active configuration: the settings of the proxy's file, a config version over them, and a policy over both.
 
 use crate::proxy::config::active_config::ActiveConfig;
 use crate::proxy::config::settings::settings_of;
@@ -13,29 +13,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What a policy says now.
+/// What the policy client permits now.
 #[derive(Clone)]
 pub struct PolicyLayer {
-    /// By what this process has leave to act.
+    /// The policies that this process holds a lease for.
     pub leave: Leave,
-    /// What it was told last.
+    /// The policy set that it was granted last.
     pub last: Option<PolicySet>,
-    /// The policies that are named there.
+    /// The documents of these policies.
     pub policies: BTreeMap<PolicyNumber, Policy>,
-    /// What it begins by.
+    /// The fallback policy of its own file.
     pub begin_by: FallbackPolicy,
 }
 
-/// What follows for requests.
+/// Which requests are rejected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RejectedClasses {
-    /// Nobody is served.
+    /// Everything is rejected.
     pub all: bool,
-    /// By class.
+    /// Whether a class is rejected, by its number.
     pub classes: Vec<bool>,
 }
 
-/// The layers. What is taken is whole, and obeyed from the next request on.
+/// The layers of the configuration. A change applies completely, from the next request on.
 pub struct ConfigLayers {
     engine: Rc<Engine>,
     own: Value,
@@ -43,7 +43,7 @@
     refusing: RefCell<RejectedClasses>,
 }
 
-/// Acted by, and what is refused meanwhile; `None`: nobody is served, and it matters little by what.
+/// The effective settings and what is rejected under them; `None`: everything is rejected.
 type Comes = (Option<ActiveConfig>, RejectedClasses);
 
 impl ConfigLayers {
@@ -53,34 +53,34 @@
         Rc::new(ConfigLayers { engine, own, over, refusing: RefCell::default() })
     }
 
-    /// What obeys them.
+    /// The engine that they apply to.
     pub fn engine(&self) -> &Rc<Engine> {
         &self.engine
     }
 
-    /// What is refused now.
+    /// What is rejected now.
     pub fn rejects(&self, class: usize) -> bool {
         let refusing = self.refusing.borrow();
         refusing.all || refusing.classes.get(class).is_some_and(|stopped| *stopped)
     }
 
-    /// Whether nobody is served.
+    /// Whether everything is rejected.
     pub fn rejects_all(&self) -> bool {
         self.refusing.borrow().all
     }
 
-    /// Whether a generation could be taken, with the policy that there is.
+    /// Checks whether a config version could be applied under the present policy.
     ///
     /// # Errors
-    /// The field that can't be obeyed, with its path.
+    /// The path of a field that cannot be applied, and why.
     pub fn check_version(&self, generation: &ConfigVersion) -> Result<(), String> {
         self.comes(generation, self.over.borrow().1.as_ref()).map(drop)
     }
 
-    /// Takes a generation.
+    /// Applies a config version.
     ///
     /// # Errors
-    /// The same; all stays as it is.
+    /// The same; the configuration is unchanged then.
     pub fn apply_version(&self, generation: &ConfigVersion) -> Result<(), String> {
         let comes = self.comes(generation, self.over.borrow().1.as_ref())?;
         self.over.borrow_mut().0 = generation.clone();
@@ -88,18 +88,18 @@
         Ok(())
     }
 
-    /// Whether what a policy says could be taken.
+    /// Checks whether a policy layer could be applied.
     ///
     /// # Errors
-    /// The field that can't be obeyed, with its path.
+    /// The path of a field that cannot be applied, and why.
     pub fn check_policy(&self, say: &PolicyLayer) -> Result<(), String> {
         self.comes(&self.over.borrow().0, Some(say)).map(drop)
     }
 
-    /// Takes what a policy says.
+    /// Applies a policy layer.
     ///
     /// # Errors
-    /// The same; all stays as it is.
+    /// The same; the configuration is unchanged then.
     pub fn apply_policy(&self, say: PolicyLayer) -> Result<(), String> {
         let comes = self.comes(&self.over.borrow().0, Some(&say))?;
         self.over.borrow_mut().1 = Some(say);
@@ -130,7 +130,7 @@
     }
 }
 
-/// What is refused, by class.
+/// Which classes are rejected.
 fn refusing(stops: &BTreeSet<RejectedClass>, classes: &[String]) -> RejectedClasses {
     let stopped = |class: &String| stops.iter().any(|s| s.class.as_ref() == Some(class));
     RejectedClasses {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Settings that this proxy can act by; why it can't.
+/// The effective settings; an error if this proxy cannot apply them.
 fn checked(settings: &Value) -> Result<ActiveConfig, String> {
     let (settings, names) = settings_of(settings)?;
     for (i, class) in settings.classes.iter().enumerate() {
--- a/src/proxy/config/mod.rs
+++ b/src/proxy/config/mod.rs
@@ -33,9 +33,9 @@
 pub const CONTROL: &str = "PROXY_CONTROL";
 /// Names the file that has clusters, endpoints and routes come in Envoy's form.
 pub const ENVOY: &str = "PROXY_ENVOY";
-/// Names the file that has this proxy take settings in stages from the control service.
+/// Names the file that has this proxy take part in rollouts.
 pub const ROLLOUT: &str = "PROXY_ROLLOUT";
-/// Names the file that has this proxy ask for leave to act by a policy.
+/// Names the file that has this proxy take part in policies.
 pub const POLICY: &str = "PROXY_POLICY";
 /// Sockets that a proxy may hold where nothing is said.
 const SOCKETS: usize = 1024;
@@ -68,25 +68,25 @@
     pub connect_timeout: Duration,
     /// How long after a change was told a node that drains or is gone may still be sent new work.
     pub drain_grace: Nanos,
-    /// What the module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The same as the file says it: what changes come is laid over it.
+    /// The same as the file has them: rollouts and policies are laid over them.
     pub own: Value,
     /// The names of what it knows by number.
     pub names: Interner,
-    /// The node list as it was last had; may be old.
+    /// The endpoint list that was known last; may be stale.
     pub known: Option<EndpointList>,
     /// A control service to subscribe to; `None`: the proxy follows its own discovery alone.
     pub control: Option<ControlSource>,
     /// Clusters, endpoints and routes in Envoy's form, in place of discovery.
     pub envoy: Option<EnvoySource>,
-    /// This proxy's part in changes of settings; `None`: it acts by its file alone.
+    /// This proxy's part in rollouts; `None`: it applies its file alone.
     pub rollout: Option<RolloutSource>,
-    /// This proxy's part in changes of policy; `None`: it asks nobody.
+    /// This proxy's part in policies; `None`: it has none.
     pub policy: Option<PolicySource>,
-    /// The clocks that it goes by, passed in, since two machines' clocks differ: leaves run out by the steady one.
+    /// The clocks, passed in, since the clocks of two machines differ: policy leases expire by the steady one.
     pub clocks: Clocks,
-    /// The host that has started this process; `None`: none has.
+    /// The supervisor that started this process; `None`: there is none.
     pub hosted: Option<Supervised>,
 }
 
--- a/src/proxy/config/reload.rs
+++ b/src/proxy/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when the process is told to, and hands on what of them takes effect.
+//! Rereads the settings on SIGHUP, and passes on what takes effect while the process runs.
 
 use crate::proxy::config::Config;
 use crate::proxy::process::signals::SignalFlag;
@@ -7,11 +7,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-/// Settings that can't be used are read again so often: whoever writes the file may still be at it.
+/// How often settings that cannot be used are read again: the file may still be being written.
 const READS_MOST: u32 = 10;
 const READ_EVERY: Duration = Duration::from_millis(150);
 
-/// Follows signals for good; `moves` hears where discovery is from then on.
+/// Handles signals for as long as the process runs; `moves` receives the new address of discovery.
 pub async fn follow(hangup: SignalFlag, moves: mpsc::UnboundedSender<SocketAddr>) {
     loop {
         hangup.raised().await;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Where discovery is by the settings as they stand now.
+/// The address of discovery by the settings on disk.
 async fn discovery_again() -> Result<Option<SocketAddr>, String> {
     let mut reads = 0;
     loop {
--- a/src/proxy/config/settings.rs
+++ b/src/proxy/config/settings.rs
@@ -25,7 +25,7 @@
     if let Some(i) = settings.classes.iter().position(|c| c.deadline == 0) {
         return Err(format!("settings.categories.{i}.deadline_ns is missing or 0"));
     }
-    // Danger: what is not told may be repeated would be taken for harmless.
+    // Danger: a class without an effect would be taken for idempotent.
     let effect = |class: &Value| class["effect"].is_string();
     let classes = told["categories"].as_array().map_or(&[][..], Vec::as_slice);
     if let Some(i) = classes.iter().position(|c| !effect(c)) {
--- a/src/proxy/control/mod.rs
+++ b/src/proxy/control/mod.rs
@@ -1,4 +1,4 @@
-//! What a proxy has to do with the control service: its subscription, its part in rollouts and in policies.
+//! The proxy's side of the control service: its subscription, and its part in rollouts and policies.
 
 pub mod policy_client;
 pub mod policy_settings;
--- a/src/proxy/control/policy_settings.rs
+++ b/src/proxy/control/policy_settings.rs
@@ -12,9 +12,9 @@
 pub struct PolicySource {
     /// It asks for leave so often.
     pub every: Duration,
-    /// What it does that has just started, until it is answered.
+    /// What the process does after its start until it holds a policy lease.
     pub unanswered: StartupPolicy,
-    /// What it goes by where it may begin without an answer.
+    /// The fallback policy that it may start under without a lease.
     pub floor: FallbackPolicy,
 }
 
@@ -41,7 +41,7 @@
         read.fits(own).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// The same without a look at the proxy's own settings.
+    /// The same, without checking it against the proxy's own settings.
     ///
     /// # Errors
     /// What is wrong, with the file and the field.
@@ -81,7 +81,7 @@
         Ok(PolicySource { every: Duration::from_millis(written.ask_ms), unanswered, floor })
     }
 
-    /// Whether the floor can be laid over a proxy's own settings.
+    /// Checks that the fallback policy can be laid over the proxy's own settings.
     fn fits(self, own: &Value) -> Result<Self, String> {
         if let FallbackPolicy::Settings(settings) = &self.floor {
             settings.over(own).map_err(|e| format!("floor: {e}"))?;
--- a/src/proxy/control/rollout_client.rs
+++ b/src/proxy/control/rollout_client.rs
@@ -1,5 +1,5 @@
-//! This proxy's part in changes of settings: it takes what the control service gives it, whole or not at all, and tells what it
-//! acts by and how it does.
+//! The proxy's part in rollouts: it applies the config version that the control service assigns to it, completely or not at all, and
+//! reports which version is active and how its requests fare.
 
 use crate::proxy::config::layers::ConfigLayers;
 use crate::proxy::control::rollout_metrics::RolloutMetrics;
@@ -16,11 +16,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// It looks at its own clock so often, and a look is late that comes so much after its time.
+/// Interval of the probes of its own clock, and by how much a probe must be overdue to count as late.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 const LATE_PROBE_AFTER: Duration = Duration::from_millis(10);
 
-/// Looks at its own clock: all, and those that came late.
+/// Counts probes of the process's own clock, and those that were late.
 #[derive(Default)]
 struct ClockProbe {
     all: Cell<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl ClockProbe {
-    /// Looks for as long as the process runs.
+    /// Probes for as long as the process runs.
     async fn count(self: Rc<Self>) {
         loop {
             let due = Instant::now() + PROBE_INTERVAL;
@@ -44,13 +44,13 @@
     acting: Digest,
     change: u64,
     refused: Option<RejectedConfig>,
-    /// What it was given last and obeys, as it came.
+    /// The assignment that is applied, as it was received.
     given: Option<String>,
-    /// What it was given last and can obey as another program alone, which its host is to start.
+    /// The last assignment if only another program can apply it, which the supervisor is to start.
     next: Option<String>,
 }
 
-/// This process in changes.
+/// This process as a member of rollouts.
 pub struct RolloutClient {
     source: RolloutSource,
     hosted: Option<Supervised>,
@@ -58,17 +58,17 @@
     engine: Rc<Engine>,
     layers: Rc<ConfigLayers>,
     ledger: Arc<RequestMetrics>,
-    /// How its requests end.
+    /// Counts how its requests end.
     pub request_metrics: RolloutMetrics,
     state: RefCell<State>,
     beats: Rc<ClockProbe>,
     leaving: Cell<bool>,
-    /// There is something to tell at once.
+    /// Notified when there is something to report immediately.
     pub news: Arc<Notify>,
 }
 
 impl RolloutClient {
-    /// Acts by its own file until it is told otherwise.
+    /// Starts on the settings of its own file.
     pub fn new(
         source: RolloutSource,
         hosted: Option<Supervised>,
@@ -79,7 +79,7 @@
         let engine = layers.engine().clone();
         let tally = RolloutMetrics::new(engine.acting().names.classes.len());
         let base = ConfigVersion::base();
-        // Danger: one that says it acts by the base, and is another program than the base has, would pass for gone back.
+        // Danger: a process that reports the base version while it is another program than the base has would be taken for rolled back.
         let acting = match &hosted {
             Some(hosted) if !hosted.is(&base) => base.with_program(hosted.runs).digest(),
             _ => base.digest(),
@@ -107,7 +107,7 @@
         rollout
     }
 
-    /// Whether this process is the program that a generation asks for.
+    /// Whether this process is the program that a config version names.
     fn is(&self, generation: &ConfigVersion) -> bool {
         match &self.hosted {
             Some(hosted) => hosted.is(generation),
@@ -115,23 +115,23 @@
         }
     }
 
-    /// It tells of itself so often.
+    /// Interval between reports.
     pub fn report_interval(&self) -> Duration {
         self.source.every
     }
 
-    /// The process was told to end.
+    /// Graceful shutdown has begun; it is reported immediately.
     pub fn begin_shutdown(&self) {
         self.leaving.set(true);
         self.news.notify_one();
     }
 
-    /// Whether this proxy can obey what it is given. What it can't is told with the next report.
+    /// Whether this proxy can apply an assignment. The reason why not goes into the next report.
     pub fn can_apply(&self, given: &ConfigAssignment) -> Result<(), String> {
         let alone = self.hosted.is_none() && given.generation.program().is_some();
         let checked = match alone {
             true => Err("settings.program: no host runs this proxy, and none can replace it".into()),
-            // What another program can obey it says itself, once it runs.
+            // Whether another program can apply it is for that program to report, once it runs.
             false if !self.is(&given.generation) => Ok(()),
             false => self.layers.check_version(&given.generation),
         };
@@ -149,36 +149,36 @@
         checked
     }
 
-    /// What it was given last and obeys, or waits for its host to obey: for a process that takes over.
+    /// The assignment that is applied, or that waits for the supervisor: for a successor.
     pub fn assignment_text(&self) -> Option<String> {
         let state = self.state.borrow();
         state.next.clone().or_else(|| state.given.clone())
     }
 
-    /// The process before this one was given this. What can't be read or obeyed is left: the control service is asked anyway.
+    /// Takes over the incumbent's assignment. One that cannot be read or applied is ignored: the control service sends it again.
     pub fn inherit(&self, given: &str) {
         match ConfigAssignment::read(given) {
-            // What is for another program is left to that.
+            // An assignment for another program is left to that program.
             Ok(given) if self.is(&given.generation) && self.can_apply(&given).is_ok() => self.apply(&given),
             Ok(_) => {}
             Err(e) => crate::proxy::log(format_args!("the old process's settings are not taken: {e}")),
         }
     }
 
-    /// Acts by what it is given from the next request on.
+    /// Applies an assignment from the next request on.
     pub fn apply(&self, given: &ConfigAssignment) {
         let digest = given.generation.digest();
         let mut state = self.state.borrow_mut();
         (state.change, state.refused) = (given.change, None);
         if !self.is(&given.generation) {
-            // Danger: settings that are meant for the next program would be taken without it. All stays as it is until that runs.
+            // Danger: settings that are meant for the next program would be applied without it. Everything stays as it is until that runs.
             state.next = Some(given.text());
             self.news.notify_one();
             return;
         }
         (state.given, state.next) = (Some(given.text()), None);
         if digest != state.acting {
-            // It was checked before it was acknowledged.
+            // It was validated before it was acknowledged.
             if self.layers.apply_version(&given.generation).is_err() {
                 return;
             }
@@ -188,7 +188,7 @@
         self.news.notify_one();
     }
 
-    /// What this process tells of itself.
+    /// The next report of this process.
     pub fn report(&self) -> String {
         let mut state = self.state.borrow_mut();
         state.seq += 1;
@@ -218,7 +218,7 @@
     }
 }
 
-/// Resident memory in bytes and open descriptors of this process; 0 where the machine doesn't say.
+/// Resident memory in bytes and open descriptors of this process; 0 if the system does not report them.
 fn held() -> (u64, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let kilobytes =
--- a/src/proxy/control/rollout_metrics.rs
+++ b/src/proxy/control/rollout_metrics.rs
@@ -1,4 +1,4 @@
-//! What this proxy counts for the comparison of old and new: how requests ended, by class, and how long that took.
+//! Counters for the analysis of a rollout: how requests ended, by class, and how long they took.
 
 use crate::proxy::config::active_config::ActiveConfig;
 use rushquay_admin::RequestOutcome;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Counts since the start of the process. The classes of a proxy stay the same while it runs.
+/// Counters since the start of the process. The classes of a proxy do not change while it runs.
 pub struct RolloutMetrics {
     classes: RefCell<Vec<ClassStats>>,
 }
@@ -17,7 +17,7 @@
         RolloutMetrics { classes: RefCell::new(vec![ClassStats::default(); classes]) }
     }
 
-    /// A request of a class that began under these settings has ended so, after this time.
+    /// Counts a request of a class that started under these settings, with its outcome and duration.
     pub fn count(&self, under: &ActiveConfig, class: usize, end: RequestOutcome, took: Duration) {
         let mut classes = self.classes.borrow_mut();
         let Some(figures) = classes.get_mut(class) else { return };
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All of it, by the classes' names.
+    /// All counters by the names of the classes.
     pub fn figures(&self, names: &[String]) -> BTreeMap<String, ClassStats> {
         names.iter().cloned().zip(self.classes.borrow().iter().cloned()).collect()
     }
--- a/src/proxy/control/rollout_settings.rs
+++ b/src/proxy/control/rollout_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a proxy's part in changes, checked.
+//! Settings of the proxy's part in rollouts, validated.
 
 use crate::proxy::config::settings_file::read_text;
 use serde::Deserialize;
@@ -6,12 +6,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How this proxy takes part: a TOML file that `PROXY_ROLLOUT` names, or `rollout` in the proxy's JSON.
+/// How this proxy takes part in rollouts: a TOML file that `PROXY_ROLLOUT` names, or `rollout` in the proxy's JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutSource {
-    /// Its data centre.
+    /// Its zone.
     pub zone: String,
-    /// It tells of itself so often.
+    /// Interval between reports.
     pub every: Duration,
 }
 
--- a/src/proxy/control/settings.rs
+++ b/src/proxy/control/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a subscription to a control service, checked.
+//! Settings of the subscription to a control service, validated.
 
 use crate::proxy::config::settings_file::read_text;
 use serde::Deserialize;
@@ -9,25 +9,25 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSource {
-    /// Control services, `IP:PORT` each; one is followed at a time, the next when it is lost.
+    /// Control services, `IP:PORT` each; the proxy subscribes to one at a time, and to the next when that is lost.
     pub addresses: Vec<SocketAddr>,
-    /// The clusters whose endpoints are the node list.
+    /// The clusters whose endpoints form the endpoint list.
     #[serde(default = "clusters")]
     pub clusters: Vec<String>,
-    /// Ask for LEDS collections, so that one change costs one endpoint; a server that has none is asked for whole
-    /// clusters.
+    /// Subscribe to LEDS collections, so that a change costs one endpoint; off for a server that has none, which is then asked for
+    /// complete clusters.
     #[serde(default = "yes")]
     pub collections: bool,
-    /// For how long, in seconds, a drain stands against a control service or a list that is older than it.
+    /// How long, in seconds, a drain prevails over a control service or a list that is older than it.
     #[serde(default = "hold")]
     pub hold_s: u64,
-    /// The first wait before connecting again, in milliseconds; it doubles.
+    /// The first backoff before reconnecting, in milliseconds; it doubles.
     #[serde(default = "backoff")]
     pub backoff_ms: u64,
-    /// The longest wait, in milliseconds.
+    /// The longest backoff, in milliseconds.
     #[serde(default = "backoff_most")]
     pub backoff_most_ms: u64,
-    /// Most endpoints taken.
+    /// Most endpoints accepted.
     #[serde(default = "endpoints_most")]
     pub endpoints_most: usize,
     /// Mutual TLS.
--- a/src/proxy/control/subscription.rs
+++ b/src/proxy/control/subscription.rs
@@ -1,5 +1,5 @@
-//! The subscription to a control service, where one is configured. It adds to the proxy's own discovery and takes
-//! nothing from it: while it is lost the proxy goes on with what it has.
+//! The subscription to a control service, if one is configured. It adds to the proxy's own discovery and replaces none of it: while the
+//! control service is unreachable, the proxy goes on with what it has.
 
 use crate::proxy::config::Config;
 use crate::proxy::control::policy_client::PolicyClient;
@@ -18,27 +18,27 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Descriptors that it may hold: a connection, and one that is just ending.
+/// Descriptors that it may hold: one connection, and one that is just closing.
 pub const DESCRIPTORS: usize = 4;
-/// Overrides end by this clock, also while the control service is lost: within a second of their time.
+/// Interval at which overrides are expired, also while the control service is unreachable: well within a second of their time.
 const TICK: Duration = Duration::from_millis(250);
-/// A stream that has told nothing for so long has had its say. Danger: what brings a proxy up to date may come in many
-/// answers; taken for settled after the first, an old control service would be believed in the second.
+/// A stream without a response for this long has delivered its complete state. Danger: the state may arrive in many responses; if it
+/// were taken for complete after the first, a stale control service would be believed with the second.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
-/// An answer is at most this long; five thousand endpoints inline take a quarter of it.
+/// Longest response in bytes; five thousand inline endpoints take a quarter of it.
 const ANSWER_MOST: usize = 8 << 20;
 
-/// What a subscription brings beside nodes.
+/// What a subscription carries besides endpoints.
 pub struct Parts {
-    /// Changes of settings in stages.
+    /// The proxy's part in rollouts.
     pub rollout: Option<Rc<RolloutClient>>,
-    /// Changes of policy.
+    /// The proxy's part in policies.
     pub policy: Option<Rc<PolicyClient>>,
-    /// Told when one of them has something to tell at once.
+    /// Notified when one of them has something to send immediately.
     pub news: Arc<Notify>,
 }
 
-/// A subscription that is to be followed.
+/// A configured subscription.
 pub struct ControlSubscription {
     source: ControlSource,
     name: String,
@@ -46,13 +46,13 @@
 }
 
 impl ControlSubscription {
-    /// What the configuration says of one; `None`: there is none.
+    /// The subscription that the configuration names; `None`: there is none.
     pub fn of(config: &Config) -> Option<Self> {
         let source = config.control.clone()?;
         Some(ControlSubscription { source, name: config.name.clone(), seed: config.seed })
     }
 
-    /// Bounds of the merged list.
+    /// Limits of the merged endpoint list.
     pub fn limits(&self) -> MergeLimits {
         MergeLimits { hold: self.source.hold_s.saturating_mul(1_000_000_000), ..MergeLimits::default() }
     }
--- a/src/proxy/discovery/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The node list of this proxy: its own discovery's alone, or merged with a control service's.
+//! The endpoint list of this proxy: its own discovery's alone, or merged with a control service's.
 
 use crate::api::{server_id, ListKind, ServerId};
 use crate::proxy::engine::Engine;
@@ -11,24 +11,24 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Takes news from the sources and hands the module one list.
+/// Receives watch events from the sources and passes one merged list to the engine.
 pub struct EndpointFeed {
     engine: Rc<Engine>,
-    /// Where a control service is subscribed to.
+    /// The merger, if there is a subscription to a control service.
     merge: Option<RefCell<EndpointMerger>>,
-    /// How far the control service's clock is ahead: what it says of time is on that clock.
+    /// How far the control service's clock is ahead: its timestamps are on that clock.
     skew: Cell<Skew>,
     pins: RefCell<Vec<(Pin, ServerId)>>,
-    /// Discovery's list, for a process that takes over.
+    /// Discovery's list, for a successor.
     roll: RefCell<ListAssembler>,
-    /// When nodes started, on this process's clock.
+    /// Start times of endpoints on this process's clock.
     starts: RefCell<StartTimes>,
     /// Unix time at the start, and the machine's steady clock then.
     start: (Nanos, Nanos),
 }
 
 impl EndpointFeed {
-    /// With `limits` discovery's list is merged with a control service's; without, it goes on as it comes.
+    /// With `limits` discovery's list is merged with a control service's; without, it is passed on unchanged.
     pub fn new(engine: Rc<Engine>, limits: Option<MergeLimits>, known: Option<&EndpointList>) -> Rc<Self> {
         let merge = limits.map(|limits| {
             let mut merge = EndpointMerger::new(limits);
@@ -46,7 +46,7 @@
         Rc::new(EndpointFeed { engine, merge, skew, pins, roll, starts, start })
     }
 
-    /// Unix time by this machine, which never jumps.
+    /// Unix time by this process's clock, which never steps.
     pub fn now(&self) -> Nanos {
         self.start.0 + steady().saturating_sub(self.start.1)
     }
@@ -70,12 +70,12 @@
         self.skew.set(skew);
     }
 
-    /// Discovery's list as a whole.
+    /// Discovery's complete list.
     pub fn whole(&self) -> Option<EndpointList> {
         self.roll.borrow().whole()
     }
 
-    /// Discovery has told the whole list, or what changed.
+    /// Discovery delivered the complete list, or changes to it.
     pub fn discovered(&self, list: EndpointList) {
         self.roll.borrow_mut().take(&list);
         let mut list = list;
@@ -91,12 +91,12 @@
             let all: Vec<Endpoint> = merge.nodes().map(|v| self.begun(v.member.clone())).collect();
             self.engine.list(ListKind::Full, &all);
         } else {
-            // Also where nothing changed: the module hears that discovery answers.
+            // Also if nothing changed: the module learns that discovery answers.
             self.changed(changes);
         }
     }
 
-    /// Discovery's answer was made at this Unix time, by its own clock.
+    /// Discovery's response has this Unix time, by its own clock.
     pub fn dated(&self, date: Nanos) {
         let mut starts = self.starts.borrow_mut();
         if starts.dated(date, self.engine.now()) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Discovery can't be reached; its list stands.
+    /// Discovery is unreachable; its list stays in use.
     pub fn failed(&self) {
         if let Some(merge) = &self.merge {
             merge.borrow_mut().lost(Source::Discovery);
@@ -115,12 +115,12 @@
         self.engine.list(ListKind::Failed, &[]);
     }
 
-    /// The control service, as the process named, has told something.
+    /// The named incarnation of the control service delivered an event.
     pub fn controlled(&self, process: &str, news: WatchEvent) {
         self.with_merge(|merge, now| merge.control(process, news, now));
     }
 
-    /// The control service can't be reached; what it said stands.
+    /// The control service is unreachable; its list stays in use.
     pub fn control_lost(&self) {
         self.with_merge(|merge, _| {
             merge.lost(Source::Control);
@@ -128,7 +128,7 @@
         });
     }
 
-    /// The control service has had its say on this stream.
+    /// The control service has delivered its complete state on this stream.
     pub fn control_confirmed(&self) {
         self.with_merge(|merge, _| {
             merge.confirm();
@@ -136,7 +136,7 @@
         });
     }
 
-    /// Time has passed.
+    /// Expires what holds for a time.
     pub fn tick(&self) {
         self.with_merge(EndpointMerger::tick);
     }
@@ -150,13 +150,13 @@
         }
     }
 
-    /// Danger: by a clock that is ahead of this one a node may have started in the future, and would count as cold until
-    /// then and for its whole ramp.
+    /// Limits start times to the present. Danger: by a clock that is ahead of this one an endpoint may have started in the future, and
+    /// would count as cold until then and for its whole slow start.
     fn begun(&self, member: Endpoint) -> Endpoint {
         Endpoint { started: member.started.min(self.engine.now()), ..member }
     }
 
-    /// Hands on what operators have pinned, where that has changed.
+    /// Passes on the operators' pins if they changed.
     fn pin(&self, merge: &EndpointMerger) {
         let mut now: Vec<(Pin, ServerId)> =
             merge.pins().map(|(id, pin)| (self.by_own_clock(pin), server_id(id))).collect();
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the list of cache nodes at discovery: one call after another, each when [`Follow`] says.
+//! Watches the endpoint list at discovery: one call after another, each when [`WatchSchedule`] says.
 
 pub(crate) mod endpoint_list;
 
@@ -23,17 +23,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A connection comes up within this time, or has failed.
+/// Timeout of a connect.
 const CONNECT: Duration = Duration::from_secs(1);
-/// One connection, and old ones that are just ending.
+/// Descriptors that it may hold: one connection, and old ones that are just closing.
 pub const DESCRIPTORS: usize = 4;
-/// A list is at most this long; a thousand entries take a fifth of it.
+/// Longest list in bytes; a thousand entries take a fifth of it.
 const LIST_MOST: usize = 1 << 20;
 
-/// What a call brought.
+/// The result of a call.
 struct ListAnswer {
     members: EndpointList,
-    /// When it was made, in Unix time by discovery's clock; `None`: it does not say.
+    /// The response's date, in Unix time by discovery's clock; `None`: it has none.
     date: Option<u64>,
 }
 
@@ -43,7 +43,7 @@
     u64::try_from(date.as_nanosecond()).ok()
 }
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 struct Failed {
     how: CallFailure,
     why: String,
@@ -73,11 +73,11 @@
 
 pub struct Discovery {
     addr: SocketAddr,
-    /// What to ask for next.
+    /// What to request next.
     cursor: ListCursor,
-    /// When to ask for it.
+    /// When to request it.
     follow: WatchSchedule,
-    /// Danger: were these of the clients' budget, a flood of clients would cut the proxy off from the list.
+    /// Danger: if these descriptors came from the clients' budget, a flood of clients would cut the proxy off from the endpoint list.
     descriptors: Rc<Descriptors>,
     sender: Option<SendRequest<Body>>,
     outage: Outage,
@@ -96,12 +96,11 @@
         }
     }
 
-    /// Follows the list for as long as the process lives. An address that comes from `moved` takes the place of the present
-    /// one.
+    /// Watches the list for as long as the process runs. An address from `moved` replaces the present one.
     pub async fn follow(mut self, nodes: Rc<EndpointFeed>, mut moved: mpsc::UnboundedReceiver<SocketAddr>) {
         loop {
             let step = self.follow.next(fastrand::f64);
-            // Danger: a standing watch at the old address says nothing for many seconds, and then that it is gone.
+            // Danger: a watch at the old address stays silent for many seconds before it fails.
             let called = tokio::select! {
                 biased;
                 Some(addr) = moved.recv() => {
@@ -150,7 +149,7 @@
         }
     }
 
-    /// From here on asks at this address, for the whole list first: its versions may be other ones.
+    /// Continues at this address with the complete list: its versions may differ.
     fn move_to(&mut self, addr: SocketAddr) {
         crate::proxy::log(format_args!("discovery is now at {addr}"));
         (self.addr, self.sender) = (addr, None);
@@ -166,7 +165,7 @@
 
     async fn exchange(&mut self, hold: u64) -> Result<ListAnswer, Failed> {
         let kept = match self.sender.take() {
-            // A kept connection that has ended says nothing of discovery.
+            // A reused connection that was closed meanwhile says nothing about discovery.
             Some(mut sender) => sender.ready().await.is_ok().then_some(sender),
             None => None,
         };
