--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -1,5 +1,5 @@
-//! This proxy's part in changes of policy: it asks for leave, acts by what it has leave for, and by the floor without
-//! (`docs/design-policy.md`). What is decided stands in `rushquay_policy`; here are the clock, the words and the module's settings.
+//! The proxy's part in policies: it requests leases, applies the policies that it holds a lease for, and the fallback policy without one
+//! (`docs/design-policy.md`). `rushquay_policy` decides; here are the clock, the messages and the layers of settings.
 
 use crate::api::Nanos;
 use crate::proxy::config::layers::{ConfigLayers, PolicyLayer};
@@ -18,24 +18,24 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Advice to who is refused by a policy, where the settings allow so much.
+/// Retry-After for a request that a policy rejects, as far as the settings allow it.
 const WAIT: Duration = Duration::from_secs(1);
 
-/// What a process tells the one that takes over from it.
+/// What an incumbent hands over to its successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PolicyHandover {
     member: rushquay_policy::MemberSnapshot,
-    /// What it acts by, as it was told.
+    /// The broadcast that is applied, as it was received.
     holding: Option<String>,
 }
 
 impl PolicyHandover {
-    /// As it travels.
+    /// The message as JSON.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads it; what can't be read is left: the control service is asked anyway.
+    /// Parses it; one that cannot be parsed is ignored: the control service sends everything again.
     pub fn read(text: &str) -> Option<Self> {
         let read = serde_json::from_str(text);
         read.map_err(|e| crate::proxy::log(format_args!("the old process's policy is not taken: {e}"))).ok()
@@ -44,32 +44,32 @@
 
 struct State {
     member: Member,
-    /// What it was told last and obeys.
+    /// The broadcast that is applied.
     held: Option<PolicyBroadcast>,
-    /// What was told to all last.
+    /// The last broadcast received, or its revision and why it cannot be applied.
     came: Option<Result<PolicyBroadcast, (Revision, String)>>,
-    /// A leave whose policies have not come yet.
+    /// A lease grant whose policies have not been received yet.
     waits: Option<LeaseGrant>,
-    /// As it was said to the layers.
+    /// What was last passed to the layers.
     said: Option<(ActivePolicy, Option<PolicySet>)>,
 }
 
-/// This process in changes of policy.
+/// This process as a member of policies.
 pub struct PolicyClient {
     source: PolicySource,
     layers: Rc<ConfigLayers>,
     clocks: Clocks,
     state: RefCell<State>,
-    /// Until then nothing changes by itself.
+    /// Nothing expires before this time.
     until: Cell<Nanos>,
-    /// It is time to ask.
+    /// A lease request is due.
     due: Cell<bool>,
     news: Arc<Notify>,
     lease_granted: Notify,
 }
 
 impl PolicyClient {
-    /// Acts by what the process before this one was told, without its leave, or by nothing yet.
+    /// Starts on what the incumbent applied, without its lease, or on nothing yet.
     pub fn new(
         source: PolicySource,
         layers: Rc<ConfigLayers>,
@@ -113,44 +113,44 @@
         (self.clocks.steady)()
     }
 
-    /// Names this process.
+    /// The incarnation of this process.
     pub fn boot(&self) -> u64 {
         self.state.borrow().member.boot().0
     }
 
-    /// It asks so often.
+    /// Interval between lease requests.
     pub fn request_interval(&self) -> Duration {
         self.source.every
     }
 
-    /// Asks as soon as it can.
+    /// Sends a lease request as soon as possible.
     pub fn request_lease_now(&self) {
         self.due.set(true);
         self.news.notify_one();
-        // Nobody may be asking; what is due by the clock is done anyway.
+        // The stream may be down; what is due by the clock is done anyway.
         self.refresh();
     }
 
-    /// The ask that is due.
+    /// The lease request that is due.
     pub fn due_lease_request(&self) -> Option<String> {
         let now = self.now();
         self.due.replace(false).then(|| self.state.borrow_mut().member.ask(now).text())
     }
 
-    /// Whether anybody may be served.
+    /// Whether any request may be served.
     pub fn permits_serving(&self) -> bool {
         self.refresh();
         !self.layers.rejects_all()
     }
 
-    /// Returns once it has leave.
+    /// Returns once it holds a lease.
     pub async fn answered(&self) {
         while !matches!(self.state.borrow().member.acting(self.now()), ActivePolicy::Leased(_)) {
             self.lease_granted.notified().await;
         }
     }
 
-    /// What a process that takes over is to know.
+    /// What a successor has to know.
     pub fn handover(&self) -> PolicyHandover {
         let state = self.state.borrow();
         PolicyHandover {
@@ -159,21 +159,21 @@
         }
     }
 
-    /// Acts by what there is leave for at this moment. Danger: a timer may come late, and a process that was stopped goes on with the
-    /// request before the timer.
+    /// Applies what there is a lease for now. Danger: a timer may fire late, and a process that was stopped continues with a request
+    /// before its timers.
     pub fn refresh(&self) {
         if self.now() >= self.until.get() {
             self.act();
         }
     }
 
-    /// Whether a request of a class is refused by what is acted by, and the advised wait.
+    /// Whether the active policies reject a class, with the advised wait.
     pub fn rejects(&self, class: usize) -> Option<Duration> {
         let most = self.layers.engine().acting().settings.max_retry_after;
         self.layers.rejects(class).then(|| WAIT.min(Duration::from_nanos(most)))
     }
 
-    /// The control service has said this.
+    /// Handles messages of the control service.
     pub fn on_messages(&self, texts: &[PolicyMessage]) {
         for text in texts {
             match text {
@@ -190,13 +190,13 @@
         let came = match PolicyBroadcast::read(text) {
             Ok(holding) => Ok(holding),
             Err(BroadcastError::Beyond { revision, why }) => Err((revision, why)),
-            // It is never in joint, and is fenced in time.
+            // This process never joins the revision, and is fenced in time.
             Err(e) => return crate::proxy::log(format_args!("what holds of policies is not taken: {e}")),
         };
         self.state.borrow_mut().came = Some(came);
         let waits = self.state.borrow_mut().waits.take();
         waits.iter().for_each(|grant| self.granted(grant));
-        // Whoever waits for this one hears the sooner.
+        // The leader that waits for this process learns the sooner.
         self.request_lease_now();
     }
 
@@ -209,7 +209,7 @@
                 None => None,
             };
             if grant.revision > state.member.revision() && came < Some(grant.revision) {
-                // What it is leave for is on its way.
+                // The policies that it grants are still on their way.
                 state.waits = Some(*grant);
                 return;
             }
@@ -228,13 +228,13 @@
         };
         self.act();
         if new {
-            // Whoever waits for this one is told at once.
+            // The leader that waits for this process is told immediately.
             self.request_lease_now();
         }
         self.lease_granted.notify_one();
     }
 
-    /// Does what there is leave for now.
+    /// Applies what there is a lease for now.
     fn act(&self) {
         let state = &mut *self.state.borrow_mut();
         let (leave, until) = state.member.standing(self.now());
@@ -252,7 +252,7 @@
             Ok(()) => {
                 crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)));
             }
-            // It was checked before it was taken; a floor may still name what is not here.
+            // It was validated before it was accepted; a fallback policy may still name a class that this proxy does not have.
             Err(why) => {
                 crate::proxy::log(format_args!(
                     "policy: {} can't be obeyed: {why}; nobody is served",
@@ -281,7 +281,7 @@
     }
 }
 
-/// Whether all that is told can be obeyed here, and beside what this proxy begins by.
+/// Checks that every policy of a broadcast can be applied here, and is no stricter than this proxy's own fallback policy.
 fn could(layers: &ConfigLayers, holding: &PolicyBroadcast, begin_by: &FallbackPolicy) -> Result<(), String> {
     for (number, body) in &holding.policies {
         let paths = begin_by.looser(&body.settings);
@@ -292,7 +292,7 @@
                 paths.join(", ")
             ));
         }
-        // Each by itself, and by its floor, as well as what they come to together.
+        // Each alone, with its fallback policy, and their intersection.
         let told = Some(PolicySet::Pure(*number));
         for leave in [ActivePolicy::Leased(PolicySet::Pure(*number)), ActivePolicy::Fallback] {
             let say = PolicyLayer {
--- a/src/proxy/control/policy_settings.rs
+++ b/src/proxy/control/policy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a proxy's part in changes of policy, checked.
+//! Settings of the proxy's part in policies, validated.
 
 use crate::proxy::config::settings_file::read_text;
 use rushquay_policy::{FallbackPolicy, StartupPolicy};
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How this proxy takes part: a TOML file that `PROXY_POLICY` names, or `policy` in the proxy's JSON.
+/// How this proxy takes part in policies: a TOML file that `PROXY_POLICY` names, or `policy` in the proxy's JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicySource {
-    /// It asks for leave so often.
+    /// Interval between requests for a policy lease.
     pub every: Duration,
     /// What the process does after its start until it holds a policy lease.
     pub unanswered: StartupPolicy,
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! A request as it goes on to nodes, and what its engine holds of an attempt at one of them.
+//! A request as it is forwarded to nodes, and the engine's handle on an attempt.
 
 use crate::api::Status;
 use crate::proxy::http::headers::CORRELATION_ID;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request as it goes on to any cache node.
+/// A client's request as it is forwarded to any node.
 pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
@@ -23,9 +23,9 @@
 
 /// A request's body.
 pub enum AttemptBody {
-    /// Held whole.
+    /// Buffered completely.
     Whole(Bytes),
-    /// Passed on as it comes.
+    /// Streamed.
     Long(Rc<Upload>),
 }
 
@@ -35,7 +35,7 @@
         self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or("")
     }
 
-    /// Its body, where that is passed on as it comes.
+    /// Its body if that is streamed.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.body {
             AttemptBody::Whole(_) => None,
@@ -43,41 +43,41 @@
         }
     }
 
-    /// Whether an attempt could still send the whole of it.
+    /// Whether another attempt could still send its complete body.
     pub fn may_send(&self) -> bool {
         self.upload().is_none_or(|u| u.may_send())
     }
 }
 
-/// How long an attempt may take, from now.
+/// The time limits of an attempt, from now.
 #[derive(Clone, Copy)]
 pub struct Span {
-    /// All of it.
+    /// For the whole attempt.
     pub whole: Duration,
-    /// Until its first byte; `None`: nothing but the whole bounds it. Danger: whoever remembers the attempt before does so for a
-    /// time alone, which may be over once a connection has come up.
+    /// Until its first byte; `None`: no limit but the whole. Danger: nodes deduplicate against the previous attempt only for a limited
+    /// time, which may be over once a connection is established.
     pub begin: Option<Duration>,
-    /// Until the client stops waiting.
+    /// Until the client's deadline.
     pub client: Duration,
-    /// The node is told of no more than this; `None`: of all that is left. The time of a body that still comes runs from its last
-    /// byte, for the client and for the node.
+    /// The most that is passed on to the node as its deadline; `None`: all that is left. The deadline of a streamed body runs from its
+    /// last byte, for the client and for the node.
     pub told_most: Option<Duration>,
 }
 
 impl Span {
-    /// With no bound on its beginning, for a client that waits no longer.
+    /// No limit on the first byte, and a client deadline equal to the whole.
     pub fn of(whole: Duration) -> Self {
         Span { whole, begin: None, client: whole, told_most: None }
     }
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub struct AttemptOutcome {
     pub status: Status,
-    /// The status of its answer, as it came; 0: none did.
+    /// The status code of its response; 0: there was none.
     pub code: u16,
     pub hit: Option<bool>,
-    /// The answer, where it was served.
+    /// The response, if it was served.
     pub answer: Option<Response<Body>>,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// The engine's hold on an attempt while it is out.
+/// The engine's handle on an attempt in flight.
 #[derive(Default)]
 pub struct Cancellation {
     socket: RefCell<Option<Rc<Socket>>>,
@@ -95,12 +95,12 @@
 }
 
 impl Cancellation {
-    /// How the request stands.
+    /// The state of the request.
     pub fn request(&self) -> RequestState {
         self.request.get()
     }
 
-    /// The request has had its answer: what is not yet written stays unwritten, which the guard of the first byte sees to.
+    /// The request was answered: an attempt that is not written yet is never written, which the check at its first byte ensures.
     pub fn answered(&self) {
         self.request.set(RequestState::Answered(steady()));
     }
@@ -115,12 +115,12 @@
         self.socket.replace(Some(socket.clone()));
     }
 
-    /// Whether all of it was written.
+    /// Whether it was written completely.
     pub fn written(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|s| s.whole())
     }
 
-    /// Closes the connection now. Danger: the task that writes it may run before the one that is aborted.
+    /// Closes the connection immediately. Danger: the task that writes it may run before the aborted task ends.
     pub fn cut(&self) {
         if self.request.get() == RequestState::Open {
             self.answered();
--- a/src/proxy/upstream/attempt_policy.rs
+++ b/src/proxy/upstream/attempt_policy.rs
@@ -1,4 +1,4 @@
-//! What a request's cluster and route say of its attempts, beside the decision module: they can only forbid.
+//! What a request's cluster and route permit for its attempts, in addition to the decision module: they can only forbid.
 
 use crate::api::{Nanos, Status};
 use rushquay_load_assignment::repeats::{may_repeat, Tried};
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,4 +1,4 @@
-//! What stands behind the clients: one decision module on the proxy's own list, or the clusters of Envoy's form.
+//! What answers requests: one decision module on the proxy's own endpoint list, or the clusters of Envoy's form.
 
 use crate::api::ColdLeft;
 use crate::proxy::discovery::endpoint_list::EndpointFeed;
@@ -12,9 +12,9 @@
 /// What answers requests.
 #[derive(Clone)]
 pub enum Backend {
-    /// All of them go to one module.
+    /// One decision module for all requests.
     One { engine: Rc<Engine>, upstreams: Rc<Upstreams>, nodes: Rc<EndpointFeed> },
-    /// Routes say where each goes.
+    /// Routes choose a cluster for each request.
     Pools(Rc<Pools>),
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Discovery's list, for a process that takes over; null: there is none.
+    /// Discovery's list, for a successor; null: there is none.
     pub fn list(&self) -> Value {
         match self {
             // Nothing in a list can fail to be written.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The longest time that a class of requests gives.
+    /// The longest deadline of any class.
     pub fn longest(&self) -> Duration {
         match self {
             Backend::One { engine, .. } => engine.acting().longest(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// How many cache nodes are listed, and how many of them are avoided now.
+    /// How many cache nodes are listed, and how many of them are avoided at present.
     pub fn members(&self) -> (usize, usize) {
         match self {
             Backend::One { engine, .. } => engine.endpoint_counts(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Closes the connection to a node that has been idle for longest; false if there is none.
+    /// Closes the upstream connection that has been idle the longest; false if there is none.
     pub fn yield_idle(&self) -> bool {
         match self {
             Backend::One { upstreams, .. } => upstreams.yield_idle(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Closes idle connections that have ended or stood too long.
+    /// Closes idle connections that were closed by their peer or idle for too long.
     pub fn sweep(&self) {
         match self {
             Backend::One { upstreams, .. } => upstreams.sweep(),
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection from its first byte to its close.
+//! Serves one client connection from its first byte to its close.
 
 use crate::proxy::http::request_framing::RequestFraming;
 use crate::proxy::http::responses::{bad, closing};
--- a/src/proxy/upstream/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -169,7 +169,7 @@
         idle.min_by_key(|(since, _)| *since).is_some_and(|(_, c)| c.upstreams.yield_idle())
     }
 
-    /// Closes idle connections that have ended or stood too long.
+    /// Closes idle connections that were closed by their peer or idle for too long.
     pub fn sweep(&self) {
         self.clusters.borrow().values().for_each(|c| c.upstreams.sweep());
     }
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to cache nodes and the origin, and one attempt on one of them with its outcome.
+//! Connections to cache nodes and the origin, and the exchange of one attempt on one of them.
 
 pub(crate) mod attempt;
 pub(crate) mod attempt_policy;
@@ -36,11 +36,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
-/// So many bytes may come in answer to a request: a body, what frames it, and interim answers ahead. Danger: hyper
-/// reads on for as long as interim answers come, and hands none of them over.
+/// Most bytes of one response: body, framing, and interim responses. Danger: hyper reads on for as long as interim responses
+/// arrive, and reports none of them.
 const ANSWER_MOST: usize = 2 * BODY_MOST;
 
-/// A dial for which this machine lacks ports, buffers or descriptors is made again after this, so often at most.
+/// Pause before a connect is retried that failed for lack of local ports, buffers or descriptors, and how many retries are made.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(3);
 const SHORT_DIALS_MOST: u32 = 4;
 
@@ -50,7 +50,7 @@
     whole: Nanos,
     begin: Option<Nanos>,
     client: Nanos,
-    /// The most that the node is told of.
+    /// The most that is passed on to the node.
     told_most: Nanos,
 }
 
@@ -67,15 +67,15 @@
     sender: SendRequest<Body>,
     socket: Rc<Socket>,
     driver: AbortHandle,
-    /// Requests that it has carried.
+    /// Requests sent on it.
     uses: u32,
-    /// Why it would end now.
+    /// The cause that would be counted if it closed now.
     cause: Cell<NodeCloseCause>,
     ledger: Arc<RequestMetrics>,
     _counted: [Counted; 2],
 }
 
-/// One more of something that is counted, until it is dropped.
+/// Increments a gauge until it is dropped.
 struct Counted(Rc<Cell<u32>>);
 
 impl Counted {
@@ -92,14 +92,14 @@
 }
 
 impl Connection {
-    /// Whether nothing has come behind the last answer. Danger: answers carry no id, so that what is left of one
-    /// would pass for the answer to the next request. Hyper ends a connection when it finds such bytes in its own
-    /// buffer, which it does before the answer before them is handed over; the kernel's is looked at here.
+    /// Whether no bytes follow the last response. Danger: responses carry no id, so leftover bytes would pass for the response to the
+    /// next request. Hyper closes a connection when it finds such bytes in its own buffer, before it returns the response; the
+    /// kernel's buffer is checked here.
     fn clean(&self) -> bool {
         !self.sender.is_closed() && self.socket.silent()
     }
 
-    /// Ends it for this reason.
+    /// Closes it for this cause.
     fn end(self, cause: NodeCloseCause) {
         self.cause.set(cause);
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Where a node takes new work, and in which of its states.
+/// Where a node accepts new requests, and since which change of its state.
 struct Place {
     addr: SocketAddr,
     kind: u32,
@@ -130,7 +130,7 @@
     kind: u32,
     started: Nanos,
     ready: bool,
-    /// Counts what makes older connections useless: a restart, a new address, a drain.
+    /// Incremented by what makes older connections unusable: a restart, a new address, a drain.
     epoch: u64,
     idle: Vec<Idle>,
     /// Since when it belongs to its group; 0: since it came.
@@ -145,28 +145,28 @@
     }
 }
 
-/// What passed at a node.
+/// Counters of a node.
 #[derive(Default)]
 pub struct ConnectionStats {
-    /// Connections that are open or coming up.
+    /// Connections that are open or being established.
     pub connections: Rc<Cell<u32>>,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub out: Rc<Cell<u32>>,
-    /// Attempts since it came.
+    /// Attempts since it was listed.
     pub attempts: Cell<u64>,
-    /// Of these, those that brought no answer which could be used, misses not among them.
+    /// Those of them without a usable response; misses do not count.
     pub failed: Cell<u64>,
 }
 
-/// What a cluster says of its connections.
+/// A cluster's limits on its connections.
 pub struct Bounds {
-    /// How long one may take to come up.
+    /// Connect timeout.
     pub connect_timeout: Duration,
-    /// Idle ones close after this time.
+    /// Idle timeout.
     pub idle_most: Duration,
-    /// How many proxies share the nodes' room for connections.
+    /// How many proxies share the nodes' connection capacity.
     pub proxies: u32,
-    /// Most to one node.
+    /// Most connections to one node.
     pub node_most: u32,
     /// Limits on those that are open and that come up; `None`: the descriptors are the limit.
     pub breakers: Option<Breakers>,
@@ -178,17 +178,17 @@
     descriptors: Rc<Descriptors>,
     ledger: Arc<RequestMetrics>,
     bounds: RefCell<Bounds>,
-    /// For how long idle connections are kept, by machine kind: what one holds, another may not.
+    /// Idle timeout by machine kind: kinds differ in when they close idle connections.
     keeps: RefCell<FxHashMap<u32, Jitter>>,
     open: Rc<Cell<u32>>,
     epochs: Cell<u64>,
-    /// How many nodes take work. Danger: counted at each request, thousands that take none would slow them all.
+    /// How many nodes accept requests. Danger: counting thousands of nodes at each request would slow all of them.
     ready: Cell<usize>,
 }
 
-/// For how long an idle connection is kept where its node closes it after `limit` at the latest; 0: nobody knows.
-/// Danger: a request written to a connection that its node is just closing ends as a reset, and may have run. The node
-/// counts from its own last byte, so leave it a good part of the time.
+/// How long an idle connection is kept if its node closes it after `limit` at the latest; 0: unknown.
+/// Danger: a request that is written to a connection which its node is just closing is reset, and may have run. The node
+/// counts from its own last byte, so a good part of the time is left as a margin.
 pub fn idle_most(limit: Nanos) -> Duration {
     match limit {
         0 => Duration::from_secs(5),
@@ -312,7 +312,7 @@
         self.nodes.borrow().get(&server).map(|n| (n.kind, n.started))
     }
 
-    /// What passed at a node.
+    /// Counters of a node.
     pub fn figures(&self, server: ServerId) -> Option<Rc<ConnectionStats>> {
         self.nodes.borrow().get(&server).map(|n| n.figures.clone())
     }
@@ -339,7 +339,7 @@
         }
     }
 
-    /// Closes idle connections that have ended or stood too long.
+    /// Closes idle connections that were closed by their peer or idle for too long.
     pub fn sweep(&self) {
         for node in self.nodes.borrow_mut().values_mut().filter(|n| !n.idle.is_empty()) {
             let (most, before) = (self.span(node.kind), node.idle.len());
@@ -358,7 +358,7 @@
         oldest.map(|n| n.idle.remove(0).connection.end(NodeCloseCause::MadeRoom)).is_some()
     }
 
-    /// One attempt.
+    /// Sends one attempt and returns its outcome.
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
@@ -390,7 +390,7 @@
         let until = Instant::now() + span.whole;
         match timeout_at(until, self.exchange(server, job, due, cancellation, importance)).await {
             Ok(ended) => ended,
-            // A request that was not written whole has not run.
+            // A request that was not written completely has not run.
             Err(_) if cancellation.written() => Status::Timeout.into(),
             Err(_) => Status::ConnectFailed.into(),
         }
@@ -408,7 +408,7 @@
         }
     }
 
-    /// An attempt that must not be written: it says nothing of its node.
+    /// The outcome of an attempt that must not be written: it says nothing about its node.
     fn denied(&self, job: &UpstreamRequest, server: ServerId, denied: SendDenied) -> AttemptOutcome {
         request_trace::event(|| Event::Denied { request: job.id(), node: server, denied });
         Status::Moot.into()
@@ -437,8 +437,8 @@
                 }
                 return Status::ConnectFailed.into();
             }
-            // Danger: while the connection came up the node may have been told to drain or have restarted, the request may
-            // have had its answer or its client have gone, or its repeat be remembered no longer. It is looked at once more
+            // Danger: while the connection was established, the node may have begun to drain or have restarted, the request may
+            // have been answered or its client have gone, or the deduplication of its retry have expired. This is checked once more
             // where its first byte is written.
             if let Err(denied) = may_send(&self.facts(server, epoch, due, cancellation)) {
                 self.ledger.denied.one_more(denied);
@@ -459,7 +459,7 @@
                 if let Some(denied) = connection.socket.denied() {
                     return self.denied(job, server, denied);
                 }
-                // Danger: after its last byte the request may have run, and is not for this side to repeat.
+                // Danger: after its last byte the request may have run, and must not be retried here.
                 if connection.socket.whole() {
                     return Status::Reset.into();
                 }
@@ -472,7 +472,7 @@
         }
     }
 
-    /// Reads an answer, and keeps its connection where it can be used again.
+    /// Reads a response, and keeps its connection if it can be reused.
     async fn answered(
         self: &Rc<Self>,
         server: ServerId,
@@ -485,8 +485,8 @@
         let closing = response.headers().get(CONNECTION).is_some_and(|v| v == "close");
         let ResponseReader { mut ended, reusable, long } = read(response).await;
         if !reused && ended.status == Status::Full && closing {
-            // Danger: a node whose table of connections is full closes a new one with such an answer, and serves
-            // those that it has. To be told so is to have no connection, which is not to meet a full queue.
+            // Danger: a node whose connection table is full answers a new connection so and closes it, while it serves
+            // its existing ones. That is a failed connection, not a full request queue.
             fleet_stats::count(Kind::TurnedAway, 1);
             self.steer(kind, Jitter::turned_away);
             ended.status = Status::ConnectFailed;
@@ -497,7 +497,7 @@
         self.steer(kind, |keep| uses = keep.uses());
         let reusable = reusable && connection.uses < uses;
         if let Some((head, held, rest, length)) = long {
-            // What comes from here on is bounded by what the client takes.
+            // From here on the client's reading bounds what is received.
             connection.socket.unbound();
             let to = reusable.then(|| (self.clone(), server, epoch));
             let answer = LongAnswer::new(held, rest, length, Returning { connection, to });
@@ -510,7 +510,7 @@
         ended
     }
 
-    /// Where a node takes new work.
+    /// Where a node accepts new requests.
     fn open_to(&self, server: ServerId) -> Option<Place> {
         let nodes = self.nodes.borrow();
         let node = nodes.get(&server).filter(|n| n.ready)?;
@@ -544,7 +544,7 @@
         }
     }
 
-    /// A new connection, or what to tell of its lack.
+    /// Opens a new connection; an error is the outcome of the attempt.
     async fn connect(
         &self,
         server: ServerId,
@@ -556,7 +556,7 @@
             let bounds = self.bounds.borrow();
             (bounds.connect_timeout, bounds.node_most, bounds.breakers.clone())
         };
-        // What is over a limit was never sent, and is not the node's fault.
+        // An attempt over a limit was never sent, and does not count against the node.
         if figures.connections.get() >= node_most {
             return Err(Status::Moot);
         }
@@ -576,7 +576,7 @@
             match self.descriptors.take() {
                 Some(permit) => break permit,
                 None if self.yield_idle() => tokio::task::yield_now().await,
-                // Danger: to call this a failed connection would blame the node for our own shortage.
+                // Danger: reporting this as a failed connection would blame the node for this machine's shortage.
                 None => return Err(Status::Moot),
             }
         };
@@ -594,7 +594,7 @@
         Ok(Connection { sender, socket, driver, uses: 0, cause, ledger, _counted: counted })
     }
 
-    /// Dials a node. Danger: what this machine lacks would count against its nodes, and all would be left at once.
+    /// Connects to a node. Danger: a shortage of this machine would count against all nodes, and all would be avoided at once.
     async fn dial(&self, addr: SocketAddr, until: Instant) -> Result<TcpStream, Status> {
         for _ in 0..SHORT_DIALS_MOST {
             match timeout_at(until, connect(addr)).await {
@@ -610,7 +610,7 @@
     }
 }
 
-/// A connection on which an answer still comes. Dropped, it closes.
+/// A connection with a response in progress; closed on drop.
 struct Returning {
     connection: Connection,
     to: Option<(Rc<Upstreams>, ServerId, u64)>,
