--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -1,88 +1,88 @@
-//! Types between a proxy and the decision module: settings handed over at start, events in, actions out.
+//! The interface of the decision module: settings at start, then events in and actions out.
 //!
-//! All times are nanoseconds. The caller owns clock, sockets and timers; [`crate::Balancer`] owns none of
-//! them.
+//! All times are nanoseconds. The caller owns the clock, the sockets and the timers; [`crate::Balancer`] has
+//! none.
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time on the caller's clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// Stable identity of a server: the same value at every proxy (see [`server_id`]).
+/// Stable id of an endpoint: the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
-/// Identity of a request at this proxy; below 2^52, never used twice.
+/// Id of a request at this proxy; below 2^52, never used twice.
 pub type RequestId = u64;
 
-/// Derives the identity of a server from its name (FNV-1a, then mixed), so that all proxies agree on it.
+/// Derives the id of an endpoint from its name (FNV-1a with a finalizer), so that all proxies agree on it.
 pub fn server_id(name: &str) -> ServerId {
-    let h = name
+    let hash = name
         .bytes()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-    let h = (h ^ (h >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
-    h ^ (h >> 32)
+        .fold(0xcbf2_9ce4_8422_2325_u64, |hash, b| (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+    let hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    hash ^ (hash >> 32)
 }
 
-/// May a request of a class run again?
+/// Whether a request of a class may take effect more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Idempotent: repeats do no harm.
     #[default]
     Safe,
-    /// Servers of the class's group drop repeats within its window.
+    /// The endpoints of the class's group drop repeats within its deduplication window.
     Keyed,
-    /// Must never run twice.
+    /// Must never take effect twice.
     Unsafe,
 }
 
-/// Which servers remember a keyed request.
+/// The endpoints that deduplicate a keyed request together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
-    /// All servers.
+    /// All endpoints.
     #[default]
     All,
-    /// The servers of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// The servers of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Full worth is earned up to here.
+    /// Latency objective: an answer within this time earns its full value.
     pub aim: Nanos,
-    /// The client gives up here, counted over all its tries.
+    /// The client gives up after this time, counted over all its tries.
     pub deadline: Nanos,
-    /// Whether it may run again.
+    /// Whether it may take effect more than once.
     pub effect: Effect,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: the endpoints that drop repeats.
     pub group: Group,
-    /// For keyed classes: for how long repeats are dropped.
+    /// For keyed classes: how long repeats are dropped.
     pub dedup_window: Nanos,
-    /// Part of the worth that a late answer earns.
+    /// The part of its value that an answer after the latency objective earns.
     pub late_value: f64,
-    /// Worth of a request (or of a unit of its work).
+    /// Value of a request (or of a unit of its work).
     pub worth: f64,
-    /// The answer is streamed.
+    /// Its answers are streamed.
     pub stream: bool,
-    /// The only zones that the class may be sent to; `None`: all.
+    /// The only zones that it may be sent to; `None`: all.
     pub zones: Option<Vec<u32>>,
     /// The only machine kinds that it may be sent to; `None`: all.
     pub kinds: Option<Vec<u32>>,
 }
 
 impl Class {
-    /// Whether it may be sent to the same servers as another.
+    /// Whether it may be sent to the same endpoints as another class.
     pub fn placed_as(&self, other: &Class) -> bool {
         self.zones == other.zones && self.kinds == other.kinds
     }
 }
 
-/// A tenant's share.
+/// A tenant and its share.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second in its share, over all proxies.
+    /// Requests per second in its share, over all proxies.
     pub quota_rps: f64,
 }
 
-/// What the proxy is told at start.
+/// Settings of the decision module.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Request classes.
@@ -91,66 +91,67 @@
     pub tenants: Vec<Tenant>,
     /// This proxy's zone.
     pub zone: u32,
-    /// How many proxies there are.
+    /// Number of proxies.
     pub proxies: u32,
-    /// This proxy's number.
+    /// Index of this proxy.
     pub me: u32,
-    /// The list of servers must be asked for (else it is pushed).
+    /// The endpoint list must be subscribed to (else it is pushed).
     pub must_ask: bool,
-    /// A miss is answered as such and the origin, a kind of its own, is asked by the proxy.
+    /// Cache-aside deployment: endpoints answer a miss as such, and the proxy itself sends to the origin.
+    /// Else the endpoints fetch from the origin (a through deployment).
     pub aside: bool,
-    /// The machine kind of the origin where `aside`.
+    /// The machine kind of the origin in a cache-aside deployment.
     pub origin_kind: Option<u32>,
-    /// Worth of a request over its tenant's share, as a part of its class's.
+    /// Value of a request beyond its tenant's share, as a part of its class's value.
     pub over_share_worth: f64,
-    /// Worth counts by work (else by request).
+    /// [`Class::worth`] is the value of a unit of work (else of a request).
     pub worth_by_work: bool,
-    /// Most attempts for a request (0: one).
+    /// The most attempts for a request (0: one).
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Pending attempts may be cancelled.
     pub cancel: bool,
-    /// Two attempts of a request may be out at once.
+    /// Requests may be hedged: two attempts of one may be pending at once.
     pub second_copies: bool,
-    /// Refusals may advise a wait, at most this long (0: no advice).
+    /// The longest `Retry-After` that a rejection may advise (0: no advice).
     pub max_retry_after: Nanos,
-    /// Idle connections close by themselves after this long.
+    /// Idle connections are closed after this time.
     pub conn_idle: Nanos,
-    /// Price of a new connection for each first try.
+    /// Price of a new connection, for each first try.
     pub handshake_price: f64,
-    /// Price of an attempt crossing zones.
+    /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Part of its capacity that a server starts with.
+    /// Slow start: the part of its capacity that an endpoint starts with.
     pub cold_from: f64,
-    /// A server is warm after this long.
+    /// Slow start: an endpoint is warm after this time.
     pub cold: Nanos,
-    /// A cold server falls when sent more than this multiple of its capacity.
+    /// A cold endpoint falls over when it is sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
-    /// For this long.
+    /// ... for this time.
     pub fall: Nanos,
-    /// Idle connections to a draining server must be closed within this time (0: no such rule).
+    /// Idle connections to a draining endpoint must be closed within this time (0: no such rule).
     pub let_go: Nanos,
-    /// Without a subscription the list must be asked for within this time.
+    /// Without a subscription, one must be requested within this time.
     pub must_ask_in: Nanos,
     /// Clients mark the tries that repeat an earlier one.
     pub marks_retry: bool,
 }
 
-/// State of a server in the list.
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// Takes requests.
     #[default]
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// Finishes the requests it has; no new ones may be sent to it.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// An entry of the list of servers.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Which server.
+    /// Id of the endpoint.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
@@ -158,52 +159,52 @@
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its state.
+    /// State of the endpoint.
     pub state: State,
-    /// Size relative to others.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Time of its last start; 0: long ago.
+    /// Time of its last start; 0 if that is long ago.
     pub started: Nanos,
 }
 
-/// What a list event carries.
+/// What the entries of a list event are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only the changed entries.
+    /// The changed entries alone.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as it was known last; may be old.
+    /// The whole list as it was known last; it may be out of date.
     Cached,
-    /// A call failed or the subscription broke; the old list stays.
+    /// A call failed or the subscription broke; the last list stays in use.
     Failed,
 }
 
-/// How an attempt or probe ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Ok,
-    /// The server returned an error; it may have run.
+    /// The endpoint returned an error; the request may have taken effect.
     Error,
-    /// Turned away unseen; never ran.
+    /// Rejected by the endpoint for lack of capacity; no effect.
     Full,
-    /// No answer in time; it may run.
+    /// No answer in time; the request may still take effect.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be opened; no effect.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have taken effect.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by the proxy; the request may have taken effect.
     Cancelled,
-    /// Not sent; never ran.
+    /// Never sent; no effect.
     Moot,
-    /// No value for the key (aside); never ran.
+    /// The endpoint holds no value for the key (cache-aside deployments); no effect.
     Miss,
 }
 
 impl Status {
-    /// True if this outcome proves that the attempt never ran.
+    /// Whether this status proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
     }
@@ -212,7 +213,7 @@
 /// A request as it arrives.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its identity.
+    /// Id of the request.
     pub id: RequestId,
     /// Index into [`Settings::classes`].
     pub class: u32,
@@ -220,20 +221,20 @@
     pub tenant: Option<u32>,
     /// The key, hashed or raw.
     pub key: Option<u64>,
-    /// Time left before the client gives up this try.
+    /// Time left until the client gives up this try.
     pub remaining: Nanos,
-    /// It writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// Its client marked it as a repeat of an earlier try.
+    /// Whether its client marked it as a repeat of an earlier try.
     pub retry: bool,
-    /// Where operators want it: asked first while it may be.
+    /// The endpoint that operators pinned it to, which is preferred while it may be used.
     pub pinned: Option<ServerId>,
 }
 
-/// What happens at the proxy.
+/// An event at the proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the servers.
+    /// A change of the endpoint list.
     List {
         /// What the entries are.
         kind: ListKind,
@@ -242,89 +243,89 @@
     },
     /// A request arrived.
     Arrival(Request),
-    /// An attempt ended.
+    /// An attempt has ended.
     Outcome {
-        /// Request.
+        /// Id of the request.
         id: RequestId,
-        /// Attempt number, from 0.
+        /// Index of the attempt, from 0.
         attempt: u32,
-        /// Where it was sent.
+        /// The endpoint that it was sent to.
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Time from the send.
+        /// Time since it was sent.
         elapsed: Nanos,
-        /// The request is over.
+        /// Whether the request has had its final answer.
         last: bool,
-        /// Hit or miss, where told.
+        /// Cache hit or miss, if the endpoint reported it.
         hit: Option<bool>,
     },
-    /// A timer ran out.
+    /// A timer with this token has expired.
     Timer(u64),
-    /// The client left; nothing more is owed.
+    /// The client left; no answer is owed.
     Expired(RequestId),
-    /// A streamed answer began.
+    /// A streamed answer has begun.
     First(RequestId),
 }
 
-/// What the proxy is to do, in order.
+/// What the proxy must do; actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; `timeout` 0 means until the client stops waiting.
+    /// Send an attempt.
     Send {
-        /// Request.
+        /// Id of the request.
         id: RequestId,
-        /// Server.
+        /// The endpoint.
         server: ServerId,
-        /// Time-out.
+        /// Timeout; 0: until the client gives up.
         timeout: Nanos,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel a pending attempt.
     Cancel {
-        /// Request.
+        /// Id of the request.
         id: RequestId,
-        /// Attempt.
+        /// Index of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: not done, a repeat is harmless.
+    /// Final answer: rejected, not done; a repeat does no harm.
     Refuse {
-        /// Request.
+        /// Id of the request.
         id: RequestId,
-        /// Advised wait; 0: none.
+        /// Advised `Retry-After`; 0: none.
         retry_after: Nanos,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed; the request may have taken effect.
     Fail {
-        /// Request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// Wake me.
+    /// Arm a timer.
     Timer {
-        /// Token to hand back.
+        /// Token that the timer event carries.
         token: u64,
-        /// From now.
+        /// Time from now.
         delay: Nanos,
     },
-    /// Close the connections to a server that carry no attempt.
+    /// Close the idle connections to an endpoint.
     Close(ServerId),
-    /// Follow the list.
+    /// Subscribe to the endpoint list.
     Subscribe,
 }
 
-/// What a server that is cold may still be sent by this proxy, as it goes from one process of it to the next.
+/// What this proxy may still send to a cold endpoint: handed from one process of the proxy to the next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLeft {
-    /// The server.
+    /// The endpoint.
     pub server: ServerId,
-    /// When its process started, Unix time, to the millisecond as lists tell it: another process of it is not
-    /// meant.
+    /// When the endpoint started, Unix time, to the millisecond as in the list; the allowance does not hold
+    /// for another start.
     pub started: Nanos,
-    /// Requests; below one: none now.
+    /// Requests left; below one: none at present.
     pub left: f64,
 }
 
 impl ColdLeft {
-    /// So much is left for this entry.
+    /// The allowance left for the endpoint of this entry.
     pub fn of(entry: &Entry, left: f64) -> Self {
         ColdLeft { server: entry.server, started: entry.started, left }
     }
--- a/src/decision/token_bucket.rs
+++ b/src/decision/token_bucket.rs
@@ -9,7 +9,7 @@
 pub struct TokenBucket {
     /// Tokens left; negative if some were spent in advance.
     pub tokens: f64,
-    /// Time of the last refill, on the caller's monotonic clock.
+    /// Time of the last refill, on the caller's clock.
     pub refilled_at: Nanos,
 }
 
