--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,88 +1,135 @@
-//! Plays the bench's wire on standard input and output: one decision module for each instance, nothing shared.
+//! Runs decision modules on the simulator's wire protocol, over standard input and output: one module for
+//! each proxy instance, with nothing shared between them.
 #![forbid(unsafe_code)]
 
 use rushquay::api::{Action, Entry, Event, ListKind, Nanos, ServerId};
-use rushquay::wire::{self, Line};
+use rushquay::wire::{self, Line, WireError};
 use rushquay::Balancer;
 use rustc_hash::FxHashMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
+use thiserror::Error;
 
-/// The loop's state. The names of servers serve translation alone; no decision reads them.
+/// Number of endpoint lists that are kept at a time.
+const PAGES: usize = 16;
+
+/// Why a line cannot be handled.
+#[derive(Debug, Error)]
+enum LineError {
+    #[error(transparent)]
+    Malformed(#[from] WireError),
+    #[error("list {page} lacks {missing} entries")]
+    IncompletePage { page: usize, missing: usize },
+    #[error("list number is over {}: {page}", PAGES - 1)]
+    PageOutOfRange { page: usize },
+    #[error("list {page} was never sent")]
+    UnknownPage { page: usize },
+    #[error("entry without a list")]
+    StrayEntry,
+    #[error("frame inside a batch")]
+    NestedBatch,
+    #[error("go without a frame")]
+    NoBatch,
+}
+
+/// Why the adapter stops.
+#[derive(Debug, Error)]
+enum AdapterError {
+    #[error("line {number}: {source}")]
+    Line { number: u64, source: LineError },
+    #[error("line {number}: cannot be read: {source}")]
+    Read { number: u64, source: io::Error },
+    #[error("line {number}: the input ends inside a batch")]
+    TruncatedBatch { number: u64 },
+    #[error("line {number}: not UTF-8")]
+    NotUtf8 { number: u64 },
+    #[error("the reply cannot be written: {0}")]
+    Write(io::Error),
+}
+
+/// An endpoint list whose entries are still being read.
+struct PartialPage {
+    page: usize,
+    missing: usize,
+}
+
+/// The adapter's state. The names of endpoints serve translation alone; no decision depends on them.
 #[derive(Default)]
 struct Adapter {
     now: Nanos,
     balancers: FxHashMap<String, Balancer>,
     names: FxHashMap<ServerId, String>,
-    pages: [Option<Vec<Entry>>; 16],
+    pages: [Option<Vec<Entry>>; PAGES],
     in_batch: bool,
-    filling: Option<(usize, usize)>,
+    partial_page: Option<PartialPage>,
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Adapter {
-    /// Takes one line; true when a reply is due.
-    fn line(&mut self, line: &str) -> Result<bool, String> {
+    /// Handles one line; true when the reply is complete.
+    fn handle_line(&mut self, line: &str) -> Result<bool, LineError> {
         let parsed = wire::parse(line)?;
-        if let Some((number, left)) = self.filling {
-            let Line::Entry(name, entry) = parsed else {
-                return Err(format!("list {number} lacks {left} entries"));
-            };
-            self.names.entry(entry.server).or_insert(name);
-            self.pages[number].get_or_insert_default().push(entry);
-            self.filling = (left > 1).then_some((number, left - 1));
+        if let Some(partial) = self.partial_page.take() {
+            self.add_entry(partial, parsed)?;
             return Ok(false);
         }
         match parsed {
             Line::Frame(now) => {
                 if std::mem::replace(&mut self.in_batch, true) {
-                    return Err("frame inside a batch".into());
+                    return Err(LineError::NestedBatch);
                 }
                 self.now = now;
             }
             Line::Go => {
                 if !std::mem::take(&mut self.in_batch) {
-                    return Err("go without a frame".into());
+                    return Err(LineError::NoBatch);
                 }
                 self.reply.push_str("end\n");
                 return Ok(true);
             }
-            Line::Page { number, count } => {
-                if number > 15 {
-                    return Err(format!("list number is over 15: {number}"));
-                }
-                self.pages[number] = Some(Vec::new());
-                self.filling = (count > 0).then_some((number, count));
+            Line::Page { number: page, count } => {
+                let slot = self.pages.get_mut(page).ok_or(LineError::PageOutOfRange { page })?;
+                *slot = Some(Vec::new());
+                self.partial_page = (count > 0).then_some(PartialPage { page, missing: count });
             }
-            Line::Entry(..) => return Err("entry without a list".into()),
+            Line::Entry(..) => return Err(LineError::StrayEntry),
             Line::New { instance, seed, settings } => {
                 self.balancers.insert(instance, Balancer::new(*settings, seed));
             }
             Line::Members { instance, kind, page } => {
                 let entries = match kind {
                     ListKind::Failed => Vec::new(),
-                    _ => {
-                        let list = self.pages.get(page).cloned().flatten();
-                        list.ok_or(format!("list {page} was never sent"))?
-                    }
+                    _ => self.pages.get(page).cloned().flatten().ok_or(LineError::UnknownPage { page })?,
                 };
-                self.event(instance, Event::List { kind, entries });
+                self.handle_event(instance, Event::List { kind, entries });
             }
             Line::Stop(instance) => {
                 self.balancers.remove(&instance);
             }
-            Line::Event(instance, event) => self.event(instance, event),
+            Line::Event(instance, event) => self.handle_event(instance, event),
             Line::Ignored => {}
         }
         Ok(false)
     }
 
-    fn event(&mut self, instance: String, event: Event) {
+    /// Adds an entry to the list that is being read; any other line is an error until the list is complete.
+    fn add_entry(&mut self, partial: PartialPage, line: Line) -> Result<(), LineError> {
+        let PartialPage { page, missing } = partial;
+        let Line::Entry(name, entry) = line else {
+            return Err(LineError::IncompletePage { page, missing });
+        };
+        self.names.entry(entry.server).or_insert(name);
+        self.pages[page].get_or_insert_default().push(entry);
+        self.partial_page = (missing > 1).then_some(PartialPage { page, missing: missing - 1 });
+        Ok(())
+    }
+
+    fn handle_event(&mut self, instance: String, event: Event) {
         let Some(balancer) = self.balancers.get_mut(&instance) else {
             return;
         };
-        // A failure inside the decisions must reach the operators as such, not as a dead process.
+        // A panic in the decision module must reach the operators as such, not as a process that died.
         let (now, actions) = (self.now, &mut self.actions);
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
@@ -99,7 +146,7 @@
     }
 }
 
-fn run() -> Result<(), String> {
+fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut adapter = Adapter::default();
@@ -107,19 +154,21 @@
     for number in 1u64.. {
         bytes.clear();
         let read = input.read_until(b'\n', &mut bytes);
-        if read.map_err(|e| format!("line {number}: cannot be read: {e}"))? == 0 {
+        if read.map_err(|source| AdapterError::Read { number, source })? == 0 {
             if adapter.in_batch {
-                return Err(format!("line {number}: the input ends inside a batch"));
+                return Err(AdapterError::TruncatedBatch { number });
             }
             break;
         }
         while bytes.last().is_some_and(|b| matches!(b, b'\n' | b'\r')) {
             bytes.pop();
         }
-        let line = std::str::from_utf8(&bytes).map_err(|_| format!("line {number}: not UTF-8"))?;
-        if adapter.line(line).map_err(|e| format!("line {number}: {e}"))? {
-            let sent = output.write_all(adapter.reply.as_bytes()).and_then(|()| output.flush());
-            sent.map_err(|e| format!("the reply cannot be written: {e}"))?;
+        let line = std::str::from_utf8(&bytes).map_err(|_| AdapterError::NotUtf8 { number })?;
+        let is_complete =
+            adapter.handle_line(line).map_err(|source| AdapterError::Line { number, source })?;
+        if is_complete {
+            output.write_all(adapter.reply.as_bytes()).map_err(AdapterError::Write)?;
+            output.flush().map_err(AdapterError::Write)?;
             adapter.reply.clear();
         }
     }
@@ -129,8 +178,8 @@
 fn main() -> std::process::ExitCode {
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("simulator-adapter: {e}");
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,86 +1,169 @@
-//! Text codec of the bench's wire: one line a message, parts separated by single spaces, `-` for absent.
+//! Text codec of the simulator's wire protocol: one message per line, fields separated by single spaces, `-`
+//! for an absent value. The names of messages, fields and settings are the simulator's.
 
 use crate::api::*;
 use std::fmt::Write as _;
+use std::str::FromStr;
+use thiserror::Error;
+
+/// The most classes or tenants that settings may have.
+const MAX_COUNT: usize = 4096;
+/// Flags of an arrival.
+const FLAG_RETRY: u64 = 2;
+const FLAG_WRITE: u64 = 4;
 
 /// A parsed input line.
 #[derive(Clone, Debug)]
 pub enum Line {
-    /// A batch begins at this time.
+    /// A batch of messages begins at this time.
     Frame(Nanos),
     /// The batch is complete.
     Go,
-    /// A numbered list follows, of so many entries.
+    /// An endpoint list follows.
     Page {
-        /// List number, 0 to 15.
+        /// Number of the list, 0 to 15.
         number: usize,
-        /// Entries to come.
+        /// Number of entries that follow.
         count: usize,
     },
-    /// One entry of the list, with the server's name.
+    /// One entry of an endpoint list, with the endpoint's name.
     Entry(String, Entry),
-    /// An instance starts.
+    /// A proxy instance starts.
     New {
-        /// Instance.
+        /// Name of the instance.
         instance: String,
         /// Its random seed.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance is told of servers; the entries stand in a page.
+    /// An instance gets an endpoint list that was sent as a page.
     Members {
-        /// Instance.
+        /// Name of the instance.
         instance: String,
         /// What the entries are.
         kind: ListKind,
-        /// The page.
+        /// Number of the page.
         page: usize,
     },
-    /// An instance is gone.
+    /// An instance stops.
     Stop(String),
     /// Any other event of an instance.
     Event(String, Event),
-    /// A message that this build does not use.
+    /// A message that no decision depends on; its form was checked.
     Ignored,
 }
 
-type Parts<'a> = std::str::Split<'a, char>;
+/// Why a line cannot be parsed.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum WireError {
+    /// A field is absent.
+    #[error("{0} is missing")]
+    Missing(&'static str),
+    /// A field must hold a number.
+    #[error("{field} is not a number: {value:?}")]
+    NotANumber {
+        /// Name of the field.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A field must hold a number in hexadecimal.
+    #[error("{field} is not hex: {value:?}")]
+    NotHex {
+        /// Name of the field.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A field must hold 1, 0 or `-`.
+    #[error("{field} is neither 1 nor 0: {value:?}")]
+    NotAFlag {
+        /// Name of the field.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A field must hold numbers separated by commas.
+    #[error("{field} is not a row of numbers: {value:?}")]
+    NotARow {
+        /// Name of the field.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A field or message name has no meaning.
+    #[error("{field} is unknown: {value:?}")]
+    Unknown {
+        /// Name of the field.
+        field: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A setting is not of the form `path=value`.
+    #[error("setting has no value: {0:?}")]
+    SettingWithoutValue(String),
+    /// The value of a setting cannot be used.
+    #[error("{path} has a bad value: {value:?}")]
+    BadSetting {
+        /// Path of the setting.
+        path: String,
+        /// Its value.
+        value: String,
+    },
+    /// A count in the settings is too large.
+    #[error("{path} is too large: {count}")]
+    TooMany {
+        /// Path of the setting.
+        path: String,
+        /// Its value.
+        count: usize,
+    },
+}
+
+type Fields<'a> = std::str::Split<'a, char>;
 
-fn part<'a>(p: &mut Parts<'a>, what: &str) -> Result<&'a str, String> {
-    match p.next() {
-        Some("") | None => Err(format!("{what} is missing")),
-        Some(v) => Ok(v),
+fn field<'a>(fields: &mut Fields<'a>, name: &'static str) -> Result<&'a str, WireError> {
+    match fields.next() {
+        Some("") | None => Err(WireError::Missing(name)),
+        Some(value) => Ok(value),
     }
 }
 
-fn number<T: std::str::FromStr>(p: &mut Parts, what: &str) -> Result<T, String> {
-    let v = part(p, what)?;
-    v.parse().map_err(|_| format!("{what} is not a number: {v:?}"))
+fn parse_number<T: FromStr>(name: &'static str, value: &str) -> Result<T, WireError> {
+    value.parse().map_err(|_| WireError::NotANumber { field: name, value: value.to_owned() })
 }
 
-fn optional<T: std::str::FromStr>(p: &mut Parts, what: &str) -> Result<Option<T>, String> {
-    match part(p, what)? {
+fn number<T: FromStr>(fields: &mut Fields, name: &'static str) -> Result<T, WireError> {
+    parse_number(name, field(fields, name)?)
+}
+
+fn optional<T: FromStr>(fields: &mut Fields, name: &'static str) -> Result<Option<T>, WireError> {
+    match field(fields, name)? {
         "-" => Ok(None),
-        v => v.parse().map(Some).map_err(|_| format!("{what} is not a number: {v:?}")),
+        value => parse_number(name, value).map(Some),
     }
 }
 
-fn flag(p: &mut Parts, what: &str) -> Result<bool, String> {
-    match part(p, what)? {
+fn flag(fields: &mut Fields, name: &'static str) -> Result<bool, WireError> {
+    match field(fields, name)? {
         "1" => Ok(true),
         "0" | "-" => Ok(false),
-        v => Err(format!("{what} is neither 1 nor 0: {v:?}")),
+        value => Err(WireError::NotAFlag { field: name, value: value.to_owned() }),
     }
 }
 
-fn time(p: &mut Parts, what: &str) -> Result<Nanos, String> {
-    // A span may be negative on the wire (already over); it counts as 0.
-    Ok(number::<i128>(p, what)?.clamp(0, i128::from(u64::MAX / 4)) as Nanos)
+fn duration(fields: &mut Fields, name: &'static str) -> Result<Nanos, WireError> {
+    // A duration may be negative on the wire (already over); it counts as 0.
+    Ok(number::<i128>(fields, name)?.clamp(0, i128::from(u64::MAX / 4)) as Nanos)
+}
+
+fn unknown(name: &'static str, value: &str) -> WireError {
+    WireError::Unknown { field: name, value: value.to_owned() }
 }
 
-fn status(p: &mut Parts) -> Result<Status, String> {
-    Ok(match part(p, "reason")? {
+fn status(fields: &mut Fields) -> Result<Status, WireError> {
+    Ok(match field(fields, "reason")? {
         "done" => Status::Ok,
         "err" => Status::Error,
         "busy" => Status::Full,
@@ -90,239 +173,267 @@
         "ecanceled" => Status::Cancelled,
         "skipped" => Status::Moot,
         "enoent" => Status::Miss,
-        v => return Err(format!("reason is unknown: {v:?}")),
+        value => return Err(unknown("reason", value)),
     })
 }
 
-/// Checks a load report. No decision rests on one (docs/design.md).
-fn load(p: &mut Parts) -> Result<(), String> {
-    let row = part(p, "load")?;
-    let sound = row == "-" || row.split(',').all(|v| v == "-" || v.parse::<f64>().is_ok());
-    sound.then_some(()).ok_or(format!("load is not a row of numbers: {row:?}"))
+/// Checks the form of a load report. No decision depends on one (docs/design.md).
+fn check_load(fields: &mut Fields) -> Result<(), WireError> {
+    let row = field(fields, "load")?;
+    let is_valid = row == "-" || row.split(',').all(|v| v == "-" || v.parse::<f64>().is_ok());
+    is_valid.then_some(()).ok_or_else(|| WireError::NotARow { field: "load", value: row.to_owned() })
 }
 
-fn instance(p: &mut Parts) -> Result<String, String> {
-    part(p, "instance").map(str::to_owned)
+fn instance(fields: &mut Fields) -> Result<String, WireError> {
+    field(fields, "instance").map(str::to_owned)
 }
 
-/// Parses one input line (without its line end).
-pub fn parse(line: &str) -> Result<Line, String> {
-    let mut parts = line.split(' ');
-    let p = &mut parts;
-    let parsed = match part(p, "message name")? {
-        "arrival" => {
-            let instance = instance(p)?;
-            let mut r = Request {
-                id: number(p, "corr")?,
-                class: number(p, "grade")?,
-                tenant: optional(p, "user_group")?,
-                ..Request::default()
-            };
-            let key = part(p, "path_key")?;
-            if key != "-" {
-                let parsed = u64::from_str_radix(key, 16);
-                r.key = Some(parsed.map_err(|_| format!("path_key is not hex: {key:?}"))?);
-            }
-            r.remaining = time(p, "remaining_ns")?;
-            let _estimate: Option<Nanos> = optional(p, "estimate_ns")?;
-            let _size: Option<f64> = optional(p, "object_size")?;
-            let flags: u64 = optional(p, "flags")?.unwrap_or(0);
-            r.write = flags & 4 != 0;
-            r.retry = flags & 2 != 0;
-            Line::Event(instance, Event::Arrival(r))
-        }
-        "report_back" => {
-            let instance = instance(p)?;
-            let event = Event::Outcome {
-                id: number(p, "corr")?,
-                attempt: number(p, "n")?,
-                server: server_id(part(p, "node")?),
-                status: status(p)?,
-                elapsed: time(p, "elapsed_ns")?,
-                last: flag(p, "final")?,
-                hit: optional::<u32>(p, "note")?.filter(|n| *n > 0).map(|n| n == 1),
-            };
-            load(p)?;
-            Line::Event(instance, event)
-        }
-        "tick_due" => Line::Event(instance(p)?, Event::Timer(number(p, "handle")?)),
-        "expired" => Line::Event(instance(p)?, Event::Expired(number(p, "corr")?)),
+/// Parses one input line, without its line end.
+pub fn parse(line: &str) -> Result<Line, WireError> {
+    let mut fields = line.split(' ');
+    let f = &mut fields;
+    Ok(match field(f, "message name")? {
+        "arrival" => Line::Event(instance(f)?, Event::Arrival(arrival(f)?)),
+        "report_back" => Line::Event(instance(f)?, outcome(f)?),
+        "tick_due" => Line::Event(instance(f)?, Event::Timer(number(f, "handle")?)),
+        "expired" => Line::Event(instance(f)?, Event::Expired(number(f, "corr")?)),
         "first" => {
-            let event = Line::Event(instance(p)?, Event::First(number(p, "corr")?));
-            let _ = (number::<u64>(p, "n")?, part(p, "node")?, part(p, "elapsed_ns")?);
+            let event = Line::Event(instance(f)?, Event::First(number(f, "corr")?));
+            let _ = (number::<u64>(f, "n")?, field(f, "node")?, field(f, "elapsed_ns")?);
             event
         }
         "sampled" => {
-            // Nothing is probed (docs/design.md); the line is still checked.
-            let _ = (instance(p)?, part(p, "node")?, status(p)?, time(p, "elapsed_ns")?);
-            load(p)?;
+            // Nothing is probed (docs/design.md); the form of the line is checked all the same.
+            let _ = (instance(f)?, field(f, "node")?, status(f)?, duration(f, "elapsed_ns")?);
+            check_load(f)?;
             Line::Ignored
         }
-        "backends_changed" => {
-            let instance = instance(p)?;
-            let kind = match part(p, "scope")? {
-                "D" => ListKind::Delta,
-                "F" => ListKind::Full,
-                "C" => ListKind::Cached,
-                "X" => ListKind::Failed,
-                v => return Err(format!("scope is unknown: {v:?}")),
-            };
-            let _version = part(p, "index")?;
-            let page = match p.next() {
-                Some(v) if kind != ListKind::Failed => {
-                    v.parse().map_err(|_| format!("buffer is not a number: {v:?}"))?
-                }
-                None if kind != ListKind::Failed => return Err("buffer is missing".into()),
-                _ => 0,
-            };
-            Line::Members { instance, kind, page }
-        }
-        "entry" => {
-            let name = part(p, "node")?.to_owned();
-            let server = server_id(&name);
-            let zone = optional(p, "failure_domain")?.unwrap_or(0);
-            let kind = optional(p, "generation_hw")?.unwrap_or(0);
-            let cell = optional(p, "cluster")?.unwrap_or(0);
-            let state = match part(p, "state")? {
-                "IN" => State::Ready,
-                "LAME" => State::Draining,
-                "OUT" => State::Gone,
-                v => return Err(format!("state is unknown: {v:?}")),
-            };
-            let weight = optional(p, "share")?.unwrap_or(1.0);
-            let started = optional(p, "launched_ns")?.unwrap_or(0);
-            Line::Entry(name, Entry { server, zone, kind, cell, state, weight, started })
-        }
-        "page" => Line::Page { number: number(p, "buffer")?, count: number(p, "records")? },
-        "frame" => Line::Frame(number(p, "clock")?),
+        "backends_changed" => members(f)?,
+        "entry" => entry(f)?,
+        "page" => Line::Page { number: number(f, "buffer")?, count: number(f, "records")? },
+        "frame" => Line::Frame(number(f, "clock")?),
         "go" => Line::Go,
         "new_instance" => {
-            let instance = instance(p)?;
-            let seed = number(p, "salt")?;
-            Line::New { instance, seed, settings: Box::new(settings(p)?) }
+            let instance = instance(f)?;
+            let seed = number(f, "salt")?;
+            Line::New { instance, seed, settings: Box::new(settings(f)?) }
         }
-        "shutdown" => Line::Stop(instance(p)?),
+        "shutdown" => Line::Stop(instance(f)?),
         "peer" => {
-            // No decision rests on what other proxies say (docs/design.md); the line is still checked.
-            let _ = (instance(p)?, number::<u64>(p, "author")?, part(p, "msg")?);
+            // No decision depends on what other proxies say (docs/design.md); the form is checked all the
+            // same.
+            let _ = (instance(f)?, number::<u64>(f, "author")?, field(f, "msg")?);
             Line::Ignored
         }
-        v => return Err(format!("message is unknown: {v:?}")),
+        value => return Err(unknown("message", value)),
+    })
+}
+
+fn arrival(fields: &mut Fields) -> Result<Request, WireError> {
+    let mut request = Request {
+        id: number(fields, "corr")?,
+        class: number(fields, "grade")?,
+        tenant: optional(fields, "user_group")?,
+        ..Request::default()
+    };
+    let key = field(fields, "path_key")?;
+    if key != "-" {
+        let parsed = u64::from_str_radix(key, 16);
+        let not_hex = |_| WireError::NotHex { field: "path_key", value: key.to_owned() };
+        request.key = Some(parsed.map_err(not_hex)?);
+    }
+    request.remaining = duration(fields, "remaining_ns")?;
+    let _estimate: Option<Nanos> = optional(fields, "estimate_ns")?;
+    let _size: Option<f64> = optional(fields, "object_size")?;
+    let flags: u64 = optional(fields, "flags")?.unwrap_or(0);
+    request.write = flags & FLAG_WRITE != 0;
+    request.retry = flags & FLAG_RETRY != 0;
+    Ok(request)
+}
+
+fn outcome(fields: &mut Fields) -> Result<Event, WireError> {
+    let event = Event::Outcome {
+        id: number(fields, "corr")?,
+        attempt: number(fields, "n")?,
+        server: server_id(field(fields, "node")?),
+        status: status(fields)?,
+        elapsed: duration(fields, "elapsed_ns")?,
+        last: flag(fields, "final")?,
+        hit: optional::<u32>(fields, "note")?.filter(|note| *note > 0).map(|note| note == 1),
     };
-    Ok(parsed)
+    check_load(fields)?;
+    Ok(event)
 }
 
-fn set<T: std::str::FromStr>(slot: &mut T, path: &str, value: &str) -> Result<(), String> {
-    *slot = value.parse().map_err(|_| format!("{path} has a bad value: {value:?}"))?;
+fn members(fields: &mut Fields) -> Result<Line, WireError> {
+    let instance = instance(fields)?;
+    let kind = match field(fields, "scope")? {
+        "D" => ListKind::Delta,
+        "F" => ListKind::Full,
+        "C" => ListKind::Cached,
+        "X" => ListKind::Failed,
+        value => return Err(unknown("scope", value)),
+    };
+    let _version = field(fields, "index")?;
+    let page = match fields.next() {
+        Some(value) if kind != ListKind::Failed => parse_number("buffer", value)?,
+        None if kind != ListKind::Failed => return Err(WireError::Missing("buffer")),
+        _ => 0,
+    };
+    Ok(Line::Members { instance, kind, page })
+}
+
+fn entry(fields: &mut Fields) -> Result<Line, WireError> {
+    let name = field(fields, "node")?.to_owned();
+    let entry = Entry {
+        server: server_id(&name),
+        zone: optional(fields, "failure_domain")?.unwrap_or(0),
+        kind: optional(fields, "generation_hw")?.unwrap_or(0),
+        cell: optional(fields, "cluster")?.unwrap_or(0),
+        state: match field(fields, "state")? {
+            "IN" => State::Ready,
+            "LAME" => State::Draining,
+            "OUT" => State::Gone,
+            value => return Err(unknown("state", value)),
+        },
+        weight: optional(fields, "share")?.unwrap_or(1.0),
+        started: optional(fields, "launched_ns")?.unwrap_or(0),
+    };
+    Ok(Line::Entry(name, entry))
+}
+
+fn bad_setting(path: &str, value: &str) -> WireError {
+    WireError::BadSetting { path: path.to_owned(), value: value.to_owned() }
+}
+
+fn set<T: FromStr>(target: &mut T, path: &str, value: &str) -> Result<(), WireError> {
+    *target = value.parse().map_err(|_| bad_setting(path, value))?;
     Ok(())
 }
 
-/// The same of an amount, which can't be below nothing: such a share turns a comparison round.
-fn set_amount(slot: &mut f64, path: &str, value: &str) -> Result<(), String> {
+/// Sets an amount, which cannot be negative: a negative share would invert a comparison.
+fn set_amount(target: &mut f64, path: &str, value: &str) -> Result<(), WireError> {
     let amount = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
-    *slot = amount.ok_or_else(|| format!("{path} has a bad value: {value:?}"))?;
+    *target = amount.ok_or_else(|| bad_setting(path, value))?;
     Ok(())
 }
 
-/// A list of whole numbers set apart by commas; empty text is an empty list.
-fn row(path: &str, value: &str) -> Result<Vec<u32>, String> {
+/// A list of whole numbers separated by commas; empty text is an empty list.
+fn numbers(path: &str, value: &str) -> Result<Vec<u32>, WireError> {
     let numbers = value.split(',').filter(|v| !v.is_empty()).map(str::parse);
-    numbers.collect::<Result<_, _>>().map_err(|_| format!("{path} has a bad value: {value:?}"))
+    numbers.collect::<Result<_, _>>().map_err(|_| bad_setting(path, value))
 }
 
-/// Reads settings from `path=value` pairs; unknown paths are passed over.
-pub fn settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, String> {
-    let mut s = Settings::default();
-    let mut origin = -1i64;
+fn count(path: &str, value: &str) -> Result<usize, WireError> {
+    let mut count = 0;
+    set(&mut count, path, value)?;
+    if count > MAX_COUNT {
+        return Err(WireError::TooMany { path: path.to_owned(), count });
+    }
+    Ok(count)
+}
+
+/// Reads settings from `path=value` pairs; unknown paths are ignored.
+pub fn settings<'a>(pairs: impl IntoIterator<Item = &'a str>) -> Result<Settings, WireError> {
+    let mut settings = Settings::default();
+    let mut origin_kind = -1i64;
     for pair in pairs {
-        let Some((path, v)) = pair.split_once('=') else {
-            return Err(format!("setting has no value: {pair:?}"));
+        let Some((path, value)) = pair.split_once('=') else {
+            return Err(WireError::SettingWithoutValue(pair.to_owned()));
         };
         let mut steps = path.splitn(3, '.');
-        let step = (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next());
-        match step {
-            ("categories" | "customers", "count", None) => {
-                let mut n = 0usize;
-                set(&mut n, path, v)?;
-                if n > 4096 {
-                    return Err(format!("{path} is too large: {n}"));
-                }
-                if step.0 == "categories" {
-                    s.classes.resize(n, Class::default());
-                } else {
-                    s.tenants.resize(n, Tenant::default());
-                }
+        match (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next()) {
+            ("categories", "count", None) => {
+                settings.classes.resize(count(path, value)?, Class::default());
             }
-            ("categories", i, Some(field)) => {
-                let Some(c) = i.parse::<usize>().ok().and_then(|i| s.classes.get_mut(i)) else {
-                    continue;
-                };
-                match field {
-                    "promise_ns" => set(&mut c.aim, path, v)?,
-                    "deadline_ns" => set(&mut c.deadline, path, v)?,
-                    "dedup_window_ns" => set(&mut c.dedup_window, path, v)?,
-                    "late_value" => set_amount(&mut c.late_value, path, v)?,
-                    "value" => set_amount(&mut c.worth, path, v)?,
-                    "allowed_in" => c.zones = Some(row(path, v)?),
-                    "allowed_on" => c.kinds = Some(row(path, v)?),
-                    "stream" => set(&mut c.stream, path, v)?,
-                    "effect" => {
-                        c.effect = match v {
-                            "safe" => Effect::Safe,
-                            "keyed" => Effect::Keyed,
-                            // Anything new is held to the strictest rule.
-                            _ => Effect::Unsafe,
-                        }
-                    }
-                    "group" => {
-                        c.group = match v {
-                            "all" => Group::All,
-                            "zone" => Group::Zone,
-                            _ => Group::Cell,
-                        }
-                    }
-                    _ => {}
+            ("customers", "count", None) => settings.tenants.resize(count(path, value)?, Tenant::default()),
+            ("categories", index, Some(name)) => {
+                let class = index.parse::<usize>().ok().and_then(|i| settings.classes.get_mut(i));
+                if let Some(class) = class {
+                    set_class(class, name, path, value)?;
                 }
             }
-            ("customers", i, Some("quota_rps")) => {
-                if let Some(t) = i.parse::<usize>().ok().and_then(|i| s.tenants.get_mut(i)) {
-                    set_amount(&mut t.quota_rps, path, v)?;
+            ("customers", index, Some("quota_rps")) => {
+                let tenant = index.parse::<usize>().ok().and_then(|i| settings.tenants.get_mut(i));
+                if let Some(tenant) = tenant {
+                    set_amount(&mut tenant.quota_rps, path, value)?;
                 }
             }
-            _ => match path {
-                "zone" => set(&mut s.zone, path, v)?,
-                "n_instances" => set(&mut s.proxies, path, v)?,
-                "self_index" => set(&mut s.me, path, v)?,
-                "discovery" => s.must_ask = v == "subscribe",
-                "family_info.mode" => s.aside = v == "aside",
-                "family_info.origin_kind" => set(&mut origin, path, v)?,
-                "over_share_worth" => set_amount(&mut s.over_share_worth, path, v)?,
-                "worth_by" => s.worth_by_work = v == "work",
-                "caps.attempts_cap" => set(&mut s.max_attempts, path, v)?,
-                "caps.cancelling" => set(&mut s.cancel, path, v)?,
-                "caps.second_copies" => set(&mut s.second_copies, path, v)?,
-                "caps.max_retry_after_ns" => set(&mut s.max_retry_after, path, v)?,
-                "caps.conn_idle_ns" => set(&mut s.conn_idle, path, v)?,
-                "deductions.handshake" => set_amount(&mut s.handshake_price, path, v)?,
-                "deductions.cross_zone" => set_amount(&mut s.cross_zone_price, path, v)?,
-                "client_habits.marks_retry" => set(&mut s.marks_retry, path, v)?,
-                "rules.cold_from" => set_amount(&mut s.cold_from, path, v)?,
-                "rules.cold_ns" => set(&mut s.cold, path, v)?,
-                "rules.fall_multiple" => set_amount(&mut s.fall_multiple, path, v)?,
-                "rules.fall_ns" => set(&mut s.fall, path, v)?,
-                "rules.let_go_in_ns" => set(&mut s.let_go, path, v)?,
-                "rules.must_ask_in_ns" => set(&mut s.must_ask_in, path, v)?,
+            _ if path == "family_info.origin_kind" => set(&mut origin_kind, path, value)?,
+            _ => set_global(&mut settings, path, value)?,
+        }
+    }
+    settings.origin_kind = u32::try_from(origin_kind).ok();
+    Ok(settings)
+}
+
+/// Sets one field of a class.
+fn set_class(class: &mut Class, name: &str, path: &str, value: &str) -> Result<(), WireError> {
+    match name {
+        "promise_ns" => set(&mut class.aim, path, value)?,
+        "deadline_ns" => set(&mut class.deadline, path, value)?,
+        "dedup_window_ns" => set(&mut class.dedup_window, path, value)?,
+        "late_value" => set_amount(&mut class.late_value, path, value)?,
+        "value" => set_amount(&mut class.worth, path, value)?,
+        "allowed_in" => class.zones = Some(numbers(path, value)?),
+        "allowed_on" => class.kinds = Some(numbers(path, value)?),
+        "stream" => set(&mut class.stream, path, value)?,
+        "effect" => {
+            class.effect = match value {
+                "safe" => Effect::Safe,
+                "keyed" => Effect::Keyed,
+                // The strictest rule holds for values of a later version.
+                _ => Effect::Unsafe,
+            }
+        }
+        "group" => {
+            class.group = match value {
+                "all" => Group::All,
+                "zone" => Group::Zone,
+                _ => Group::Cell,
+            }
+        }
+        _ => {}
+    }
+    Ok(())
+}
+
+/// Sets a field that is of no class or tenant.
+fn set_global(settings: &mut Settings, path: &str, value: &str) -> Result<(), WireError> {
+    match path {
+        "zone" => set(&mut settings.zone, path, value),
+        "n_instances" => set(&mut settings.proxies, path, value),
+        "self_index" => set(&mut settings.me, path, value),
+        "over_share_worth" => set_amount(&mut settings.over_share_worth, path, value),
+        "caps.attempts_cap" => set(&mut settings.max_attempts, path, value),
+        "caps.cancelling" => set(&mut settings.cancel, path, value),
+        "caps.second_copies" => set(&mut settings.second_copies, path, value),
+        "caps.max_retry_after_ns" => set(&mut settings.max_retry_after, path, value),
+        "caps.conn_idle_ns" => set(&mut settings.conn_idle, path, value),
+        "deductions.handshake" => set_amount(&mut settings.handshake_price, path, value),
+        "deductions.cross_zone" => set_amount(&mut settings.cross_zone_price, path, value),
+        "client_habits.marks_retry" => set(&mut settings.marks_retry, path, value),
+        "rules.cold_from" => set_amount(&mut settings.cold_from, path, value),
+        "rules.cold_ns" => set(&mut settings.cold, path, value),
+        "rules.fall_multiple" => set_amount(&mut settings.fall_multiple, path, value),
+        "rules.fall_ns" => set(&mut settings.fall, path, value),
+        "rules.let_go_in_ns" => set(&mut settings.let_go, path, value),
+        "rules.must_ask_in_ns" => set(&mut settings.must_ask_in, path, value),
+        _ => {
+            match path {
+                "discovery" => settings.must_ask = value == "subscribe",
+                "family_info.mode" => settings.aside = value == "aside",
+                "worth_by" => settings.worth_by_work = value == "work",
                 _ => {}
-            },
+            }
+            Ok(())
         }
     }
-    s.origin_kind = u32::try_from(origin).ok();
-    Ok(s)
 }
 
-/// Appends one action of an instance to a reply; `name` gives the wire name of a server.
+/// Appends one action of an instance to a reply; `name` gives the wire name of an endpoint.
 pub fn write(out: &mut String, instance: &str, action: &Action, name: impl Fn(ServerId) -> Option<String>) {
-    let named = |s: &ServerId| name(*s).unwrap_or_default();
+    let named = |server: &ServerId| name(*server).unwrap_or_default();
     // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, server, timeout } => {
