--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven proxy for the module's tests: it keeps the clock, the list and what the module did.
+//! A proxy driven by hand, for tests of the decision module: it holds the module and the clock.
 #![allow(dead_code)]
 
 use rushquay::api::*;
@@ -35,7 +35,7 @@
     Entry {
         server,
         zone: (n % 3) as u32,
-        // The last of eight is of a kind of its own: the origin, where a test says so.
+        // Each eighth endpoint is of a kind of its own: the origin, where a test's settings say so.
         kind: u32::from(n % 8 == 7),
         cell: (n % 6) as u32,
         state: State::Ready,
@@ -75,7 +75,7 @@
         self.event(Event::List { kind, entries })
     }
 
-    /// A request of class 0; returns its id and what was done.
+    /// Sends a request of class 0; returns its id and the module's actions.
     pub fn ask(&mut self, key: u64) -> (RequestId, Vec<Action>) {
         self.ask_as(Request { key: Some(key), remaining: 800 * MS, ..Request::default() })
     }
@@ -110,17 +110,16 @@
         self.event(Event::Outcome { id, attempt, server, status, elapsed, last, hit })
     }
 
-    /// Asks, answers and returns the server that was asked first.
+    /// Sends a request of class 0 that is answered; returns the endpoint that it was sent to.
     pub fn served(&mut self, key: u64, hit: bool) -> ServerId {
         let (id, actions) = self.ask(key);
         let server = sent(&actions).expect("sent");
         self.now += 20 * MS;
         self.end(id, 0, server, Status::Ok, Some(hit));
-        // Requests far enough apart that no bucket counts as hot.
         server
     }
 
-    /// Has a key's bucket won by straight hits, as one of many; returns the winner.
+    /// Pins the bucket of a key, one of many, by consecutive hits; returns the endpoint.
     pub fn pinned(&mut self, key: u64) -> ServerId {
         self.crowd(0..300);
         let first = self.served(key, true);
@@ -131,7 +130,7 @@
         first
     }
 
-    /// Fills the traffic count with other keys, so that the key under test is one of many.
+    /// Sends requests for other keys, so that the key under test is one of many and its bucket is not hot.
     pub fn crowd(&mut self, keys: std::ops::Range<u64>) {
         for k in keys {
             self.now += MS;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The module's decisions, one behaviour a test.
+//! The decision module, one behaviour per test.
 
 mod common;
 use common::*;
@@ -7,8 +7,8 @@
 
 const KEY: u64 = 0xabcdef;
 
-/// Where each of many keys goes on its first request, at a fresh proxy with this history of lists.
-fn homes(histories: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
+/// The endpoint that gets the first request of each of many keys, at a new proxy with this history of lists.
+fn first_endpoints(histories: &[(ListKind, Vec<Entry>)]) -> BTreeMap<u64, ServerId> {
     let mut homes = BTreeMap::new();
     for key in 0..400u64 {
         let mut p = Proxy::new(settings(), key);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn straight_hits_pin_and_the_pin_stays_through_misses() {
+fn consecutive_hits_pin_a_bucket_and_misses_do_not_unpin_it() {
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..300);
     let first = p.served(KEY, true);
@@ -30,7 +30,7 @@
         p.crowd(0..100);
     }
     for _ in 0..4 {
-        assert_eq!(p.served(KEY, false), first, "a pinned bucket stays");
+        assert_eq!(p.served(KEY, false), first, "the bucket stays pinned");
         p.crowd(0..100);
     }
 }
@@ -46,11 +46,11 @@
     }
     asked.sort_unstable();
     asked.dedup();
-    assert_eq!(asked.len(), 2, "sigma candidates, and no other server");
+    assert_eq!(asked.len(), 2, "the two candidates, and no other endpoint");
 }
 
 #[test]
-fn a_pin_reopens_when_its_server_is_gone() {
+fn a_bucket_is_unpinned_when_its_endpoint_is_removed() {
     let mut p = Proxy::with(settings(), entries(0..20));
     let first = p.pinned(KEY);
     let gone = entries(0..20).into_iter().find(|e| e.server == first).expect("listed");
@@ -66,8 +66,8 @@
     let full = entries(0..30);
     let mut reversed = full.clone();
     reversed.reverse();
-    let straight = homes(&[(ListKind::Cached, full.clone())]);
-    let other = homes(&[
+    let straight = first_endpoints(&[(ListKind::Cached, full.clone())]);
+    let other = first_endpoints(&[
         (ListKind::Cached, entries(10..60)),
         (ListKind::Full, entries(25..50)),
         (ListKind::Full, reversed),
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_removed_server_disturbs_only_its_own_keys() {
-    let before = homes(&[(ListKind::Cached, entries(0..30))]);
-    let after = homes(&[(ListKind::Cached, entries(1..30))]);
+fn removing_an_endpoint_moves_only_its_own_keys() {
+    let before = first_endpoints(&[(ListKind::Cached, entries(0..30))]);
+    let after = first_endpoints(&[(ListKind::Cached, entries(1..30))]);
     let removed = entry(0).server;
     for (key, home) in &before {
         if *home != removed {
@@ -89,17 +89,17 @@
 }
 
 #[test]
-fn weights_decide_how_many_keys_a_server_gets() {
+fn an_endpoint_gets_keys_in_proportion_to_its_weight() {
     let mut list = entries(0..10);
     list[0].weight = 4.0;
     let heavy = list[0].server;
-    let homes = homes(&[(ListKind::Cached, list)]);
+    let homes = first_endpoints(&[(ListKind::Cached, list)]);
     let part = homes.values().filter(|h| **h == heavy).count();
-    assert!((80..180).contains(&part), "4 of 13 parts of 400 keys, not {part}");
+    assert!((80..180).contains(&part), "a weight of 4 in 13, for 400 keys: {part}");
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
+fn a_draining_endpoint_gets_no_new_requests() {
     let mut list = entries(0..3);
     let mut p = Proxy::with(settings(), list.clone());
     list[0].state = State::Draining;
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_hot_key_is_spread_over_several_servers() {
+fn a_hot_key_is_spread_over_several_endpoints() {
     let mut p = Proxy::with(settings(), entries(0..20));
     let mut asked = std::collections::BTreeSet::new();
     for i in 0..200u64 {
@@ -119,19 +119,19 @@
         p.now += 2 * MS;
     }
     let on_key: std::collections::BTreeSet<_> = (0..20).map(|_| p.served(KEY, true)).collect();
-    assert!(on_key.len() >= 4, "half of all traffic on {} servers", on_key.len());
+    assert!(on_key.len() >= 4, "half of all traffic on {} endpoints", on_key.len());
 }
 
 #[test]
-fn a_silent_server_is_left_and_tried_again_later() {
+fn an_endpoint_that_times_out_is_ejected_and_tried_again_later() {
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..100);
     let first = p.served(KEY, true);
-    let mut left = false;
+    let mut ejected = false;
     for _ in 0..3 {
         let (id, actions) = p.ask(KEY);
         let server = sent(&actions).expect("sent");
-        left |= server != first;
+        ejected |= server != first;
         p.now += 400 * MS;
         let actions = p.end_after(id, 0, server, Status::Timeout, None, 400 * MS);
         if let Some(second) = sent(&actions) {
@@ -139,7 +139,7 @@
         }
         p.crowd(0..5);
     }
-    assert!(left, "time-outs in a row must send the key elsewhere");
+    assert!(ejected, "consecutive timeouts must move the key");
     p.now += 60 * SECOND;
     p.crowd(0..300);
     let mut back = Vec::new();
@@ -147,12 +147,12 @@
         back.push(p.served(KEY, true));
         p.crowd(0..100);
     }
-    assert!(back.contains(&first), "after its suspicion the server is tried again");
+    assert!(back.contains(&first), "the endpoint is tried again after its ejection");
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_it_can_bear() {
-    // Danger: a burst of hot keys soon after a start pushes a cold server over for good.
+fn a_cold_endpoint_gets_no_more_than_its_slow_start_allowance() {
+    // Danger: a burst of hot keys soon after its start makes a cold endpoint fall over for good.
     let mut list = entries(0..4);
     let mut p = Proxy::with(settings(), list.clone());
     for i in 0..2000u64 {
@@ -166,34 +166,35 @@
     for i in 0..45u64 {
         to_cold += usize::from(p.served(i * 7919, true) == cold);
     }
-    // 45 requests in 0.9 s over four servers, one of them at a fifth: at three times that it would fall.
+    // 45 requests in 0.9 s over four endpoints, one of them at a fifth of its capacity: at three times that it
+    // would fall over.
     assert!(to_cold <= 7, "{to_cold} of 45");
 }
 
 #[test]
-fn a_restarted_proxy_keeps_the_cold_budget() {
+fn a_restarted_proxy_keeps_within_the_slow_start_allowance() {
     let mut list = entries(0..4);
     list[0].started = 999 * SECOND;
     let mut p = Proxy::with(settings(), list.clone());
     let to_cold = (0..200u64).filter(|i| p.served(i * 7919, true) == list[0].server).count();
-    assert!(to_cold <= 30, "{to_cold} of 200 at a proxy that knows nothing yet");
+    assert!(to_cold <= 30, "{to_cold} of 200 at a new proxy");
 }
 
 #[test]
-fn a_jam_is_shed_and_clears() {
-    // Danger: repeats keep servers jammed that go on with work nobody waits for.
+fn overload_is_shed_and_all_is_admitted_again_after_recovery() {
+    // Danger: repeats keep endpoints overloaded that go on with work nobody waits for.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..50);
-    let mut refused = 0;
+    let mut rejected = 0;
     for i in 0..400u64 {
         p.now += 20 * MS;
         let (id, actions) = p.ask(i * 7919);
         match sent(&actions) {
             Some(_) => drop(p.event(Event::Expired(id))),
-            None => refused += 1,
+            None => rejected += 1,
         }
     }
-    assert!(refused > 200, "{refused} of 400 refused while nothing is served");
+    assert!(rejected > 200, "{rejected} of 400 rejected while nothing is served");
     for i in 0..2000u64 {
         p.now += 20 * MS;
         let (id, actions) = p.ask(i * 7919);
@@ -203,14 +204,14 @@
     }
     for i in 0..100 {
         p.now += 20 * MS;
-        p.served(i * 7919, true); // Panics unless all is taken again once it is served.
+        p.served(i * 7919, true); // Panics unless all requests are admitted again.
     }
 }
 
 #[test]
-fn the_last_try_of_a_client_does_not_make_first_tries_look_late() {
-    // Danger: a last try is given all the time left, more than a first one; refusing by the longest time seen
-    // refuses nearly everything for good.
+fn a_long_time_budget_of_one_try_does_not_make_other_first_tries_look_late() {
+    // Danger: a last try has all the time left, more than a first one; a deadline by the longest budget seen
+    // would reject nearly everything for good.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..50);
     let long = Request { key: Some(1), remaining: 790 * MS, ..Request::default() };
@@ -221,21 +222,22 @@
         let (id, _) = p.ask_as(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
         p.event(Event::Expired(id));
     }
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..1500u64 {
         p.now += 10 * MS;
         let (id, a) = p.ask_as(Request { key: Some(i * 31), remaining: 500 * MS, ..Request::default() });
         if let Some(server) = sent(&a) {
-            taken += 1;
+            admitted += 1;
             p.end(id, 0, server, Status::Ok, Some(true));
         }
     }
-    assert!(taken > 800, "{taken} of 1500 taken");
+    assert!(admitted > 800, "{admitted} of 1500 admitted");
 }
 
 #[test]
-fn a_full_or_failed_answer_is_not_retried_elsewhere_but_a_broken_connection_is() {
-    // Danger: under load or with a slow origin, retries at servers that lack the key are misses that feed the jam.
+fn broken_connections_are_retried_but_rejections_and_errors_are_not() {
+    // Danger: under load or with a slow origin, retries at endpoints that lack the key are misses that feed the
+    // overload.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..300);
     for (key, status, again) in [
@@ -256,7 +258,7 @@
 }
 
 #[test]
-fn no_servers_no_time_and_odd_settings_are_answered() {
+fn requests_without_endpoints_or_time_left_get_a_final_answer() {
     let mut p = Proxy::with(Settings::default(), Vec::new());
     let (_, actions) = p.ask(1);
     assert_eq!(finals(&actions), 1);
@@ -272,7 +274,7 @@
 }
 
 #[test]
-fn aside_misses_and_writes_go_to_the_origin_and_nothing_else_does() {
+fn in_cache_aside_deployments_only_misses_and_writes_go_to_the_origin() {
     let mut s = settings();
     s.aside = true;
     s.origin_kind = Some(5);
@@ -292,7 +294,7 @@
 }
 
 #[test]
-fn the_list_is_followed_and_asked_for_again_in_time_after_failures() {
+fn a_failed_subscription_is_retried_in_time_and_the_last_list_stays_in_use() {
     let mut s = settings();
     s.must_ask = true;
     let mut p = Proxy::new(s.clone(), 3);
@@ -308,23 +310,23 @@
         assert!(p.event(Event::Timer(token)).contains(&Action::Subscribe));
         actions = p.list(ListKind::Failed, Vec::new());
     }
-    assert!(sent(&p.ask(1).1).is_some(), "the old list stays in use");
+    assert!(sent(&p.ask(1).1).is_some(), "the last list stays in use");
 }
 
 /// Sends `n` requests of a tenant, 2 ms apart, each ended with `status`; returns how many were sent.
 fn burst(p: &mut Proxy, tenant: u32, n: u64, status: Status) -> usize {
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..n {
         p.now += 2 * MS;
         let r =
             Request { key: Some(i * 7919), tenant: Some(tenant), remaining: 800 * MS, ..Request::default() };
         let (id, actions) = p.ask_as(r);
         if let Some(server) = sent(&actions) {
-            taken += 1;
+            admitted += 1;
             p.end(id, 0, server, status, Some(true));
         }
     }
-    taken
+    admitted
 }
 
 fn two_tenants() -> Settings {
@@ -333,39 +335,43 @@
 }
 
 #[test]
-fn when_servers_are_full_a_tenant_beyond_its_share_goes_first() {
-    // Danger: refusing all alike when one tenant sends thrice its share starves those within theirs.
+fn under_overload_a_tenant_beyond_its_quota_is_rejected_first() {
+    // Danger: rejecting all alike when one tenant sends three times its share starves those within theirs.
     let mut p = Proxy::with(two_tenants(), entries(0..10));
     burst(&mut p, 0, 1000, Status::Ok);
     burst(&mut p, 1, 3000, Status::Full);
     burst(&mut p, 0, 1000, Status::Ok);
     burst(&mut p, 1, 500, Status::Full);
     let within = burst(&mut p, 1, 500, Status::Full);
-    assert!(within > 450, "{within} of 500 taken, all within the share though many were turned away before");
+    assert!(
+        within > 450,
+        "{within} of 500 admitted, all within the quota though endpoints rejected many before"
+    );
     let over = burst(&mut p, 0, 500, Status::Ok);
-    assert!(over < 300, "{over} of 500 taken where 200 are within the share");
+    assert!(over < 300, "{over} of 500 admitted where 200 are within the quota");
     for _ in 0..8 {
         burst(&mut p, 0, 500, Status::Ok);
     }
-    assert!(burst(&mut p, 0, 500, Status::Ok) > 450, "all is taken again once there is room");
+    assert!(burst(&mut p, 0, 500, Status::Ok) > 450, "all are admitted again once there is capacity");
 }
 
 #[test]
-fn full_answers_alone_refuse_nothing_that_is_worth_as_much_as_the_rest() {
-    // Danger: a server that is full refuses for itself, at no cost; refusing ahead of it only leaves it idle.
+fn rejections_by_endpoints_alone_shed_no_requests_of_usual_value() {
+    // Danger: a full endpoint rejects by itself, at no cost; rejecting ahead of it only leaves it idle.
     let mut p = Proxy::with(settings(), entries(0..10));
     burst(&mut p, 0, 2000, Status::Full);
     assert_eq!(burst(&mut p, 0, 200, Status::Full), 200);
-    // Where each attempt costs a handshake that has a price, hammering full servers wastes what they have left.
+    // Where each attempt costs a handshake that has a price, hammering full endpoints wastes what capacity they
+    // have left.
     let mut p = Proxy::with(Settings { handshake_price: 0.05, ..settings() }, entries(0..10));
     burst(&mut p, 0, 4000, Status::Full);
     assert!(burst(&mut p, 0, 200, Status::Full) < 120);
 }
 
 #[test]
-fn when_all_servers_fail_alike_none_is_left() {
-    // Danger: with a slow origin every server times out at times; leaving each for that moves all keys to the few
-    // that are left, and each move is a miss at the origin that is slow already.
+fn no_endpoint_is_ejected_when_all_fail_alike() {
+    // Danger: with a slow origin every endpoint times out at times; ejecting each for that moves all keys to the
+    // few that are left, and each move is a miss at the origin that is slow already.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..300);
     let mut moved = 0;
@@ -379,12 +385,12 @@
         let (status, after) = if bad { (Status::Timeout, 300 * MS) } else { (Status::Ok, 20 * MS) };
         p.end_after(id, 0, server, status, Some(true), after);
     }
-    assert!(moved < 400, "{moved} of 1000 sent elsewhere while a quarter fails everywhere");
+    assert!(moved < 400, "{moved} of 1000 moved while a quarter fails everywhere");
 }
 
 #[test]
-fn a_server_that_fails_fast_most_of_the_time_is_left() {
-    // Danger: a server that answers errors at once looks quick, and its few successes clear it each time.
+fn an_endpoint_that_fails_fast_most_of_the_time_is_ejected() {
+    // Danger: an endpoint that returns errors at once looks fast, and its few successes clear it each time.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..300);
     let bad = sent(&p.ask(KEY).1).expect("sent");
@@ -397,13 +403,13 @@
         let fails = server == bad && i % 8 != 0;
         p.end(id, 0, server, if fails { Status::Error } else { Status::Ok }, Some(true));
     }
-    assert!(to_bad < 60, "{to_bad} of 2000 sent to a server that fails seven of eight");
+    assert!(to_bad < 60, "{to_bad} of 2000 sent to an endpoint that fails seven of eight");
 }
 
 #[test]
-fn an_origin_in_a_jam_is_asked_for_little_until_it_answers_in_time() {
+fn an_overloaded_origin_gets_few_fetches_until_it_answers_in_time() {
     // Danger: an origin busy with work nobody waits for fills no cache, so all reads stay misses for good.
-    let (mut p, origin) = aside();
+    let (mut p, origin) = aside_proxy();
     let mut out: Vec<(RequestId, Nanos)> = Vec::new();
     // Every read misses; the origin answers each fetch after `wait`, or lets it time out.
     let mut second = |p: &mut Proxy, wait: Nanos, status: Status| {
@@ -424,18 +430,19 @@
         }
         fetches
     };
-    assert_eq!(second(&mut p, 40 * MS, Status::Ok), 200, "an origin in good health gets every miss");
+    assert_eq!(second(&mut p, 40 * MS, Status::Ok), 200, "a healthy origin gets every miss");
     (0..10).for_each(|_| assert!(second(&mut p, 600 * MS, Status::Timeout) <= 200));
-    let jammed = second(&mut p, 600 * MS, Status::Timeout);
-    assert!(jammed < 20, "{jammed} fetches in a second at an origin that answers none in time");
+    let overloaded = second(&mut p, 600 * MS, Status::Timeout);
+    assert!(overloaded < 20, "{overloaded} fetches in a second at an origin that answers none in time");
     (0..10).for_each(|_| assert!(second(&mut p, 40 * MS, Status::Ok) <= 200));
     let well = second(&mut p, 40 * MS, Status::Ok);
     assert!(well > 190, "{well} of 200 fetches once it answers in time again");
 }
 
 #[test]
-fn a_thin_proxy_lets_requests_in_again_within_seconds_of_a_jam() {
-    // Danger: with a few requests a second a window lasts seconds; steps counted by windows take minutes.
+fn with_sparse_traffic_admission_recovers_within_seconds_of_an_overload() {
+    // Danger: with a few requests per second a window lasts seconds; recovery by one step per window takes
+    // minutes.
     let mut p = Proxy::with(settings(), entries(0..10));
     for i in 0..300u64 {
         p.now += 200 * MS;
@@ -444,59 +451,59 @@
             p.event(Event::Expired(id));
         }
     }
-    let mut taken = 0;
+    let mut admitted = 0;
     for i in 0..150u64 {
         p.now += 200 * MS;
         let (id, actions) = p.ask(i * 7919);
         if let Some(server) = sent(&actions) {
-            taken += usize::from(i >= 125);
+            admitted += usize::from(i >= 125);
             p.end(id, 0, server, Status::Ok, Some(true));
         }
     }
-    assert!(taken >= 20, "{taken} of 25 taken after 25 s of health");
+    assert!(admitted >= 20, "{admitted} of 25 admitted 25 s after the recovery");
 }
 
 #[test]
-fn newcomers_take_more_than_their_surest_warmth() {
-    // Danger: in a release newcomers idle while the servers not yet replaced drown.
+fn cold_endpoints_get_more_keys_than_their_least_warmth() {
+    // Danger: during a rolling restart new endpoints idle while those not yet restarted are overloaded.
     let mut list = entries(0..8);
     list.iter_mut().take(4).for_each(|e| e.started = 996 * SECOND);
     let cold: Vec<ServerId> = list.iter().take(4).map(|e| e.server).collect();
     let mut p = Proxy::with(settings(), list);
     (0..200u64).for_each(|i| assert!(p.served(i * 7919, true) > 0));
     let part = (0..200u64).filter(|i| cold.contains(&p.served(i * 104_729, true))).count();
-    // After 8 to 12 of 20 seconds they surely have 0.5 to 0.7 of their capacity; by that alone they get 58.
-    assert!(part >= 70, "{part} of 200 sent to the half that started lately");
+    // After 8 to 12 of 20 seconds they have at least 0.5 to 0.7 of their capacity; by that alone they get 58.
+    assert!(part >= 70, "{part} of 200 sent to the half that started recently");
 }
 
 #[test]
-fn late_misses_at_a_slow_origin_do_not_refuse_quick_hits() {
-    // Danger: where servers fetch for themselves, misses time out while hits are as quick as ever; refusing for
-    // that throws nine hits away for each miss it spares.
+fn late_misses_at_a_slow_origin_do_not_cause_fast_hits_to_be_rejected() {
+    // Danger: where endpoints fetch for themselves, misses time out while hits are as fast as ever; shedding for
+    // that rejects nine hits for each miss it spares.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..100);
-    let mut refused = 0;
+    let mut rejected = 0;
     for i in 0..1500u64 {
         p.now += 4 * MS;
         let (id, actions) = p.ask(i * 7919);
         let Some(server) = sent(&actions) else {
-            refused += 1;
+            rejected += 1;
             continue;
         };
         let (status, after) = if i % 2 == 0 { (Status::Timeout, 300 * MS) } else { (Status::Ok, 20 * MS) };
         p.end_after(id, 0, server, status, Some(true), after);
     }
-    assert!(refused < 50, "{refused} of 1500 refused");
+    assert!(rejected < 50, "{rejected} of 1500 rejected");
 }
 
 #[test]
-fn while_the_origin_answers_no_fetch_few_wait_for_it_and_what_is_held_is_served() {
-    // Danger: where servers fetch for themselves, an origin in a jam of fetches that nobody waits for any more
-    // fills no cache; every read that is not held stays a miss and feeds the jam.
+fn while_the_origin_answers_no_fetch_few_wait_for_it_and_cached_keys_are_served() {
+    // Danger: where endpoints fetch for themselves, an origin overloaded by fetches that nobody waits for any more
+    // fills no cache; every read of an uncached key stays a miss and feeds the overload.
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..100);
     let mut out: Vec<(RequestId, ServerId, Nanos)> = Vec::new();
-    let (mut sent_late, mut refused) = (0, 0);
+    let (mut sent_late, mut rejected) = (0, 0);
     for i in 0..2000u64 {
         p.now += 5 * MS;
         while out.first().is_some_and(|o| o.2 + 300 * MS <= p.now) {
@@ -507,7 +514,7 @@
             let (id, actions) = p.ask(0x9999_0000 + i / 2 % 100 * 7919);
             match sent(&actions) {
                 Some(server) => drop(p.end(id, 0, server, Status::Ok, Some(true))),
-                None => refused += 1,
+                None => rejected += 1,
             }
         } else {
             let (id, actions) = p.ask(i * 104_729);
@@ -517,63 +524,66 @@
             }
         }
     }
-    assert!(sent_late < 60, "{sent_late} of 500 reads sent to wait in the jam");
-    // Some share a bucket with a key that is not held.
-    assert!(refused < 100, "{refused} of 1000 reads of held keys refused");
+    assert!(sent_late < 60, "{sent_late} of 500 reads sent to wait for the overloaded origin");
+    // Some share a bucket with a key that is not cached.
+    assert!(rejected < 100, "{rejected} of 1000 reads of cached keys rejected");
 }
 
 #[test]
-fn servers_that_answer_nothing_are_seen_at_the_aim_and_not_when_clients_give_up() {
-    // Danger: where clients wait for several aims, a fleet that has choked is sent all of it in the meantime.
+fn unresponsive_endpoints_are_noticed_at_the_latency_objective_and_not_at_the_deadline() {
+    // Danger: where clients wait for several times the objective, an unresponsive fleet is sent all requests in the
+    // meantime.
     let mut s = settings();
     s.classes[0].deadline = 10 * SECOND;
     s.classes[0].late_value = 0.5;
     let mut p = Proxy::with(s, entries(0..10));
-    let mut refused = 0;
+    let mut rejected = 0;
     for i in 0..500u64 {
         p.now += 10 * MS;
         let r = Request { key: Some(i * 7919), remaining: 10 * SECOND, ..Request::default() };
-        refused += finals(&p.ask_as(r).1);
+        rejected += finals(&p.ask_as(r).1);
     }
-    assert!(refused > 150, "{refused} of 500 refused within 5 s in which no request was answered");
+    assert!(rejected > 150, "{rejected} of 500 rejected within 5 s in which no request was answered");
 }
 
-/// Six servers, the third of them the origin of an aside deployment, and the origin's id.
-fn aside() -> (Proxy, ServerId) {
+/// A proxy of a cache-aside deployment with six endpoints, the third of them the origin, and the origin's id.
+fn aside_proxy() -> (Proxy, ServerId) {
     let mut list = entries(0..6);
     list[2].kind = 5;
     let origin = list[2].server;
     (Proxy::with(Settings { aside: true, origin_kind: Some(5), ..settings() }, list), origin)
 }
 
-/// A read that misses; returns whether the origin was asked.
-fn missed(p: &mut Proxy, key: u64, origin: ServerId) -> (RequestId, bool) {
+/// Sends a read that misses; returns its id and whether it then went to the origin.
+fn read_that_misses(p: &mut Proxy, key: u64, origin: ServerId) -> (RequestId, bool) {
     let (id, actions) = p.ask(key);
     let server = sent(&actions).expect("sent");
     (id, sent(&p.end(id, 0, server, Status::Miss, Some(false))) == Some(origin))
 }
 
 #[test]
-fn a_full_table_at_the_origin_is_no_jam_there() {
-    // Danger: taken for one, a tenth of all reads was refused while the origin answered in 90 ms.
-    let (mut p, origin) = aside();
+fn failed_connects_to_the_origin_do_not_reduce_its_limit() {
+    // Danger: admitted for overload, full connection tables had a tenth of all reads rejected while the origin
+    // answered in 90 ms.
+    let (mut p, origin) = aside_proxy();
     for i in 0..200 {
         p.now += 5 * MS;
-        let (id, asked) = missed(&mut p, i * 7919, origin);
+        let (id, asked) = read_that_misses(&mut p, i * 7919, origin);
         assert!(asked, "fetch {i} after failed connects alone");
         p.end_after(id, 1, origin, Status::ConnectFailed, None, MS);
     }
-    let asked = (0..20).filter(|i| missed(&mut p, (1000 + i) * 7919, origin).1).count();
+    let asked = (0..20).filter(|i| read_that_misses(&mut p, (1000 + i) * 7919, origin).1).count();
     assert_eq!(asked, 20, "as many at once as before");
 }
 
 #[test]
-fn a_connection_that_breaks_at_the_origin_is_no_jam_and_is_tried_again() {
-    // Danger: where one connection in twenty broke, a tenth of all reads was refused while the origin was well.
-    let (mut p, origin) = aside();
+fn a_broken_connection_to_the_origin_is_retried_and_does_not_reduce_its_limit() {
+    // Danger: where one connection in twenty broke, a tenth of all reads was rejected while the origin was
+    // healthy.
+    let (mut p, origin) = aside_proxy();
     for i in 0..200 {
         p.now += 5 * MS;
-        let (id, asked) = missed(&mut p, i * 7919, origin);
+        let (id, asked) = read_that_misses(&mut p, i * 7919, origin);
         assert!(asked, "fetch {i} after broken connections alone");
         let again = p.end_after(id, 1, origin, Status::Reset, None, MS);
         assert!(i > 0 || sent(&again) == Some(origin), "{again:?}");
@@ -584,9 +594,9 @@
 }
 
 #[test]
-fn a_connection_that_breaks_once_moves_no_keys() {
-    // Danger: where the network breaks connections, servers left for one of these had all their keys moved to
-    // servers that lack them.
+fn one_broken_connection_moves_no_keys() {
+    // Danger: where the network breaks connections, endpoints ejected for one of these had all their keys moved
+    // to endpoints that lack them.
     let mut p = Proxy::with(settings(), entries(0..6));
     p.crowd(0..600);
     let first = p.served(KEY, true);
@@ -596,7 +606,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_less_than_the_aim_says_nothing_of_the_servers() {
+fn timeouts_of_clients_that_wait_less_than_the_objective_do_not_eject_endpoints() {
     let mut p = Proxy::with(Settings { marks_retry: true, ..settings() }, entries(0..6));
     p.crowd(0..600);
     let first = p.served(KEY, true);
@@ -618,15 +628,15 @@
             break;
         }
     }
-    // All at one moment, so that no suspicion lapses meanwhile.
+    // All at one moment, so that no ejection ends meanwhile.
     let used = (1000..1060u64).filter(|key| sent(&p.ask(key * 7919).1) == Some(first)).count();
     assert!(cut == 6 && used > 3, "{used} of 60 after {cut}");
 }
 
 #[test]
-fn full_answers_do_not_clear_a_server_that_serves_nothing() {
-    // Danger: a server in a jam turns some away and lets the rest time out; cleared by each full answer it
-    // kept its keys for ten seconds without serving one.
+fn rejections_do_not_clear_an_endpoint_that_serves_nothing() {
+    // Danger: an overloaded endpoint rejects some requests and lets the rest time out; cleared by each rejection,
+    // it kept its keys for ten seconds without serving one.
     let s = Settings { second_copies: false, ..settings() };
     let mut p = Proxy::with(s, entries(0..20));
     p.crowd(0..600);
@@ -639,7 +649,7 @@
         p.now += 300 * MS;
         let status = if i % 2 == 0 { Status::Full } else { Status::Timeout };
         p.end_after(id, 0, first, status, None, 300 * MS);
-        // A fifth of what goes to the others fails too.
+        // A fifth of the requests to the other endpoints fails too.
         for k in 0..20 {
             p.now += MS;
             let (id, actions) = p.ask((i * 20 + k) * 7919);
@@ -652,24 +662,24 @@
             }
         }
     }
-    panic!("full answers and time-outs alone, and it is still asked");
+    panic!("an endpoint with rejections and timeouts alone still gets requests");
 }
 
 #[test]
-fn one_late_fetch_of_a_thin_proxy_does_not_close_the_origin() {
-    // Danger: a proxy with one fetch out at a time fell to a room of one at each that came late, and refused
-    // every second read in a burst while the origin was well.
-    let (mut p, origin) = aside();
-    let (id, asked) = missed(&mut p, 1, origin);
+fn one_late_fetch_with_sparse_traffic_does_not_close_the_origin() {
+    // Danger: a proxy with one fetch in flight at a time fell to a limit of one at each late fetch, and rejected
+    // every second read of a burst while the origin was healthy.
+    let (mut p, origin) = aside_proxy();
+    let (id, asked) = read_that_misses(&mut p, 1, origin);
     assert!(asked);
     p.now += 300 * MS;
     p.end_after(id, 1, origin, Status::Timeout, None, 300 * MS);
-    let asked = (0..20).filter(|i| missed(&mut p, (10 + i) * 7919, origin).1).count();
+    let asked = (0..20).filter(|i| read_that_misses(&mut p, (10 + i) * 7919, origin).1).count();
     assert_eq!(asked, 20);
 }
 
 #[test]
-fn settings_and_figures_that_make_no_sense_never_panic() {
+fn nonsensical_settings_and_values_never_panic() {
     for odd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 0.0, 1e300] {
         for (long, aside) in [(0, true), (1, false), (u64::MAX, true), (u64::MAX, false)] {
             let class = Class { aim: long, deadline: long, late_value: odd, worth: odd, ..Class::default() };
@@ -727,8 +737,8 @@
 }
 
 #[test]
-fn thin_proxies_send_less_than_one_fetch_at_a_time_into_a_jam() {
-    // Danger: fifty proxies with one probable fetch out each sent an origin more than it served, for good.
+fn with_sparse_traffic_less_than_one_fetch_at_a_time_goes_to_an_overloaded_origin() {
+    // Danger: fifty proxies with one probable fetch in flight each sent an origin more than it served, for good.
     let mut sends = 0;
     for seed in 0..10 {
         let mut p = Proxy::new(settings(), seed);
@@ -749,16 +759,16 @@
 }
 
 #[test]
-fn fetches_that_fail_no_more_than_hits_do_leave_the_origin_open() {
-    // Danger: where answers get lost on the way, some fetches fail too; taking that for a jam at the origin
-    // refused a fifth of the reads on quiet days.
+fn fetches_that_fail_no_more_often_than_hits_do_not_reduce_the_origin_limit() {
+    // Danger: where answers get lost on the way, some fetches fail too; taking that for overload of the origin
+    // rejected a fifth of the reads on quiet days.
     let mut p = Proxy::with(settings(), entries(0..20));
-    let mut refused = 0;
+    let mut rejected = 0;
     for i in 0..3000u64 {
         p.now += 5 * MS;
         let (id, actions) = p.ask(i.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let Some(server) = sent(&actions) else {
-            refused += 1;
+            rejected += 1;
             continue;
         };
         if i % 5 == 0 {
@@ -770,12 +780,12 @@
             p.end(id, 0, server, Status::Ok, Some(i % 2 == 0));
         }
     }
-    assert!(refused < 60, "{refused} of 3000 refused");
+    assert!(rejected < 60, "{rejected} of 3000 rejected");
 }
 
 #[test]
-fn an_answer_that_stays_out_is_asked_for_again_and_the_loser_cancelled() {
-    // Danger: an answer lost on the way, or a server that hangs, holds the request until it is worthless.
+fn a_slow_attempt_is_hedged_and_the_loser_is_cancelled() {
+    // Danger: an answer lost on the way, or an endpoint that hangs, holds the request until it is worthless.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..100);
     let (id, actions) = p.ask(KEY);
@@ -790,37 +800,37 @@
     let (token, delay) = timer.expect("a timer");
     assert!(delay >= 60 * MS, "well over the usual 20 ms: {delay}");
     p.now += delay;
-    let second = sent(&p.event(Event::Timer(token))).expect("a copy");
+    let second = sent(&p.event(Event::Timer(token))).expect("a hedge");
     assert_ne!(first, second);
     let actions = p.end(id, 1, second, Status::Ok, Some(true));
     assert!(actions.contains(&Action::Cancel { id, attempt: 0 }));
 }
 
 #[test]
-fn copies_stay_within_their_budget() {
-    // Danger: when all servers turn slow at once, copies double their work.
+fn hedges_stay_within_the_retry_budget() {
+    // Danger: when all endpoints turn slow at once, hedges double their work.
     let mut p = Proxy::with(settings(), entries(0..10));
     p.crowd(0..100);
-    let mut copies = 0;
+    let mut hedges = 0;
     for i in 0..200 {
         let (_, actions) = p.ask(i * 7919);
         p.now += 100 * MS;
         for a in actions {
             if let Action::Timer { token, .. } = a {
-                copies += usize::from(sent(&p.event(Event::Timer(token))).is_some());
+                hedges += usize::from(sent(&p.event(Event::Timer(token))).is_some());
             }
         }
     }
-    assert!(copies > 0 && copies <= 10 + 60, "{copies} copies of 200");
+    assert!(hedges > 0 && hedges <= 10 + 60, "{hedges} hedges of 200 requests");
 }
 
 #[test]
-fn while_connects_fail_servers_with_an_open_connection_come_first() {
-    // Danger: full tables or slow handshakes; each try at yet another server is one more failure.
+fn while_connects_fail_endpoints_with_an_open_connection_are_preferred() {
+    // Danger: with full tables or slow handshakes each attempt at yet another endpoint is one more failure.
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..40);
     let reached = p.served(KEY, true);
-    // From here on only that server can be reached.
+    // From here on only that endpoint can be reached.
     let mut failed = 0;
     for i in 0..300u64 {
         p.now += 10 * MS;
@@ -838,8 +848,8 @@
 }
 
 #[test]
-fn an_unmarked_try_with_little_time_left_is_a_first_one_where_clients_mark_repeats() {
-    // Danger: impatient clients look like repeats that come past their aim, and are refused as hopeless.
+fn an_unmarked_try_with_little_time_left_counts_as_a_first_one_where_clients_mark_repeats() {
+    // Danger: impatient clients look like repeats that arrive past their objective, and are rejected as hopeless.
     for (marks_retry, retry, served) in [(true, false, true), (true, true, false), (false, false, false)] {
         let mut p = Proxy::with(Settings { marks_retry, ..settings() }, entries(0..10));
         p.crowd(0..100);
@@ -849,8 +859,8 @@
 }
 
 #[test]
-fn in_aside_deployments_silence_counts_as_a_miss_and_goes_to_the_origin() {
-    // Danger: where answers get lost, the key's other servers lack it and the request is late for nothing.
+fn in_cache_aside_deployments_a_timeout_counts_as_a_miss_and_goes_to_the_origin() {
+    // Danger: where answers get lost, the key's other endpoints lack it and the request is late for nothing.
     let origin = entry(7).server;
     let s =
         Settings { aside: true, origin_kind: Some(1), second_copies: false, max_attempts: 2, ..settings() };
@@ -867,19 +877,19 @@
 }
 
 #[test]
-fn reads_of_buckets_not_yet_read_are_not_refused_while_fetches_come_in_time() {
-    // Danger: a proxy that just started, or a quiet day's rare keys, would be taken for a flood of fetches.
+fn first_reads_of_buckets_are_not_rejected_while_fetches_come_in_time() {
+    // Danger: a proxy that has just started, or the rare keys of a quiet day, would be admitted for a flood of fetches.
     let mut p = Proxy::with(settings(), entries(0..20));
     let sent = (0..60u64).filter(|i| sent(&p.ask(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)).1).is_some()).count();
     assert_eq!(sent, 60);
 }
 
 #[test]
-fn servers_that_a_class_is_tied_to_get_fewer_keys_of_the_others() {
-    // Danger: the servers open to a tied class bear it alone, and half of everything else besides.
+fn endpoints_that_a_class_is_restricted_to_get_fewer_keys_of_other_classes() {
+    // Danger: the endpoints open to a restricted class serve it alone, and half of everything else besides.
     let mut s = settings();
-    let tied = Class { zones: Some(vec![0]), ..s.classes[0].clone() };
-    s.classes.push(tied);
+    let restricted = Class { zones: Some(vec![0]), ..s.classes[0].clone() };
+    s.classes.push(restricted);
     let part = |s: &Settings| {
         let in_zone = |key: u64| {
             let mut p = Proxy::with(s.clone(), entries(0..21));
@@ -888,28 +898,28 @@
         };
         (0..600).filter(|k| in_zone(*k)).count()
     };
-    let (tied, free) = (part(&s), part(&settings()));
-    assert!((170..230).contains(&free), "a third of the keys where nothing is tied: {free}");
-    assert!((90..150).contains(&tied), "a fifth where a class is tied to a third: {tied}");
+    let (restricted, free) = (part(&s), part(&settings()));
+    assert!((170..230).contains(&free), "a third of the keys where no class is restricted: {free}");
+    assert!((90..150).contains(&restricted), "a fifth where a class is restricted to a third: {restricted}");
 }
 
 #[test]
-fn many_proxies_begin_with_little_room_at_an_origin_they_know_nothing_of() {
-    // Danger: after a start of hundreds of proxies their first misses alone jam the origin.
+fn the_initial_origin_limit_is_shared_by_many_proxies() {
+    // Danger: after hundreds of proxies have started, their first misses alone overload the origin.
     for (proxies, most) in [(4, 32), (600, 2)] {
         let s = Settings { aside: true, origin_kind: Some(1), proxies, ..settings() };
         let mut p = Proxy::with(s, entries(0..8));
-        let asked = (0..50).filter(|i| missed(&mut p, i * 7919, entry(7).server).1).count();
+        let asked = (0..50).filter(|i| read_that_misses(&mut p, i * 7919, entry(7).server).1).count();
         assert_eq!(asked, most, "{proxies} proxies");
     }
 }
 
 #[test]
-fn a_bucket_with_hits_in_its_windows_is_no_fetch_for_one_late_read() {
-    // Danger: while fetches come late, one rare key's late read shut out the bucket's popular keys.
+fn one_late_read_does_not_make_a_bucket_with_recent_hits_a_fetch() {
+    // Danger: while fetches come late, one late read of a rare key shut out the bucket's popular keys.
     let mut p = Proxy::with(settings(), entries(0..20));
     (0..3).for_each(|_| assert_ne!(p.served(KEY, true), 0));
-    // Fetches elsewhere all fail, and take the origin's room with them; then a read of the bucket itself fails.
+    // Fetches of other buckets all fail and reduce the origin limit; then a read of the bucket itself fails.
     let late = |p: &mut Proxy, key: u64| {
         let (id, actions) = p.ask(key);
         let Some(server) = sent(&actions) else { return };
@@ -924,19 +934,19 @@
     });
     late(&mut p, KEY);
     let asked = (0..20).filter(|_| sent(&p.ask(KEY).1).is_some()).count();
-    assert!(asked >= 15, "{asked} of 20 reads of a bucket that was just held");
+    assert!(asked >= 15, "{asked} of 20 reads of a bucket that was cached a moment ago");
 }
 
 #[test]
-fn silence_does_not_go_to_an_origin_whose_fetches_come_late() {
-    // Danger: where a hot key drowns a server, the silence seen by a thousand proxies jams the origin too.
+fn a_timeout_is_not_retried_at_an_origin_whose_fetches_come_late() {
+    // Danger: where a hot key overloads an endpoint, the timeouts of a thousand proxies overload the origin too.
     let origin = entry(7).server;
     let s =
         Settings { aside: true, origin_kind: Some(1), second_copies: false, max_attempts: 2, ..settings() };
     let mut p = Proxy::with(s, entries(0..8));
     p.crowd(0..100);
     for i in 0..3u64 {
-        let (id, asked) = missed(&mut p, i * 7919, origin);
+        let (id, asked) = read_that_misses(&mut p, i * 7919, origin);
         assert!(asked);
         p.now += 300 * MS;
         p.end_after(id, 1, origin, Status::Timeout, None, 300 * MS);
@@ -948,33 +958,33 @@
     assert_eq!((sent(&actions), finals(&actions)), (None, 1));
 }
 
-fn ask_pinned(p: &mut Proxy, to: ServerId) -> (RequestId, Vec<Action>) {
+fn send_pinned(p: &mut Proxy, to: ServerId) -> (RequestId, Vec<Action>) {
     p.ask_as(Request { key: Some(KEY), remaining: 800 * MS, pinned: Some(to), ..Request::default() })
 }
 
 #[test]
-fn a_request_that_operators_pinned_goes_where_they_want_it_while_it_may() {
+fn a_pinned_request_goes_to_its_endpoint_while_the_rules_allow_it() {
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..300);
     let home = p.served(KEY, true);
     let to = entries(0..20).iter().map(|e| e.server).find(|s| *s != home).expect("another");
-    let (id, actions) = ask_pinned(&mut p, to);
+    let (id, actions) = send_pinned(&mut p, to);
     assert_eq!(sent(&actions), Some(to));
     // It fails there: the next attempt goes elsewhere, as any would.
     let next = sent(&p.end(id, 0, to, Status::ConnectFailed, None)).expect("tried again");
     assert_ne!(next, to);
-    // The pin undoes no drain, and names nobody that the list doesn't.
+    // A pin does not undo a drain, and one to an endpoint that is not listed has no effect.
     let drained = entries(0..20).into_iter().filter(|e| e.server == to);
     let drained = drained.map(|e| Entry { state: State::Draining, ..e }).collect();
     p.list(ListKind::Delta, drained);
-    let (_, actions) = ask_pinned(&mut p, to);
+    let (_, actions) = send_pinned(&mut p, to);
     assert_ne!(sent(&actions).expect("sent"), to);
-    let (_, actions) = ask_pinned(&mut p, server_id("nobody"));
+    let (_, actions) = send_pinned(&mut p, server_id("nobody"));
     assert!(sent(&actions).is_some());
 }
 
 #[test]
-fn a_pin_does_not_push_a_cold_server_over() {
+fn pinned_requests_keep_within_the_slow_start_allowance() {
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..1500);
     let cold = Entry { started: p.now, ..entry(3) };
@@ -982,18 +992,19 @@
     p.list(ListKind::Delta, vec![cold]);
     let mut there = 0;
     for _ in 0..400 {
-        let (id, actions) = ask_pinned(&mut p, to);
+        let (id, actions) = send_pinned(&mut p, to);
         let server = sent(&actions).expect("sent");
         there += usize::from(server == to);
         p.now += MS;
         p.end(id, 0, server, Status::Ok, Some(true));
     }
-    // At a fifth of its capacity, and three times that before it falls, a twentieth of the requests would be its share.
+    // At a fifth of its capacity, and three times that before it falls over, its share would be a twentieth of
+    // the requests.
     assert!(there > 0 && there < 40, "{there} of 400");
 }
 
-/// A proxy of a hundred: sixteen requests a second to sixty servers.
-fn thin() -> Proxy {
+/// One proxy of a hundred: sixteen requests per second to sixty endpoints.
+fn sparse_traffic_proxy() -> Proxy {
     let mut p = Proxy::with(Settings { proxies: 100, ..settings() }, entries(0..60));
     for key in 0..200 {
         p.now += 60 * MS;
@@ -1003,9 +1014,10 @@
 }
 
 #[test]
-fn a_thin_proxy_tries_another_server_after_a_full_answer() {
-    // Danger: what fills a server is others' doing; refused, a quarter of all requests are lost beside idle servers.
-    let mut p = thin();
+fn with_sparse_traffic_a_rejection_is_retried_at_another_endpoint() {
+    // Danger: other proxies' requests fill an endpoint; given up after a rejection, a quarter of all requests is
+    // lost beside idle endpoints.
+    let mut p = sparse_traffic_proxy();
     let (id, actions) = p.ask(KEY);
     let first = sent(&actions).expect("sent");
     let actions = p.end(id, 0, first, Status::Full, None);
@@ -1028,9 +1040,9 @@
 }
 
 #[test]
-fn a_thin_proxy_is_not_frightened_by_one_error_and_leaves_a_server_that_turns_all_away() {
-    // Keys of one server, by a proxy that has met nothing bad.
-    let (mut oracle, mut keys) = (thin(), Vec::new());
+fn with_sparse_traffic_repeated_rejections_eject_an_endpoint_and_one_error_does_not() {
+    // Keys of one endpoint, by a proxy that has seen no failure.
+    let (mut oracle, mut keys) = (sparse_traffic_proxy(), Vec::new());
     let home = oracle.served(KEY, true);
     for key in (0..4000).map(|k| k * 611_953) {
         let (id, actions) = oracle.ask(key);
@@ -1039,12 +1051,12 @@
         }
         oracle.end(id, 0, sent(&actions).expect("sent"), Status::Ok, Some(true));
     }
-    for (status, times, left) in
+    for (status, times, ejected) in
         [(Status::Error, 1, false), (Status::Full, 1, false), (Status::Full, 6, true)]
     {
-        let (mut p, mut keys) = (thin(), keys.iter());
+        let (mut p, mut keys) = (sparse_traffic_proxy(), keys.iter());
         for _ in 0..times {
-            // Twelve seconds of requests to the other servers between two to this one.
+            // Twelve seconds of requests to the other endpoints between two to this one.
             for key in 0..190 {
                 p.now += 60 * MS;
                 let (id, actions) = p.ask(key * 104_729);
@@ -1061,14 +1073,14 @@
         }
         p.now += 4 * SECOND;
         let next = sent(&p.ask(*keys.next().expect("keys enough")).1);
-        assert_eq!(next != Some(home), left, "{times} times {status:?}");
+        assert_eq!(next != Some(home), ejected, "{times} times {status:?}");
     }
 }
 
-/// Forty proxies with little traffic each, all changed three times while a server is cold: the processes of a proxy spend one
-/// allowance. Danger: each process that starts has a part of a request by chance, which is nothing for one proxy.
+/// Forty proxies with little traffic each, all upgraded three times while an endpoint is cold: the processes of a proxy spend
+/// one allowance. Danger: each new process starts with a random part of a request, which is negligible for one proxy alone.
 #[test]
-fn over_upgrades_the_processes_of_a_proxy_share_what_a_cold_server_can_bear() {
+fn processes_of_one_proxy_share_the_slow_start_allowance_over_upgrades() {
     let sent_to_cold = |handed: bool| {
         let mut list = entries(0..4);
         let settings = Settings { proxies: 40, ..settings() };
@@ -1091,10 +1103,13 @@
                 if handed {
                     let given = p.balancer.give_cold(p.now);
                     assert!(given.iter().any(|c| c.server == list[0].server && c.left <= 1.0), "{given:?}");
-                    assert!(p.balancer.give_cold(p.now).iter().all(|c| c.left == 0.0), "given away once");
+                    assert!(
+                        p.balancer.give_cold(p.now).iter().all(|c| c.left == 0.0),
+                        "the allowance is given away once"
+                    );
                     new.balancer.take_cold(p.now, &given);
                 }
-                // The old one still has its open connections, and as many requests as the new one.
+                // The old process still has its open connections, and as many requests as the new one.
                 for i in 0..20 {
                     key += 7919;
                     let by = if i % 2 == 0 { &mut *p } else { &mut new };
@@ -1108,14 +1123,14 @@
         to_cold
     };
     let (handed, alone) = (sent_to_cold(true), sent_to_cold(false));
-    println!("at the cold server: {handed} handed on, {alone} with each process for itself");
-    // Each proxy's first process had half a request by chance, and what all of them earned in 1.2 s.
+    println!("requests to the cold endpoint: {handed} with a shared allowance, {alone} without");
+    // Each proxy's first process had half a request at random, and what all of them accrued in 1.2 s.
     assert!(handed <= 30 && alone >= handed + 15, "{handed}, and {alone} without");
 }
 
-/// What was left for another process of a server is nothing for this one.
+/// The allowance belongs to one start of the endpoint, not to the next.
 #[test]
-fn what_was_left_for_a_cold_server_is_of_no_use_once_it_has_started_anew() {
+fn a_slow_start_allowance_of_a_former_start_is_ignored() {
     let mut list = entries(0..4);
     list[0].started = 999 * SECOND;
     let (mut old, mut new) = (Proxy::with(settings(), list.clone()), Proxy::with(settings(), list.clone()));
@@ -1128,11 +1143,11 @@
     assert_eq!(new.balancer.give_cold(new.now), before);
 }
 
-/// Caches that fetch for themselves, an origin in a jam: of the fetches asked for, how many are sent, and how many of them twice.
-fn in_a_jam(errors: usize) -> (usize, usize) {
+/// Caches that fetch for themselves, and an overloaded origin: the number of fetches sent, and the number of these hedged.
+fn fetches_and_hedges(errors: usize) -> (usize, usize) {
     let mut p = Proxy::with(settings(), entries(0..7));
     p.crowd(0..100);
-    let (mut sends, mut copies) = (0, 0);
+    let (mut sends, mut hedges) = (0, 0);
     for n in 0..600u64 {
         p.now += 30 * MS;
         let (id, actions) = p.ask(0x5000_0000 + n * 104_729);
@@ -1141,18 +1156,18 @@
             Action::Timer { token, delay } => Some((*token, *delay)),
             _ => None,
         });
-        let mut copied = None;
+        let mut hedged_to = None;
         if let Some((token, delay)) = hedge {
             p.now += delay;
-            copied = sent(&p.event(Event::Timer(token)));
+            hedged_to = sent(&p.event(Event::Timer(token)));
         }
         if n >= 400 {
             sends += 1;
-            copies += usize::from(copied.is_some());
+            hedges += usize::from(hedged_to.is_some());
         }
         let status = if n as usize % 4 < errors { Status::Error } else { Status::Ok };
-        // Each attempt ends so, and what follows from its end.
-        let mut out: Vec<ServerId> = std::iter::once(server).chain(copied).collect();
+        // Each attempt ends with this status, and so do those that follow from it.
+        let mut out: Vec<ServerId> = std::iter::once(server).chain(hedged_to).collect();
         let mut attempt = 0;
         while attempt < out.len() {
             let last = status == Status::Ok && attempt > 0;
@@ -1173,16 +1188,16 @@
             attempt += 1;
         }
     }
-    (sends, copies)
+    (sends, hedges)
 }
 
-/// Danger: errors of fetches raise the part of attempts that fails as well, by which a jam was told from chance; and each copy of
-/// a read is a fetch more.
+/// Danger: failed fetches also raise the failure rate by which overload is told from chance; and each hedge of a read is one more
+/// fetch.
 #[test]
-fn an_origin_in_a_jam_behind_caches_gets_fewer_fetches_and_no_copies() {
-    let (well, jam) = (in_a_jam(0), in_a_jam(3));
-    println!("of 200: {well:?} sent and copied while all is well, {jam:?} in a jam");
-    assert_eq!(well.0, 200);
-    assert!(jam.0 < 150, "{} of 200 fetches go on", jam.0);
-    assert_eq!(jam.1, 0, "copies");
+fn an_overloaded_origin_behind_caches_gets_fewer_fetches_and_no_hedges() {
+    let (healthy, overloaded) = (fetches_and_hedges(0), fetches_and_hedges(3));
+    println!("of 200: {healthy:?} sent and hedged while all is healthy, {overloaded:?} under overload");
+    assert_eq!(healthy.0, 200);
+    assert!(overloaded.0 < 150, "{} of 200 fetches are still sent", overloaded.0);
+    assert_eq!(overloaded.1, 0, "hedges");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits on the text of the decision module that its porters rely on.
+//! Limits on the source text of the decision module, which whoever ports it relies on.
 
 use std::path::{Path, PathBuf};
 
@@ -37,7 +37,7 @@
 fn each_file_of_the_decision_module_holds_at_most_400_lines_that_are_not_blank() {
     assert_eq!(lines("a\n\n  \n// b\n"), 2, "comments count, blank lines do not");
     let files = decision_files();
-    assert!(files.len() >= 10, "the module is parted by decision: {files:?}");
+    assert!(files.len() >= 10, "one file for each thing that is decided: {files:?}");
     for file in files {
         let count = lines(&text(&file));
         assert!(count <= MAX_LINES, "{}: {count} lines", file.display());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codec line by line, and a whole conversation with the adapter's binary.
+//! The wire codec line by line, and whole conversations with the adapter's binary.
 
 use rushquay::api::*;
 use rushquay::wire::{self, Line};
@@ -23,7 +23,7 @@
     backends_changed proxy_3 C 41 0\ngo\n";
 
 #[test]
-fn a_conversation_from_start_to_end() {
+fn a_conversation_is_answered_from_start_to_end() {
     let input = format!(
         "{START}frame 5001000000\narrival proxy_3 42 0 0 91f03b7c55d20a64 540000000 - - 0\ngo\n\
          frame 5002000000\nshutdown proxy_3\ntick_due proxy_3 9\ngo\n"
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn malformed_input_ends_the_adapter_with_the_line_and_the_fault() {
+fn malformed_input_stops_the_adapter_with_the_line_number_and_the_error() {
     for (bad, fault) in [
         ("arrival proxy_3", "corr is missing"),
         ("report_back proxy_3 1 0 node_a done 1 x - -", "final is neither 1 nor 0"),
@@ -66,15 +66,15 @@
     ] {
         let out = converse(format!("{START}frame 5000000001\n{bad}\ngo\n"));
         let error = String::from_utf8(out.stderr).expect("text");
-        assert!(!out.status.success(), "{bad:?} was taken");
+        assert!(!out.status.success(), "{bad:?} was accepted");
         let line = 9 + bad.matches('\n').count();
         assert!(error.contains(&format!("line {line}:")) && error.contains(fault), "{bad:?}: {error}");
-        assert_eq!(out.stdout, b"end\n", "{bad:?}: nothing of a bad batch is answered");
+        assert_eq!(out.stdout, b"end\n", "{bad:?}: a malformed batch gets no answer");
     }
 }
 
 #[test]
-fn odd_but_legal_input_is_answered() {
+fn unusual_but_valid_input_is_answered() {
     let again = START.replace("frame 5000000000\n", "").replace("go\n", "");
     let input = format!(
         "{START}frame 5001000000\nshutdown proxy_3\n{again}\
@@ -90,12 +90,12 @@
     for id in [1, 3] {
         let finals = [format!("bounce proxy_3 {id} "), format!("abort proxy_3 {id}")];
         let count = text.lines().filter(|l| finals.iter().any(|f| l.starts_with(f.as_str()))).count();
-        assert_eq!(count, 1, "request {id} without a server or time: {text}");
+        assert_eq!(count, 1, "request {id} without an endpoint or time left: {text}");
     }
 }
 
 #[test]
-fn input_that_is_cut_off_or_no_text_is_an_error() {
+fn truncated_or_non_utf8_input_is_an_error() {
     let out = converse(format!("{START}frame 5001000000\n"));
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("ends inside a batch"));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn lines_keep_their_values() {
+fn parsed_lines_hold_the_values_of_the_wire() {
     let line = "report_back proxy_3 2526988522394052 1 node_abuevth done 18500000 1 2 3.5,-";
     let Ok(Line::Event(instance, Event::Outcome { id, attempt, server, status, elapsed, last, hit })) =
         wire::parse(line)
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn settings_of_placement_and_closing_are_carried() {
+fn settings_are_parsed_and_unknown_values_get_the_strictest_meaning() {
     let line =
         "new_instance proxy_4 1 categories.count=3 categories.0.allowed_in=0,2 categories.0.allowed_on=1 \
         categories.1.allowed_in= categories.1.effect=new categories.1.group=new rules.let_go_in_ns=500 \
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_wire_wants_them() {
+fn actions_are_written_in_the_wire_format() {
     let mut out = String::new();
     let actions = [
         Action::Send { id: 1, server: server_id("node_a"), timeout: 80 },
