--- a/crates/adapters/xds-grpc/src/convert.rs
+++ b/crates/adapters/xds-grpc/src/convert.rs
@@ -1,4 +1,4 @@
-//! Messages of `envoy.service.discovery.v3` as the state machines' plain types, and back.
+//! Conversion between the messages of `envoy.service.discovery.v3` and the plain types of the state machines.
 
 use envoy_types::pb::envoy::config::core::v3::{node::UserAgentVersionType, ControlPlane, Node};
 use envoy_types::pb::envoy::service::discovery::v3::{
@@ -9,26 +9,26 @@
 use rushquay_xds::client::{ReceivedResource, ServerAnswer, Topic};
 use rushquay_xds::server::{Answer, DeltaRequest, SotwRequest};
 
-/// The field of a node's metadata under which a process tells of itself.
-fn field(topic: Topic) -> &'static str {
+/// The key of a topic in a node's metadata.
+fn metadata_key(topic: Topic) -> &'static str {
     match topic {
         Topic::Report => "rushquay.report",
         Topic::PolicyLease => "rushquay.leave",
     }
 }
 
-/// gRPC's code for a refused configuration.
+/// gRPC's status code for a rejected configuration.
 const INVALID_ARGUMENT: i32 = 3;
 
-fn error(status: Option<Status>) -> Option<String> {
+fn error_message(status: Option<Status>) -> Option<String> {
     status.map(|s| s.message)
 }
 
-fn status(error: Option<String>) -> Option<Status> {
+fn error_status(error: Option<String>) -> Option<Status> {
     error.map(|message| Status { code: INVALID_ARGUMENT, message, details: Vec::new() })
 }
 
-/// How a process of this project names itself.
+/// The node of a process of this project.
 pub fn node(id: &str, cluster: &str) -> Node {
     Node {
         id: id.to_owned(),
@@ -41,20 +41,20 @@
     }
 }
 
-/// Puts what a process tells of itself into its node.
-pub fn with_metadata(mut node: Node, told: Vec<(Topic, String)>) -> Node {
-    for (topic, told) in told {
-        let value = Value { kind: Some(value::Kind::StringValue(told)) };
-        let metadata = node.metadata.get_or_insert_default();
-        metadata.fields.insert(field(topic).into(), value);
+/// Adds metadata of a process to its node.
+pub fn with_metadata(mut node: Node, metadata: Vec<(Topic, String)>) -> Node {
+    for (topic, text) in metadata {
+        let value = Value { kind: Some(value::Kind::StringValue(text)) };
+        let fields = &mut node.metadata.get_or_insert_default().fields;
+        fields.insert(metadata_key(topic).into(), value);
     }
     node
 }
 
-/// What a process tells of itself, where it does.
+/// Removes and returns the metadata of a topic, where there is any.
 pub fn take_metadata(node: &mut Node, topic: Topic) -> Option<String> {
-    match node.metadata.as_mut()?.fields.remove(field(topic))?.kind? {
-        value::Kind::StringValue(told) => Some(told),
+    match node.metadata.as_mut()?.fields.remove(metadata_key(topic))?.kind? {
+        value::Kind::StringValue(text) => Some(text),
         _ => None,
     }
 }
@@ -66,7 +66,7 @@
         unsubscribe: m.resource_names_unsubscribe,
         initial_versions: m.initial_resource_versions,
         nonce: m.response_nonce,
-        error: error(m.error_detail),
+        error: error_message(m.error_detail),
     }
 }
 
@@ -76,7 +76,7 @@
         version: m.version_info,
         names: m.resource_names,
         nonce: m.response_nonce,
-        error: error(m.error_detail),
+        error: error_message(m.error_detail),
     }
 }
 
@@ -88,7 +88,7 @@
         resource_names_unsubscribe: r.unsubscribe,
         initial_resource_versions: r.initial_versions,
         response_nonce: r.nonce,
-        error_detail: status(r.error),
+        error_detail: error_status(r.error),
         ..DeltaDiscoveryRequest::default()
     }
 }
@@ -100,7 +100,7 @@
         resource_names: r.names,
         type_url: r.type_url,
         response_nonce: r.nonce,
-        error_detail: status(r.error),
+        error_detail: error_status(r.error),
         ..DiscoveryRequest::default()
     }
 }
@@ -145,7 +145,7 @@
 }
 
 pub fn from_delta_response(m: DeltaDiscoveryResponse) -> ServerAnswer {
-    let came = |r: Resource| {
+    let received = |r: Resource| {
         let any = r.resource.unwrap_or_default();
         ReceivedResource { name: Some(r.name), version: r.version, type_url: any.type_url, body: any.value }
     };
@@ -154,13 +154,13 @@
         version: m.system_version_info,
         nonce: m.nonce,
         control_plane: m.control_plane.map(|c| c.identifier).unwrap_or_default(),
-        resources: m.resources.into_iter().map(came).collect(),
+        resources: m.resources.into_iter().map(received).collect(),
         removed: m.removed_resources,
     }
 }
 
 pub fn from_sotw_response(m: DiscoveryResponse) -> ServerAnswer {
-    let came = |any: Any| ReceivedResource {
+    let received = |any: Any| ReceivedResource {
         name: None,
         version: String::new(),
         type_url: any.type_url,
@@ -171,7 +171,7 @@
         version: m.version_info,
         nonce: m.nonce,
         control_plane: m.control_plane.map(|c| c.identifier).unwrap_or_default(),
-        resources: m.resources.into_iter().map(came).collect(),
+        resources: m.resources.into_iter().map(received).collect(),
         removed: Vec::new(),
     }
 }
--- a/crates/adapters/xds-grpc/src/hub.rs
+++ b/crates/adapters/xds-grpc/src/hub.rs
@@ -1,4 +1,5 @@
-//! What all streams of a server share: the store, the news that it changed, and who subscribes.
+//! The state shared by all streams of a server: the store, the notification of its changes, and the subscribers. Lock
+//! order: `store`, `entries`, then the stream of an entry.
 
 use rushquay_xds::client::Topic;
 use rushquay_xds::server::{Limits, Stream, SubscriptionStatus, Variant};
@@ -6,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, OnceLock, PoisonError, RwLock, RwLockReadGuard};
+use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError, RwLock, RwLockReadGuard};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Most streams at once.
+    /// The most streams at once.
     pub streams: usize,
-    /// A message from a subscriber is at most this long, in bytes.
+    /// The longest message from a subscriber, in bytes.
     pub message: usize,
-    /// Bounds of one stream.
+    /// The limits of one stream.
     pub stream: Limits,
 }
 
@@ -27,31 +28,31 @@
     }
 }
 
-/// A subscriber as others see it.
+/// A snapshot of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    /// The id of its node, as it says.
+    /// The id of its node, by its own account.
     pub node: String,
-    /// Where it connects from.
+    /// The address that it connects from.
     pub peer: Option<SocketAddr>,
-    /// The variant that it speaks.
+    /// The variant that it uses.
     pub variant: Variant,
-    /// What it has taken, by kind.
+    /// Its status, by kind.
     pub standing: Vec<(Kind, SubscriptionStatus)>,
-    /// For how long it has lacked something, in nanoseconds; 0: it has all.
+    /// How long it has been missing a change, in nanoseconds; 0: it is up to date.
     pub lag: Nanos,
 }
 
 impl Subscriber {
-    /// Whether it subscribes to this kind and lacks nothing. Danger: a stream subscribes to one kind after another, and lacks
-    /// nothing of what it has not asked for yet.
+    /// Whether it subscribes to this kind and is up to date. Danger: a stream subscribes to one kind after another,
+    /// and lacks nothing of what it has not subscribed to yet.
     pub fn has_all(&self, kind: Kind) -> bool {
         self.lag == 0 && self.standing.iter().any(|(k, _)| *k == kind)
     }
 }
 
-/// A stream's place among the subscribers, given back when it ends.
-pub(crate) struct Place {
+/// The registration of a stream, removed when it ends.
+pub(crate) struct Registration {
     hub: Arc<Hub>,
     number: u64,
     pub stream: Arc<Mutex<Stream>>,
@@ -64,7 +65,10 @@
     stream: Arc<Mutex<Stream>>,
 }
 
-/// Counters since the start.
+/// A longer node id is truncated.
+const MAX_NODE_CHARS: usize = 200;
+
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Answers sent.
@@ -73,56 +77,61 @@
     pub bytes: AtomicU64,
     /// Answers acknowledged.
     pub acks: AtomicU64,
-    /// Answers refused.
+    /// Answers rejected.
     pub nacks: AtomicU64,
     /// Streams opened.
     pub opened: AtomicU64,
-    /// Streams ended for a peer's fault.
+    /// Streams ended because of an error of the peer.
     pub faults: AtomicU64,
 }
 
-/// What all streams share.
+/// The state shared by all streams.
 pub struct Hub {
     store: RwLock<Store>,
     changed: watch::Sender<u64>,
     entries: Mutex<BTreeMap<u64, Entry>>,
-    next: AtomicU64,
-    /// Bounds.
+    next_stream: AtomicU64,
+    /// The limits.
     pub limits: ServerLimits,
-    /// Counters.
+    /// The counters.
     pub counters: Counters,
     start: Instant,
-    /// The number of the store that is served, counted from 1; 0: none is.
+    /// The number of the store that is served, counted from 1; 0: none.
     served: AtomicU64,
-    stores: AtomicU64,
+    store_count: AtomicU64,
     unix: Box<dyn Fn() -> Nanos + Send + Sync>,
-    ear: OnceLock<Ear>,
+    listener: OnceLock<Listener>,
 }
 
-/// Who hears what subscribers tell of themselves.
-type Ear = Box<dyn Fn(&str, StreamEvent) + Send + Sync>;
+/// The listener for metadata of subscribers.
+type Listener = Box<dyn Fn(&str, StreamEvent) + Send + Sync>;
 
-/// What a stream says of its subscriber. Streams are numbered in the order in which they opened.
+/// An event of a subscriber's stream. Streams are numbered in the order in which they opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// What it tells of itself.
+    /// Metadata that the subscriber sent about itself.
     Metadata(u64, Topic, String),
     /// Its stream has ended.
     Ended(u64),
 }
 
+/// Locks a mutex, also after a panic under it.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// The machine's Unix time in nanoseconds.
-fn wall() -> Nanos {
+fn unix_now() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
 
 impl Hub {
-    /// Hands out what stands in the store.
+    /// Creates a hub that serves this store.
     pub fn new(store: Store, limits: ServerLimits) -> Arc<Self> {
-        Hub::with_clock(store, limits, Box::new(wall))
+        Hub::with_clock(store, limits, Box::new(unix_now))
     }
 
-    /// The same, with the clock that overrides end by: Unix time in nanoseconds.
+    /// The same, with the clock for the ends of overrides: Unix time in nanoseconds.
     pub fn with_clock(
         store: Store,
         limits: ServerLimits,
@@ -132,75 +141,75 @@
             store: RwLock::new(store),
             changed: watch::Sender::new(0),
             entries: Mutex::default(),
-            next: AtomicU64::new(0),
+            next_stream: AtomicU64::new(0),
             limits,
             counters: Counters::default(),
             start: Instant::now(),
             served: AtomicU64::new(1),
-            stores: AtomicU64::new(1),
+            store_count: AtomicU64::new(1),
             unix,
-            ear: OnceLock::new(),
+            listener: OnceLock::new(),
         })
     }
 
-    /// Has this called for what subscribers tell of themselves, from now on; the first who asks hears. It is called on the
-    /// stream's own task and must not wait.
-    pub fn on_stream_event(&self, ear: impl Fn(&str, StreamEvent) + Send + Sync + 'static) {
-        let _ = self.ear.set(Box::new(ear));
+    /// Sets the listener for stream events; only the first call has an effect. It is called on the stream's own task
+    /// and must not block.
+    pub fn on_stream_event(&self, listener: impl Fn(&str, StreamEvent) + Send + Sync + 'static) {
+        let _ = self.listener.set(Box::new(listener));
     }
 
-    fn say(&self, node: &str, word: StreamEvent) {
-        if let Some(ear) = self.ear.get().filter(|_| !node.is_empty()) {
-            ear(node, word);
+    fn notify(&self, node: &str, event: StreamEvent) {
+        if let Some(listener) = self.listener.get().filter(|_| !node.is_empty()) {
+            listener(node, event);
         }
     }
 
-    /// Stands by: streams end, and new ones are refused until [`Hub::serve`].
+    /// Goes into standby: streams end, and new ones are rejected until [`Hub::serve`].
     pub fn suspend(&self) {
         self.served.store(0, Ordering::SeqCst);
         self.changed.send_modify(|_| {});
     }
 
-    /// Hands out what stands in another store. Streams that were told from the one before end.
+    /// Serves another store. Streams of the previous store end.
     pub fn serve(&self, store: Store) {
-        // No stream may read the new store for the old one.
+        // No stream may take the new store for the old one.
         self.suspend();
         *self.store.write().unwrap_or_else(PoisonError::into_inner) = store;
-        self.served.store(self.stores.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+        self.served.store(self.store_count.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
     }
 
-    /// The number of the store that is served; `None`: it stands by.
+    /// The number of the store that is served; `None`: the hub is in standby.
     pub fn served(&self) -> Option<u64> {
         Some(self.served.load(Ordering::SeqCst)).filter(|n| *n > 0)
     }
 
-    /// Unix time in nanoseconds, by the clock that overrides end by.
+    /// Unix time in nanoseconds, by the clock for the ends of overrides.
     pub fn unix(&self) -> Nanos {
         (self.unix)()
     }
 
-    /// Time since the start, in nanoseconds; the store's times are on this clock.
+    /// The time since the start in nanoseconds, which is the clock of the store.
     pub fn now(&self) -> Nanos {
         self.start.elapsed().as_nanos() as Nanos
     }
 
-    /// Changes the store and tells the streams.
+    /// Changes the store and notifies the streams.
     pub fn change<T>(&self, change: impl FnOnce(&mut Store, Nanos) -> T) -> T {
         let now = self.now();
         let mut store = self.store.write().unwrap_or_else(PoisonError::into_inner);
-        let done = change(&mut store, now);
+        let result = change(&mut store, now);
         let seq = store.seq();
         drop(store);
-        self.changed.send_modify(|seen| *seen = seq);
-        done
+        self.changed.send_modify(|last| *last = seq);
+        result
     }
 
-    /// The store as it is.
+    /// The present store.
     pub fn store(&self) -> RwLockReadGuard<'_, Store> {
         self.store.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn watch(&self) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe_changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -208,9 +217,9 @@
     pub fn subscribers(&self) -> Vec<Subscriber> {
         let now = self.now();
         let store = self.store();
-        let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let entries = lock(&self.entries);
         let view = |e: &Entry| {
-            let stream = e.stream.lock().unwrap_or_else(PoisonError::into_inner);
+            let stream = lock(&e.stream);
             let standing =
                 Kind::ORDER.map(|k| (k, stream.standing(k))).into_iter().filter(|(_, s)| s.subscribed);
             Subscriber {
@@ -224,56 +233,56 @@
         entries.values().map(view).collect()
     }
 
-    /// How many streams are open.
+    /// The number of open streams.
     pub fn open_streams(&self) -> usize {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner).len()
+        lock(&self.entries).len()
     }
 
-    /// Takes a stream in; `None` when there are too many.
-    pub(crate) fn enter(
+    /// Registers a stream; `None` when there are too many.
+    pub(crate) fn register(
         self: &Arc<Self>,
         variant: Variant,
         only: Option<Kind>,
         peer: Option<SocketAddr>,
-    ) -> Option<Place> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    ) -> Option<Registration> {
+        let number = self.next_stream.fetch_add(1, Ordering::Relaxed);
         let stream = Arc::new(Mutex::new(Stream::new(variant, only, self.limits.stream)));
-        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut entries = lock(&self.entries);
         if entries.len() >= self.limits.streams {
             return None;
         }
         entries.insert(number, Entry { node: String::new(), peer, variant, stream: stream.clone() });
         self.counters.opened.fetch_add(1, Ordering::Relaxed);
-        Some(Place { hub: self.clone(), number, stream })
+        Some(Registration { hub: self.clone(), number, stream })
     }
 }
 
-impl Place {
-    /// The subscriber has said who it is.
-    pub fn name(&self, node: &str) {
-        let mut entries = self.hub.entries.lock().unwrap_or_else(PoisonError::into_inner);
+impl Registration {
+    /// Sets the id of the subscriber's node.
+    pub fn set_node(&self, node: &str) {
+        let mut entries = lock(&self.hub.entries);
         if let Some(entry) = entries.get_mut(&self.number) {
-            entry.node = node.chars().filter(|c| !c.is_control()).take(200).collect();
+            entry.node = node.chars().filter(|c| !c.is_control()).take(MAX_NODE_CHARS).collect();
         }
     }
 
-    /// The subscriber tells of itself.
-    pub fn told(&self, topic: Topic, told: String) {
-        self.hub.say(&self.node(), StreamEvent::Metadata(self.number, topic, told));
+    /// Passes metadata of the subscriber to the listener.
+    pub fn on_metadata(&self, topic: Topic, text: String) {
+        self.hub.notify(&self.node(), StreamEvent::Metadata(self.number, topic, text));
     }
 
-    /// Who it is.
+    /// The id of the subscriber's node.
     pub fn node(&self) -> String {
-        let entries = self.hub.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        let entries = lock(&self.hub.entries);
         entries.get(&self.number).map(|e| e.node.clone()).unwrap_or_default()
     }
 }
 
-impl Drop for Place {
+impl Drop for Registration {
     fn drop(&mut self) {
-        let entry = self.hub.entries.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.number);
+        let entry = lock(&self.hub.entries).remove(&self.number);
         if let Some(entry) = entry {
-            self.hub.say(&entry.node, StreamEvent::Ended(self.number));
+            self.hub.notify(&entry.node, StreamEvent::Ended(self.number));
         }
     }
 }
--- a/crates/adapters/xds-grpc/src/lib.rs
+++ b/crates/adapters/xds-grpc/src/lib.rs
@@ -1,6 +1,7 @@
-//! xDS over gRPC: the sockets' side of [`rushquay_xds`]. [`Hub`] and [`serve`] are a server, [`run`] is a client.
+//! xDS over gRPC: the transport of [`rushquay_xds`]. [`Hub`] and [`serve`] are a server, [`run`] is a client.
 //!
-//! All that is decided stands in the state machines; here are streams, limits, TLS and the translation of messages.
+//! This crate decides nothing: that is done by the state machines. It has the streams, limits, TLS and the conversion
+//! of messages.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/adapters/xds-grpc/src/server.rs
+++ b/crates/adapters/xds-grpc/src/server.rs
@@ -1,6 +1,6 @@
 //! The gRPC services: ADS, CDS and EDS, each state-of-the-world and delta.
 
-use crate::hub::{Hub, Place};
+use crate::hub::{lock, Hub, Registration};
 use crate::{convert, Tls};
 use envoy_types::pb::envoy::config::core::v3::Node;
 use envoy_types::pb::envoy::service::cluster::v3::cluster_discovery_service_server::{
@@ -21,7 +21,7 @@
 use rushquay_xds::Kind;
 use std::future::Future;
 use std::sync::atomic::Ordering::Relaxed;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -29,17 +29,17 @@
 use tonic::metadata::MetadataValue;
 use tonic::{Request, Response, Status, Streaming};
 
-/// A peer that has said nothing for so long is asked whether it is there; a machine that vanished answers never.
+/// An idle peer is pinged after this time; a machine that vanished never answers.
 const KEEPALIVE: Duration = Duration::from_secs(10);
-/// And is given up after this.
-const KEEPALIVE_WITHIN: Duration = Duration::from_secs(10);
-/// Metadata of an answer: the server's Unix time in nanoseconds when it was made, so that who follows it knows how far
-/// their clocks are apart.
-pub(crate) const TIME: &str = "rushquay-unix-ns";
-/// Metadata of a refusal: this server stands by for another.
-pub(crate) const STANDS_BY: &str = "rushquay-stands-by";
-/// Streams on one connection.
-const STREAMS_A_CONNECTION: u32 = 100;
+/// The connection is closed without an answer to the ping within this time.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Metadata of a response: the server's Unix time in nanoseconds when it was made, so that a client can measure the
+/// offset between the clocks.
+pub(crate) const TIME_METADATA: &str = "rushquay-unix-ns";
+/// Metadata of an error: this server is in standby.
+pub(crate) const STANDBY_METADATA: &str = "rushquay-stands-by";
+/// The most streams on one connection.
+const MAX_STREAMS_PER_CONNECTION: u32 = 100;
 
 /// The messages of a variant.
 trait Wire: Send + 'static {
@@ -47,8 +47,8 @@
     type Request: Send + 'static;
     type Response: Send + 'static;
     fn node(request: &mut Self::Request) -> Option<Node>;
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError>;
-    fn say(answer: Answer, incarnation: &str) -> Self::Response;
+    fn apply(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError>;
+    fn encode(answer: Answer, incarnation: &str) -> Self::Response;
 }
 
 struct Delta;
@@ -59,10 +59,10 @@
     fn node(request: &mut Self::Request) -> Option<Node> {
         request.node.take()
     }
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
+    fn apply(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
         machine.delta(convert::delta_request(request))
     }
-    fn say(answer: Answer, incarnation: &str) -> Self::Response {
+    fn encode(answer: Answer, incarnation: &str) -> Self::Response {
         convert::delta_response(answer, incarnation)
     }
 }
@@ -75,17 +75,17 @@
     fn node(request: &mut Self::Request) -> Option<Node> {
         request.node.take()
     }
-    fn hear(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
+    fn apply(machine: &mut Machine, request: Self::Request) -> Result<RequestOutcome, StreamError> {
         machine.sotw(convert::sotw_request(request))
     }
-    fn say(answer: Answer, incarnation: &str) -> Self::Response {
+    fn encode(answer: Answer, incarnation: &str) -> Self::Response {
         convert::sotw_response(answer, incarnation)
     }
 }
 
-fn stands_by() -> Status {
-    let mut status = Status::unavailable("this control service stands by for another; ask that one");
-    status.metadata_mut().insert(STANDS_BY, MetadataValue::from_static("1"));
+fn standby_status() -> Status {
+    let mut status = Status::unavailable("this control service is in standby; connect to the leader");
+    status.metadata_mut().insert(STANDBY_METADATA, MetadataValue::from_static("1"));
     status
 }
 
@@ -99,7 +99,7 @@
 
 type Answers<W> = ReceiverStream<Result<<W as Wire>::Response, Status>>;
 
-/// All services on one hub.
+/// All services, on one hub.
 #[derive(Clone)]
 struct Service(Arc<Hub>);
 
@@ -111,47 +111,47 @@
     ) -> Result<Response<Answers<W>>, Status> {
         let served = self.0.served();
         if served.is_none() {
-            return Err(stands_by());
+            return Err(standby_status());
         }
-        let place = self.0.enter(W::VARIANT, only, request.remote_addr());
-        let place = place
+        let registration = self.0.register(W::VARIANT, only, request.remote_addr());
+        let registration = registration
             .ok_or_else(|| Status::resource_exhausted("too many streams; try another control service"))?;
-        // Danger: what is made ahead of a subscriber that doesn't read is held for it. One answer waits here, and one
-        // in the connection's own buffers.
-        let (answers, given) = mpsc::channel(1);
-        tokio::spawn(talk::<W>(self.0.clone(), place, served, request.into_inner(), answers));
-        let mut response = Response::new(ReceiverStream::new(given));
+        // Danger: answers made ahead of a subscriber that does not read use memory. One answer waits here, and one in
+        // the connection's own buffers.
+        let (answers, receiver) = mpsc::channel(1);
+        tokio::spawn(run_stream::<W>(self.0.clone(), registration, served, request.into_inner(), answers));
+        let mut response = Response::new(ReceiverStream::new(receiver));
         if let Ok(now) = MetadataValue::try_from(self.0.unix().to_string()) {
-            response.metadata_mut().insert(TIME, now);
+            response.metadata_mut().insert(TIME_METADATA, now);
         }
         Ok(response)
     }
 
-    /// One state-of-the-world answer ("REST and unary").
+    /// A single state-of-the-world answer ("REST and unary").
     fn fetch(&self, only: Kind, request: DiscoveryRequest) -> Result<Response<DiscoveryResponse>, Status> {
         let mut machine = Machine::new(Variant::Sotw, Some(only), self.0.limits.stream);
         let store = self.0.store();
         machine.sotw(convert::sotw_request(request)).map_err(|e| status(&e))?;
         let answer = machine.next(&store).map_err(|e| status(&e))?;
-        let answer = answer.ok_or_else(|| Status::unavailable("nothing to tell yet; ask again later"))?;
+        let answer = answer.ok_or_else(|| Status::unavailable("no resources yet; retry later"))?;
         Ok(Response::new(convert::sotw_response(answer, store.incarnation())))
     }
 }
 
-/// One stream, until either side ends it.
-async fn talk<W: Wire>(
+/// Runs one stream, until either side ends it.
+async fn run_stream<W: Wire>(
     hub: Arc<Hub>,
-    place: Place,
+    registration: Registration,
     served: Option<u64>,
     mut inbound: Streaming<W::Request>,
     answers: mpsc::Sender<Result<W::Response, Status>>,
 ) {
-    let mut changed = hub.watch();
-    let mut due = false;
-    let ended = loop {
+    let mut changed = hub.subscribe_changes();
+    let mut is_due = false;
+    let status = loop {
         tokio::select! {
             message = inbound.message() => {
-                let mut request = match message {
+                let request = match message {
                     Ok(Some(request)) => request,
                     // Danger: a client may close its half and still read; xDS has no use for that.
                     Ok(None) => break None,
@@ -160,73 +160,88 @@
                         break Some(e);
                     }
                 };
-                if let Some(mut node) = W::node(&mut request) {
-                    place.name(&node.id);
-                    for topic in Topic::ALL {
-                        if let Some(told) = convert::take_metadata(&mut node, topic) {
-                            place.told(topic, told);
-                        }
-                    }
+                if let Err(status) = on_request::<W>(&hub, &registration, request) {
+                    break Some(status);
                 }
-                let heard = {
-                    let mut machine = place.stream.lock().unwrap_or_else(PoisonError::into_inner);
-                    W::hear(&mut machine, request)
-                };
-                match heard {
-                    Ok(RequestOutcome::Acked(_)) => drop(hub.counters.acks.fetch_add(1, Relaxed)),
-                    Ok(RequestOutcome::Nacked(kind, why)) => {
-                        hub.counters.nacks.fetch_add(1, Relaxed);
-                        tracing::warn!(subscriber = %place.node(), ?kind, ?why, "a subscriber refused an answer");
-                    }
-                    Ok(RequestOutcome::Subscribed | RequestOutcome::Stale(_)) => {}
-                    Err(e) => {
-                        hub.counters.faults.fetch_add(1, Relaxed);
-                        tracing::warn!(subscriber = %place.node(), fault = %e, "a stream ends for its peer's fault");
-                        break Some(status(&e));
-                    }
-                }
-                due = true;
+                is_due = true;
             }
-            permit = answers.reserve(), if due => {
+            permit = answers.reserve(), if is_due => {
                 let Ok(permit) = permit else { break None };
-                let next = {
-                    let store = hub.store();
-                    // While the store is held no other can take its place.
-                    if hub.served() != served {
-                        break Some(stands_by());
-                    }
-                    let mut machine = place.stream.lock().unwrap_or_else(PoisonError::into_inner);
-                    machine.next(&store).map(|a| a.map(|a| (a, store.incarnation().clone())))
-                };
-                match next {
-                    Ok(None) => due = false,
+                match next_answer(&hub, &registration, served) {
+                    Ok(None) => is_due = false,
                     Ok(Some((answer, incarnation))) => {
                         let bytes: usize = answer.resources.iter().map(|r| r.body.len()).sum();
                         hub.counters.answers.fetch_add(1, Relaxed);
                         hub.counters.bytes.fetch_add(bytes as u64, Relaxed);
-                        permit.send(Ok(W::say(answer, &incarnation)));
+                        permit.send(Ok(W::encode(answer, &incarnation)));
                     }
-                    Err(e) => break Some(status(&e)),
+                    Err(status) => break Some(status),
                 }
             }
             alive = changed.changed() => {
                 if alive.is_err() {
                     break None;
                 }
-                // Another store, or none: what this stream was told has no continuation here.
+                // Another store, or none: it does not continue what this stream has sent.
                 if hub.served() != served {
-                    break Some(stands_by());
+                    break Some(standby_status());
                 }
-                due = true;
+                is_due = true;
             }
             () = answers.closed() => break None,
         }
     };
-    drop(place);
-    if let Some(status) = ended {
-        // A peer that doesn't read its error either is left to the connection's own end.
-        let _ = tokio::time::timeout(KEEPALIVE_WITHIN, answers.send(Err(status))).await;
+    drop(registration);
+    if let Some(status) = status {
+        // A peer that does not read its error either is left to the end of the connection.
+        let _ = tokio::time::timeout(KEEPALIVE_TIMEOUT, answers.send(Err(status))).await;
+    }
+}
+
+/// Handles one request of a subscriber. An error ends its stream.
+fn on_request<W: Wire>(
+    hub: &Hub,
+    registration: &Registration,
+    mut request: W::Request,
+) -> Result<(), Status> {
+    if let Some(mut node) = W::node(&mut request) {
+        registration.set_node(&node.id);
+        for topic in Topic::ALL {
+            if let Some(text) = convert::take_metadata(&mut node, topic) {
+                registration.on_metadata(topic, text);
+            }
+        }
+    }
+    let outcome = W::apply(&mut lock(&registration.stream), request);
+    match outcome {
+        Ok(RequestOutcome::Acked(_)) => drop(hub.counters.acks.fetch_add(1, Relaxed)),
+        Ok(RequestOutcome::Nacked(kind, reason)) => {
+            hub.counters.nacks.fetch_add(1, Relaxed);
+            tracing::warn!(subscriber = %registration.node(), ?kind, ?reason, "subscriber rejected an answer");
+        }
+        Ok(RequestOutcome::Subscribed | RequestOutcome::Stale(_)) => {}
+        Err(error) => {
+            hub.counters.faults.fetch_add(1, Relaxed);
+            tracing::warn!(subscriber = %registration.node(), %error, "stream ended: invalid request");
+            return Err(status(&error));
+        }
+    }
+    Ok(())
+}
+
+/// The next answer that is due, with the incarnation of the store. An error ends the stream.
+fn next_answer(
+    hub: &Hub,
+    registration: &Registration,
+    served: Option<u64>,
+) -> Result<Option<(Answer, Arc<str>)>, Status> {
+    let store = hub.store();
+    // The store can't be reregistrationd while this guard is held.
+    if hub.served() != served {
+        return Err(standby_status());
     }
+    let answer = lock(&registration.stream).next(&store).map_err(|e| status(&e))?;
+    Ok(answer.map(|answer| (answer, store.incarnation().clone())))
 }
 
 #[tonic::async_trait]
@@ -306,25 +321,25 @@
 /// Serves a hub on a listener until `stop`.
 ///
 /// # Errors
-/// TLS that can't be used, or a listener that fails for good.
+/// Unusable TLS settings, or a permanent error of the listener.
 pub async fn serve(
     listener: TcpListener,
     hub: Arc<Hub>,
     tls: Option<&Tls>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
-    let message = hub.limits.message;
+    let max_message = hub.limits.message;
     let service = Service(hub);
     let mut builder = tonic::transport::Server::builder()
         .http2_keepalive_interval(Some(KEEPALIVE))
-        .http2_keepalive_timeout(Some(KEEPALIVE_WITHIN))
-        .max_concurrent_streams(Some(STREAMS_A_CONNECTION));
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
+        .max_concurrent_streams(Some(MAX_STREAMS_PER_CONNECTION));
     if let Some(tls) = tls {
         builder = builder.tls_config(tls.server())?;
     }
-    let ads = AggregatedDiscoveryServiceServer::new(service.clone()).max_decoding_message_size(message);
-    let cds = ClusterDiscoveryServiceServer::new(service.clone()).max_decoding_message_size(message);
-    let eds = EndpointDiscoveryServiceServer::new(service).max_decoding_message_size(message);
+    let ads = AggregatedDiscoveryServiceServer::new(service.clone()).max_decoding_message_size(max_message);
+    let cds = ClusterDiscoveryServiceServer::new(service.clone()).max_decoding_message_size(max_message);
+    let eds = EndpointDiscoveryServiceServer::new(service).max_decoding_message_size(max_message);
     let incoming = Incoming::new(listener);
     builder
         .add_service(ads.max_encoding_message_size(usize::MAX))
--- a/crates/adapters/xds-grpc/src/tls.rs
+++ b/crates/adapters/xds-grpc/src/tls.rs
@@ -1,19 +1,19 @@
-//! Mutual TLS: both ends show a certificate that the other's authority has signed.
+//! Mutual TLS: both sides present a certificate that the other side's authority has signed.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tonic::transport::{Certificate, ClientTlsConfig, Identity, ServerTlsConfig};
 
-/// Where the PEM files are.
+/// The paths of the PEM files.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsFiles {
-    /// This end's certificate, with the chain behind it.
+    /// The certificate of this side, with its chain.
     pub cert: PathBuf,
-    /// Its private key.
+    /// The private key.
     pub key: PathBuf,
-    /// The authority that signs the other end's certificate.
+    /// The authority that signs the certificates of the other side.
     pub ca: PathBuf,
 }
 
@@ -27,10 +27,10 @@
         field: &'static str,
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A file holds no PEM block of its sort.
+    /// A file has no PEM block of the expected kind.
     #[error("tls.{field}: {path}: expected a PEM block \"{expected}\"")]
     NotPem {
         /// The field.
@@ -40,19 +40,19 @@
         /// What was expected.
         expected: &'static str,
     },
-    /// Listening beyond loopback without TLS.
+    /// A listener beyond loopback without TLS.
     #[error(
         "{what} {addr} is beyond loopback and has no TLS; set [tls] cert, key and ca, or listen on 127.0.0.1"
     )]
     Bare {
-        /// What would listen.
+        /// The listener.
         what: &'static str,
-        /// Where.
+        /// Its address.
         addr: SocketAddr,
     },
 }
 
-/// The files' contents.
+/// The contents of the files.
 #[derive(Clone)]
 pub struct Tls {
     cert: Vec<u8>,
@@ -64,7 +64,7 @@
     /// Reads the files.
     ///
     /// # Errors
-    /// A file that can't be read, or that holds no PEM.
+    /// A file that can't be read, or that is not PEM.
     pub fn read(files: &TlsFiles) -> Result<Self, TlsError> {
         let read = |field, path: &Path, expected: &'static str| {
             let bytes = std::fs::read(path).map_err(|source| TlsError::File {
@@ -73,8 +73,8 @@
                 source,
             })?;
             let text = String::from_utf8_lossy(&bytes);
-            let fits = text.lines().any(|l| l.starts_with("-----BEGIN ") && l.contains(expected));
-            fits.then_some(bytes).ok_or(TlsError::NotPem { field, path: path.to_owned(), expected })
+            let is_pem = text.lines().any(|l| l.starts_with("-----BEGIN ") && l.contains(expected));
+            is_pem.then_some(bytes).ok_or(TlsError::NotPem { field, path: path.to_owned(), expected })
         };
         Ok(Tls {
             cert: read("cert", &files.cert, "CERTIFICATE")?,
@@ -89,7 +89,8 @@
             .client_ca_root(Certificate::from_pem(&self.ca))
     }
 
-    /// A client's side; without a name the server's certificate must bear the host that is connected to.
+    /// The configuration of a client; without a name the server's certificate must be valid for the host that is
+    /// connected to.
     pub fn client(&self, server_name: Option<&str>) -> ClientTlsConfig {
         let config = ClientTlsConfig::new()
             .identity(Identity::from_pem(&self.cert, &self.key))
@@ -101,7 +102,7 @@
     }
 }
 
-/// Refuses to listen beyond loopback without TLS.
+/// Rejects a listener beyond loopback without TLS.
 ///
 /// # Errors
 /// [`TlsError::Bare`].
