--- a/crates/core/xds-resources/src/decode.rs
+++ b/crates/core/xds-resources/src/decode.rs
@@ -1,6 +1,6 @@
-//! xDS resources as nodes. What stands there is checked before anything of it is taken.
+//! Decodes xDS resources into endpoints. A resource is validated before any of it is used.
 
-use crate::names::{LEAVES, POLICY_RESOURCE, TEXT_TYPE};
+use crate::names::{POLICY_LEASE_PREFIX, POLICY_RESOURCE, TEXT_TYPE};
 use crate::{METADATA, WEIGHT_UNIT};
 use envoy_types::pb::envoy::config::core::v3::{
     address, socket_address::PortSpecifier, Address, HealthStatus, Metadata, TypedExtensionConfig,
@@ -17,88 +17,88 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Why a resource can't be taken. It names the field; correct it at the server.
+/// Why a resource is rejected. It names the field; correct it at the server.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// No message of its type.
+    /// It is not a message of its type.
     #[error("not a message of its type: {0}")]
     Malformed(String),
-    /// A field can't be obeyed.
-    #[error("{field}: {why}")]
+    /// A field is invalid.
+    #[error("{field}: {reason}")]
     Field {
-        /// Its path.
+        /// The path of the field.
         field: String,
-        /// What is wrong.
-        why: String,
+        /// What is wrong with it.
+        reason: String,
     },
-    /// A kind that isn't asked for.
+    /// A kind that is not subscribed to.
     #[error("resources of this type are not read here")]
     Unread,
 }
 
-/// A text of policies.
+/// A message about policies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PolicyMessage {
-    /// What holds, for all alike.
+    /// The policies in force, for all proxies.
     Broadcast(String),
-    /// A leave for this process.
+    /// A policy lease for this process.
     LeaseGrant(String),
 }
 
-/// A resource as the proxy reads it.
+/// A decoded resource.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedResource {
     /// A cluster's assignment.
     Assignment {
-        /// Endpoints that stand inline.
+        /// Inline endpoints.
         endpoints: Vec<SourcedEndpoint>,
-        /// Names of the collections that hold the others.
+        /// The names of the collections with the others.
         collections: Vec<String>,
     },
     /// One endpoint of a collection.
     Endpoint(SourcedEndpoint),
     /// Settings for a proxy.
     Settings(ConfigAssignment),
-    /// What holds of policies, and a leave to act by it: texts that whoever follows them reads.
+    /// The policies in force, or a policy lease: texts that the policy client parses.
     Policy(PolicyMessage),
 }
 
-fn field(field: impl Into<String>, why: impl Into<String>) -> DecodeError {
-    DecodeError::Field { field: field.into(), why: why.into() }
+fn field_error(field: impl Into<String>, reason: impl Into<String>) -> DecodeError {
+    DecodeError::Field { field: field.into(), reason: reason.into() }
 }
 
-/// Reads a resource; returns its name with it.
+/// Decodes a resource; returns its name with it.
 ///
 /// # Errors
-/// See [`DecodeError`]; nothing of the resource is to be taken.
-pub fn decode(kind: Kind, came: &ReceivedResource) -> Result<(String, DecodedResource), DecodeError> {
+/// See [`DecodeError`]; nothing of the resource may be used.
+pub fn decode(kind: Kind, received: &ReceivedResource) -> Result<(String, DecodedResource), DecodeError> {
     let malformed = |e: prost::DecodeError| DecodeError::Malformed(e.to_string());
     match kind {
         Kind::Endpoint => {
-            let name = came.name.clone().ok_or_else(|| field("name", "missing"))?;
-            let message = LbEndpoint::decode(came.body.as_slice()).map_err(malformed)?;
+            let name = received.name.clone().ok_or_else(|| field_error("name", "missing"))?;
+            let message = LbEndpoint::decode(received.body.as_slice()).map_err(malformed)?;
             Ok((name, DecodedResource::Endpoint(endpoint("", &message, "")?)))
         }
         Kind::Endpoints => {
-            let message = ClusterLoadAssignment::decode(came.body.as_slice()).map_err(malformed)?;
+            let message = ClusterLoadAssignment::decode(received.body.as_slice()).map_err(malformed)?;
             let item = assignment(&message)?;
-            Ok((came.name.clone().unwrap_or(message.cluster_name), item))
+            Ok((received.name.clone().unwrap_or(message.cluster_name), item))
         }
         Kind::Extension => {
-            let message = TypedExtensionConfig::decode(came.body.as_slice()).map_err(malformed)?;
+            let message = TypedExtensionConfig::decode(received.body.as_slice()).map_err(malformed)?;
             let config = message.typed_config.unwrap_or_default();
             if config.type_url != TEXT_TYPE {
-                return Err(field("typed_config", format!("a {}, not a {TEXT_TYPE}", config.type_url)));
+                return Err(field_error("typed_config", format!("a {}, not a {TEXT_TYPE}", config.type_url)));
             }
             let text = String::decode(config.value.as_slice()).map_err(malformed)?;
-            let name = came.name.clone().unwrap_or(message.name);
+            let name = received.name.clone().unwrap_or(message.name);
             let item = if name == POLICY_RESOURCE {
                 DecodedResource::Policy(PolicyMessage::Broadcast(text))
-            } else if name.starts_with(LEAVES) {
+            } else if name.starts_with(POLICY_LEASE_PREFIX) {
                 DecodedResource::Policy(PolicyMessage::LeaseGrant(text))
             } else {
                 DecodedResource::Settings(
-                    ConfigAssignment::read(&text).map_err(|e| field("typed_config", e.to_string()))?,
+                    ConfigAssignment::read(&text).map_err(|e| field_error("typed_config", e.to_string()))?,
                 )
             };
             Ok((name, item))
@@ -109,7 +109,7 @@
 
 fn assignment(message: &ClusterLoadAssignment) -> Result<DecodedResource, DecodeError> {
     if message.cluster_name.is_empty() {
-        return Err(field("cluster_name", "empty"));
+        return Err(field_error("cluster_name", "empty"));
     }
     let (mut endpoints, mut collections) = (Vec::new(), Vec::new());
     let mut seen = HashMap::new();
@@ -120,7 +120,7 @@
             None => {}
             Some(LbConfig::LedsClusterLocalityConfig(leds)) => {
                 if !leds.leds_collection_name.ends_with("/*") {
-                    return Err(field(
+                    return Err(field_error(
                         format!("{path}.leds_cluster_locality_config.leds_collection_name"),
                         "only glob collections (ending in /*) are read",
                     ));
@@ -128,86 +128,88 @@
                 collections.push(leds.leds_collection_name.clone());
             }
             Some(_) => {
-                return Err(field(format!("{path}.load_balancer_endpoints"), "deprecated and not read"))
+                return Err(field_error(format!("{path}.load_balancer_endpoints"), "deprecated and not read"))
             }
         }
-        for (j, one) in locality.lb_endpoints.iter().enumerate() {
+        for (j, lb_endpoint) in locality.lb_endpoints.iter().enumerate() {
             let path = format!("{path}.lb_endpoints[{j}]");
-            let stated = endpoint(&format!("{path}."), one, zone)?;
-            // Danger: of two entries for one node the one read last would win by chance.
-            if let Some(first) = seen.insert(stated.member.id.clone(), path.clone()) {
-                return Err(field(path, format!("names {:?} again, as {first}", stated.member.id)));
+            let endpoint = endpoint(&format!("{path}."), lb_endpoint, zone)?;
+            // Danger: of two entries for one endpoint the one decoded last would win by chance.
+            if let Some(first) = seen.insert(endpoint.member.id.clone(), path.clone()) {
+                return Err(field_error(path, format!("names {:?} again, as {first}", endpoint.member.id)));
             }
-            endpoints.push(stated);
+            endpoints.push(endpoint);
         }
     }
     Ok(DecodedResource::Assignment { endpoints, collections })
 }
 
 fn endpoint(path: &str, message: &LbEndpoint, zone: &str) -> Result<SourcedEndpoint, DecodeError> {
-    let at = |name: &str| format!("{path}{name}");
+    let field_path = |name: &str| format!("{path}{name}");
     let addr = match &message.host_identifier {
-        Some(HostIdentifier::Endpoint(e)) => address(&at("endpoint.address"), e.address.as_ref())?,
-        Some(HostIdentifier::EndpointName(_)) => return Err(field(at("endpoint_name"), "not read")),
-        None => return Err(field(at("endpoint"), "missing")),
+        Some(HostIdentifier::Endpoint(e)) => address(&field_path("endpoint.address"), e.address.as_ref())?,
+        Some(HostIdentifier::EndpointName(_)) => {
+            return Err(field_error(field_path("endpoint_name"), "not read"))
+        }
+        None => return Err(field_error(field_path("endpoint"), "missing")),
     };
     let state = match HealthStatus::try_from(message.health_status) {
         Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => EndpointState::Ready,
-        // A state that is new here gets nothing new.
+        // An unknown state must get no new requests.
         _ => EndpointState::Draining,
     };
-    let own = Own::of(message.metadata.as_ref());
-    // Where something is imposed the health is for clients that know nothing of it.
-    let state = own.text("state").map_or(state, EndpointState::from_word);
-    let weight = match (own.number("weight"), &message.load_balancing_weight) {
+    let metadata = ProjectMetadata::of(message.metadata.as_ref());
+    // With overrides, the health status is for clients that do not know them.
+    let state = metadata.text("state").map_or(state, EndpointState::from_word);
+    let weight = match (metadata.number("weight"), &message.load_balancing_weight) {
         (Some(exact), _) if exact > 0.0 && exact.is_finite() => exact,
-        (Some(_), _) => return Err(field(at("metadata.rushquay.weight"), "not over 0")),
+        (Some(_), _) => return Err(field_error(field_path("metadata.rushquay.weight"), "not over 0")),
         (None, Some(w)) if w.value == 0 => {
-            return Err(field(at("load_balancing_weight"), "0; it must be 1 at least"))
+            return Err(field_error(field_path("load_balancing_weight"), "0; it must be 1 at least"))
         }
         (None, Some(w)) => f64::from(w.value) / WEIGHT_UNIT,
         (None, None) => 1.0,
     };
-    let id = match (own.text("id"), addr) {
-        (Some(""), _) => return Err(field(at("metadata.rushquay.id"), "empty")),
+    let id = match (metadata.text("id"), addr) {
+        (Some(""), _) => return Err(field_error(field_path("metadata.rushquay.id"), "empty")),
         (Some(id), _) => id.to_owned(),
-        // A server that isn't this project's names its endpoints by their addresses.
+        // Other servers than this project's identify their endpoints by address.
         (None, Some(addr)) => addr.to_string(),
-        (None, None) => return Err(field(at("endpoint.address"), "missing")),
+        (None, None) => return Err(field_error(field_path("endpoint.address"), "missing")),
     };
-    let nanos = |name: &str| match own.text(name) {
+    let nanos = |name: &str| match metadata.text(name) {
         None => Ok(0),
-        Some(text) => {
-            text.parse().map_err(|_| field(at(&format!("metadata.rushquay.{name}")), "not a whole number"))
-        }
+        Some(text) => text
+            .parse()
+            .map_err(|_| field_error(field_path(&format!("metadata.rushquay.{name}")), "not a whole number")),
     };
     let member = Endpoint {
         id,
         addr,
-        zone: own.text("zone").unwrap_or(zone).to_owned(),
-        kind: own.text("kind").unwrap_or("").to_owned(),
-        cell: own.number("cell").map_or(0, |c| c as u32),
+        zone: metadata.text("zone").unwrap_or(zone).to_owned(),
+        kind: metadata.text("kind").unwrap_or("").to_owned(),
+        cell: metadata.number("cell").map_or(0, |c| c as u32),
         state,
         weight,
         started: nanos("started_ns")?,
     };
-    let imposed =
-        imposed(&own).map_err(|name| field(at(&format!("metadata.rushquay.{name}")), "not as expected"))?;
-    Ok(SourcedEndpoint { member, listed: nanos("listed")?, shared: own.flag("shared"), imposed })
+    let imposed = imposed(&metadata)
+        .map_err(|name| field_error(field_path(&format!("metadata.rushquay.{name}")), "not as expected"))?;
+    Ok(SourcedEndpoint { member, listed: nanos("listed")?, shared: metadata.flag("shared"), imposed })
 }
 
-/// What is imposed; the name of a field that can't be read.
-fn imposed(own: &Own<'_>) -> Result<Imposed, &'static str> {
+/// The overrides; the error is the name of an invalid field.
+fn imposed(metadata: &ProjectMetadata<'_>) -> Result<Imposed, &'static str> {
     let pair = |text: &str| {
         let (a, b) = text.split_once(':')?;
         Some((a.parse().ok()?, b.to_owned()))
     };
     let mut imposed = Imposed::default();
-    if let Some(text) = own.text("out_ns") {
+    if let Some(text) = metadata.text("out_ns") {
         let (since, until) = pair(text).ok_or("out_ns")?;
         imposed.out = (since, until.parse().map_err(|_| "out_ns")?);
     }
-    for text in own.text("factors").into_iter().flat_map(|t| t.split(',')).filter(|t| !t.is_empty()) {
+    for text in metadata.text("factors").into_iter().flat_map(|t| t.split(',')).filter(|t| !t.is_empty()) {
         let (until, factor) = pair(text).ok_or("factors")?;
         let factor: f64 = factor.parse().map_err(|_| "factors")?;
         if !(factor > 0.0 && factor <= 10.0) {
@@ -215,39 +217,42 @@
         }
         imposed.weights.push((until, factor));
     }
-    if let Some(text) = own.text("cold_after_ns") {
+    if let Some(text) = metadata.text("cold_after_ns") {
         imposed.cold_after = text.parse().map_err(|_| "cold_after_ns")?;
     }
-    if let Some(text) = own.text("pins") {
+    if let Some(text) = metadata.text("pins") {
         imposed.pins = serde_json::from_str(text).map_err(|_| "pins")?;
     }
     Ok(imposed)
 }
 
-/// An address that can be connected to without a look-up; `None` where there is none at all.
+/// An address that needs no resolution; `None` where there is none at all.
 fn address(path: &str, message: Option<&Address>) -> Result<Option<SocketAddr>, DecodeError> {
     let Some(message) = message else { return Ok(None) };
     let Some(address::Address::SocketAddress(socket)) = &message.address else {
-        return Err(field(path, "only socket_address is read"));
+        return Err(field_error(path, "only socket_address is read"));
     };
     let ip: IpAddr = socket.address.parse().map_err(|_| {
-        field(format!("{path}.socket_address.address"), format!("{:?} is no IP address", socket.address))
+        field_error(
+            format!("{path}.socket_address.address"),
+            format!("{:?} is no IP address", socket.address),
+        )
     })?;
     let port = match socket.port_specifier {
         Some(PortSpecifier::PortValue(port)) => u16::try_from(port).ok().filter(|p| *p > 0),
         _ => None,
     };
-    let port =
-        port.ok_or_else(|| field(format!("{path}.socket_address.port_value"), "no port from 1 to 65535"))?;
+    let port = port
+        .ok_or_else(|| field_error(format!("{path}.socket_address.port_value"), "no port from 1 to 65535"))?;
     Ok(Some(SocketAddr::new(ip, port)))
 }
 
-/// The metadata under this project's filter name.
-struct Own<'a>(Option<&'a HashMap<String, Value>>);
+/// The metadata under the name of this project's filter.
+struct ProjectMetadata<'a>(Option<&'a HashMap<String, Value>>);
 
-impl<'a> Own<'a> {
+impl<'a> ProjectMetadata<'a> {
     fn of(metadata: Option<&'a Metadata>) -> Self {
-        Own(metadata.and_then(|m| m.filter_metadata.get(METADATA)).map(|s| &s.fields))
+        ProjectMetadata(metadata.and_then(|m| m.filter_metadata.get(METADATA)).map(|s| &s.fields))
     }
 
     fn kind(&self, name: &str) -> Option<&'a value::Kind> {
--- a/crates/core/xds-resources/src/encode.rs
+++ b/crates/core/xds-resources/src/encode.rs
@@ -1,4 +1,4 @@
-//! Nodes as xDS resources.
+//! Encodes endpoints as xDS resources.
 
 use crate::names::{assignment_name, collection_name, endpoint_name};
 use crate::{METADATA, WEIGHT_UNIT};
@@ -23,44 +23,56 @@
 };
 use envoy_types::pb::google::protobuf::{value, Any, Duration, Struct, UInt32Value, UInt64Value, Value};
 use prost::{Message, Name};
-use rushquay_endpoints::{EndpointState, Imposed, SourcedEndpoint};
+use rushquay_endpoints::{EndpointState, Imposed, Pin, SourcedEndpoint};
 use rushquay_xds::{version_of, Declared, Kind, Nanos, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which clusters the nodes make.
+/// The size of the ring on which clients place endpoints.
+const MIN_RING_SIZE: u64 = 1024;
+/// The largest `load_balancing_weight` that is sent.
+const MAX_WEIGHT: f64 = 16_000_000.0;
+
+/// The names of the clusters of the endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterNames {
-    /// Name of the cluster of cache nodes, and of the listener and the route that lead to it.
+    /// The name of the cluster of cache nodes, and of the listener and the route that lead to it.
     pub cluster: String,
-    /// Name of the origin's cluster.
+    /// The name of the origin's cluster.
     pub origin: String,
 }
 
-/// The nodes of one cluster by id.
+/// The endpoints of one cluster by id.
 pub type EndpointsById = BTreeMap<String, SourcedEndpoint>;
 
-/// Declares all resources for two clusters: cache nodes and origin. Returns how many changed.
-pub fn declare(store: &mut Store, shape: &ClusterNames, clusters: [&EndpointsById; 2], now: Nanos) -> usize {
-    let names = [shape.cluster.as_str(), shape.origin.as_str()];
+/// Declares all resources of two clusters, cache nodes and origin. Returns the number of changes.
+pub fn declare(
+    store: &mut Store,
+    cluster_names: &ClusterNames,
+    clusters: [&EndpointsById; 2],
+    now: Nanos,
+) -> usize {
+    let names = [cluster_names.cluster.as_str(), cluster_names.origin.as_str()];
     let mut endpoints = BTreeMap::new();
     let mut assignments = BTreeMap::new();
     for (name, nodes) in names.into_iter().zip(clusters) {
-        endpoints.extend(nodes.values().map(|n| (endpoint_name(name, &n.member.zone, &n.member.id), one(n))));
-        assignments.insert(name.to_owned(), inline(name, nodes));
-        assignments.insert(assignment_name(name), by_collections(name, nodes));
+        endpoints.extend(
+            nodes.values().map(|n| (endpoint_name(name, &n.member.zone, &n.member.id), endpoint_resource(n))),
+        );
+        assignments.insert(name.to_owned(), inline_assignment(name, nodes));
+        assignments.insert(assignment_name(name), collection_assignment(name, nodes));
     }
-    let all = |name: &str, content: Declared| BTreeMap::from([(name.to_owned(), content)]);
-    let mut of_clusters = all(names[0], cluster_of(names[0]));
-    of_clusters.extend(all(names[1], cluster_of(names[1])));
-    store.declare(Kind::Cluster, of_clusters, now)
+    let single = |name: &str, content: Declared| BTreeMap::from([(name.to_owned(), content)]);
+    let mut cluster_resources = single(names[0], cluster_resource(names[0]));
+    cluster_resources.extend(single(names[1], cluster_resource(names[1])));
+    store.declare(Kind::Cluster, cluster_resources, now)
         + store.declare(Kind::Endpoints, assignments, now)
         + store.declare(Kind::Endpoint, endpoints, now)
-        + store.declare(Kind::Listener, all(names[0], listener(names[0])), now)
-        + store.declare(Kind::Route, all(names[0], route(names[0])), now)
+        + store.declare(Kind::Listener, single(names[0], listener_resource(names[0])), now)
+        + store.declare(Kind::Route, single(names[0], route_resource(names[0])), now)
 }
 
-/// Declares the nodes of one cluster again, of which only `changed` (and `gone`, as they were) differ from what
-/// stands. Returns how many resources changed.
+/// Declares the endpoints of one cluster again, of which only `changed` (and `gone`, with their last content) differ
+/// from what is declared. Returns the number of changed resources.
 pub fn declare_changed(
     store: &mut Store,
     cluster: &str,
@@ -70,57 +82,85 @@
     now: Nanos,
 ) -> usize {
     let mut count = 0;
-    // A locality is there before what stands in it.
+    // A locality is declared before its endpoints.
     count += usize::from(store.set(
         Kind::Endpoints,
         &assignment_name(cluster),
-        by_collections(cluster, nodes),
+        collection_assignment(cluster, nodes),
         now,
     ));
     let name = |n: &SourcedEndpoint| endpoint_name(cluster, &n.member.zone, &n.member.id);
     let live: BTreeSet<String> = changed.iter().map(name).collect();
     for node in changed {
-        count += usize::from(store.set(Kind::Endpoint, &name(node), one(node), now));
+        count += usize::from(store.set(Kind::Endpoint, &name(node), endpoint_resource(node), now));
     }
     for node in gone.iter().map(name).filter(|n| !live.contains(n)) {
         count += usize::from(store.remove(Kind::Endpoint, &node, now));
     }
-    count + usize::from(store.set(Kind::Endpoints, cluster, inline(cluster, nodes), now))
+    count + usize::from(store.set(Kind::Endpoints, cluster, inline_assignment(cluster, nodes), now))
 }
 
 fn declared(content: &str, message: &impl Message) -> Declared {
     Declared { version: version_of(content.as_bytes()), body: Bytes::from(message.encode_to_vec()) }
 }
 
-/// All that an endpoint says, in one order.
-fn content(node: &SourcedEndpoint) -> String {
-    let m = &node.member;
+/// The text of an endpoint's whole content, whose digest is the version of its resource.
+///
+/// Danger: the version is on the wire, and a proxy that reconnects compares it with what it has. This text must stay
+/// the same from one version of this program to the next, so it is written out here and does not use the derived
+/// `Debug` of types, which changes with the names of their fields and variants.
+fn content_text(node: &SourcedEndpoint) -> String {
+    let endpoint = &node.member;
     format!(
-        "{:?} {:?} {:?} {:?} {} {:?} {} {} {} {}{}",
-        m.id,
-        m.addr,
-        m.zone,
-        m.kind,
-        m.cell,
-        m.state,
-        m.weight,
-        m.started,
+        "{:?} {:?} {:?} {:?} {} {} {} {} {} {}{}",
+        endpoint.id,
+        endpoint.addr,
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        state_text(endpoint.state),
+        endpoint.weight,
+        endpoint.started,
         node.listed,
         node.shared,
-        // Digests of nodes on which nothing is imposed are what they were.
-        if node.imposed.is_empty() { String::new() } else { format!(" {:?}", node.imposed) }
+        // The text of an endpoint without overrides is the same as before there were overrides.
+        if node.imposed.is_empty() { String::new() } else { format!(" {}", overrides_text(&node.imposed)) }
+    )
+}
+
+fn state_text(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Ready => "Ready",
+        EndpointState::Draining => "Draining",
+        EndpointState::Gone => "Gone",
+    }
+}
+
+/// The text of what is imposed. The names in it are part of the format.
+fn overrides_text(imposed: &Imposed) -> String {
+    let Imposed { out, weights, pins, cold_after, present } = imposed;
+    let pins: Vec<String> = pins.iter().map(pin_text).collect();
+    format!(
+        "Imposed {{ out: {out:?}, weights: {weights:?}, pins: [{}], \
+         cold_after: {cold_after:?}, present: {present:?} }}",
+        pins.join(", ")
     )
 }
 
-fn one(node: &SourcedEndpoint) -> Declared {
-    declared(&content(node), &endpoint(node))
+fn pin_text(pin: &Pin) -> String {
+    let Pin { number, until, class, keys } = pin;
+    format!("Pin {{ number: {number:?}, until: {until:?}, class: {class:?}, keys: {keys:?} }}")
+}
+
+fn endpoint_resource(node: &SourcedEndpoint) -> Declared {
+    declared(&content_text(node), &endpoint(node))
 }
 
 fn endpoint(node: &SourcedEndpoint) -> LbEndpoint {
     let m = &node.member;
-    let (out, factor) = node.imposed.present.unwrap_or((false, 1.0));
+    let (is_out, factor) = node.imposed.present.unwrap_or((false, 1.0));
     let health = match m.state {
-        EndpointState::Ready if out => HealthStatus::Draining,
+        EndpointState::Ready if is_out => HealthStatus::Draining,
         EndpointState::Ready => HealthStatus::Healthy,
         EndpointState::Draining => HealthStatus::Draining,
         EndpointState::Gone => HealthStatus::Unhealthy,
@@ -132,15 +172,15 @@
         ("zone", text(&m.zone)),
         ("cell", value::Kind::NumberValue(f64::from(m.cell))),
         ("weight", value::Kind::NumberValue(m.weight)),
-        // Danger: numbers here are doubles, which don't hold Unix time in nanoseconds.
+        // Danger: numbers here are doubles, which can't represent Unix time in nanoseconds.
         ("started_ns", text(&m.started.to_string())),
         ("listed", text(&node.listed.to_string())),
         ("shared", value::Kind::BoolValue(node.shared)),
     ];
-    let imposed = imposed(&node.imposed);
-    // Clients of this project take the state below for the list's, and let what is imposed end by themselves.
-    let own = (out && m.state == EndpointState::Ready).then(|| ("state", text(m.state.as_str())));
-    let fields = fields.into_iter().chain(own).chain(imposed);
+    let overrides = override_fields(&node.imposed);
+    // Clients of this project take the state in the metadata for the list's, and expire overrides by themselves.
+    let list_state = (is_out && m.state == EndpointState::Ready).then(|| ("state", text(m.state.as_str())));
+    let fields = fields.into_iter().chain(list_state).chain(overrides);
     let fields = fields.map(|(name, kind)| (name.to_owned(), Value { kind: Some(kind) })).collect();
     LbEndpoint {
         health_status: health as i32,
@@ -148,7 +188,7 @@
             filter_metadata: [(METADATA.to_owned(), Struct { fields })].into(),
             ..Metadata::default()
         }),
-        load_balancing_weight: Some(UInt32Value { value: weight(m.weight * factor) }),
+        load_balancing_weight: Some(UInt32Value { value: load_balancing_weight(m.weight * factor) }),
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
             address: m.addr.map(|addr| Address {
                 address: Some(address::Address::SocketAddress(SocketAddress {
@@ -162,9 +202,9 @@
     }
 }
 
-/// What is imposed, as fields of the metadata. Danger: numbers there are doubles, which don't hold Unix time in
+/// The overrides as fields of the metadata. Danger: numbers there are doubles, which can't represent Unix time in
 /// nanoseconds.
-fn imposed(imposed: &Imposed) -> Vec<(&'static str, value::Kind)> {
+fn override_fields(imposed: &Imposed) -> Vec<(&'static str, value::Kind)> {
     if imposed.is_empty() {
         return Vec::new();
     }
@@ -179,13 +219,13 @@
     ]
 }
 
-/// `load_balancing_weight`, which must be 1 at the least.
-fn weight(weight: f64) -> u32 {
-    (weight * WEIGHT_UNIT).round().clamp(1.0, 16_000_000.0) as u32
+/// `load_balancing_weight`, which must be at least 1.
+fn load_balancing_weight(weight: f64) -> u32 {
+    (weight * WEIGHT_UNIT).round().clamp(1.0, MAX_WEIGHT) as u32
 }
 
-/// A locality without its endpoints. Danger: gRPC passes over one without a weight, and multiplies its weight with
-/// that of each endpoint on the ring; where all are alike, what counts is the endpoints' own.
+/// A locality without its endpoints. Danger: gRPC ignores a locality without a weight, and multiplies its weight with
+/// that of each endpoint on the ring; with equal weights of the localities only those of the endpoints matter.
 fn locality(zone: &str) -> LocalityLbEndpoints {
     LocalityLbEndpoints {
         locality: Some(Locality { zone: zone.to_owned(), ..Locality::default() }),
@@ -194,8 +234,8 @@
     }
 }
 
-fn inline(cluster: &str, nodes: &EndpointsById) -> Declared {
-    // An endpoint that can't be connected to would spoil the whole for clients that check.
+fn inline_assignment(cluster: &str, nodes: &EndpointsById) -> Declared {
+    // Clients that validate would reject the whole assignment for one endpoint without an address.
     let reachable = || nodes.values().filter(|n| n.member.addr.is_some());
     let mut zones: BTreeMap<&str, Vec<LbEndpoint>> = BTreeMap::new();
     reachable().for_each(|n| zones.entry(&n.member.zone).or_default().push(endpoint(n)));
@@ -206,12 +246,13 @@
         endpoints: endpoints.collect(),
         ..ClusterLoadAssignment::default()
     };
-    let told: Vec<String> = reachable().map(content).collect();
-    declared(&format!("{cluster:?} {}", told.join("\n")), &assignment)
+    let contents: Vec<String> = reachable().map(content_text).collect();
+    declared(&format!("{cluster:?} {}", contents.join("\n")), &assignment)
 }
 
-/// Changes when a data centre comes or goes, and not with its nodes.
-fn by_collections(cluster: &str, nodes: &EndpointsById) -> Declared {
+/// The assignment that refers to collections. It changes when a data centre is added or removed, and not with its
+/// endpoints.
+fn collection_assignment(cluster: &str, nodes: &EndpointsById) -> Declared {
     let zones: BTreeSet<&str> = nodes.values().map(|n| n.member.zone.as_str()).collect();
     let endpoints = zones.iter().map(|zone| LocalityLbEndpoints {
         lb_config: Some(LbConfig::LedsClusterLocalityConfig(LedsClusterLocalityConfig {
@@ -240,17 +281,17 @@
     Any { type_url: M::type_url(), value: message.encode_to_vec() }
 }
 
-fn cluster_of(name: &str) -> Declared {
+fn cluster_resource(name: &str) -> Declared {
     let message = Cluster {
         name: name.to_owned(),
         cluster_discovery_type: Some(cluster::ClusterDiscoveryType::Type(cluster::DiscoveryType::Eds as i32)),
         eds_cluster_config: Some(cluster::EdsClusterConfig { eds_config: Some(ads()), ..Default::default() }),
         connect_timeout: Some(Duration { seconds: 1, nanos: 0 }),
-        // Round robin passes over the endpoints' weights in gRPC. On a ring without a hash policy each request goes to a
-        // random place (gRFC A42, "Hash policy"), so that weights are obeyed, within a zone and between them.
+        // gRPC's round robin ignores the weights of endpoints. On a ring without a hash policy each request goes to a
+        // random place (gRFC A42, "Hash policy"), so that weights apply, within a zone and between zones.
         lb_policy: cluster::LbPolicy::RingHash as i32,
         lb_config: Some(cluster::LbConfig::RingHashLbConfig(cluster::RingHashLbConfig {
-            minimum_ring_size: Some(UInt64Value { value: 1024 }),
+            minimum_ring_size: Some(UInt64Value { value: MIN_RING_SIZE }),
             ..Default::default()
         })),
         ..Cluster::default()
@@ -258,8 +299,8 @@
     declared(&format!("cluster 2 {name:?}"), &message)
 }
 
-/// What a proxyless gRPC client resolves: a listener with `api_listener` (gRFC A27, "Listener Proto").
-fn listener(name: &str) -> Declared {
+/// The listener that a proxyless gRPC client resolves, with `api_listener` (gRFC A27, "Listener Proto").
+fn listener_resource(name: &str) -> Declared {
     let router = HttpFilter {
         name: "envoy.filters.http.router".into(),
         config_type: Some(ConfigType::TypedConfig(any(&Router::default()))),
@@ -282,7 +323,7 @@
     declared(&format!("listener 1 {name:?}"), &message)
 }
 
-fn route(name: &str) -> Declared {
+fn route_resource(name: &str) -> Declared {
     let to_cluster = Route {
         r#match: Some(RouteMatch {
             path_specifier: Some(PathSpecifier::Prefix(String::new())),
--- a/crates/core/xds-resources/src/lib.rs
+++ b/crates/core/xds-resources/src/lib.rs
@@ -1,8 +1,9 @@
-//! Conversion between nodes and xDS resources, and the proxy's reading of a control service ([`Follow`]).
+//! Conversion between endpoints and xDS resources, and the proxy's view of a control service ([`ControlFollower`]).
+//! No I/O: the streams are run by `rushquay-xds-grpc`.
 //!
-//! Two forms of one list are declared. Plain clients get a `ClusterLoadAssignment` with all endpoints inline, which
-//! any EDS client reads. Proxies of this project get the same list as LEDS collections, one resource an endpoint, so
-//! that one change costs one endpoint (`docs/design-control.md` weighs the ways).
+//! The same list is declared in two forms. Plain clients get a `ClusterLoadAssignment` with all endpoints inline,
+//! which any EDS client reads. Proxies of this project get LEDS collections, one resource per endpoint, so that one
+//! change costs one endpoint (`docs/design-control.md` compares the alternatives).
 #![forbid(unsafe_code)]
 
 mod decode;
@@ -19,7 +20,7 @@
 };
 pub use settings::{declare_settings, declare_text, remove_settings, remove_text};
 
-/// The name of the filter under which endpoint metadata stands.
+/// The name of the filter under which endpoint metadata is sent.
 pub const METADATA: &str = "rushquay";
-/// `load_balancing_weight` is a whole number: weight 1 stands as this.
+/// `load_balancing_weight` is a whole number: this value is weight 1.
 pub const WEIGHT_UNIT: f64 = 1000.0;
--- a/crates/core/xds-resources/src/names.rs
+++ b/crates/core/xds-resources/src/names.rs
@@ -1,29 +1,29 @@
-//! Names of resources in collections (xDS, "xdstp:// structured names").
+//! Names of resources (xDS, "xdstp:// structured names").
 
 use std::fmt::Write as _;
 
 const AUTHORITY: &str = "rushquay";
 
-/// The type of an extension's content here: a text.
+/// The type of an extension's content: a text.
 pub(crate) const TEXT_TYPE: &str = "type.googleapis.com/google.protobuf.StringValue";
 
-/// The settings of a proxy.
+/// The resource with the settings of a proxy.
 pub fn settings_name(proxy: &str) -> String {
     format!("rushquay/settings/{}", segment(proxy))
 }
 
-/// What holds of policies, for all alike.
+/// The resource with the policies in force, for all proxies.
 pub const POLICY_RESOURCE: &str = "rushquay/policy";
 
-/// Leaves are named so.
-pub(crate) const LEAVES: &str = "rushquay/leave/";
+/// The prefix of the names of policy leases.
+pub(crate) const POLICY_LEASE_PREFIX: &str = "rushquay/leave/";
 
-/// The leave of a process to act by a policy; `boot` names the process.
+/// The resource with the policy lease of a process; `boot` identifies the process.
 pub fn policy_lease_name(proxy: &str, boot: u64) -> String {
-    format!("{LEAVES}{}/{boot:x}", segment(proxy))
+    format!("{POLICY_LEASE_PREFIX}{}/{boot:x}", segment(proxy))
 }
 
-/// The assignment of a cluster in the form that points to collections.
+/// The assignment of a cluster in the form that refers to collections.
 pub fn assignment_name(cluster: &str) -> String {
     format!("xdstp://{AUTHORITY}/envoy.config.endpoint.v3.ClusterLoadAssignment/{}", segment(cluster))
 }
@@ -42,8 +42,9 @@
     format!("xdstp://{AUTHORITY}/envoy.config.endpoint.v3.LbEndpoint/{}/{}/", segment(cluster), segment(zone))
 }
 
-/// A text as one path segment, percent-encoded. Danger: a slash in an id would be a segment of its own, and `*` a
-/// collection. An empty text, which can be no segment, stands as `%`, which nothing else encodes to.
+/// A text as one path segment, percent-encoded. Danger: an unencoded slash in an id would begin another segment, and
+/// `*` would be a collection. An empty text, which can't be a segment, is encoded as `%`, which is the encoding of
+/// nothing else.
 fn segment(text: &str) -> String {
     if text.is_empty() {
         return "%".into();
@@ -56,15 +57,3 @@
         out
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn ids_cannot_leave_their_segment() {
-        let name = endpoint_name("c", "", "a/b*%");
-        assert_eq!(name, "xdstp://rushquay/envoy.config.endpoint.v3.LbEndpoint/c/%/a%2Fb%2A%25");
-        assert!(!name.ends_with('*'));
-    }
-}
--- a/crates/core/xds-resources/tests/follow.rs
+++ b/crates/core/xds-resources/tests/control_follower.rs
@@ -1,5 +1,5 @@
-//! From the list at the control service to the list at the proxy, with everything between them: the control state, the
-//! resources, both ends of the protocol, and the merge. No sockets.
+//! From the list at the control service to the list at the proxy, with everything between them: the control state,
+//! the resources, both sides of the protocol, and the merger. No sockets.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -76,7 +76,7 @@
         w
     }
 
-    /// The control service is told the whole list.
+    /// Applies the whole list at the control service.
     fn whole(&mut self) {
         let servers = self.truth.values().cloned().collect();
         let taken = self.control.list(&EndpointList { version: self.version, full: true, servers }, 0);
@@ -110,7 +110,7 @@
             ListOutcome::EmptyRefused => panic!("there is always a node"),
         }
         if !self.has_collections {
-            // A server that has the plain form alone.
+            // A server that has only the plain form.
             for cluster in ["cache-nodes", "origin"] {
                 self.store.remove(Kind::Endpoints, &assignment_name(cluster), 0);
             }
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn all_that_is_said_of_a_node_arrives() {
+fn all_fields_of_an_endpoint_arrive() {
     let mut w = World::new(true);
     let odd = Endpoint {
         zone: String::new(),
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn one_change_is_one_endpoint_however_many_there_are() {
+fn one_change_sends_one_endpoint_whatever_their_number() {
     let mut sizes = Vec::new();
     for count in [10u8, 190] {
         let mut w = World::new(true);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_server_without_delta_is_asked_for_whole_clusters() {
+fn whole_clusters_are_requested_from_a_server_without_delta() {
     let mut w = World::new(true);
     w.speaks_delta = false;
     w.change(node(1, 1, 1, EndpointState::Ready, 1, 1.0));
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_server_without_collections_is_asked_for_the_plain_form() {
+fn the_plain_form_is_requested_from_a_server_without_collections() {
     let mut w = World::new(false);
     w.change(node(1, 1, 1, EndpointState::Draining, 1, 1.0));
     w.settle();
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn what_was_wanted_is_asked_for_by_name() {
+fn subscriptions_are_requested_by_name() {
     let mut f = follow(true);
     let asks = f.connected();
     let ClientRequest::Delta(DeltaRequest { subscribe, .. }) = &asks[0] else { panic!("delta") };
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_refused_answer_changes_nothing_and_the_next_one_brings_all() {
+fn a_rejected_answer_changes_nothing_and_the_next_one_has_everything() {
     let mut w = World::new(true);
     w.settle();
     let before = w.merged();
@@ -337,7 +337,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is cut, refused and restarted: the proxy ends with the list as it is.
+    /// Whatever disconnects, rejections and restarts there are, the proxy ends with the declared list.
     #[test]
     fn the_proxy_ends_with_the_declared_list(steps in prop::collection::vec(step(), 1..50)) {
         let mut w = World::new(true);
@@ -345,7 +345,7 @@
         for step in steps {
             match step {
                 Step::Put(id, zone, kind, drains, newer) => {
-                    // A node's start never goes back.
+                    // An endpoint's start never decreases.
                     let started = starts.entry(id).or_insert(1);
                     *started += u64::from(newer == 3);
                     let state = if drains { EndpointState::Draining } else { EndpointState::Ready };
@@ -371,7 +371,7 @@
             }
         }
         w.garble = false;
-        // What is owed after a refusal comes with the next change: both forms of both clusters.
+        // What is due after a rejection comes with the next change: both forms of both clusters.
         w.change(node(201, 0, 1, EndpointState::Ready, 1, 1.0));
         w.change(node(202, 9, 0, EndpointState::Ready, 1, 1.0));
         w.settle();
@@ -379,9 +379,9 @@
     }
 }
 
-/// An instance that led before another speaks again: nothing of it is taken, and the subscriber goes elsewhere.
+/// A former leader answers again: its answer is rejected, and the subscriber moves on to another server.
 #[test]
-fn word_from_an_epoch_that_is_over_is_not_taken() {
+fn answers_from_an_earlier_epoch_are_rejected() {
     let node_of = |state| node(1, 0, 1, state, 1, 1.0);
     let told = |process: &str, state| {
         let mut control = ControlState::new(ControlConfig::default(), Origin::Discovery);
@@ -415,10 +415,10 @@
     assert!(f.answer(told("newer@8", EndpointState::Ready)).news.is_some());
 }
 
-/// A control service from before there were settings to follow ends the stream for being asked: the nodes are followed without
-/// them, and they are asked for again once another stream has ended otherwise.
+/// A control service of a version without settings ends the stream for a request: the endpoints are followed without
+/// them, and settings are requested again once another stream has ended for another reason.
 #[test]
-fn an_older_control_service_is_followed_for_the_nodes_alone() {
+fn an_older_control_service_is_followed_for_endpoints_only() {
     let mut f = follow(true);
     f.settings("p", |_| Ok(()), || Some("told".into()));
     let kinds = |asks: &[ClientRequest]| -> Vec<String> {
