--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -1,6 +1,8 @@
-//! Which proxies there are. Each process is an instance: a name, and a boot that tells it from the one before it under the
-//! same name. [`Roster`] takes their reports and the ends of their streams, and says by evidence and time how each stands. No
-//! I/O; time is passed in.
+//! The proxies that report to a control service, with the status of each.
+//!
+//! Each process is a member with a name, and an incarnation that distinguishes it from earlier processes of that name. [`Membership`]
+//! takes the reports and the ends of their streams, and derives the status of each member from these and the time. No I/O; the time is
+//! passed in.
 #![forbid(unsafe_code)]
 
 mod membership;
@@ -13,7 +15,7 @@
 pub use report::{RejectedConfig, Report, ReportError};
 pub use stats::{bucket, upper, ClassStats, ProxyStats, BUCKETS};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Nanoseconds in a second.
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -1,30 +1,30 @@
-//! The instances, and how each stands.
+//! The members and their status.
 
 use crate::{Nanos, ProxyStats, RejectedConfig, Report, SECOND};
 use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How an instance stands.
+/// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberStatus {
-    /// It was heard lately.
+    /// Its last report is recent.
     Serving,
-    /// It is known from what was kept, and this control service has not heard it yet.
+    /// It is known from stored records, and this control service has not received a report of it yet.
     Unheard,
-    /// Its stream has ended or it said that it leaves, and the next process under its name has time to come.
+    /// Its stream has ended or it reported that it shuts down, and the time for its next process to start is not over.
     Restarting,
-    /// Nothing is heard of it, and its stream has not ended: a machine or link that is gone says nothing.
+    /// Its reports are missing, and its stream has not ended: a failed machine or link does not end a stream.
     CutOff,
-    /// Its stream has ended and no process has come since.
+    /// Its stream has ended and no process has followed.
     Down,
-    /// It has been gone for so long that nobody waits for it.
+    /// It has been gone for so long that it is no longer expected.
     Retired,
 }
 
 impl MemberStatus {
-    /// All of them.
+    /// All statuses.
     pub const ALL: [MemberStatus; 6] = [
         MemberStatus::Serving,
         MemberStatus::Unheard,
@@ -34,7 +34,7 @@
         MemberStatus::Retired,
     ];
 
-    /// Its name, as it is written.
+    /// Its name in documents and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberStatus::Serving => "serving",
@@ -47,16 +47,16 @@
     }
 }
 
-/// Spans by which standings are told.
+/// The timeouts that determine the status.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipTimeouts {
-    /// Heard within this time it serves.
+    /// A member whose last report is younger than this is serving.
     pub late: Nanos,
-    /// The next process comes within this time.
+    /// The next process is expected within this time.
     pub restart: Nanos,
-    /// Gone for so long it is retired.
+    /// A member that has been gone for this time is retired.
     pub retire: Nanos,
-    /// Instances known at once.
+    /// Maximum number of members.
     pub most: usize,
 }
 
@@ -71,252 +71,272 @@
     }
 }
 
-/// What an instance was before its present boot.
+/// The previous process of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreviousIncarnation {
-    /// The boot.
+    /// Its incarnation.
     pub boot: u64,
-    /// The program.
+    /// Its program version.
     pub version: String,
-    /// What it acted by.
+    /// The config version that it applied.
     pub acting: Digest,
 }
 
-/// What is kept of an instance: all that a standby needs to know it.
+/// The stored record of a member: all that a standby needs to know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Its name.
     pub name: String,
-    /// Its boot.
+    /// The incarnation of its process.
     pub boot: u64,
     /// Its data centre.
     pub zone: String,
     /// The program's version.
     pub version: String,
-    /// The program, by the digest of its file, where a host runs it.
+    /// The digest of the program file, where a supervisor runs it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<Digest>,
-    /// What it acts by.
+    /// The config version that it applies.
     pub acting: Digest,
-    /// The change that it was told last.
+    /// The rollout of its last assignment.
     pub change: u64,
-    /// What it can't obey.
+    /// The config version that it cannot apply.
     pub refused: Option<RejectedConfig>,
     /// How often a process of this name was followed by another.
     pub restarts: u64,
-    /// What it was before.
+    /// Its previous process.
     pub before: Option<PreviousIncarnation>,
 }
 
-/// One instance.
+/// A member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What is kept of it.
+    /// Its stored record.
     pub told: MemberRecord,
-    /// What it has counted in this boot; nothing before it is heard.
+    /// Its statistics since the start of the process.
     pub figures: ProxyStats,
-    /// When it was heard last, by this control service; `None`: not yet.
+    /// When this control service received its last report; `None`: not yet.
     pub heard: Option<Nanos>,
     seq: u64,
-    /// When this control service came to know it.
-    known: Nanos,
-    /// Since when it has been heard without a gap.
+    /// When this control service learned of it.
+    known_since: Nanos,
+    /// Since when its reports have arrived without a gap.
     since: Nanos,
-    /// When its stream ended, or it said that it leaves.
-    ended: Option<Nanos>,
-    /// The stream on which it was heard last.
+    /// When its stream ended, or it reported that it shuts down.
+    ended_at: Option<Nanos>,
+    /// The stream of its last report.
     stream: u64,
-    /// Word of an earlier boot: which one, its last number, and how often it counted up while this one was silent.
-    rival: (u64, u64, u32),
+    /// Reports of an earlier incarnation while this one is silent.
+    rival: Rival,
 }
 
-/// What came of a report.
+/// Reports of a process with an earlier incarnation while the present one is silent.
+#[derive(Clone, Copy, Debug, Default)]
+struct Rival {
+    boot: u64,
+    /// Its last sequence number.
+    seq: u64,
+    /// How many of its reports had increasing sequence numbers.
+    reports: u32,
+}
+
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// An instance that was not known.
+    /// The member was not known.
     New,
-    /// Another process under a name that was.
+    /// Another process of a known member.
     Restarted,
-    /// What is kept of it has changed.
+    /// Its stored record has changed.
     Changed,
-    /// As before.
+    /// Its stored record is unchanged.
     Same,
-    /// Late, doubled, or of an earlier process: nothing of it counts.
+    /// The report is late, duplicated, or of an earlier process: it is ignored.
     Stale,
-    /// No more instances are taken.
+    /// The maximum number of members is reached.
     Full,
 }
 
-/// A clock that was set back gives a new process a lower number than the old one had: it is believed once it was heard so
-/// often while the other is silent.
-const SURE: u32 = 3;
+/// Number of increasing reports after which a process with a lower incarnation is accepted while the present one is silent: after its
+/// clock was set back, a new process gets a lower incarnation than the old one.
+const REPORTS_TO_ACCEPT: u32 = 3;
 
-/// All instances, by name.
+/// All members, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    terms: MembershipTimeouts,
+    timeouts: MembershipTimeouts,
     instances: BTreeMap<String, Member>,
 }
 
 impl Membership {
-    /// Nobody is known.
-    pub fn new(terms: MembershipTimeouts) -> Self {
-        Membership { terms, instances: BTreeMap::new() }
+    /// A membership without members.
+    pub fn new(timeouts: MembershipTimeouts) -> Self {
+        Membership { timeouts, instances: BTreeMap::new() }
     }
 
-    /// Goes on from what was kept; nobody has been heard yet.
+    /// Restores stored records; no report has been received yet.
     pub fn restore(
-        terms: MembershipTimeouts,
-        kept: impl IntoIterator<Item = MemberRecord>,
+        timeouts: MembershipTimeouts,
+        records: impl IntoIterator<Item = MemberRecord>,
         now: Nanos,
     ) -> Self {
-        let instance = |told: MemberRecord| (told.name.clone(), Member::known(told, now));
-        Membership { terms, instances: kept.into_iter().map(instance).collect() }
+        let instance = |record: MemberRecord| (record.name.clone(), Member::known(record, now));
+        Membership { timeouts, instances: records.into_iter().map(instance).collect() }
     }
 
-    /// The instances, by name.
+    /// The members, by name.
     pub fn instances(&self) -> impl Iterator<Item = &Member> {
         self.instances.values()
     }
 
-    /// One instance.
+    /// A member, if it is known.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.instances.get(name)
     }
 
-    /// How many are known.
+    /// The number of members.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether nobody is known.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// Takes a report that came on a stream. Streams are numbered in the order in which they were opened.
+    /// Processes a report that arrived on a stream. Streams are numbered in the order in which they were opened.
     pub fn hear(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> ReportOutcome {
         let Some(known) = self.instances.get_mut(name) else {
-            if !self.room(now) {
+            if !self.has_room(now) {
                 return ReportOutcome::Full;
             }
-            let mut instance = Member::known(report.told(name, None), now);
-            instance.take(report, stream, now, self.terms.late);
+            let mut instance = Member::known(report.record(name, None), now);
+            instance.accept(report, stream, now, self.timeouts.late);
             self.instances.insert(name.to_owned(), instance);
             return ReportOutcome::New;
         };
-        let late = self.terms.late;
+        let late = self.timeouts.late;
         if report.boot != known.told.boot {
             if report.boot < known.told.boot && !known.yields_to(&report, now, late) {
                 return ReportOutcome::Stale;
             }
-            known.told = report.told(name, Some(&known.told));
-            known.take(report, stream, now, 0);
+            known.told = report.record(name, Some(&known.told));
+            known.accept(report, stream, now, 0);
             return ReportOutcome::Restarted;
         }
         if known.heard.is_some() && report.seq <= known.seq {
             return ReportOutcome::Stale;
         }
-        let told = MemberRecord {
+        let record = MemberRecord {
             restarts: known.told.restarts,
             before: known.told.before.clone(),
-            ..report.told(name, None)
+            ..report.record(name, None)
         };
-        let changed = told != known.told;
-        known.told = told;
-        known.take(report, stream, now, late);
-        if changed {
+        let has_changed = record != known.told;
+        known.told = record;
+        known.accept(report, stream, now, late);
+        if has_changed {
             ReportOutcome::Changed
         } else {
             ReportOutcome::Same
         }
     }
 
-    /// A stream of an instance has ended. Word of a stream that is not its last says nothing.
+    /// Notes that a stream of a member has ended. The end of a stream other than its last is ignored.
     pub fn ended(&mut self, name: &str, stream: u64, now: Nanos) {
         if let Some(known) = self.instances.get_mut(name).filter(|i| i.stream == stream && i.heard.is_some())
         {
-            known.ended.get_or_insert(now);
+            known.ended_at.get_or_insert(now);
         }
     }
 
-    /// How an instance stands.
+    /// The status of a member.
     pub fn standing(&self, instance: &Member, now: Nanos) -> MemberStatus {
         let since = |then: Nanos| now.saturating_sub(then);
         let Some(heard) = instance.heard else {
-            return if since(instance.known) < self.terms.retire {
+            return if since(instance.known_since) < self.timeouts.retire {
                 MemberStatus::Unheard
             } else {
                 MemberStatus::Retired
             };
         };
-        match instance.ended {
-            _ if since(heard) >= self.terms.retire => MemberStatus::Retired,
-            Some(ended) if since(ended) < self.terms.restart => MemberStatus::Restarting,
+        match instance.ended_at {
+            _ if since(heard) >= self.timeouts.retire => MemberStatus::Retired,
+            Some(ended) if since(ended) < self.timeouts.restart => MemberStatus::Restarting,
             Some(_) => MemberStatus::Down,
-            None if since(heard) < self.terms.late => MemberStatus::Serving,
+            None if since(heard) < self.timeouts.late => MemberStatus::Serving,
             None => MemberStatus::CutOff,
         }
     }
 
-    /// Forgets those that are retired; returns their names.
+    /// Removes retired members; returns their names.
     pub fn forget(&mut self, now: Nanos) -> Vec<String> {
-        let retired = |i: &&Member| self.standing(i, now) == MemberStatus::Retired;
-        let names: Vec<String> = self.instances().filter(retired).map(|i| i.told.name.clone()).collect();
+        let is_retired = |i: &&Member| self.standing(i, now) == MemberStatus::Retired;
+        let names: Vec<String> = self.instances().filter(is_retired).map(|i| i.told.name.clone()).collect();
         names.iter().for_each(|n| drop(self.instances.remove(n)));
         names
     }
 
-    /// Whether one more may come. Danger: whoever names itself anew with each start would fill what is kept.
-    fn room(&mut self, now: Nanos) -> bool {
-        if self.instances.len() >= self.terms.most {
+    /// Whether one more member can be added. Danger: a proxy with a new name at each start would fill the store.
+    fn has_room(&mut self, now: Nanos) -> bool {
+        if self.instances.len() >= self.timeouts.most {
             self.forget(now);
         }
-        self.instances.len() < self.terms.most
+        self.instances.len() < self.timeouts.most
     }
 }
 
 impl Member {
-    fn known(told: MemberRecord, now: Nanos) -> Self {
-        let (figures, heard, seq, ended, stream) = (ProxyStats::default(), None, 0, None, 0);
-        Member { told, figures, heard, seq, known: now, since: now, ended, stream, rival: (0, 0, 0) }
+    fn known(record: MemberRecord, now: Nanos) -> Self {
+        let (figures, heard, seq, ended_at, stream) = (ProxyStats::default(), None, 0, None, 0);
+        Member {
+            told: record,
+            figures,
+            heard,
+            seq,
+            known_since: now,
+            since: now,
+            ended_at,
+            stream,
+            rival: Rival::default(),
+        }
     }
 
-    /// Since when it has been heard without a gap, in its present boot and on its present stream.
+    /// Since when its reports have arrived without a gap, from its present process and on its present stream.
     pub fn since(&self) -> Nanos {
         self.since
     }
 
-    fn take(&mut self, report: Report, stream: u64, now: Nanos, late: Nanos) {
-        let gap = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
-        if gap || stream != self.stream {
+    fn accept(&mut self, report: Report, stream: u64, now: Nanos, late: Nanos) {
+        let has_gap = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
+        if has_gap || stream != self.stream {
             self.since = now;
         }
         self.seq = report.seq;
         self.figures = report.figures;
         self.heard = Some(now);
         self.stream = stream;
-        self.rival = (0, 0, 0);
-        self.ended = if report.leaving { self.ended.or(Some(now)) } else { None };
+        self.rival = Rival::default();
+        self.ended_at = if report.leaving { self.ended_at.or(Some(now)) } else { None };
     }
 
-    /// Whether a process with an earlier boot is believed to be the newer one.
+    /// Whether a process with a lower incarnation is accepted as the newer one.
     fn yields_to(&mut self, report: &Report, now: Nanos, late: Nanos) -> bool {
-        let silent = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
-        let (boot, seq, times) = self.rival;
-        let goes_on = boot == report.boot && report.seq > seq;
-        self.rival = match (silent, goes_on) {
-            (false, _) => (0, 0, 0),
-            (true, true) => (boot, report.seq, times + 1),
+        let is_silent = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
+        let Rival { boot, seq, reports } = self.rival;
+        let has_advanced = boot == report.boot && report.seq > seq;
+        self.rival = match (is_silent, has_advanced) {
+            (false, _) => Rival::default(),
+            (true, true) => Rival { boot, seq: report.seq, reports: reports + 1 },
             (true, false) if boot == report.boot => self.rival,
-            (true, false) => (report.boot, report.seq, 1),
+            (true, false) => Rival { boot: report.boot, seq: report.seq, reports: 1 },
         };
-        self.rival.2 >= SURE
+        self.rival.reports >= REPORTS_TO_ACCEPT
     }
 }
 
 impl Report {
-    fn told(&self, name: &str, before: Option<&MemberRecord>) -> MemberRecord {
+    fn record(&self, name: &str, before: Option<&MemberRecord>) -> MemberRecord {
         MemberRecord {
             name: name.to_owned(),
             boot: self.boot,
@@ -326,11 +346,11 @@
             acting: self.acting,
             change: self.change,
             refused: self.refused.clone(),
-            restarts: before.map_or(0, |b| b.restarts + 1),
-            before: before.map(|b| PreviousIncarnation {
-                boot: b.boot,
-                version: b.version.clone(),
-                acting: b.acting,
+            restarts: before.map_or(0, |previous| previous.restarts + 1),
+            before: before.map(|previous| PreviousIncarnation {
+                boot: previous.boot,
+                version: previous.version.clone(),
+                acting: previous.acting,
             }),
         }
     }
--- a/crates/core/membership/src/report.rs
+++ b/crates/core/membership/src/report.rs
@@ -1,92 +1,93 @@
-//! What a proxy says of itself, once a second or so.
+//! The report that a proxy sends about itself, about once a second.
 
 use crate::ProxyStats;
 use rushquay_config_version::{Digest, FORM};
 use serde::{Deserialize, Serialize};
 
-/// A report is at most this long, in bytes.
-const MOST: usize = 64 << 10;
-/// Names and versions are at most this long, in bytes.
-const TEXT_MOST: usize = 200;
-/// Classes that one may tell of.
-const CLASSES_MOST: usize = 256;
+/// Maximum length of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 64 << 10;
+/// Maximum length of zones and versions, in bytes.
+const MAX_TEXT_BYTES: usize = 200;
+/// Maximum number of classes in a report.
+const MAX_CLASSES: usize = 256;
 
-/// A generation that the proxy can't obey.
+/// A config version that the proxy cannot apply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedConfig {
-    /// Which.
+    /// Its digest.
     pub generation: Digest,
     /// Why, with the path of the field.
     pub why: String,
 }
 
-/// What one process says of itself.
+/// A report of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The form of what follows.
+    /// Format version of the report.
     pub form: u32,
-    /// Unix time of its start in nanoseconds: another one for each process of one name.
+    /// The incarnation: Unix time of its start in nanoseconds, different for each process of one name.
     pub boot: u64,
-    /// Counts up with each report of the process.
+    /// Incremented by each report of the process.
     pub seq: u64,
     /// Its data centre.
     pub zone: String,
     /// The program's version.
     pub version: String,
-    /// The program, by the digest of its file, where a host runs it.
+    /// The digest of the program file, where a supervisor runs it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<Digest>,
-    /// The generation that it acts by.
+    /// The config version that it applies.
     pub acting: Digest,
-    /// The change that it was told last; 0: none.
+    /// The rollout of its last assignment; 0: none.
     #[serde(default)]
     pub change: u64,
-    /// What it was told last and can't obey; `None`: it acts by that.
+    /// The last assigned config version, if it cannot be applied; `None`: it is applied.
     #[serde(default)]
     pub refused: Option<RejectedConfig>,
-    /// It was told to end.
+    /// The process shuts down.
     #[serde(default)]
     pub leaving: bool,
-    /// What it has counted.
+    /// Its statistics since its start.
     #[serde(default)]
     pub figures: ProxyStats,
 }
 
-/// Why a report can't be taken.
+/// Why a report is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// It can't be read.
+    /// The text is not a report.
     #[error("not a report: {0}")]
     Malformed(String),
-    /// It is of a later form.
+    /// The report has another format version.
     #[error("a report of form {0}; this control service reads form {FORM}: upgrade it first")]
     Form(u32),
-    /// It is larger than one may be.
+    /// A part of the report exceeds its maximum size.
     #[error("{0} beyond its bound")]
     Large(&'static str),
 }
 
 impl Report {
-    /// As it travels.
+    /// The report as JSON text.
     pub fn text(&self) -> String {
-        // Plain fields always have a JSON form.
+        // Serialising plain fields to JSON cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads what came; fields that a later program adds are passed over.
+    /// Decodes a report; fields that a later program adds are ignored.
     ///
     /// # Errors
     /// See [`ReportError`].
     pub fn read(text: &str) -> Result<Self, ReportError> {
-        if text.len() > MOST {
+        if text.len() > MAX_REPORT_BYTES {
             return Err(ReportError::Large("a report"));
         }
-        let report: Report = serde_json::from_str(text).map_err(|e| ReportError::Malformed(e.to_string()))?;
-        let short = [&report.zone, &report.version].iter().all(|t| t.len() <= TEXT_MOST);
+        let report: Report =
+            serde_json::from_str(text).map_err(|error| ReportError::Malformed(error.to_string()))?;
+        let are_texts_short = [&report.zone, &report.version].iter().all(|t| t.len() <= MAX_TEXT_BYTES);
         match report {
             r if r.form != FORM => Err(ReportError::Form(r.form)),
-            _ if !short => Err(ReportError::Large("a name")),
-            r if r.figures.classes.len() > CLASSES_MOST => Err(ReportError::Large("classes")),
+            _ if !are_texts_short => Err(ReportError::Large("a name")),
+            r if r.figures.classes.len() > MAX_CLASSES => Err(ReportError::Large("classes")),
             r if r.figures.classes.values().any(|c| c.times.len() > crate::BUCKETS) => {
                 Err(ReportError::Large("times"))
             }
--- a/crates/core/membership/src/stats.rs
+++ b/crates/core/membership/src/stats.rs
@@ -1,48 +1,48 @@
-//! What a proxy counts: all since its boot, so that a report that is lost, late or doubled loses and adds nothing.
+//! The statistics of a proxy: cumulative since its start, so that a report that is lost, late or duplicated changes no total.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Buckets of a distribution of times: four to a doubling, from half a millisecond to about half a minute.
+/// Buckets of a histogram of response times: four per doubling, from half a millisecond to about half a minute.
 pub const BUCKETS: usize = 64;
-/// The upper edge of the first bucket.
-const FIRST: f64 = 500_000.0;
+/// The upper edge of the first bucket, in nanoseconds.
+const FIRST_BUCKET_EDGE_NS: f64 = 500_000.0;
 
 /// The bucket of a time.
 pub fn bucket(time: Nanos) -> usize {
-    let steps = ((time as f64).max(1.0) / FIRST).log2() * 4.0;
+    let steps = ((time as f64).max(1.0) / FIRST_BUCKET_EDGE_NS).log2() * 4.0;
     (steps.ceil().max(0.0) as usize).min(BUCKETS - 1)
 }
 
 /// The upper edge of a bucket.
 pub fn upper(bucket: usize) -> Nanos {
-    (FIRST * (bucket as f64 / 4.0).exp2()) as Nanos
+    (FIRST_BUCKET_EDGE_NS * (bucket as f64 / 4.0).exp2()) as Nanos
 }
 
-/// Requests of one class, by how they ended, since the boot.
+/// Requests of one class by outcome, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClassStats {
-    /// Served within the aim.
+    /// Served within the latency objective.
     pub served: u64,
-    /// Served after it.
+    /// Served later than that.
     pub late: u64,
-    /// Refused.
+    /// Rejected.
     pub refused: u64,
-    /// Failed, or overdue.
+    /// Failed, or past their deadline.
     pub failed: u64,
-    /// Times to the answer of what was served, by [`bucket`]; what is missing at the end is 0.
+    /// Histogram of the response times of served requests, by [`bucket`]; missing buckets at the end are 0.
     pub times: Vec<u64>,
 }
 
 impl ClassStats {
-    /// All that ended.
+    /// All completed requests.
     pub fn all(&self) -> u64 {
         self.served.saturating_add(self.late).saturating_add(self.refused).saturating_add(self.failed)
     }
 
-    /// Counts the time of one that was served.
+    /// Counts the response time of a served request.
     pub fn took(&mut self, time: Nanos) {
         let at = bucket(time);
         if self.times.len() <= at {
@@ -51,25 +51,25 @@
         self.times[at] += 1;
     }
 
-    /// How many of those served took longer than the upper edge of this bucket.
+    /// How many served requests took longer than the upper edge of this bucket.
     pub fn slower(&self, than: usize) -> u64 {
         self.times.iter().skip(than + 1).sum()
     }
 
-    /// What has come since an earlier state of the same boot.
+    /// The difference to an earlier state of the same process.
     pub fn since(&self, before: &Self) -> Self {
-        let less = |a: u64, b: u64| a.saturating_sub(b);
+        let difference = |a: u64, b: u64| a.saturating_sub(b);
         let times = self.times.iter().enumerate();
         ClassStats {
-            served: less(self.served, before.served),
-            late: less(self.late, before.late),
-            refused: less(self.refused, before.refused),
-            failed: less(self.failed, before.failed),
-            times: times.map(|(i, n)| less(*n, before.times.get(i).copied().unwrap_or(0))).collect(),
+            served: difference(self.served, before.served),
+            late: difference(self.late, before.late),
+            refused: difference(self.refused, before.refused),
+            failed: difference(self.failed, before.failed),
+            times: times.map(|(i, n)| difference(*n, before.times.get(i).copied().unwrap_or(0))).collect(),
         }
     }
 
-    /// Adds another's.
+    /// Adds the statistics of another.
     pub fn add(&mut self, other: &Self) {
         self.served += other.served;
         self.late += other.late;
@@ -82,31 +82,31 @@
     }
 }
 
-/// What one process has counted since its boot, and what it holds now.
+/// The statistics of one process since its start, and the resources it uses now.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProxyStats {
-    /// By class.
+    /// Requests by class.
     pub classes: BTreeMap<String, ClassStats>,
-    /// Attempts written whole to cache nodes.
+    /// Attempts written completely to cache nodes.
     pub attempts: u64,
     /// Resident memory, in bytes; 0: not known.
     pub memory: u64,
-    /// Open descriptors; 0: not known.
+    /// Open file descriptors; 0: not known.
     pub descriptors: u64,
-    /// Looks at its own clock, and how many of them came late since the process stood still. What it measures of requests begins when
-    /// it reads them: one that stands still between reads makes clients wait and measures nothing of it.
+    /// Checks of the process's own clock, and how many of them came late because the process was paused. Response times are measured from
+    /// when a request is read: a process that is paused between reads makes clients wait and measures nothing of that.
     pub beats: u64,
-    /// See [`Figures::beats`].
+    /// See [`ProxyStats::beats`].
     pub late_beats: u64,
 }
 
 impl ProxyStats {
-    /// What has come since an earlier state of the same boot; memory and descriptors as they are now.
+    /// The difference to an earlier state of the same process; memory and descriptors as they are now.
     pub fn since(&self, before: &Self) -> Self {
-        let nothing = ClassStats::default();
+        let none = ClassStats::default();
         let class = |(name, now): (&String, &ClassStats)| {
-            (name.clone(), now.since(before.classes.get(name).unwrap_or(&nothing)))
+            (name.clone(), now.since(before.classes.get(name).unwrap_or(&none)))
         };
         ProxyStats {
             classes: self.classes.iter().map(class).collect(),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Adds another's counts; memory and descriptors are summed.
+    /// Adds the statistics of another; memory and descriptors are summed.
     pub fn add(&mut self, other: &Self) {
         for (name, class) in &other.classes {
             self.classes.entry(name.clone()).or_default().add(class);
@@ -129,7 +129,7 @@
         self.late_beats += other.late_beats;
     }
 
-    /// All requests that ended.
+    /// All completed requests.
     pub fn all(&self) -> u64 {
         self.classes.values().map(ClassStats::all).sum()
     }
