--- a/crates/core/config-version/src/assignment.rs
+++ b/crates/core/config-version/src/assignment.rs
@@ -1,45 +1,46 @@
-//! What a control service tells one proxy: the generation that it is to act by.
+//! The assignment that the control service sends to one proxy: the config version that it is to apply.
 
 use crate::{ConfigVersion, Digest, FieldError};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The present form of assignments and reports. A later form may add fields; one that changes what a field means counts up.
+/// Format version of assignments and reports. A later program may add fields without incrementing it; a change to the meaning of an
+/// existing field increments it.
 pub const FORM: u32 = 1;
 
-/// The generation that a proxy is to act by.
+/// The config version that a proxy is to apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigAssignment {
-    /// The change that it belongs to; 0: none has been made.
+    /// The rollout that it belongs to; 0: none has been made.
     pub change: u64,
-    /// The generation.
+    /// The config version.
     pub generation: ConfigVersion,
 }
 
-/// Why an assignment can't be taken. The proxy goes on as it does.
+/// Why an assignment is rejected. The proxy goes on with what it applies.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// It can't be read.
+    /// The text is not an assignment.
     #[error("not an assignment: {0}")]
     Malformed(String),
-    /// It is of a later form.
+    /// The assignment has another format version.
     #[error("form {0}; this program reads form {FORM}: upgrade it first")]
     Form(u32),
-    /// A field of the settings.
+    /// A field of the settings is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// What came is not what its name says.
+    /// The content does not match its digest.
     #[error("settings of generation {told:?} have the digest {found:?}: spoilt on the way")]
     Spoilt {
-        /// The name.
+        /// The digest in the assignment.
         told: Digest,
-        /// What the content comes to.
+        /// The digest of the content.
         found: Digest,
     },
 }
 
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct AssignmentDocument {
     form: u32,
     change: u64,
     generation: Digest,
@@ -47,30 +48,30 @@
 }
 
 impl ConfigAssignment {
-    /// As it travels.
+    /// The assignment as JSON text.
     pub fn text(&self) -> String {
         let (generation, settings) = (self.generation.digest(), self.generation.document());
-        let written = Written { form: FORM, change: self.change, generation, settings };
-        // Plain fields always have a JSON form.
-        serde_json::to_string(&written).unwrap_or_default()
+        let document = AssignmentDocument { form: FORM, change: self.change, generation, settings };
+        // Serialising plain fields to JSON cannot fail.
+        serde_json::to_string(&document).unwrap_or_default()
     }
 
-    /// Reads what came. Fields that a later program adds are passed over; settings that this one doesn't know are not.
+    /// Decodes an assignment. Fields that a later program adds are ignored; settings that this one does not know are not.
     ///
     /// # Errors
     /// See [`AssignmentError`].
     pub fn read(text: &str) -> Result<Self, AssignmentError> {
-        let malformed = |e: serde_json::Error| AssignmentError::Malformed(e.to_string());
+        let malformed = |error: serde_json::Error| AssignmentError::Malformed(error.to_string());
         let value: Value = serde_json::from_str(text).map_err(malformed)?;
-        // Danger: a later form may mean something else by the same fields.
+        // Danger: in a later format the same fields may have another meaning.
         if let Some(form) = value["form"].as_u64().filter(|f| *f != u64::from(FORM)) {
             return Err(AssignmentError::Form(form as u32));
         }
-        let written: Written = serde_json::from_value(value).map_err(malformed)?;
-        let generation = ConfigVersion::read(&written.settings)?;
-        match generation.digest() == written.generation {
-            true => Ok(ConfigAssignment { change: written.change, generation }),
-            false => Err(AssignmentError::Spoilt { told: written.generation, found: generation.digest() }),
+        let document: AssignmentDocument = serde_json::from_value(value).map_err(malformed)?;
+        let generation = ConfigVersion::read(&document.settings)?;
+        match generation.digest() == document.generation {
+            true => Ok(ConfigAssignment { change: document.change, generation }),
+            false => Err(AssignmentError::Spoilt { told: document.generation, found: generation.digest() }),
         }
     }
 }
--- a/crates/core/config-version/src/check.rs
+++ b/crates/core/config-version/src/check.rs
@@ -1,15 +1,16 @@
-//! What a generation may say. Anything else is refused with its path: a field that is passed over would be taken for one
-//! that holds.
+//! Validation of the settings of a config version.
+//!
+//! Unknown fields are rejected with their path: if they were ignored, an operator would take them for being in force.
 
 use crate::Digest;
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// A field that can't be obeyed.
+/// An invalid field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("settings{}{path}: expected {expected}", if path.is_empty() { "" } else { "." })]
 pub struct FieldError {
-    /// Where.
+    /// Path of the field.
     pub path: String,
     /// What was expected there.
     pub expected: String,
@@ -21,71 +22,74 @@
     }
 }
 
-/// What a field holds.
-enum Form {
-    /// A whole number in these bounds.
-    Whole(u64, u64),
-    /// A number in these bounds.
+/// The type and bounds of a field.
+enum FieldType {
+    /// An integer within these bounds.
+    Integer(u64, u64),
+    /// A number within these bounds.
     Number(f64, f64),
-    /// Yes or no.
-    Flag,
-    /// One of these words.
-    Word(&'static [&'static str]),
-    /// A list of whole numbers, each once.
-    Row,
-    /// A list of objects with these fields, `name` among them, each name once.
-    Named(&'static [(&'static str, Form)]),
+    /// A boolean.
+    Boolean,
+    /// One of these strings.
+    OneOf(&'static [&'static str]),
+    /// A list of distinct integers.
+    IntegerList,
+    /// A list of objects with these fields, among them a `name` that is unique in the list.
+    NamedObjects(&'static [(&'static str, FieldType)]),
     /// An object with some of these fields.
-    Fields(&'static [(&'static str, Form)]),
+    Object(&'static [(&'static str, FieldType)]),
     /// A name.
     Name,
-    /// The name of a content.
+    /// A content digest.
     Digest,
 }
 
-/// An hour: longer than any request is open.
-const HOUR: u64 = 3_600_000_000_000;
+/// One hour in nanoseconds: longer than any request stays open.
+const HOUR_NS: u64 = 3_600_000_000_000;
 
-/// What may change while requests are open.
-const SETTINGS: &[(&str, Form)] = &[
+/// The settings that may change while requests are open.
+const SETTINGS: &[(&str, FieldType)] = &[
     (
         "categories",
-        Form::Named(&[
-            ("name", Form::Name),
-            ("promise_ns", Form::Whole(1, HOUR)),
-            ("deadline_ns", Form::Whole(1, HOUR)),
-            ("dedup_window_ns", Form::Whole(0, HOUR)),
-            ("late_value", Form::Number(0.0, 1.0)),
-            ("value", Form::Number(0.0, 1e9)),
-            ("allowed_in", Form::Row),
-            ("allowed_on", Form::Row),
-            ("effect", Form::Word(&["safe", "keyed", "unsafe"])),
-            ("group", Form::Word(&["all", "zone", "cell"])),
+        FieldType::NamedObjects(&[
+            ("name", FieldType::Name),
+            ("promise_ns", FieldType::Integer(1, HOUR_NS)),
+            ("deadline_ns", FieldType::Integer(1, HOUR_NS)),
+            ("dedup_window_ns", FieldType::Integer(0, HOUR_NS)),
+            ("late_value", FieldType::Number(0.0, 1.0)),
+            ("value", FieldType::Number(0.0, 1e9)),
+            ("allowed_in", FieldType::IntegerList),
+            ("allowed_on", FieldType::IntegerList),
+            ("effect", FieldType::OneOf(&["safe", "keyed", "unsafe"])),
+            ("group", FieldType::OneOf(&["all", "zone", "cell"])),
         ]),
     ),
     (
         "customers",
-        Form::Named(&[
-            ("name", Form::Name),
-            ("quota_rps", Form::Number(0.0, 1e9)),
-            ("fraction", Form::Number(0.0, 1.0)),
+        FieldType::NamedObjects(&[
+            ("name", FieldType::Name),
+            ("quota_rps", FieldType::Number(0.0, 1e9)),
+            ("fraction", FieldType::Number(0.0, 1.0)),
         ]),
     ),
-    ("over_share_worth", Form::Number(0.0, 1.0)),
-    // Which program a host runs; a proxy by itself can't change that.
-    ("program", Form::Digest),
-    ("worth_by", Form::Word(&["request", "work"])),
+    ("over_share_worth", FieldType::Number(0.0, 1.0)),
+    // The program that a supervisor runs; a proxy by itself cannot change that.
+    ("program", FieldType::Digest),
+    ("worth_by", FieldType::OneOf(&["request", "work"])),
     (
         "caps",
-        Form::Fields(&[
-            ("attempts_cap", Form::Whole(1, 100)),
-            ("second_copies", Form::Flag),
-            ("max_retry_after_ns", Form::Whole(0, HOUR)),
+        FieldType::Object(&[
+            ("attempts_cap", FieldType::Integer(1, 100)),
+            ("second_copies", FieldType::Boolean),
+            ("max_retry_after_ns", FieldType::Integer(0, HOUR_NS)),
         ]),
     ),
     (
         "deductions",
-        Form::Fields(&[("handshake", Form::Number(0.0, 1e3)), ("cross_zone", Form::Number(0.0, 1e3))]),
+        FieldType::Object(&[
+            ("handshake", FieldType::Number(0.0, 1e3)),
+            ("cross_zone", FieldType::Number(0.0, 1e3)),
+        ]),
     ),
 ];
 
@@ -93,7 +97,7 @@
     fields("", settings, SETTINGS)
 }
 
-fn below(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_owned()
     } else {
@@ -101,82 +105,88 @@
     }
 }
 
-fn fields(path: &str, told: &Map<String, Value>, known: &[(&str, Form)]) -> Result<(), FieldError> {
-    for (name, value) in told {
-        let path = below(path, name);
-        let Some((_, form)) = known.iter().find(|(n, _)| n == name) else {
+fn fields(path: &str, object: &Map<String, Value>, known: &[(&str, FieldType)]) -> Result<(), FieldError> {
+    for (name, value) in object {
+        let path = join_path(path, name);
+        let Some((_, field_type)) = known.iter().find(|(n, _)| n == name) else {
             let all: Vec<&str> = known.iter().map(|(n, _)| *n).collect();
             return Err(FieldError::at(
                 path,
                 format!("one of {}; nothing else changes while it runs", all.join(", ")),
             ));
         };
-        field(&path, value, form)?;
+        field(&path, value, field_type)?;
     }
     Ok(())
 }
 
-fn field(path: &str, value: &Value, form: &Form) -> Result<(), FieldError> {
-    let need =
-        |holds: bool, expected: String| if holds { Ok(()) } else { Err(FieldError::at(path, expected)) };
-    match form {
-        Form::Whole(from, to) => {
-            let within = value.as_u64().is_some_and(|n| (*from..=*to).contains(&n));
-            need(within, format!("a whole number from {from} to {to}"))
+fn field(path: &str, value: &Value, field_type: &FieldType) -> Result<(), FieldError> {
+    let ensure = |is_valid: bool, expected: String| {
+        if is_valid {
+            Ok(())
+        } else {
+            Err(FieldError::at(path, expected))
+        }
+    };
+    match field_type {
+        FieldType::Integer(from, to) => {
+            let is_within = value.as_u64().is_some_and(|n| (*from..=*to).contains(&n));
+            ensure(is_within, format!("a whole number from {from} to {to}"))
         }
-        Form::Number(from, to) => {
-            let within = value.as_f64().is_some_and(|n| (*from..=*to).contains(&n));
-            need(within, format!("a number from {from} to {to}"))
+        FieldType::Number(from, to) => {
+            let is_within = value.as_f64().is_some_and(|n| (*from..=*to).contains(&n));
+            ensure(is_within, format!("a number from {from} to {to}"))
         }
-        Form::Flag => need(value.is_boolean(), "true or false".into()),
-        Form::Word(words) => {
-            need(value.as_str().is_some_and(|w| words.contains(&w)), format!("one of {}", words.join(", ")))
+        FieldType::Boolean => ensure(value.is_boolean(), "true or false".into()),
+        FieldType::OneOf(words) => {
+            ensure(value.as_str().is_some_and(|w| words.contains(&w)), format!("one of {}", words.join(", ")))
         }
-        Form::Digest => need(
+        FieldType::Digest => ensure(
             value.as_str().is_some_and(|d| d.parse::<Digest>().is_ok_and(|read| read.to_string() == d)),
             "32 hex digits, in small letters".into(),
         ),
-        Form::Name => {
-            let name = value.as_str().is_some_and(|n| !n.trim().is_empty() && n.len() <= 200);
-            need(name, "a name".into())
+        FieldType::Name => {
+            let is_name = value.as_str().is_some_and(|n| !n.trim().is_empty() && n.len() <= 200);
+            ensure(is_name, "a name".into())
         }
-        Form::Row => {
+        FieldType::IntegerList => {
             let numbers = value.as_array().map(|l| l.iter().map(Value::as_u64).collect::<Option<Vec<u64>>>());
             let numbers = numbers.flatten().unwrap_or_default();
-            let once = numbers.iter().collect::<BTreeSet<_>>().len() == numbers.len();
-            let small = numbers.iter().all(|n| *n < 1 << 20);
-            need(
-                !numbers.is_empty() && once && small,
+            let are_distinct = numbers.iter().collect::<BTreeSet<_>>().len() == numbers.len();
+            let are_small = numbers.iter().all(|n| *n < 1 << 20);
+            ensure(
+                !numbers.is_empty() && are_distinct && are_small,
                 "a list of whole numbers, one at least, each once".into(),
             )
         }
-        Form::Fields(known) => match value.as_object() {
-            Some(told) => fields(path, told, known),
-            None => need(false, "an object".into()),
+        FieldType::Object(known) => match value.as_object() {
+            Some(object) => fields(path, object, known),
+            None => ensure(false, "an object".into()),
         },
-        Form::Named(known) => {
-            let Some(list) = value.as_array() else { return need(false, "a list of objects".into()) };
-            let mut seen = BTreeSet::new();
-            for (i, one) in list.iter().enumerate() {
-                let path = format!("{path}[{i}]");
-                let told = one.as_object().ok_or_else(|| FieldError::at(&path, "an object"))?;
-                fields(&path, told, known)?;
-                let name =
-                    one["name"].as_str().ok_or_else(|| FieldError::at(below(&path, "name"), "a name"))?;
-                if !seen.insert(name) {
-                    return Err(FieldError::at(
-                        below(&path, "name"),
-                        format!("each name once, not {name:?} again"),
-                    ));
-                }
-                let span = |name: &str| one[name].as_u64();
-                if let (Some(promise), Some(deadline)) = (span("promise_ns"), span("deadline_ns")) {
-                    if promise > deadline {
-                        return Err(FieldError::at(below(&path, "promise_ns"), "deadline_ns at most"));
-                    }
-                }
+        FieldType::NamedObjects(known) => named_objects(path, value, known),
+    }
+}
+
+fn named_objects(path: &str, value: &Value, known: &[(&str, FieldType)]) -> Result<(), FieldError> {
+    let Some(list) = value.as_array() else { return Err(FieldError::at(path, "a list of objects")) };
+    let mut seen = BTreeSet::new();
+    for (i, one) in list.iter().enumerate() {
+        let path = format!("{path}[{i}]");
+        let object = one.as_object().ok_or_else(|| FieldError::at(&path, "an object"))?;
+        fields(&path, object, known)?;
+        let name = one["name"].as_str().ok_or_else(|| FieldError::at(join_path(&path, "name"), "a name"))?;
+        if !seen.insert(name) {
+            return Err(FieldError::at(
+                join_path(&path, "name"),
+                format!("each name once, not {name:?} again"),
+            ));
+        }
+        let duration = |name: &str| one[name].as_u64();
+        if let (Some(promise), Some(deadline)) = (duration("promise_ns"), duration("deadline_ns")) {
+            if promise > deadline {
+                return Err(FieldError::at(join_path(&path, "promise_ns"), "deadline_ns at most"));
             }
-            Ok(())
         }
     }
+    Ok(())
 }
--- a/crates/core/config-version/src/digest.rs
+++ b/crates/core/config-version/src/digest.rs
@@ -1,4 +1,4 @@
-//! The name of a content.
+//! The digest that names a content.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -6,13 +6,13 @@
 use std::hash::Hasher;
 use std::str::FromStr;
 
-/// 128 bits of a content, written as 32 hex digits. It tells contents apart that were made in good faith; it is no proof
-/// against somebody who looks for two that agree.
+/// A digest of 128 bits, written as 32 hex digits. It distinguishes contents made in good faith; it does not protect against somebody
+/// who searches for a collision.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest(u128);
 
-/// A text that is no digest.
+/// The text is not a digest.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no digest: expected 32 hex digits")]
 pub struct ParseDigestError(String);
@@ -25,12 +25,12 @@
         Digest(hasher.finish128().as_u128())
     }
 
-    /// A digest that was made elsewhere.
+    /// A digest that was computed elsewhere.
     pub fn from_bytes(bytes: [u8; 16]) -> Self {
         Digest(u128::from_be_bytes(bytes))
     }
 
-    /// Its first digits, for people.
+    /// The first digits, for operators.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
@@ -51,8 +51,8 @@
 impl FromStr for Digest {
     type Err = ParseDigestError;
     fn from_str(text: &str) -> Result<Self, ParseDigestError> {
-        let plain = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let read = plain.then(|| u128::from_str_radix(text, 16).ok()).flatten();
+        let is_hex = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let read = is_hex.then(|| u128::from_str_radix(text, 16).ok()).flatten();
         read.map(Digest).ok_or_else(|| ParseDigestError(text.chars().take(64).collect()))
     }
 }
--- a/crates/core/config-version/src/lib.rs
+++ b/crates/core/config-version/src/lib.rs
@@ -1,12 +1,14 @@
-//! Settings that change over a fleet: a [`Generation`] is a checked document, named by the digest of its content, that a
-//! proxy lays over the settings of its own file. An [`Assignment`] tells one proxy which generation it is to act by. No I/O.
+//! Config versions: settings that are rolled out over a fleet. No I/O.
 //!
-//! A generation may also name the program that is to run, by the digest of its file; that is a host's to obey, and is none of
-//! the settings that are laid over.
+//! A [`ConfigVersion`] is a validated document, named by the digest of its content, that a proxy applies over the settings of its own
+//! file. A [`ConfigAssignment`] gives one proxy the version that it is to apply.
 //!
-//! What else a generation may say is what can be taken at one moment while requests are open (`docs/design-rollout.md`): the terms
-//! of classes, tenants and their shares, advised waits, attempts, prices. Which classes, data centres and machine kinds
-//! there are, and what a proxy is, stay as its file says.
+//! A version may also name the program to run, by the digest of its file; that is for the supervisor, and not among the settings that a
+//! proxy applies.
+//!
+//! Otherwise a version contains only what can be changed at one moment while requests are open (`docs/design-rollout.md`): the terms of
+//! request classes, tenants and their shares, advised waits, attempts, prices. Which classes, data centres and machine kinds there are,
+//! and the identity of a proxy, stay as in its file.
 #![forbid(unsafe_code)]
 
 mod assignment;
@@ -19,13 +21,13 @@
 
 use serde_json::{Map, Value};
 
-/// A document is at most this long, in bytes of JSON.
+/// Maximum length of a document, in bytes of JSON.
 pub const MOST: usize = 48 << 10;
 
 /// The field that names a program.
 const PROGRAM: &str = "program";
 
-/// Settings to lay over a proxy's own; checked.
+/// Validated settings to apply over a proxy's own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigVersion {
     digest: Digest,
@@ -33,7 +35,7 @@
 }
 
 impl ConfigVersion {
-    /// The one that says nothing: each proxy acts by its own file.
+    /// The empty version: each proxy applies its own file.
     pub fn base() -> Self {
         Self::of(Map::new())
     }
@@ -43,10 +45,10 @@
         ConfigVersion { digest, document }
     }
 
-    /// Checks a document.
+    /// Validates a document.
     ///
     /// # Errors
-    /// The path of the first field that is at fault, and what was expected there.
+    /// The path of the first invalid field, and what was expected there.
     pub fn read(document: &Value) -> Result<Self, FieldError> {
         let length = document.to_string().len();
         if length > MOST {
@@ -57,7 +59,7 @@
         Ok(Self::of(object.clone()))
     }
 
-    /// The name of its content: the same for the same settings, in whatever order they stand.
+    /// The digest of its content: the same for the same settings, in whatever order they are written.
     pub fn digest(&self) -> Digest {
         self.digest
     }
@@ -67,7 +69,7 @@
         Value::Object(self.document.clone())
     }
 
-    /// The program that is to run; `None`: the one that the file of each host says.
+    /// The program to run; `None`: the one in each supervisor's own settings.
     pub fn program(&self) -> Option<Digest> {
         self.document.get(PROGRAM)?.as_str()?.parse().ok()
     }
@@ -79,35 +81,35 @@
         Self::of(document)
     }
 
-    /// A proxy's own settings with these laid over: classes by name, field by field; tenants whole; the rest by name.
+    /// A proxy's own settings with this version applied: classes by name, field by field; tenants whole; everything else by name.
     ///
     /// # Errors
-    /// What this proxy can't obey, with its path: a class that it doesn't have.
+    /// The path of what this proxy cannot apply: a class that it does not have.
     pub fn over(&self, own: &Value) -> Result<Value, FieldError> {
         let mut result = own.clone();
-        for (name, told) in &self.document {
+        for (name, value) in &self.document {
             match name.as_str() {
                 PROGRAM => {}
-                "categories" => classes(&mut result["categories"], told)?,
-                _ => lay(&mut result[name.as_str()], told),
+                "categories" => apply_classes(&mut result["categories"], value)?,
+                _ => apply(&mut result[name.as_str()], value),
             }
         }
         Ok(result)
     }
 }
 
-/// Lays objects over one another field by field, and anything else whole.
-fn lay(own: &mut Value, told: &Value) {
-    match (own, told) {
-        (Value::Object(own), Value::Object(told)) => {
-            told.iter().for_each(|(name, v)| lay(own.entry(name.clone()).or_insert(Value::Null), v));
+/// Applies objects field by field, and any other value whole.
+fn apply(own: &mut Value, value: &Value) {
+    match (own, value) {
+        (Value::Object(own), Value::Object(value)) => {
+            value.iter().for_each(|(name, v)| apply(own.entry(name.clone()).or_insert(Value::Null), v));
         }
-        (own, told) => *own = told.clone(),
+        (own, value) => *own = value.clone(),
     }
 }
 
-fn classes(own: &mut Value, told: &Value) -> Result<(), FieldError> {
-    for (i, class) in told.as_array().into_iter().flatten().enumerate() {
+fn apply_classes(own: &mut Value, value: &Value) -> Result<(), FieldError> {
+    for (i, class) in value.as_array().into_iter().flatten().enumerate() {
         let name = &class["name"];
         let found = own.as_array_mut().and_then(|own| own.iter_mut().find(|c| c["name"] == *name));
         let found = found.ok_or_else(|| {
@@ -117,12 +119,12 @@
                 format!("a class that this proxy has, not {name}; classes come with a restart alone"),
             )
         })?;
-        lay(found, class);
+        apply(found, class);
     }
     Ok(())
 }
 
-/// A text that is the same for the same content.
+/// A canonical text of the content, independent of the order of fields.
 fn canonical(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
@@ -130,7 +132,7 @@
             fields.sort_by_key(|(name, _)| name.as_str());
             let fields: Vec<String> = fields
                 .iter()
-                .map(|(n, v)| format!("{}:{}", Value::String((*n).clone()), canonical(v)))
+                .map(|(name, value)| format!("{}:{}", Value::String((*name).clone()), canonical(value)))
                 .collect();
             format!("{{{}}}", fields.join(","))
         }
--- a/crates/core/config-version/tests/config_version.rs
+++ b/crates/core/config-version/tests/config_version.rs
@@ -1,15 +1,15 @@
-//! What a generation may say, its name, and what it makes of a proxy's own settings.
+//! Validation of config versions, their digests, and the result of applying them over a proxy's own settings.
 
 use rushquay_config_version::{AssignmentError, ConfigAssignment, ConfigVersion};
 use serde_json::{json, Value};
 
-fn fault(document: Value) -> (String, String) {
-    let fault = ConfigVersion::read(&document).expect_err("refused");
-    (fault.path, fault.expected)
+fn read_error(document: Value) -> (String, String) {
+    let error = ConfigVersion::read(&document).expect_err("refused");
+    (error.path, error.expected)
 }
 
 #[test]
-fn the_same_content_has_the_same_name_in_any_order() {
+fn the_digest_does_not_depend_on_the_order_of_fields() {
     let one: Value =
         serde_json::from_str(r#"{"over_share_worth":0.5,"caps":{"attempts_cap":2,"second_copies":false}}"#)
             .expect("JSON");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_cannot_be_obeyed_is_named_with_its_path() {
+fn invalid_fields_are_rejected_with_their_path() {
     let cases = [
         (json!([]), ""),
         (json!({"zone": 2}), "zone"),
@@ -46,22 +46,22 @@
         (json!({"categories": [{"name": "r", "stream": true}]}), "categories[0].stream"),
     ];
     for (document, path) in cases {
-        let (at, expected) = fault(document.clone());
+        let (at, expected) = read_error(document.clone());
         assert_eq!(at, path, "{document}: {expected}");
     }
     let long = json!({"customers": (0..2000).map(|n| json!({"name": format!("tenant-number-{n}")})).collect::<Vec<_>>()});
-    assert!(fault(long).1.contains("bytes at most"));
+    assert!(read_error(long).1.contains("bytes at most"));
 }
 
 #[test]
-fn classes_are_laid_over_by_name_and_tenants_replaced_whole() {
+fn classes_are_merged_by_name_and_tenants_replaced_whole() {
     let own = json!({
         "zone": 3, "categories": [{"name": "read", "deadline_ns": 9, "effect": "safe"}, {"name": "set", "deadline_ns": 7}],
         "customers": [{"name": "a", "quota_rps": 1}, {"name": "b", "quota_rps": 2}], "caps": {"attempts_cap": 5, "cancelling": true},
     });
-    let told = json!({"categories": [{"name": "set", "deadline_ns": 8}], "customers": [{"name": "c", "quota_rps": 4}],
+    let version = json!({"categories": [{"name": "set", "deadline_ns": 8}], "customers": [{"name": "c", "quota_rps": 4}],
                       "caps": {"attempts_cap": 2}});
-    let over = ConfigVersion::read(&told).expect("good").over(&own).expect("obeyed");
+    let over = ConfigVersion::read(&version).expect("good").over(&own).expect("obeyed");
     assert_eq!(
         over,
         json!({
@@ -75,11 +75,11 @@
 }
 
 #[test]
-fn an_assignment_comes_whole_or_not_at_all() {
+fn an_assignment_is_decoded_whole_or_rejected() {
     let generation = ConfigVersion::read(&json!({"over_share_worth": 0.25})).expect("good");
     let sent = ConfigAssignment { change: 7, generation };
     assert_eq!(ConfigAssignment::read(&sent.text()), Ok(sent.clone()));
-    // A later program may add what this one doesn't need.
+    // A later program may add fields.
     let more = sent.text().replacen('{', "{\"by\":\"later\",", 1);
     assert_eq!(ConfigAssignment::read(&more), Ok(sent.clone()));
     assert!(matches!(
