--- a/crates/core/overrides/src/effective.rs
+++ b/crates/core/overrides/src/effective.rs
@@ -1,65 +1,66 @@
-//! What overrides come to on one node.
+//! The combined effect of overrides on one endpoint.
 
 use crate::{Effect, Nanos, Node, Override};
 use rushquay_endpoints::{Imposed, Pin};
 
-/// How an override stands on a node.
+/// The status of an override on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideStatus {
-    /// It counts.
+    /// It is in force.
     InForce,
-    /// Another counts, of this number; it takes effect when that one ends.
+    /// The override of this number is in force instead; this one takes effect when that one ends.
     Masked(u64),
 }
 
-/// Of pins of the same keys and class on different nodes the one set last counts; which are masked, and by which.
+/// The masked pins, each with the pin that masks it: of pins of the same keys and class on different endpoints the last one counts.
 pub fn masked_pins<'a>(overrides: impl Iterator<Item = &'a Override> + Clone, now: Nanos) -> Vec<(u64, u64)> {
     let live = || overrides.clone().filter(|o| o.since <= now && o.until > now);
     let pin = |o: &&Override| matches!(o.effect, Effect::Pinned { .. });
-    let later = |o: &Override| {
-        let alike = live().filter(pin).filter(|l| l.effect == o.effect && l.scope != o.scope && l.id > o.id);
-        alike.map(|l| l.id).max()
+    let masked_by = |o: &Override| {
+        let same_pins =
+            live().filter(pin).filter(|l| l.effect == o.effect && l.scope != o.scope && l.id > o.id);
+        same_pins.map(|l| l.id).max()
     };
-    live().filter(pin).filter_map(|o| Some((o.id, later(o)?))).collect()
+    live().filter(pin).filter_map(|o| Some((o.id, masked_by(o)?))).collect()
 }
 
-/// What the overrides that are in force at this time come to on a node, and how each that is on it stands, by number.
+/// The combined effect on an endpoint of the overrides in force at this time, and the status of each of them, by number.
 pub fn effective_overrides<'a>(
     overrides: impl Iterator<Item = &'a Override>,
     node: &Node<'_>,
     now: Nanos,
 ) -> (Imposed, Vec<(u64, OverrideStatus)>) {
-    let mut on: Vec<&Override> =
+    let mut applying: Vec<&Override> =
         overrides.filter(|o| o.since <= now && o.until > now && o.scope.covers(node)).collect();
-    // The narrowest first, and of one scope the latest.
-    on.sort_by_key(|o| std::cmp::Reverse((o.scope.rank(), o.since, o.id)));
-    let outs = || on.iter().filter(|o| o.effect == Effect::Out);
+    // The narrowest first, and within one scope the latest.
+    applying.sort_by_key(|o| std::cmp::Reverse((o.scope.rank(), o.since, o.id)));
+    let outs = || applying.iter().filter(|o| o.effect == Effect::Out);
     let mut imposed = Imposed::default();
     if let Some(last) = outs().max_by_key(|o| (o.until, o.id)) {
         let since = outs().map(|o| o.since).min().unwrap_or(last.since);
         imposed.out = (since, last.until);
     }
-    let mut standings = Vec::new();
-    let masks = outs().max_by_key(|o| (o.until, o.id)).map(|o| o.id);
-    let mut upper: Option<u64> = masks;
-    for o in &on {
+    let mut statuses = Vec::new();
+    let last_out = outs().max_by_key(|o| (o.until, o.id)).map(|o| o.id);
+    let mut masking: Option<u64> = last_out;
+    for o in &applying {
         match &o.effect {
             Effect::Pinned { class, keys } => {
                 let (class, keys) = (class.clone(), keys.clone());
                 imposed.pins.push(Pin { number: o.id, until: o.until, class, keys });
-                // Nothing is sent to a node that is out, pinned or not.
-                standings.push((o.id, masks.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
+                // No requests are sent to an endpoint that is out of service, pinned or not.
+                statuses.push((o.id, last_out.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
             }
-            Effect::Out => standings.push((o.id, OverrideStatus::InForce)),
+            Effect::Out => statuses.push((o.id, OverrideStatus::InForce)),
             Effect::Weight(factor) => {
-                // One that ends no later than what is above it never counts.
+                // A weight that ends no later than one of higher precedence never counts.
                 if imposed.weights.iter().all(|(until, _)| *until < o.until) {
                     imposed.weights.push((o.until, *factor));
                 }
-                standings.push((o.id, upper.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
-                upper = upper.or(Some(o.id));
+                statuses.push((o.id, masking.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
+                masking = masking.or(Some(o.id));
             }
         }
     }
-    (imposed, standings)
+    (imposed, statuses)
 }
--- a/crates/core/overrides/src/lib.rs
+++ b/crates/core/overrides/src/lib.rs
@@ -1,20 +1,20 @@
-//! Operator overrides on nodes: out of service, a factor on the weight, or keys pinned to one, each with an expiry, an author and a reason.
-//! No I/O; time is an argument.
+//! Operator overrides on endpoints: out of service, a factor on the weight, or keys pinned to one, each with an expiry, an author and a
+//! reason. No I/O; the time is passed in.
 //!
-//! # Which of several wins
+//! # Precedence
 //!
-//! | of two on one node | wins | because |
+//! | of two on one endpoint | wins | because |
 //! | --- | --- | --- |
-//! | out of service, and any weight | out of service | whoever took it out may be standing in the boiler room |
-//! | two out of service | both; it ends with the later | nobody's word that it is safe stands for another's |
-//! | two weights | the narrower: node, kind, zone, all | who names a node means it |
-//! | two weights of one scope | the later set | the later knows of the earlier |
-//! | out of service, and a pin to the node | out of service | the pinned keys go where they would without the pin |
-//! | two pins on a request | the narrower: a key, the longer beginning, with a class | who names a key means it |
-//! | two pins of the same keys and class | the later set | the later knows of the earlier |
+//! | out of service, and any weight | out of service | whoever took it out may be working on the machine |
+//! | two out of service | both; it ends with the later one | one operator's word that it is safe does not stand for another's |
+//! | two weights | the narrower: node, kind, zone, all | naming an endpoint is the more specific intent |
+//! | two weights of one scope | the one set later | the later author knows of the earlier override |
+//! | out of service, and a pin to the endpoint | out of service | the pinned keys go where they would without the pin |
+//! | two pins on a request | the narrower: a key, the longer prefix, with a class | naming a key is the more specific intent |
+//! | two pins of the same keys and class | the one set later | the later author knows of the earlier override |
 //!
-//! What does not win is masked, and takes effect when what masks it ends. No override undoes a drain or brings a node
-//! back that the list does not name: both are applied on top of what the list says, and only ever restrict it.
+//! An override that does not win is masked, and takes effect when the one that masks it ends. No override undoes a drain or brings back
+//! an endpoint that the list does not name: overrides are applied on top of the list, and only ever restrict it.
 #![forbid(unsafe_code)]
 
 mod capacity_guard;
--- a/crates/core/overrides/src/override_set.rs
+++ b/crates/core/overrides/src/override_set.rs
@@ -1,70 +1,70 @@
-//! The overrides that there are, and what became of those that there were.
+//! The set of live overrides, and the history of its changes.
 
-use crate::capacity_guard::{carries, Arithmetic, FleetCapacity};
+use crate::capacity_guard::{check_capacity, Arithmetic, FleetCapacity};
 use crate::{Effect, Nanos, Override, OverrideLimits, Scope, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Longest author and reason, in bytes.
-const TEXT_MOST: usize = 500;
-/// Pins at once.
-const PINS_MOST: usize = 100;
+/// Maximum length of an author, reason or pin, in bytes.
+const MAX_TEXT_BYTES: usize = 500;
+/// Maximum number of pins.
+const MAX_PINS: usize = 100;
 
-/// What somebody asks for.
+/// An operator's request to set an override.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverrideRequest {
-    /// On which nodes.
+    /// The endpoints it applies to.
     pub scope: Scope,
-    /// What it does.
+    /// Its effect.
     pub effect: Effect,
-    /// Until when, Unix time in nanoseconds.
+    /// Expiry, in Unix time in nanoseconds.
     pub until: Nanos,
-    /// Who asks.
+    /// Who requests it.
     pub author: String,
     /// Why.
     pub reason: String,
-    /// Though the rest may not carry the load.
+    /// Set it even if the remaining endpoints may not carry the load.
     #[serde(default)]
     pub force: bool,
 }
 
-/// Why an override is not set or lifted.
+/// Why an override was not set or lifted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum OverrideError {
-    /// Somebody else has changed something meanwhile.
+    /// The set has changed since the caller read it.
     #[error("the overrides have changed meanwhile (now {now}, expected {expected}): look at them again")]
     Changed {
-        /// The revision.
+        /// The current revision.
         now: u64,
-        /// The one that was expected.
+        /// The revision that the caller expected.
         expected: u64,
     },
-    /// A field is out of its range.
+    /// A field is invalid.
     #[error("{0}: {1}")]
     Field(&'static str, String),
-    /// The rest can't carry the load.
+    /// The remaining endpoints cannot carry the load.
     #[error("{0}; say force if you mean it")]
     TooMuch(Arithmetic),
-    /// There are as many as there may be.
+    /// The maximum number is reached.
     #[error("{0} overrides are set already: lift some first")]
     Full(usize),
-    /// There is none of this number.
+    /// There is no live override of this number.
     #[error("no override {0} is set")]
     Unknown(u64),
 }
 
-/// What happened to an override.
+/// The kind of a change of an override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EventKind {
     /// It was set.
     Set,
-    /// It was set though too little stayed.
+    /// It was set although too little capacity remained.
     Forced,
-    /// Somebody lifted it.
+    /// An operator lifted it.
     Lifted,
-    /// Its time was over.
+    /// It expired.
     Expired,
 }
 
@@ -72,22 +72,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverrideEvent {
-    /// Its number, which grows.
+    /// Its number, increasing.
     pub number: u64,
     /// When, Unix time in nanoseconds.
     pub at: Nanos,
-    /// What.
+    /// The kind of change.
     pub kind: EventKind,
-    /// Who did it; the author of the override where it expired.
+    /// Who made the change; the author of the override where it expired.
     pub by: String,
     /// The override.
     pub what: Override,
 }
 
-/// The book of overrides.
+/// The set of overrides.
 #[derive(Debug, Clone)]
 pub struct OverrideSet {
-    policy: OverrideLimits,
+    limits: OverrideLimits,
     live: BTreeMap<u64, Override>,
     next: u64,
     revision: u64,
@@ -96,11 +96,15 @@
     announced: BTreeSet<u64>,
 }
 
+fn field(name: &'static str, problem: &str) -> Result<(), OverrideError> {
+    Err(OverrideError::Field(name, problem.to_owned()))
+}
+
 impl OverrideSet {
-    /// An empty book.
-    pub fn new(policy: OverrideLimits) -> Self {
+    /// An empty set.
+    pub fn new(limits: OverrideLimits) -> Self {
         OverrideSet {
-            policy,
+            limits,
             live: BTreeMap::new(),
             next: 1,
             revision: 0,
@@ -110,32 +114,32 @@
         }
     }
 
-    /// What there is, by number.
+    /// The live overrides, by number.
     pub fn live(&self) -> impl Iterator<Item = &Override> + Clone {
         self.live.values()
     }
 
-    /// Grows with each change of what is live.
+    /// Incremented by each change of the live overrides.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// What happened, the newest first.
+    /// The history, the newest event first.
     pub fn history(&self) -> impl Iterator<Item = &OverrideEvent> {
         self.history.iter().rev()
     }
 
-    /// The number that the next override gets.
+    /// The number that the next override will get.
     pub fn next_id(&self) -> u64 {
         self.next
     }
 
-    /// The bounds.
+    /// The limits.
     pub fn policy(&self) -> &OverrideLimits {
-        &self.policy
+        &self.limits
     }
 
-    fn expect(&self, expected: Option<u64>) -> Result<(), OverrideError> {
+    fn check_revision(&self, expected: Option<u64>) -> Result<(), OverrideError> {
         match expected {
             Some(expected) if expected != self.revision => {
                 Err(OverrideError::Changed { now: self.revision, expected })
@@ -144,32 +148,47 @@
         }
     }
 
-    /// Sets one, if the book is still at the revision that is expected.
-    ///
-    /// # Errors
-    /// See [`Refusal`]; nothing is changed then.
-    pub fn set(
-        &mut self,
-        ask: OverrideRequest,
+    /// Validates a request, apart from the capacity that it leaves.
+    fn validate(
+        &self,
+        request: &OverrideRequest,
         fleet: &[FleetCapacity],
         now: Nanos,
-        expected: Option<u64>,
-    ) -> Result<Override, OverrideError> {
-        self.expect(expected)?;
-        let field = |name, why: &str| Err(OverrideError::Field(name, why.to_owned()));
-        for (name, text) in [("author", &ask.author), ("reason", &ask.reason)] {
-            if text.trim().is_empty() || text.len() > TEXT_MOST {
-                return field(name, &format!("expected 1 to {TEXT_MOST} bytes"));
+    ) -> Result<(), OverrideError> {
+        for (name, text) in [("author", &request.author), ("reason", &request.reason)] {
+            if text.trim().is_empty() || text.len() > MAX_TEXT_BYTES {
+                return field(name, &format!("expected 1 to {MAX_TEXT_BYTES} bytes"));
             }
         }
-        if ask.until <= now {
+        if request.until <= now {
             return field("until", "lies in the past");
         }
-        if ask.until - now > self.policy.longest {
-            let hours = self.policy.longest as f64 / (3600.0 * SECOND as f64);
+        if request.until - now > self.limits.longest {
+            let hours = self.limits.longest as f64 / (3600.0 * SECOND as f64);
             return field("until", &format!("expected {hours:.1} hours from now at most"));
         }
-        match &ask.effect {
+        self.validate_effect(request)?;
+        let empty = |text: &String| text.is_empty();
+        if matches!(&request.scope, Scope::Zone(t) | Scope::Kind(t) | Scope::Node(t) if empty(t)) {
+            return field("scope", "expected a name");
+        }
+        if let Scope::Node(id) = &request.scope {
+            // An endpoint that has gone may return; one that was never listed is probably a typing error.
+            if !fleet.iter().any(|n| n.id == *id) && !request.force {
+                return field(
+                    "scope.node",
+                    &format!("no node is named {id:?}; say force to set it all the same"),
+                );
+            }
+        }
+        if self.live.len() >= self.limits.most {
+            return Err(OverrideError::Full(self.live.len()));
+        }
+        Ok(())
+    }
+
+    fn validate_effect(&self, request: &OverrideRequest) -> Result<(), OverrideError> {
+        match &request.effect {
             Effect::Out => {}
             Effect::Weight(factor) => {
                 if !(*factor > 0.0 && *factor <= 10.0) {
@@ -180,11 +199,12 @@
                 }
             }
             Effect::Pinned { class, keys } => {
-                if !matches!(ask.scope, Scope::Node(_)) {
+                if !matches!(request.scope, Scope::Node(_)) {
                     return field("scope", "a pin is to one node: expected a node");
                 }
-                let named =
-                    |text: &Option<String>| text.as_ref().is_none_or(|t| (1..=TEXT_MOST).contains(&t.len()));
+                let named = |text: &Option<String>| {
+                    text.as_ref().is_none_or(|t| (1..=MAX_TEXT_BYTES).contains(&t.len()))
+                };
                 if class.is_none() && keys.is_none() || !named(class) || !named(keys) {
                     return field("effect.pinned", "expected a class, keys (such as boiler-*) or both");
                 }
@@ -192,32 +212,32 @@
                     return field("effect.pinned.keys", "expected one *, at the end");
                 }
                 let pins = self.live.values().filter(|o| matches!(o.effect, Effect::Pinned { .. })).count();
-                // Danger: each request is held against all of them.
-                if pins >= PINS_MOST {
+                // Danger: each request is matched against all pins.
+                if pins >= MAX_PINS {
                     return Err(OverrideError::Full(pins));
                 }
             }
         }
-        let empty = |text: &String| text.is_empty();
-        if matches!(&ask.scope, Scope::Zone(t) | Scope::Kind(t) | Scope::Node(t) if empty(t)) {
-            return field("scope", "expected a name");
-        }
-        if let Scope::Node(id) = &ask.scope {
-            // One that left may come back; one that was never there is a slip of the pen.
-            if !fleet.iter().any(|n| n.id == *id) && !ask.force {
-                return field(
-                    "scope.node",
-                    &format!("no node is named {id:?}; say force to set it all the same"),
-                );
-            }
-        }
-        if self.live.len() >= self.policy.most {
-            return Err(OverrideError::Full(self.live.len()));
-        }
-        let OverrideRequest { scope, effect, until, author, reason, force } = ask;
+        Ok(())
+    }
+
+    /// Sets an override, if the set is still at the expected revision.
+    ///
+    /// # Errors
+    /// See [`OverrideError`]; nothing is changed then.
+    pub fn set(
+        &mut self,
+        request: OverrideRequest,
+        fleet: &[FleetCapacity],
+        now: Nanos,
+        expected: Option<u64>,
+    ) -> Result<Override, OverrideError> {
+        self.check_revision(expected)?;
+        self.validate(&request, fleet, now)?;
+        let OverrideRequest { scope, effect, until, author, reason, force } = request;
         let new = Override { id: self.next, scope, effect, since: now, until, author, reason };
-        let sum = carries(self.live.values(), &new, fleet, &self.policy, now);
-        let kind = match sum {
+        let capacity = check_capacity(self.live.values(), &new, fleet, &self.limits, now);
+        let kind = match capacity {
             Err(arithmetic) if !force => return Err(OverrideError::TooMuch(arithmetic)),
             Err(_) => EventKind::Forced,
             Ok(_) => EventKind::Set,
@@ -226,14 +246,14 @@
         self.revision += 1;
         self.live.insert(new.id, new.clone());
         let by = new.author.clone();
-        self.note(now, kind, by, new.clone());
+        self.record_event(now, kind, by, new.clone());
         Ok(new)
     }
 
-    /// Lifts one.
+    /// Lifts an override.
     ///
     /// # Errors
-    /// As [`Book::set`].
+    /// As for [`OverrideSet::set`].
     pub fn lift(
         &mut self,
         id: u64,
@@ -241,60 +261,61 @@
         now: Nanos,
         expected: Option<u64>,
     ) -> Result<Override, OverrideError> {
-        self.expect(expected)?;
+        self.check_revision(expected)?;
         let lifted = self.live.remove(&id).ok_or(OverrideError::Unknown(id))?;
         self.announced.remove(&id);
         self.revision += 1;
-        self.note(now, EventKind::Lifted, by.to_owned(), lifted.clone());
+        self.record_event(now, EventKind::Lifted, by.to_owned(), lifted.clone());
         Ok(lifted)
     }
 
-    /// Takes out what has expired.
+    /// Removes and returns the expired overrides.
     pub fn expire(&mut self, now: Nanos) -> Vec<Override> {
-        let over: Vec<u64> = self.live.values().filter(|o| o.until <= now).map(|o| o.id).collect();
-        let expired: Vec<Override> = over.iter().filter_map(|id| self.live.remove(id)).collect();
+        let expired_ids: Vec<u64> = self.live.values().filter(|o| o.until <= now).map(|o| o.id).collect();
+        let expired: Vec<Override> = expired_ids.iter().filter_map(|id| self.live.remove(id)).collect();
         for o in &expired {
             self.announced.remove(&o.id);
             self.revision += 1;
-            self.note(o.until, EventKind::Expired, o.author.clone(), o.clone());
+            self.record_event(o.until, EventKind::Expired, o.author.clone(), o.clone());
         }
         expired
     }
 
-    /// What will expire soon and was not announced yet.
+    /// The overrides that expire soon and have not been announced yet.
     pub fn expiring(&mut self, now: Nanos) -> Vec<Override> {
-        let soon = |o: &&Override| o.until.saturating_sub(now) <= self.policy.announce && o.until > now;
-        let soon: Vec<Override> = self.live.values().filter(soon).cloned().collect();
+        let expires_soon =
+            |o: &&Override| o.until.saturating_sub(now) <= self.limits.announce && o.until > now;
+        let soon: Vec<Override> = self.live.values().filter(expires_soon).cloned().collect();
         soon.into_iter().filter(|o| self.announced.insert(o.id)).collect()
     }
 
-    /// When one expires next.
+    /// The next expiry.
     pub fn next_expiry(&self) -> Option<Nanos> {
         self.live.values().map(|o| o.until).min()
     }
 
-    fn note(&mut self, at: Nanos, kind: EventKind, by: String, what: Override) {
+    fn record_event(&mut self, at: Nanos, kind: EventKind, by: String, what: Override) {
         self.events += 1;
         self.history.push_back(OverrideEvent { number: self.events, at, kind, by, what });
-        while self.history.len() > self.policy.history {
+        while self.history.len() > self.limits.history {
             self.history.pop_front();
         }
     }
 
-    /// Goes on from what was kept: overrides, history in its order, and the numbers that were given.
+    /// Restores a set from its stored overrides, history in order, and counters.
     pub fn restore(
-        policy: OverrideLimits,
+        limits: OverrideLimits,
         live: Vec<Override>,
         history: Vec<OverrideEvent>,
         next: u64,
         revision: u64,
     ) -> Self {
         let events = history.last().map_or(0, |e| e.number);
-        let most = live.iter().map(|o| o.id).max().unwrap_or(0);
+        let highest_id = live.iter().map(|o| o.id).max().unwrap_or(0);
         OverrideSet {
-            policy,
+            limits,
             live: live.into_iter().map(|o| (o.id, o)).collect(),
-            next: next.max(most + 1),
+            next: next.max(highest_id + 1),
             revision,
             history: history.into(),
             events,
--- a/crates/core/overrides/src/types.rs
+++ b/crates/core/overrides/src/types.rs
@@ -1,18 +1,18 @@
-//! What an override is.
+//! The types of overrides, their scopes and effects.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time (Unix) or a span, in nanoseconds.
+/// A point in Unix time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Nanoseconds in a second.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// Which nodes an override is on, from the widest to the narrowest.
+/// The endpoints that an override applies to, from the widest scope to the narrowest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Scope {
-    /// All.
+    /// All endpoints.
     All,
     /// Those of a data centre.
     Zone(String),
@@ -23,7 +23,7 @@
 }
 
 impl Scope {
-    /// Whether it is on this node.
+    /// Whether it includes this endpoint.
     pub fn covers(&self, node: &Node<'_>) -> bool {
         match self {
             Scope::All => true,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// How narrow it is.
+    /// Its precedence: a narrower scope has a higher rank.
     pub(crate) fn rank(&self) -> u8 {
         match self {
             Scope::All => 0,
@@ -59,16 +59,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Nothing new is sent there.
+    /// Out of service: no new requests are sent to the endpoint.
     Out,
-    /// The weight is multiplied by this, over 0 and at most 10.
+    /// The weight is multiplied by this factor, above 0 and at most 10.
     Weight(f64),
-    /// Requests of a class, for some keys or both go to the node while it can take them.
+    /// Requests of a class, for some keys, or both go to the endpoint while it can take them.
     Pinned {
         /// The class; `None`: any.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         class: Option<String>,
-        /// A key, or with a `*` at the end all that begin so; `None`: any.
+        /// A key, or a prefix of keys with a `*` at the end; `None`: any.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         keys: Option<String>,
     },
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Override {
-    /// Its number, never used twice.
+    /// Its number, which is never reused.
     pub id: u64,
-    /// On which nodes.
+    /// The endpoints it applies to.
     pub scope: Scope,
-    /// What it does.
+    /// Its effect.
     pub effect: Effect,
-    /// Since when, Unix time in nanoseconds.
+    /// Start, in Unix time in nanoseconds.
     pub since: Nanos,
-    /// Until when, Unix time in nanoseconds.
+    /// Expiry, in Unix time in nanoseconds.
     pub until: Nanos,
     /// Who set it.
     pub author: String,
@@ -108,7 +108,7 @@
     pub reason: String,
 }
 
-/// A node as far as overrides care.
+/// The properties of an endpoint by which scopes select it.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
     /// Its id.
@@ -119,20 +119,20 @@
     pub zone: &'a str,
 }
 
-/// Bounds.
+/// Limits on overrides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverrideLimits {
-    /// The longest that an override may last, in nanoseconds.
+    /// Maximum duration of an override, in nanoseconds.
     pub longest: Nanos,
     /// The part of the fleet's weight that must stay in service, from 0 to 1.
     pub stay: f64,
-    /// An override is announced so long before it expires, in nanoseconds.
+    /// How long before its expiry an override is announced, in nanoseconds.
     pub announce: Nanos,
-    /// A node that was out for so long has a cold cache, in nanoseconds.
+    /// An endpoint that was out of service for this time has a cold cache, in nanoseconds.
     pub cold_after: Nanos,
-    /// Overrides at once.
+    /// Maximum number of overrides.
     pub most: usize,
-    /// Events remembered; the oldest are forgotten first.
+    /// Maximum length of the event history; the oldest events are dropped first.
     pub history: usize,
 }
 
--- a/crates/core/overrides/tests/override_set.rs
+++ b/crates/core/overrides/tests/override_set.rs
@@ -1,4 +1,4 @@
-//! Precedence as a table, expiry against a model, guard rails, history.
+//! Precedence as a table, expiry against a model, the capacity guard, and the history.
 
 use proptest::prelude::*;
 use rushquay_overrides::{
@@ -8,7 +8,7 @@
 
 const NODE: Node<'_> = Node { id: "cache-07", kind: "std-1c", zone: "vadodara" };
 
-fn of(id: u64, scope: Scope, effect: Effect, since: u64, until: u64) -> Override {
+fn make_override(id: u64, scope: Scope, effect: Effect, since: u64, until: u64) -> Override {
     let (author, reason) = ("asha".into(), "boiler room".into());
     Override { id, scope, effect, since: since * SECOND, until: until * SECOND, author, reason }
 }
@@ -25,16 +25,16 @@
     Scope::Kind("std-1c".into())
 }
 
-/// Of two that disagree: out until when, which factor, and how each stands at second 10.
+/// Two conflicting overrides: out until when, which factor, and the status of each at second 10.
 #[test]
-fn precedence_is_as_the_table_says() {
+fn precedence_follows_the_documented_table() {
     use Effect::{Out, Weight};
     use OverrideStatus::{InForce, Masked};
     let table = [
         // Out of service wins over any weight, however narrow.
         ((zone(), Out, 1, 50), (node(), Weight(0.5), 2, 90), (50, 0.5), [InForce, Masked(1)]),
         ((Scope::All, Out, 1, 90), (node(), Weight(2.0), 2, 50), (90, 2.0), [InForce, Masked(1)]),
-        // Two outs: the later end.
+        // Two out of service: the later end.
         ((node(), Out, 1, 50), (zone(), Out, 2, 90), (90, 1.0), [InForce, InForce]),
         ((node(), Out, 1, 90), (zone(), Out, 2, 50), (90, 1.0), [InForce, InForce]),
         // Two weights: the narrower, whichever came first.
@@ -42,32 +42,32 @@
         ((kind(), Weight(0.5), 1, 50), (zone(), Weight(0.2), 2, 90), (0, 0.5), [InForce, Masked(1)]),
         ((zone(), Weight(0.5), 2, 50), (Scope::All, Weight(0.2), 1, 90), (0, 0.5), [InForce, Masked(1)]),
         ((zone(), Weight(0.5), 1, 50), (node(), Weight(0.2), 2, 90), (0, 0.2), [Masked(2), InForce]),
-        // Of one scope: the later set; of one moment: the higher number.
+        // Of one scope: the one set later; of one moment: the higher number.
         ((node(), Weight(0.5), 1, 50), (node(), Weight(0.2), 2, 90), (0, 0.2), [Masked(2), InForce]),
         ((node(), Weight(0.5), 3, 50), (node(), Weight(0.2), 3, 90), (0, 0.2), [Masked(2), InForce]),
     ];
     for (number, (one, two, (out, factor), standings)) in table.into_iter().enumerate() {
         let make = |id, (scope, effect, since, until): (Scope, Effect, u64, u64)| {
-            of(id, scope, effect, since, until)
+            make_override(id, scope, effect, since, until)
         };
         let both = [make(1, one), make(2, two)];
-        let (imposed, mut stands) = effective_overrides(both.iter(), &NODE, 10 * SECOND);
-        stands.sort_by_key(|(id, _)| *id);
+        let (imposed, mut statuses) = effective_overrides(both.iter(), &NODE, 10 * SECOND);
+        statuses.sort_by_key(|(id, _)| *id);
         assert_eq!(imposed.out.1, out * SECOND, "row {number}");
         assert_eq!(imposed.is_out(10 * SECOND), out > 0, "row {number}");
         assert_eq!(imposed.factor(10 * SECOND), factor, "row {number}");
-        assert_eq!(stands.into_iter().map(|(_, s)| s).collect::<Vec<_>>(), standings, "row {number}");
+        assert_eq!(statuses.into_iter().map(|(_, s)| s).collect::<Vec<_>>(), standings, "row {number}");
     }
 }
 
-/// A hard case: two that disagree, expiring in either order; what lies beneath takes effect, without asking again.
+/// Two conflicting weights that expire in either order: the masked one takes effect without a new request.
 #[test]
-fn what_is_masked_takes_effect_when_the_upper_one_ends() {
+fn a_masked_override_takes_effect_when_the_masking_one_ends() {
     for (upper_ends, later) in [(50, 0.2), (90, 1.0)] {
         let lower_ends = 140 - upper_ends;
         let both = [
-            of(1, kind(), Effect::Weight(0.2), 1, lower_ends),
-            of(2, node(), Effect::Weight(0.5), 2, upper_ends),
+            make_override(1, kind(), Effect::Weight(0.2), 1, lower_ends),
+            make_override(2, node(), Effect::Weight(0.5), 2, upper_ends),
         ];
         let (imposed, _) = effective_overrides(both.iter(), &NODE, 10 * SECOND);
         let at = |s: u64| imposed.factor(s * SECOND);
@@ -86,76 +86,84 @@
     weights.iter().enumerate().map(one).collect()
 }
 
-fn ask(scope: Scope, effect: Effect, until: u64) -> OverrideRequest {
+fn request(scope: Scope, effect: Effect, until: u64) -> OverrideRequest {
     let (author, reason) = ("asha".into(), "boiler room".into());
     OverrideRequest { scope, effect, until: until * SECOND, author, reason, force: false }
 }
 
 #[test]
-fn too_much_is_refused_with_the_arithmetic_unless_forced() {
-    let mut book = OverrideSet::new(OverrideLimits::default());
+fn excessive_reduction_is_rejected_with_the_calculation_unless_forced() {
+    let mut overrides = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0, 1.0, 2.0]);
-    let first = ask(Scope::Node("cache-00".into()), Effect::Out, 100);
-    book.set(first, &nodes, 0, None).expect("a quarter may go");
-    let second = ask(Scope::Node("cache-01".into()), Effect::Out, 100);
-    let refused = book.set(second.clone(), &nodes, 0, None).expect_err("too much");
+    let first = request(Scope::Node("cache-00".into()), Effect::Out, 100);
+    overrides.set(first, &nodes, 0, None).expect("a quarter may go");
+    let second = request(Scope::Node("cache-01".into()), Effect::Out, 100);
+    let refused = overrides.set(second.clone(), &nodes, 0, None).expect_err("too much");
     let text = refused.to_string();
     assert!(text.contains("all nodes weigh 4.00, 3.00 of it (75%) is in service"), "{text}");
     assert!(text.contains("with this 2.00 (50%) would be, and 2.68 (67%) must stay"), "{text}");
-    let forced = book.set(OverrideRequest { force: true, ..second }, &nodes, 0, None).expect("forced");
-    assert_eq!(book.history().next().map(|e| (e.kind, e.what.id)), Some((EventKind::Forced, forced.id)));
-    // What takes nothing away is not refused, however little there is.
-    book.set(ask(Scope::Node("cache-02".into()), Effect::Weight(1.5), 100), &nodes, 0, None)
+    let forced = overrides.set(OverrideRequest { force: true, ..second }, &nodes, 0, None).expect("forced");
+    assert_eq!(overrides.history().next().map(|e| (e.kind, e.what.id)), Some((EventKind::Forced, forced.id)));
+    // An override that reduces no capacity is accepted, however little remains.
+    overrides
+        .set(request(Scope::Node("cache-02".into()), Effect::Weight(1.5), 100), &nodes, 0, None)
         .expect("no less");
-    // A weight takes away as well.
-    let less = ask(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
-    assert!(matches!(book.set(less, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
+    // A weight reduces capacity as well.
+    let less = request(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
+    assert!(matches!(overrides.set(less, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
 }
 
 #[test]
-fn fields_are_checked_and_two_engineers_do_not_overwrite_each_other() {
-    let mut book = OverrideSet::new(OverrideLimits::default());
+fn fields_are_validated_and_concurrent_changes_are_rejected() {
+    let mut overrides = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0; 12]);
-    let good = ask(Scope::Node("cache-07".into()), Effect::Out, 100);
-    let field = |book: &mut OverrideSet, ask: OverrideRequest| match book.set(ask, &nodes, 50 * SECOND, None)
-    {
+    let good = request(Scope::Node("cache-07".into()), Effect::Out, 100);
+    let field = |overrides: &mut OverrideSet, request: OverrideRequest| match overrides.set(
+        request,
+        &nodes,
+        50 * SECOND,
+        None,
+    ) {
         Err(OverrideError::Field(name, _)) => name,
         other => panic!("{other:?}"),
     };
-    assert_eq!(field(&mut book, OverrideRequest { author: " ".into(), ..good.clone() }), "author");
-    assert_eq!(field(&mut book, OverrideRequest { reason: String::new(), ..good.clone() }), "reason");
-    assert_eq!(field(&mut book, OverrideRequest { until: 50 * SECOND, ..good.clone() }), "until");
-    assert_eq!(field(&mut book, OverrideRequest { until: 50_000 * SECOND, ..good.clone() }), "until");
+    assert_eq!(field(&mut overrides, OverrideRequest { author: " ".into(), ..good.clone() }), "author");
+    assert_eq!(field(&mut overrides, OverrideRequest { reason: String::new(), ..good.clone() }), "reason");
+    assert_eq!(field(&mut overrides, OverrideRequest { until: 50 * SECOND, ..good.clone() }), "until");
+    assert_eq!(field(&mut overrides, OverrideRequest { until: 50_000 * SECOND, ..good.clone() }), "until");
     assert_eq!(
-        field(&mut book, OverrideRequest { effect: Effect::Weight(0.0), ..good.clone() }),
+        field(&mut overrides, OverrideRequest { effect: Effect::Weight(0.0), ..good.clone() }),
         "effect.weight"
     );
     assert_eq!(
-        field(&mut book, OverrideRequest { effect: Effect::Weight(f64::NAN), ..good.clone() }),
+        field(&mut overrides, OverrideRequest { effect: Effect::Weight(f64::NAN), ..good.clone() }),
         "effect.weight"
     );
     assert_eq!(
-        field(&mut book, OverrideRequest { scope: Scope::Zone(String::new()), ..good.clone() }),
+        field(&mut overrides, OverrideRequest { scope: Scope::Zone(String::new()), ..good.clone() }),
         "scope"
     );
     assert_eq!(
-        field(&mut book, OverrideRequest { scope: Scope::Node("cahce-07".into()), ..good.clone() }),
+        field(&mut overrides, OverrideRequest { scope: Scope::Node("cahce-07".into()), ..good.clone() }),
         "scope.node"
     );
-    let seen = book.revision();
-    let set = book.set(good.clone(), &nodes, 50 * SECOND, Some(seen)).expect("set");
-    let second = book.set(good, &nodes, 50 * SECOND, Some(seen)).expect_err("changed meanwhile");
+    let seen = overrides.revision();
+    let set = overrides.set(good.clone(), &nodes, 50 * SECOND, Some(seen)).expect("set");
+    let second = overrides.set(good, &nodes, 50 * SECOND, Some(seen)).expect_err("changed meanwhile");
     assert_eq!(second, OverrideError::Changed { now: seen + 1, expected: seen });
-    assert!(matches!(book.lift(set.id, "ravi", 51 * SECOND, Some(seen)), Err(OverrideError::Changed { .. })));
-    book.lift(set.id, "ravi", 51 * SECOND, None).expect("lifted");
-    assert_eq!(book.lift(set.id, "ravi", 52 * SECOND, None), Err(OverrideError::Unknown(set.id)));
-    let kinds: Vec<_> = book.history().map(|e| (e.kind, e.by.as_str())).collect();
+    assert!(matches!(
+        overrides.lift(set.id, "ravi", 51 * SECOND, Some(seen)),
+        Err(OverrideError::Changed { .. })
+    ));
+    overrides.lift(set.id, "ravi", 51 * SECOND, None).expect("lifted");
+    assert_eq!(overrides.lift(set.id, "ravi", 52 * SECOND, None), Err(OverrideError::Unknown(set.id)));
+    let kinds: Vec<_> = overrides.history().map(|e| (e.kind, e.by.as_str())).collect();
     assert_eq!(kinds, [(EventKind::Lifted, "ravi"), (EventKind::Set, "asha")]);
 }
 
 #[test]
-fn a_pin_is_to_one_node_and_of_two_alike_the_later_masks() {
-    let mut book = OverrideSet::new(OverrideLimits::default());
+fn a_pin_needs_one_node_and_the_later_of_two_equal_pins_counts() {
+    let mut overrides = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0; 12]);
     let pinned = |class: Option<&str>, keys: Option<&str>| Effect::Pinned {
         class: class.map(str::to_owned),
@@ -168,71 +176,72 @@
         (on("cache-07"), pinned(None, Some("")), "effect.pinned"),
         (on("cache-07"), pinned(None, Some("a*b")), "effect.pinned.keys"),
     ] {
-        let refused = book.set(ask(scope, effect.clone(), 100), &nodes, 0, None);
+        let refused = overrides.set(request(scope, effect.clone(), 100), &nodes, 0, None);
         assert!(
             matches!(&refused, Err(OverrideError::Field(name, _)) if *name == field),
             "{effect}: {refused:?}"
         );
     }
-    let mut set = |id, effect, until| book.set(ask(on(id), effect, until), &nodes, 0, None).expect("set").id;
-    let first = set("cache-01", pinned(Some("read"), Some("boiler-*")), 100);
-    let second = set("cache-02", pinned(Some("read"), Some("boiler-*")), 50);
-    set("cache-03", pinned(None, Some("boiler-*")), 100);
-    let masked = |now| rushquay_overrides::masked_pins(book.live(), now * SECOND);
+    let mut set_pin =
+        |id, effect, until| overrides.set(request(on(id), effect, until), &nodes, 0, None).expect("set").id;
+    let first = set_pin("cache-01", pinned(Some("read"), Some("boiler-*")), 100);
+    let second = set_pin("cache-02", pinned(Some("read"), Some("boiler-*")), 50);
+    set_pin("cache-03", pinned(None, Some("boiler-*")), 100);
+    let masked = |now| rushquay_overrides::masked_pins(overrides.live(), now * SECOND);
     assert_eq!(masked(10), [(first, second)]);
     assert_eq!(masked(60), []);
-    // A node that is out gets nothing, pinned or not; the pin stands beneath.
-    let out = book.set(ask(on("cache-01"), Effect::Out, 100), &nodes, 0, None).expect("set").id;
+    // An endpoint that is out of service gets no requests, pinned or not; the pin is masked.
+    let out = overrides.set(request(on("cache-01"), Effect::Out, 100), &nodes, 0, None).expect("set").id;
     let node = Node { id: "cache-01", kind: "k", zone: "z" };
-    let (imposed, stands) = effective_overrides(book.live(), &node, SECOND);
+    let (imposed, statuses) = effective_overrides(overrides.live(), &node, SECOND);
     assert_eq!(imposed.pins.len(), 1);
-    assert!(stands.contains(&(first, OverrideStatus::Masked(out))), "{stands:?}");
+    assert!(statuses.contains(&(first, OverrideStatus::Masked(out))), "{statuses:?}");
 }
 
 #[test]
-fn history_and_announcements_are_bounded_and_each_is_announced_once() {
-    let mut book = OverrideSet::new(OverrideLimits { history: 10, ..OverrideLimits::default() });
+fn history_is_bounded_and_each_expiry_is_announced_once() {
+    let mut overrides = OverrideSet::new(OverrideLimits { history: 10, ..OverrideLimits::default() });
     let nodes = fleet(&[1.0; 12]);
     for i in 0..50 {
-        let o = book
-            .set(ask(Scope::Node("cache-07".into()), Effect::Weight(0.9), 5000), &nodes, i, None)
+        let o = overrides
+            .set(request(Scope::Node("cache-07".into()), Effect::Weight(0.9), 5000), &nodes, i, None)
             .expect("set");
-        assert!(book.expiring(SECOND).is_empty());
-        book.lift(o.id, "asha", i, None).expect("lifted");
+        assert!(overrides.expiring(SECOND).is_empty());
+        overrides.lift(o.id, "asha", i, None).expect("lifted");
     }
-    assert_eq!(book.history().count(), 10);
-    let o = book.set(ask(Scope::All, Effect::Weight(0.9), 1000), &nodes, 0, None).expect("set");
-    assert_eq!(book.expiring(401 * SECOND), [o]);
-    assert!(book.expiring(402 * SECOND).is_empty());
+    assert_eq!(overrides.history().count(), 10);
+    let o = overrides.set(request(Scope::All, Effect::Weight(0.9), 1000), &nodes, 0, None).expect("set");
+    assert_eq!(overrides.expiring(401 * SECOND), [o]);
+    assert!(overrides.expiring(402 * SECOND).is_empty());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a model that asks at every second: whoever took what was imposed at the beginning, and asks nobody again,
-    /// says the same as the book at each later second, as long as nothing new is set. And a restart changes nothing.
+    /// Compared with a model evaluated every second: an effect computed at the beginning and never again agrees with the set at each later
+    /// second, as long as nothing new is set. A restart changes nothing.
     #[test]
-    fn expiry_needs_nobody(all in prop::collection::vec((0usize..4, 0usize..3, 1u64..9, 0u64..20, 21u64..60), 1..8)) {
+    fn expiry_takes_effect_without_a_new_evaluation(all in prop::collection::vec((0usize..4, 0usize..3, 1u64..9, 0u64..20, 21u64..60), 1..8)) {
         let overrides: Vec<Override> = all
             .iter()
             .enumerate()
             .map(|(i, (scope, effect, tenths, since, until))| {
                 let scope = [Scope::All, zone(), kind(), node()][*scope].clone();
                 let effect = if *effect == 0 { Effect::Out } else { Effect::Weight(*tenths as f64 / 10.0) };
-                of(i as u64 + 1, scope, effect, *since, *until)
+                make_override(i as u64 + 1, scope, effect, *since, *until)
             })
             .collect();
         let (taken, _) = effective_overrides(overrides.iter(), &NODE, 20 * SECOND);
-        let mut book = OverrideSet::restore(OverrideLimits::default(), overrides.clone(), Vec::new(), 1, 9);
+        let mut set = OverrideSet::restore(OverrideLimits::default(), overrides.clone(), Vec::new(), 1, 9);
         for second in 20..61 {
             let now = second * SECOND;
-            book.expire(now);
-            let (fresh, _) = effective_overrides(book.live(), &NODE, now);
+            set.expire(now);
+            let (fresh, _) = effective_overrides(set.live(), &NODE, now);
             prop_assert_eq!(taken.is_out(now), fresh.is_out(now), "out at {}", second);
             prop_assert_eq!(taken.factor(now), fresh.factor(now), "factor at {}", second);
             let live: Vec<u64> = overrides.iter().filter(|o| o.until > now).map(|o| o.id).collect();
-            prop_assert_eq!(book.live().map(|o| o.id).collect::<Vec<_>>(), live);
+            prop_assert_eq!(set.live().map(|o| o.id).collect::<Vec<_>>(), live);
         }
-        prop_assert_eq!(book.history().count(), overrides.len());
+        prop_assert_eq!(set.history().count(), overrides.len());
     }
 }
