--- a/crates/core/lease/src/lib.rs
+++ b/crates/core/lease/src/lib.rs
@@ -1,10 +1,10 @@
-//! Which of several control services leads, and what time it is. No I/O: time is an argument, and what a store of leases
-//! answered is told.
+//! Leader election among control services, and clocks that do not jump. No I/O: the time is passed in, and so are the responses of the
+//! store that holds the lease.
 //!
-//! A leader holds a lease in a store that all instances share. Each lease that is won has an **epoch**, higher than all
-//! before it, which travels with everything that the leader hands out or writes: whoever has seen a higher one refuses it.
-//! The lease alone does not do: a process that was paused learns that its lease is over only once it looks at a clock, and
-//! what it sent before it looked is on its way.
+//! A leader holds a lease in a store that all instances share. Each lease has an **epoch**, higher than those of all leases before it,
+//! which is attached to everything that the leader sends or writes: a receiver that has seen a higher one rejects it. The lease alone is
+//! not enough: a process that was paused learns that its lease has expired only when it next reads a clock, and what it sent before that
+//! is in flight.
 #![forbid(unsafe_code)]
 
 mod clock;
@@ -17,7 +17,7 @@
 pub use epoch::{Epoch, Fence, Stale};
 pub use skew::Skew;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Nanoseconds in a second.
