--- a/crates/core/control-state/src/config.rs
+++ b/crates/core/control-state/src/config.rs
@@ -1,19 +1,19 @@
-//! The control service's settings file (TOML), checked.
+//! The settings of the control state, from the control service's settings file (TOML).
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A fault in a settings file: the field, and what was expected there.
+/// An invalid field of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// The field's path.
+    /// Path of the field.
     pub field: String,
     /// What was expected.
     pub expected: String,
 }
 
-/// The decisions' settings; what concerns sockets stands beside them in the same file.
+/// The settings of the control state; those of sockets are in other tables of the same file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlConfig {
@@ -21,13 +21,13 @@
     pub cluster: String,
     /// Name of the origin's cluster.
     pub origin_cluster: String,
-    /// The machine kind that marks the origin in the list.
+    /// The machine kind of the origin in the endpoint list.
     pub origin_kind: String,
-    /// For how long, in seconds, a drain stands against a list that is older than it, 1 to 604800.
+    /// For how long, in seconds, a drain is kept against a list that is older than it, 1 to 604800.
     pub hold_s: u64,
-    /// Most removals remembered for subscribers that are behind, 16 to 1000000.
+    /// Maximum number of removals remembered for subscribers that are behind, 16 to 1000000.
     pub removals: usize,
-    /// Factors on the weights of machine kinds, over 0 and at most 100.
+    /// Factors on the weights of machine kinds, above 0 and at most 100.
     pub weights: BTreeMap<String, f64>,
 }
 
@@ -45,27 +45,27 @@
 }
 
 impl ControlConfig {
-    /// Checks what the types don't.
+    /// Validates what the types do not.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// The first invalid field.
     pub fn check(&self) -> Result<(), ConfigError> {
-        let need = |holds: bool, field: &str, expected: &str| match holds {
+        let ensure = |is_valid: bool, field: &str, expected: &str| match is_valid {
             true => Ok(()),
             false => Err(ConfigError { field: field.to_owned(), expected: expected.to_owned() }),
         };
-        need(!self.cluster.is_empty(), "control.cluster", "a name")?;
-        need(!self.origin_cluster.is_empty(), "control.origin_cluster", "a name")?;
-        need(
+        ensure(!self.cluster.is_empty(), "control.cluster", "a name")?;
+        ensure(!self.origin_cluster.is_empty(), "control.origin_cluster", "a name")?;
+        ensure(
             self.cluster != self.origin_cluster,
             "control.origin_cluster",
             "another name than control.cluster",
         )?;
-        need((1..=604_800).contains(&self.hold_s), "control.hold_s", "seconds from 1 to 604800")?;
-        need((16..=1_000_000).contains(&self.removals), "control.removals", "a number from 16 to 1000000")?;
+        ensure((1..=604_800).contains(&self.hold_s), "control.hold_s", "seconds from 1 to 604800")?;
+        ensure((16..=1_000_000).contains(&self.removals), "control.removals", "a number from 16 to 1000000")?;
         for (kind, factor) in &self.weights {
             let field = format!("control.weights.{kind}");
-            need(*factor > 0.0 && *factor <= 100.0, &field, "a factor over 0, at most 100")?;
+            ensure(*factor > 0.0 && *factor <= 100.0, &field, "a factor over 0, at most 100")?;
         }
         Ok(())
     }
--- a/crates/core/control-state/src/lib.rs
+++ b/crates/core/control-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the control service declares, without I/O: which list it believes, which nodes make which cluster, what their
-//! weights are, and what changed.
+//! The state that the control service declares: which endpoint list it follows, the endpoints of each cluster, their weights, and what
+//! changes. No I/O; the time is passed in.
 #![forbid(unsafe_code)]
 
 mod config;
