--- a/crates/core/overrides/src/lib.rs
+++ b/crates/core/overrides/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! | of two on one endpoint | wins | because |
 //! | --- | --- | --- |
-//! | out of service, and any weight | out of service | whoever took it out may be working on the machine |
+//! | out of service, and any weight | out of service | the operator who took it out may be working on the machine |
 //! | two out of service | both; it ends with the later one | one operator's word that it is safe does not stand for another's |
 //! | two weights | the narrower: node, kind, zone, all | naming an endpoint is the more specific intent |
 //! | two weights of one scope | the one set later | the later author knows of the earlier override |
--- a/crates/core/policy/src/archive.rs
+++ b/crates/core/policy/src/archive.rs
@@ -1,4 +1,4 @@
-//! The archive of policies: those still of use, and whose fallback policies somebody may still apply.
+//! The archive of policies: those still of use, and those whose fallback policies may still be applied.
 
 use crate::coordinator::LeaseTerms;
 use crate::document::{FallbackPolicy, Policy, PolicyError};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct PolicyArchive {
     policies: BTreeMap<PolicyNumber, Policy>,
-    /// The policies that have been in force: somebody may apply their fallback policies. One that was only proposed has no such proxies.
+    /// The policies that have been in force: their fallback policies may be applied. That of a policy only ever proposed is not.
     ever_in_force: BTreeSet<PolicyNumber>,
     /// The policy in force before any was proposed.
     initial: Policy,
--- a/crates/core/policy/src/broadcast.rs
+++ b/crates/core/policy/src/broadcast.rs
@@ -56,8 +56,8 @@
     /// Decodes a broadcast.
     ///
     /// # Errors
-    /// See [`BroadcastError`]. Danger: a program has to be able to reject by its revision what it cannot read, or nobody would learn why
-    /// the change waits for it.
+    /// See [`BroadcastError`]. Danger: a program has to be able to reject by its revision what it cannot read, or the reason why the
+    /// change waits for it would remain unknown.
     pub fn read(text: &str) -> Result<Self, BroadcastError> {
         let malformed = |error: serde_json::Error| BroadcastError::Malformed(error.to_string());
         let value: Value = serde_json::from_str(text).map_err(malformed)?;
--- a/crates/core/policy/src/coordinator.rs
+++ b/crates/core/policy/src/coordinator.rs
@@ -26,7 +26,7 @@
         self.worst_case(self.span)
     }
 
-    /// The time, by this leader's clock, after which nobody applies the fallback policy of a granted lease any more.
+    /// The time, by this leader's clock, after which no process applies the fallback policy of a granted lease any more.
     pub fn fallback_expiry(&self) -> Nanos {
         self.worst_case(self.span.saturating_add(self.floor))
     }
--- a/crates/core/rollout/src/analysis/comparison.rs
+++ b/crates/core/rollout/src/analysis/comparison.rs
@@ -50,7 +50,7 @@
         self.compare_resources(&sums);
     }
 
-    /// Where nobody saw the usual times of a class, the old cohort shows them now; what counts as slow is fixed from then on.
+    /// Where the usual response times of a class are unknown, the old cohort shows them now; what counts as slow is fixed from then on.
     fn learn_slow_buckets(&mut self, class: &str, old: &CohortStats) {
         if self.slow_buckets.contains_key(class) {
             return;
--- a/crates/core/rollout/src/plan.rs
+++ b/crates/core/rollout/src/plan.rs
@@ -34,7 +34,7 @@
     pub at_once: usize,
     /// The same during a rollback.
     pub back_at_once: usize,
-    /// A serving proxy applies what it was told within this time.
+    /// A serving proxy applies its assignment within this time.
     pub confirm: Nanos,
     /// How long the rollout waits for a problem to pass, for missing reports, or for evidence, before it is rolled back.
     pub patience: Nanos,
@@ -70,7 +70,7 @@
     pub at_once: usize,
     /// The same during a rollback.
     pub back_at_once: usize,
-    /// Seconds from being told to applying.
+    /// Seconds from an assignment to its application.
     pub confirm_s: f64,
     /// Seconds that a hold may last.
     pub patience_s: f64,
@@ -114,22 +114,29 @@
     }
 }
 
+fn invalid<T>(field: String, expected: &'static str) -> Result<T, PlanError> {
+    Err(PlanError { field, expected })
+}
+
+fn stage_selector(index: usize, stage: &StageText) -> Result<StageSelector, PlanError> {
+    match (stage.count, stage.share) {
+        (Some(count), None) if (1..=100_000).contains(&count) => Ok(StageSelector::Count(count)),
+        (Some(_), None) => invalid(format!("stages[{index}].count"), "1 to 100000"),
+        (None, Some(share)) if share > 0.0 && share < 1.0 => Ok(StageSelector::Share(share)),
+        (None, Some(_)) => invalid(format!("stages[{index}].share"), "over 0 and below 1"),
+        _ => invalid(format!("stages[{index}]"), "count or share, one of them"),
+    }
+}
+
 impl TryFrom<PlanText> for Plan {
     type Error = PlanError;
     fn try_from(text: PlanText) -> Result<Self, PlanError> {
-        let invalid = |field: String, expected| Err(PlanError { field, expected });
         if text.stages.len() > 50 {
             return invalid("stages".into(), "50 at most");
         }
         let (mut stages, mut share_before) = (Vec::new(), 0.0);
         for (i, stage) in text.stages.iter().enumerate() {
-            let pick = match (stage.count, stage.share) {
-                (Some(count), None) if (1..=100_000).contains(&count) => StageSelector::Count(count),
-                (Some(_), None) => return invalid(format!("stages[{i}].count"), "1 to 100000"),
-                (None, Some(share)) if share > 0.0 && share < 1.0 => StageSelector::Share(share),
-                (None, Some(_)) => return invalid(format!("stages[{i}].share"), "over 0 and below 1"),
-                _ => return invalid(format!("stages[{i}]"), "count or share, one of them"),
-            };
+            let pick = stage_selector(i, stage)?;
             if let (StageSelector::Share(share), None) = (pick, &stage.zone) {
                 if share <= share_before {
                     return invalid(format!("stages[{i}].share"), "more than in the stage before");
--- a/crates/core/rollout/src/registry.rs
+++ b/crates/core/rollout/src/registry.rs
@@ -304,7 +304,7 @@
         self.command_running("taken back", by, expected, now, roll_back)
     }
 
-    /// Advances the rollout by one transition at most; returns true if the record has to be persisted before members are told.
+    /// Advances the rollout by one transition at most; returns true if the record has to be persisted before members are assigned.
     pub fn step(&mut self, seen: &[FleetView<'_>], verdict: &Verdict, now: Nanos) -> bool {
         let Some(change) = self.record.change.as_mut() else { return false };
         let (id, before) = (change.id, change.phase.clone());
--- a/crates/core/rollout/src/scheduling.rs
+++ b/crates/core/rollout/src/scheduling.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The next members to be told, so that at most `at_once` are in transit, all of one data centre and never all of it.
+/// The next members to be assigned, so that at most `at_once` are in transit, all of one data centre and never all of it.
 pub fn next<'s>(
     candidates: impl Iterator<Item = &'s FleetView<'s>>,
     in_transit: &[&FleetView<'_>],
--- a/crates/core/rollout/src/state_machine.rs
+++ b/crates/core/rollout/src/state_machine.rs
@@ -1,7 +1,7 @@
 //! The state machine of a rollout.
 //!
 //! [`Rollout::step`] takes the fleet and the verdict and makes one transition at most; the caller persists the result before any
-//! member is told.
+//! member gets an assignment by it.
 
 use crate::finding::Verdict;
 use crate::fleet_view::FleetView;
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The time between steps further apart than this does not count towards the limit: nobody led in between.
+/// The time between steps further apart than this does not count towards the limit: there was no leader in between.
 const MAX_STEP_GAP: Nanos = 5 * SECOND;
 
 /// A rollout.
@@ -36,11 +36,11 @@
     pub began: Nanos,
     /// The phase.
     pub phase: Phase,
-    /// Members that are to apply the new version, with when each was told; during a rollback, those not yet told to return.
+    /// Members assigned the new version, with when; during a rollback, those not yet assigned the old one again.
     pub moved: BTreeMap<String, Nanos>,
-    /// During a rollback: when each member was told to return.
+    /// During a rollback: when each member was assigned the old version again.
     pub returned: BTreeMap<String, Nanos>,
-    /// How many members of the present stage were told.
+    /// How many members of the present stage were assigned the new version.
     pub in_stage: usize,
     /// For how long it has run under a leader.
     pub ran: Nanos,
@@ -104,8 +104,8 @@
             Phase::Soaking { since, .. } | Phase::Held { since, .. } => *since = now,
             _ => {}
         }
-        // A member that the former leader told may have received it only now.
-        self.moved.values_mut().chain(self.returned.values_mut()).for_each(|told| *told = now);
+        // An assignment sent by the former leader may have arrived only now.
+        self.moved.values_mut().chain(self.returned.values_mut()).for_each(|assigned_at| *assigned_at = now);
     }
 
     /// Begins a rollback, unless the rollout has ended or is rolled back already.
@@ -130,7 +130,7 @@
         true
     }
 
-    /// Members that were told the new version and do not apply it yet.
+    /// Members assigned the new version that do not apply it yet.
     fn in_transit<'s>(&self, seen: &'s [FleetView<'s>]) -> Vec<&'s FleetView<'s>> {
         seen.iter().filter(|s| self.moved.contains_key(s.name) && s.acting != self.to).collect()
     }
@@ -151,7 +151,7 @@
             return true;
         }
         // Danger: where a third of all reports are lost, some member is always late; a hold for each would never end. One that may be
-        // on its way back is waited for as long as it may take to apply what it is told.
+        // on its way back is waited for as long as it may take to apply its assignment.
         let away =
             |s: &&FleetView<'_>| self.moved.contains_key(s.name) && s.standing != MemberStatus::Serving;
         let silent = seen.iter().filter(away).filter(|s| s.quiet > self.plan.confirm);
@@ -220,14 +220,14 @@
         if let Verdict::Worse(finding) = verdict {
             return Some(RollbackReason::Worse(finding.clone()));
         }
-        let told = || seen.iter().filter_map(|s| Some((s, *self.moved.get(s.name)?)));
+        let assigned = || seen.iter().filter_map(|s| Some((s, *self.moved.get(s.name)?)));
         let refused =
-            told().find_map(|(s, _)| Some((s.name, s.refused.filter(|(what, _)| *what == self.to)?.1)));
+            assigned().find_map(|(s, _)| Some((s.name, s.refused.filter(|(what, _)| *what == self.to)?.1)));
         if let Some((name, why)) = refused {
             return Some(RollbackReason::Refused { name: name.into(), why: why.into() });
         }
-        let late = told().filter(|(s, at)| {
-            // A member that was away meanwhile, or is a new process, has to be told again first.
+        let late = assigned().filter(|(s, at)| {
+            // A member that was away meanwhile, or is a new process, needs its assignment again first.
             let due = now.saturating_sub((*at).max(s.since)) > self.plan.confirm;
             due && s.acting != self.to && s.standing == MemberStatus::Serving
         });
@@ -270,8 +270,8 @@
         if in_transit.is_empty() && (remaining == 0 || left == 0) {
             // Danger: a stage without members that changed would be compared with nothing, and a stage of which half is away would pass
             // for complete. The last stage ends without absent members: they get the version in force when they return.
-            let nobody = remaining > 0 && !self.plan.last(stage) || self.moved.is_empty();
-            if nobody {
+            let is_empty_or_incomplete = remaining > 0 && !self.plan.last(stage) || self.moved.is_empty();
+            if is_empty_or_incomplete {
                 return self.enter_hold(stage, HoldReason::Nobody, now);
             }
             self.phase = Phase::Soaking { stage, since: now };
@@ -280,13 +280,13 @@
         let mut next =
             scheduling::next(self.candidates(stage, seen), &in_transit, seen, self.plan.at_once, self.id);
         next.truncate(remaining);
-        let told = next.len();
+        let newly_assigned = next.len();
         self.moved.extend(next.into_iter().map(|s| (s.name.to_owned(), now)));
-        self.in_stage += told;
-        told > 0
+        self.in_stage += newly_assigned;
+        newly_assigned > 0
     }
 
-    /// Rolls back: members that were told the new version are told the old one, a few at a time and of one data centre.
+    /// Rolls back: members with the new version are assigned the old one, a few at a time and of one data centre.
     fn step_back(&mut self, seen: &[FleetView<'_>], now: Nanos) -> bool {
         let Some(why) = self.phase.back().cloned() else { return false };
         let serves = |s: &&FleetView<'_>| s.standing == MemberStatus::Serving;
@@ -306,7 +306,7 @@
         if seen.iter().any(|s| unheard(s) && now.saturating_sub(s.since) <= self.plan.confirm) {
             return false;
         }
-        // No reachable member is left to be told: an absent one gets the old version when it returns.
+        // No reachable member is left to be assigned the old version: an absent one gets it when it returns.
         let away = in_transit.is_empty() && !self.moved.is_empty();
         if away {
             let moved = std::mem::take(&mut self.moved);
@@ -318,8 +318,8 @@
             return true;
         }
         let late = in_transit.iter().filter(|s| {
-            let told = self.returned.get(s.name).copied().unwrap_or(self.began);
-            now.saturating_sub(told.max(s.since)) > self.plan.confirm
+            let assigned_at = self.returned.get(s.name).copied().unwrap_or(self.began);
+            now.saturating_sub(assigned_at.max(s.since)) > self.plan.confirm
         });
         let names = first_names(late.map(|s| s.name));
         let phase = if names.is_empty() { Phase::Back { why } } else { Phase::Stuck { why, names } };
