--- a/crates/services/control-service/src/error.rs
+++ b/crates/services/control-service/src/error.rs
@@ -41,44 +41,45 @@
     }
 }
 
-/// Why a change of policy was not begun or ended as asked.
+/// Why a policy change was not proposed or withdrawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyCommandError {
-    /// The record refuses it.
+    /// The policy record rejected it.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// It is no policy, or can't hold now.
+    /// It is no valid policy, or can't hold now.
     #[error(transparent)]
     Unfit(#[from] UnfitPolicy),
-    /// The store is behind what was told.
+    /// The store lacks a revision that was already broadcast.
     #[error(
-        "the store stands at revision {stands}, and {who} has heard of {heard}: it was lost, or is an older copy, and nobody has leave. Put \
-         back what was kept (rushquay control state restore), or go on from a new policy: rushquay policy propose --anew"
+        "the store stands at revision {store_revision}, and {proxy} has heard of {known_revision}: it was lost, \
+         or is an older copy, and nobody has leave. Put back what was kept (rushquay control state restore), or \
+         go on from a new policy: rushquay policy propose --anew"
     )]
     Behind {
-        /// Where the store stands.
-        stands: u64,
-        /// Who knows more.
-        who: String,
-        /// What it has heard of.
-        heard: u64,
+        /// The revision in the store.
+        store_revision: u64,
+        /// A proxy that knows a later one.
+        proxy: String,
+        /// The revision that it knows.
+        known_revision: u64,
     },
-    /// Nothing to begin anew.
+    /// The store lacks nothing, so there is nothing to begin anew.
     #[error("the store is whole: propose without --anew")]
-    Whole,
-    /// Somebody may still act by what is lost.
+    StoreComplete,
+    /// A lease for a policy that is lost may still run, for this many seconds.
     #[error("somebody may still act by what is lost, for {0} s: ask again then")]
     TooSoon(u64),
-    /// A class that no proxy has.
+    /// A class that no proxy has, and those that proxies have.
     #[error("policy: settings.categories: expected classes that proxies have, not {0:?}; they have {1}")]
-    Class(String, String),
-    /// A change in stages runs.
+    UnknownClass(String, String),
+    /// A rollout of this id is running.
     #[error("change {0} of settings runs in stages; wait for its end, or take it back, and propose again")]
     RolloutRuns(u64),
-    /// A policy is proposed.
+    /// A policy of this number is proposed and not decided.
     #[error("policy {0} is proposed and not decided yet; wait for its end, or abort it, and start again")]
     PolicyUndecided(u64),
-    /// No such proxy was ever heard.
+    /// A proxy of this name has never requested a lease.
     #[error("no proxy {0:?} has asked for leave here; rushquay policy status names those that have")]
-    Unknown(String),
+    UnknownProxy(String),
 }
--- a/crates/services/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -1,19 +1,19 @@
-//! Follows the list in a file: read again when it changes on disk, and when asked to.
+//! The endpoint list in a file: read again when it changes on disk, and on request.
 
 use crate::state::SourceEvent;
-use rushquay_endpoints::{validate_list, EndpointList};
+use rushquay_endpoints::{validate_list, EndpointList, ListError};
 use std::os::unix::fs::MetadataExt as _;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How often a file is looked at.
+/// How often a file is checked for a change.
 pub const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Looks after a change at which the file is read again whatever its stamp says. Danger: two writes within one tick
-/// of the file system's clock leave the same stamp.
-const READ_AGAIN: u32 = 3;
+/// Checks after a change at which the file is read again whatever its stamp is. Danger: two writes within one tick of the file system's
+/// clock leave the same stamp.
+const READS_AFTER_CHANGE: u32 = 3;
 
-/// What tells one state of a file from another; replacing it by a rename gives another inode.
+/// What distinguishes one state of a file from another; replacing it by a rename gives another inode.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Stamp {
     inode: u64,
@@ -22,104 +22,133 @@
 }
 
 fn stamp(path: &Path) -> Option<Stamp> {
-    let m = std::fs::metadata(path).ok()?;
-    Some(Stamp { inode: m.ino(), length: m.len(), modified: (m.mtime(), m.mtime_nsec()) })
+    let metadata = std::fs::metadata(path).ok()?;
+    let modified = (metadata.mtime(), metadata.mtime_nsec());
+    Some(Stamp { inode: metadata.ino(), length: metadata.len(), modified })
 }
 
-/// A file that is looked at again and again.
+/// A file that is polled for changes.
 #[derive(Default)]
 pub struct Watched {
-    seen: Option<Option<Stamp>>,
-    looks: u32,
+    /// The stamp at the last check, if there was one; `None` within it: the file was not there.
+    last_stamp: Option<Option<Stamp>>,
+    /// Checks at which the file is still to be read.
+    remaining_reads: u32,
 }
 
 impl Watched {
-    /// Has it read at the next looks, whatever its stamp says.
-    pub fn again(&mut self) {
-        self.looks = READ_AGAIN;
+    /// Has it read at the next checks, whatever its stamp is.
+    pub fn force_reread(&mut self) {
+        self.remaining_reads = READS_AFTER_CHANGE;
     }
 
-    /// It could not be opened or read just now: it is tried again at the next look. Danger: what it says would be missed until it
-    /// changes again.
+    /// It could not be opened or read just now: it is read again at the next check. Danger: its content would be missed until it changes
+    /// again.
     pub fn unread(&mut self) {
-        self.looks = self.looks.max(1);
+        self.remaining_reads = self.remaining_reads.max(1);
     }
 
-    /// Whether it is to be read now. `Some(true)`: and again soon, so that a fault may still pass.
+    /// Checks whether it is to be read now. `Some(true)`: and again soon, so that an error may still pass.
     pub fn look(&mut self, path: &Path) -> Option<bool> {
-        let now = Some(stamp(path));
-        if now != self.seen {
-            (self.seen, self.looks) = (now, READ_AGAIN);
+        let stamp = Some(stamp(path));
+        if stamp != self.last_stamp {
+            (self.last_stamp, self.remaining_reads) = (stamp, READS_AFTER_CHANGE);
         }
-        self.looks = self.looks.checked_sub(1)?;
-        Some(self.looks > 0)
+        self.remaining_reads = self.remaining_reads.checked_sub(1)?;
+        Some(self.remaining_reads > 0)
     }
 }
 
-/// Why a file brings no list.
-enum ReadError {
+/// Why a file gives no list.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
     /// It could not be opened or read, which may pass.
-    Unread(String),
-    /// It says something else.
-    Invalid(String),
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// The operating system's error.
+        source: std::io::Error,
+    },
+    /// It holds no valid list.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with the list.
+        source: ListError,
+    },
 }
 
-/// Reads the file, strictly.
-pub fn read(path: &Path) -> Result<EndpointList, String> {
-    try_read(path).map_err(|e| match e {
-        ReadError::Unread(why) | ReadError::Invalid(why) => why,
-    })
+/// Reads and validates the file.
+pub fn read(path: &Path) -> Result<EndpointList, ReadError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| ReadError::Io { path: path.to_owned(), source })?;
+    validate_list(&text).map_err(|source| ReadError::Invalid { path: path.to_owned(), source })
 }
 
-fn try_read(path: &Path) -> Result<EndpointList, ReadError> {
-    let text = std::fs::read_to_string(path);
-    let text = text.map_err(|e| ReadError::Unread(format!("{}: {e}", path.display())))?;
-    validate_list(&text).map_err(|e| ReadError::Invalid(format!("{}: {e}", path.display())))
+/// What has been read of a file so far.
+#[derive(Default)]
+struct FileFollower {
+    watched: Watched,
+    last_error: String,
+    last_list: Option<EndpointList>,
 }
 
-/// Follows for good; a message on `again` has the file read at once. What can't be read changes nothing.
-pub async fn follow(path: PathBuf, told: mpsc::Sender<SourceEvent>, mut again: mpsc::Receiver<()>) {
-    let mut watched = Watched::default();
-    let mut last_fault = String::new();
-    let mut last_text = None;
-    loop {
-        if let Some(soon) = watched.look(&path) {
-            let read = try_read(&path).map_err(|e| match e {
-                ReadError::Unread(why) => {
-                    watched.unread();
-                    why
+impl FileFollower {
+    /// Reads the file where that is due; returns what is new.
+    fn poll(&mut self, path: &Path) -> Option<SourceEvent> {
+        let is_read_again_soon = self.watched.look(path)?;
+        match read(path) {
+            Ok(list) => {
+                self.last_error.clear();
+                if self.last_list.as_ref() == Some(&list) {
+                    return None;
                 }
-                ReadError::Invalid(why) => why,
-            });
-            match read {
-                Ok(list) => {
-                    last_fault.clear();
-                    if last_text.as_ref() != Some(&list) {
-                        last_text = Some(list.clone());
-                        if told.send(SourceEvent::EndpointList(list)).await.is_err() {
-                            return;
-                        }
-                    }
+                self.last_list = Some(list.clone());
+                Some(SourceEvent::EndpointList(list))
+            }
+            Err(error) => {
+                if matches!(error, ReadError::Io { .. }) {
+                    self.watched.unread();
                 }
-                // Half-written files pass; each fault is told once.
-                Err(fault) if !soon && fault != last_fault => {
-                    last_fault.clone_from(&fault);
-                    // A file that is mended to what it was before has to be told as well.
-                    last_text = None;
-                    if told.send(SourceEvent::Unavailable(fault)).await.is_err() {
-                        return;
-                    }
+                let error = error.to_string();
+                // A half-written file is complete soon; each error is reported once.
+                if is_read_again_soon || error == self.last_error {
+                    return None;
                 }
-                Err(_) => {}
+                self.last_error.clone_from(&error);
+                // A file that is restored to its earlier content has to be reported as well.
+                self.last_list = None;
+                Some(SourceEvent::Unavailable(error))
+            }
+        }
+    }
+
+    /// Has the file read at the next poll, and its content reported even if it is as before.
+    fn force_reread(&mut self) {
+        self.watched.force_reread();
+        self.last_list = None;
+        self.last_error.clear();
+    }
+}
+
+/// Follows the file for good; a message on `reread_requests` has it read at once. A file that can't be read changes nothing.
+pub async fn follow(
+    path: PathBuf,
+    events: mpsc::Sender<SourceEvent>,
+    mut reread_requests: mpsc::Receiver<()>,
+) {
+    let mut follower = FileFollower::default();
+    loop {
+        if let Some(event) = follower.poll(&path) {
+            if events.send(event).await.is_err() {
+                return;
             }
         }
         tokio::select! {
             () = tokio::time::sleep(LOOK_EVERY) => {}
-            Some(()) = again.recv() => {
-                watched.again();
-                last_text = None;
-                last_fault.clear();
-            }
+            Some(()) = reread_requests.recv() => follower.force_reread(),
         }
     }
 }
--- a/crates/services/control-service/src/http/metrics.rs
+++ b/crates/services/control-service/src/http/metrics.rs
@@ -2,7 +2,8 @@
 
 use crate::policy::PolicyStats;
 use crate::rollout::RolloutStats;
-use crate::state::{ServiceState, SourceState};
+use crate::service_state::ServiceState;
+use crate::state::SourceState;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/services/control-service/src/http/overrides.rs
+++ b/crates/services/control-service/src/http/overrides.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use super::versioned::{change, respond, Author, HistoryQuery};
-use crate::state::{OverrideOutcome, ServiceState};
+use crate::service_state::{OverrideOutcome, ServiceState};
 use axum::extract::{Path, Query, State};
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::Response;
--- a/crates/services/control-service/src/http/policy.rs
+++ b/crates/services/control-service/src/http/policy.rs
@@ -1,9 +1,9 @@
 //! Policies over HTTP: `/v1/policy`.
 
 use super::rejection::Rejection;
-use super::versioned::{change_component, require_component, respond, Author, HistoryQuery};
+use super::versioned::{change, require_component, respond, Author, HistoryQuery};
 use crate::policy::{PolicyController, Proposal};
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use axum::extract::{Path, Query, State};
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::Response;
@@ -65,11 +65,11 @@
     headers: HeaderMap,
     Json(proposal): Json<Proposal>,
 ) -> Result<Response, Rejection> {
-    change_component(service, headers, StatusCode::CREATED, move |service, expected| {
+    change(service, headers, StatusCode::CREATED, move |service, expected| {
         let policies = controller(service)?;
-        let change = service.change_lock.acquire();
+        let guard = service.change_lock.acquire();
         let rollout = service.rollout.as_ref();
-        Ok(policies.propose(&service.leader, rollout, &change, &proposal, expected)?)
+        Ok(policies.propose(&service.leader, rollout, &guard, &proposal, expected)?)
     })
     .await
 }
@@ -79,7 +79,7 @@
     headers: HeaderMap,
     Json(Author { by }): Json<Author>,
 ) -> Result<Response, Rejection> {
-    change_component(service, headers, StatusCode::OK, move |service, expected| {
+    change(service, headers, StatusCode::OK, move |service, expected| {
         Ok(controller(service)?.withdraw(&service.leader, &by, expected)?)
     })
     .await
--- a/crates/services/control-service/src/http/rejection.rs
+++ b/crates/services/control-service/src/http/rejection.rs
@@ -67,13 +67,13 @@
         PolicyCommandError::Record(RecordError::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
         PolicyCommandError::Record(RecordError::Field(..))
         | PolicyCommandError::Unfit(_)
-        | PolicyCommandError::Class(..) => StatusCode::UNPROCESSABLE_ENTITY,
+        | PolicyCommandError::UnknownClass(..) => StatusCode::UNPROCESSABLE_ENTITY,
         PolicyCommandError::Record(_)
         | PolicyCommandError::RolloutRuns(_)
         | PolicyCommandError::PolicyUndecided(_)
         | PolicyCommandError::Behind { .. }
-        | PolicyCommandError::Whole
+        | PolicyCommandError::StoreComplete
         | PolicyCommandError::TooSoon(_) => StatusCode::CONFLICT,
-        PolicyCommandError::Unknown(_) => StatusCode::NOT_FOUND,
+        PolicyCommandError::UnknownProxy(_) => StatusCode::NOT_FOUND,
     }
 }
--- a/crates/services/control-service/src/http/report.rs
+++ b/crates/services/control-service/src/http/report.rs
@@ -10,6 +10,14 @@
 const OLD_COLOR: RGBColor = RGBColor(40, 88, 140);
 const MARK_COLOR: RGBColor = RGBColor(150, 150, 150);
 
+const HEAD: &str =
+    "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>A change in stages</title><style>\
+    body{font:15px/1.45 sans-serif;margin:2em auto;max-width:900px;color:#222}\
+    h1{font-size:1.4em}h2{font-size:1.1em;margin:1.6em 0 .2em}\
+    table{border-collapse:collapse}td,th{padding:.15em .9em .15em 0;text-align:left;vertical-align:top}\
+    .new{color:#b23a1e}.old{color:#28588c}svg{width:100%;height:auto}figure{margin:.4em 0}\
+    figcaption{color:#555}</style>";
+
 /// A plot that can't be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
@@ -79,13 +87,24 @@
 /// # Errors
 /// A plot that can't be drawn.
 pub fn render_report(rollout: &Rollout, timeline: &Timeline) -> Result<String, PlotError> {
-    let mut page = String::from(
-        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>A change in stages</title><style>\
-         body{font:15px/1.45 sans-serif;margin:2em auto;max-width:900px;color:#222}h1{font-size:1.4em}h2{font-size:1.1em;margin:1.6em 0 .2em}\
-         table{border-collapse:collapse}td,th{padding:.15em .9em .15em 0;text-align:left;vertical-align:top}\
-         .new{color:#b23a1e}.old{color:#28588c}svg{width:100%;height:auto}figure{margin:.4em 0}figcaption{color:#555}</style>",
-    );
-    // Writing to a string does not fail.
+    let mut page = String::from(HEAD);
+    write_summary(&mut page, rollout);
+    if timeline.change != rollout.id || timeline.points.is_empty() {
+        page.push_str(
+            "<p>This control service has seen nothing of it: what is measured stays with the one that led.</p>",
+        );
+        return Ok(page);
+    }
+    write_phases(&mut page, timeline);
+    for class in timeline.classes() {
+        write_class(&mut page, timeline, &class)?;
+    }
+    Ok(page)
+}
+
+// Writing to a string does not fail, so the results of the following are dropped.
+
+fn write_summary(page: &mut String, rollout: &Rollout) {
     let _ = write!(
         page,
         "<h1>Change {}: {}</h1><table><tr><th>Why</th><td>{}</td></tr><tr><th>Who</th><td>{}</td></tr>\
@@ -99,11 +118,10 @@
         rollout.to,
         rollout.ran as f64 / 1e9,
     );
-    if timeline.change != rollout.id || timeline.points.is_empty() {
-        page.push_str("<p>This control service has seen nothing of it: what is measured stays with the one that led.</p>");
-        return Ok(page);
-    }
-    let first = timeline.points[0].at;
+}
+
+fn write_phases(page: &mut String, timeline: &Timeline) {
+    let first = timeline.points.first().map_or(0, |p| p.at);
     page.push_str("<h2>Steps</h2><table>");
     for (at, label) in &timeline.marks {
         let at = at.saturating_sub(first) as f64 / 1e9;
@@ -111,37 +129,32 @@
     }
     let _ = write!(
         page,
-        "</table><p><b class=\"new\">New</b> against <b class=\"old\">old</b> of the same data centres over the same time, a point for \
-         {:.0} s; grey: the steps above.</p>",
+        "</table><p><b class=\"new\">New</b> against <b class=\"old\">old</b> of the same data centres over the \
+         same time, a point for {:.0} s; grey: the steps above.</p>",
         timeline.every as f64 / 1e9
     );
-    for class in timeline.classes() {
-        let sums = [0, 1].map(|side| {
-            let bad_and_all = |p: &rushquay_rollout::Point| {
-                p.classes.get(&class).map_or((0, 0), |s| (s[side].bad, s[side].all))
-            };
-            timeline.points.iter().map(bad_and_all).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
-        });
-        let _ = write!(
-            page,
-            "<h2>{}</h2><p>Ended badly: new {} of {}, old {} of {}.</p>",
-            escape(&class),
-            sums[0].0,
-            sums[0].1,
-            sums[1].0,
-            sums[1].1
-        );
-        let plots: [(&str, Counted); 2] = [
-            ("refused, failed or late, of all", |s| s.bad),
-            ("slower than nine in ten before, of all", |s| s.slow),
-        ];
-        for (caption, counted) in plots {
-            let _ = write!(
-                page,
-                "<figure><figcaption>{caption}</figcaption>{}</figure>",
-                plot(timeline, &class, counted)?
-            );
-        }
+}
+
+/// The bad outcomes and all requests of one side over the whole timeline.
+fn bad_and_all(timeline: &Timeline, class: &str, side: usize) -> (u64, u64) {
+    let samples = timeline.points.iter().filter_map(|p| Some(p.classes.get(class)?[side]));
+    samples.fold((0, 0), |(bad, all), sample| (bad + sample.bad, all + sample.all))
+}
+
+fn write_class(page: &mut String, timeline: &Timeline, class: &str) -> Result<(), PlotError> {
+    let [(new_bad, new_all), (old_bad, old_all)] = [0, 1].map(|side| bad_and_all(timeline, class, side));
+    let _ = write!(
+        page,
+        "<h2>{}</h2><p>Ended badly: new {new_bad} of {new_all}, old {old_bad} of {old_all}.</p>",
+        escape(class),
+    );
+    let plots: [(&str, Counted); 2] = [
+        ("refused, failed or late, of all", |sample| sample.bad),
+        ("slower than nine in ten before, of all", |sample| sample.slow),
+    ];
+    for (caption, counted) in plots {
+        let plot = plot(timeline, class, counted)?;
+        let _ = write!(page, "<figure><figcaption>{caption}</figcaption>{plot}</figure>");
     }
-    Ok(page)
+    Ok(())
 }
--- a/crates/services/control-service/src/http/rollout.rs
+++ b/crates/services/control-service/src/http/rollout.rs
@@ -2,11 +2,11 @@
 
 use super::rejection::Rejection;
 use super::report::render_report;
-use super::versioned::{change_component, require_component, respond, Author, HistoryQuery};
+use super::versioned::{change, require_component, respond, Author, HistoryQuery};
 use crate::error::{CommandError, PolicyCommandError};
 use crate::policy::PolicyController;
 use crate::rollout::RolloutController;
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use axum::extract::{Path, Query, State};
 use axum::http::header::CONTENT_TYPE;
 use axum::http::{HeaderMap, StatusCode};
@@ -72,7 +72,7 @@
     headers: HeaderMap,
     Json(request): Json<RolloutRequest>,
 ) -> Result<Response, Rejection> {
-    change_component(service, headers, StatusCode::CREATED, move |service, expected| {
+    change(service, headers, StatusCode::CREATED, move |service, expected| {
         let rollout = controller(service)?;
         let _change = service.change_lock.acquire();
         if let Some(policy) = service.policies.as_ref().and_then(PolicyController::undecided) {
@@ -94,7 +94,7 @@
     headers: HeaderMap,
     Json(Author { by }): Json<Author>,
 ) -> Result<Response, Rejection> {
-    change_component(service, headers, StatusCode::OK, move |service, expected| {
+    change(service, headers, StatusCode::OK, move |service, expected| {
         let steered =
             controller(service)?.command(&service.leader, |registry, _, now| match action.as_str() {
                 "hold" => registry.hold(&by, expected, now),
--- a/crates/services/control-service/src/http/server.rs
+++ b/crates/services/control-service/src/http/server.rs
@@ -3,7 +3,7 @@
 use super::metrics::{encode_metrics, CONTENT_TYPE_OPENMETRICS};
 use super::status::status_json;
 use super::{overrides, policy, rollout};
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use axum::extract::{DefaultBodyLimit, State};
 use axum::http::header::CONTENT_TYPE;
 use axum::http::StatusCode;
--- a/crates/services/control-service/src/http/status.rs
+++ b/crates/services/control-service/src/http/status.rs
@@ -1,7 +1,7 @@
 //! `/status`: the state of the service as JSON, for people.
 
 use crate::leadership::Leadership;
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use rushquay_control_state::NodeView;
 use rushquay_endpoints::Nanos;
 use rushquay_xds::server::Variant;
--- a/crates/services/control-service/src/http/versioned.rs
+++ b/crates/services/control-service/src/http/versioned.rs
@@ -2,8 +2,7 @@
 //! (RFC 9110, 13.1.1), so that two engineers can't overwrite each other unseen.
 
 use super::rejection::Rejection;
-use crate::error::CommandError;
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use axum::http::{header, HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::Json;
@@ -52,19 +51,6 @@
 /// Changes a resource from the revision that `If-Match` gives; responds with the result and the new revision. The change may block on the
 /// store, so it runs on a thread for blocking work.
 pub async fn change(
-    service: Arc<ServiceState>,
-    headers: HeaderMap,
-    status: StatusCode,
-    change: impl FnOnce(&ServiceState, Option<u64>) -> Result<(Value, u64), CommandError> + Send + 'static,
-) -> Result<Response, Rejection> {
-    change_component(service, headers, status, move |service, expected_revision| {
-        Ok(change(service, expected_revision)?)
-    })
-    .await
-}
-
-/// As [`change`], for a component that may be switched off.
-pub async fn change_component(
     service: Arc<ServiceState>,
     headers: HeaderMap,
     status: StatusCode,
--- a/crates/services/control-service/src/leadership_loop.rs
+++ b/crates/services/control-service/src/leadership_loop.rs
@@ -3,7 +3,7 @@
 use crate::durable_store::LeasedStore;
 use crate::leadership::Leadership;
 use crate::persistence::Records;
-use crate::state::ServiceState;
+use crate::service_state::ServiceState;
 use rushquay_lease::{Action, Elector, Epoch, Role};
 use rushquay_overrides::OverrideSet;
 use rushquay_state::{Campaign, HeldLease, SharedError, StoredState};
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -18,6 +18,7 @@
 mod reopening_store;
 mod rollout;
 mod service;
+mod service_state;
 mod settings;
 mod state;
 mod sync;
@@ -30,6 +31,7 @@
 pub use rollout::RolloutSettings;
 pub use service::{start, start_by, ControlService, Options, StartError};
 pub use settings::{
-    read_settings, LimitSettings, OverrideSettings, Settings, SettingsError, SourceOption, StandbySettings,
+    read_settings, LimitSettings, OverrideSettings, Settings, SettingsError, SourceOption, StandbyError,
+    StandbySettings,
 };
 pub use time::{steady, Clocks};
--- a/crates/services/control-service/src/policy/controller.rs
+++ b/crates/services/control-service/src/policy/controller.rs
@@ -244,7 +244,7 @@
     match names.find(|name| !known.is_empty() && !known.contains(*name)) {
         Some(unknown) => {
             let known: Vec<String> = known.iter().cloned().collect();
-            Err(PolicyCommandError::Class(unknown.into(), known.join(", ")))
+            Err(PolicyCommandError::UnknownClass(unknown.into(), known.join(", ")))
         }
         None => Ok(()),
     }
--- a/crates/services/control-service/src/policy/state.rs
+++ b/crates/services/control-service/src/policy/state.rs
@@ -89,9 +89,12 @@
 
     /// Rejects where the store lacks a revision that was already broadcast.
     pub fn require_complete_store(&self) -> Result<(), PolicyCommandError> {
-        let stands = self.coordinator.record().revision.0;
         match self.coordinator.behind() {
-            Some((who, heard)) => Err(PolicyCommandError::Behind { stands, who: who.into(), heard: heard.0 }),
+            Some((proxy, known)) => Err(PolicyCommandError::Behind {
+                store_revision: self.coordinator.record().revision.0,
+                proxy: proxy.into(),
+                known_revision: known.0,
+            }),
             None => Ok(()),
         }
     }
@@ -99,8 +102,8 @@
     /// The record that a proposal continues from; with `anew` one that lies after all that was broadcast before the store was lost.
     pub fn proposal_base(&self, anew: bool, now: Nanos) -> Result<PolicyRecord, PolicyCommandError> {
         let record = self.coordinator.record();
-        let Some((_, heard)) = self.coordinator.behind() else {
-            return if anew { Err(PolicyCommandError::Whole) } else { Ok(record.clone()) };
+        let Some((_, known_revision)) = self.coordinator.behind() else {
+            return if anew { Err(PolicyCommandError::StoreComplete) } else { Ok(record.clone()) };
         };
         if !anew {
             self.require_complete_store()?;
@@ -108,7 +111,7 @@
         // Danger: if another policy were broadcast while a lease for the lost one runs, two would hold at once.
         match self.coordinator.alone_from() {
             at if now <= at => Err(PolicyCommandError::TooSoon((at - now).div_ceil(1_000_000_000).max(1))),
-            _ => Ok(record.resumed_after(heard)),
+            _ => Ok(record.resumed_after(known_revision)),
         }
     }
 
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -110,56 +110,68 @@
     (settings, intersection.stops.iter().map(ToString::to_string).collect())
 }
 
+/// The seconds from one moment to a later one; 0 where that is not later.
+fn seconds_between(from: Nanos, to: Nanos) -> f64 {
+    to.saturating_sub(from) as f64 / NANOS_PER_SECOND
+}
+
+impl PolicyState {
+    /// Whom the pending change waits for.
+    fn blockers_json(&self, now: Nanos) -> Vec<Value> {
+        if matches!(self.coordinator.record().phase, Phase::Settled) {
+            return Vec::new();
+        }
+        let blockers = self.coordinator.holdups(now).into_iter().map(|blocker| {
+            json!({"name": blocker_name(&blocker.name), "boot": blocker.boot,
+                   "fenced_in_s": seconds_between(now, blocker.fenced_at)})
+        });
+        blockers.collect()
+    }
+
+    /// The pending change, if there is one.
+    fn change_json(&self, now: Nanos, leader: &LeaderContext) -> Option<Value> {
+        let record = self.coordinator.record();
+        let Phase::Joint(change) = &record.phase else { return None };
+        let start = self.revision_starts.get(&record.revision.0);
+        let since = start.map_or(leader.unix_now(), |start| start.at);
+        let policy = self.archive.get(change.to);
+        Some(json!({
+            "to": change.to, "author": change.author, "reason": change.reason,
+            "policy": policy.map(Policy::document),
+            "compared": policy.map(|p| self.compare(record.holds, p)),
+            "since_s": seconds_between(since, leader.unix_now()),
+            "gives_up_in_s": seconds_between(now, self.coordinator.gives_up()),
+        }))
+    }
+
+    /// The members, cut off after [`MAX_LISTED_MEMBERS`].
+    fn members_json(&self) -> Vec<Value> {
+        let members = self.coordinator.members().take(MAX_LISTED_MEMBERS);
+        members
+            .map(|(name, incarnation, acting)| json!({"name": name, "boot": incarnation, "acting": acting}))
+            .collect()
+    }
+}
+
 impl PolicyController {
     /// The status of policies and the record's revision.
     pub(crate) fn status(&self, leader: &LeaderContext) -> (Value, u64) {
         let now = leader.monotonic_now();
         let state = lock(&self.state);
         let record = state.coordinator.record();
-        let seconds_until = |at: Nanos| at.saturating_sub(now) as f64 / NANOS_PER_SECOND;
-        let blockers: Vec<Value> = match record.phase {
-            Phase::Settled => Vec::new(),
-            Phase::Joint(_) => {
-                let all = state.coordinator.holdups(now).into_iter();
-                all.map(|h| {
-                    json!({"name": blocker_name(&h.name), "boot": h.boot, "fenced_in_s": seconds_until(h.fenced_at)})
-                })
-                .collect()
-            }
-        };
-        let change = match &record.phase {
-            Phase::Settled => None,
-            Phase::Joint(change) => {
-                let since = state.revision_starts.get(&record.revision.0).map_or(leader.unix_now(), |s| s.at);
-                let policy = state.archive.get(change.to);
-                Some(json!({
-                    "to": change.to, "author": change.author, "reason": change.reason,
-                    "policy": policy.map(Policy::document),
-                    "compared": policy.map(|p| state.compare(record.holds, p)),
-                    "since_s": leader.unix_now().saturating_sub(since) as f64 / NANOS_PER_SECOND,
-                    "gives_up_in_s": seconds_until(state.coordinator.gives_up()),
-                }))
-            }
-        };
-        let mut members: Vec<Value> = state
-            .coordinator
-            .members()
-            .map(|(name, boot, acting)| json!({"name": name, "boot": boot, "acting": acting}))
-            .collect();
-        let count = members.len();
         let joined = state.coordinator.members().filter(|m| m.2 >= record.revision).count();
-        members.truncate(MAX_LISTED_MEMBERS);
-        let last = record
-            .last
-            .as_ref()
-            .map(|(n, ended)| json!({"policy": n, "ended": ended, "in_words": ended.to_string()}));
-        let shown = json!({
+        let last = record.last.as_ref().map(
+            |(number, outcome)| json!({"policy": number, "ended": outcome, "in_words": outcome.to_string()}),
+        );
+        let store_error = state.require_complete_store().err().map(|e| e.to_string());
+        let body = json!({
             "revision": record.revision, "holds": record.holds, "in_words": in_words(record.policy_set()),
-            "holding": state.archive.get(record.holds).map(Policy::document), "change": change,
-            "waits_for": blockers, "last": last, "members": members, "processes": count, "joined": joined,
-            "fault": state.error.clone().or(state.require_complete_store().err().map(|e| e.to_string())), "now_ns": leader.unix_now(),
+            "holding": state.archive.get(record.holds).map(Policy::document),
+            "change": state.change_json(now, leader), "waits_for": state.blockers_json(now), "last": last,
+            "members": state.members_json(), "processes": state.coordinator.members().count(),
+            "joined": joined, "fault": state.error.clone().or(store_error), "now_ns": leader.unix_now(),
         });
-        (shown, record.revision.0)
+        (body, record.revision.0)
     }
 
     /// The last events, the newest first.
@@ -176,30 +188,32 @@
     /// Which revisions a proxy applied, the newest last; with `at` (Unix nanoseconds) only the ones of that moment.
     pub(crate) fn explain(&self, name: &str, at: Option<Nanos>) -> Result<Value, CommandError> {
         let state = lock(&self.state);
-        let changes = state.history.changes(name).ok_or_else(|| PolicyCommandError::Unknown(name.into()))?;
+        let changes =
+            state.history.changes(name).ok_or_else(|| PolicyCommandError::UnknownProxy(name.into()))?;
         let describe = |revision: u64| match (revision, state.revision_starts.get(&revision)) {
             (0, _) => "no leave: by the floor, or not there".to_owned(),
             (1, None) => in_words(PolicySet::Pure(PolicyNumber(0))),
             (_, Some(RevisionStart { policy_set, .. })) => in_words(*policy_set),
             (_, None) => "a revision from too long ago".into(),
         };
-        let shown: Vec<Value> = changes
-            .iter()
-            .enumerate()
-            .map(|(i, c)| {
-                let until = changes.iter().skip(i + 1).find(|n| n.incarnation == c.incarnation).map(|n| n.at);
-                json!({"from": c.at, "until": until, "boot": c.incarnation, "revision": c.revision,
-                       "acted_by": describe(c.revision.0)})
-            })
-            .filter(|c| {
-                let within = |at: Nanos| {
-                    c["from"].as_u64() <= Some(at) && c["until"].as_u64().is_none_or(|until| at < until)
-                };
-                at.is_none_or(within)
+        let spans = changes.iter().enumerate().map(|(i, change)| {
+            let same_process = changes.iter().skip(i + 1).find(|next| next.incarnation == change.incarnation);
+            (change, same_process.map(|next| next.at))
+        });
+        let is_wanted = |from: Nanos, until: Option<Nanos>| {
+            at.is_none_or(|at| from <= at && until.is_none_or(|until| at < until))
+        };
+        let acted: Vec<Value> = spans
+            .filter(|(change, until)| is_wanted(change.at, *until))
+            .map(|(change, until)| {
+                json!({"from": change.at, "until": until, "boot": change.incarnation,
+                       "revision": change.revision, "acted_by": describe(change.revision.0)})
             })
             .collect();
-        Ok(json!({"proxy": name, "at": at, "acted": shown,
-                  "note": "times are those at which the leader was told; a change of policy is never told late in a way that matters"}))
+        let note =
+            "times are those at which the leader was told; a change of policy is never told late in a \
+                    way that matters";
+        Ok(json!({"proxy": name, "at": at, "acted": acted, "note": note}))
     }
 
     /// Figures for `/metrics`.
--- a/crates/services/control-service/src/rollout/controller.rs
+++ b/crates/services/control-service/src/rollout/controller.rs
@@ -1,8 +1,8 @@
 //! The rollout controller: its life under a leader, and the commands of operators.
 
-use super::persistence::{read_members, REGISTRY_RECORD};
+use super::record::{read_members, read_registry};
 use super::settings::RolloutSettings;
-use super::state::{read_registry, RolloutState};
+use super::state::RolloutState;
 use crate::error::CommandError;
 use crate::persistence::Records;
 use crate::state::LeaderContext;
@@ -49,7 +49,7 @@
     /// Continues from what was persisted, under this leader.
     pub(crate) fn lead(&self, records: &Records, now: Nanos) {
         let _decision = lock(&self.decision);
-        let registry = read_registry(records.get(REGISTRY_RECORD), now);
+        let registry = read_registry(records, now);
         let members = read_members(records);
         let mut state = lock(&self.state);
         state.restore_members(members, &self.settings, now);
--- a/crates/services/control-service/src/rollout/mod.rs
+++ b/crates/services/control-service/src/rollout/mod.rs
@@ -3,6 +3,7 @@
 mod assignment;
 mod controller;
 mod persistence;
+mod record;
 mod settings;
 mod state;
 mod view;
--- a/crates/services/control-service/src/rollout/persistence.rs
+++ b/crates/services/control-service/src/rollout/persistence.rs
@@ -1,10 +1,10 @@
 //! Writing what the rollout controller decides and which proxies it knows.
 
 use super::controller::RolloutController;
+use super::record::{member_record_name, REGISTRY_RECORD};
 use super::state::RolloutState;
 use crate::durable_store::PersistError;
 use crate::error::CommandError;
-use crate::persistence::Records;
 use crate::state::LeaderContext;
 use crate::sync::lock;
 use rushquay_endpoints::Nanos;
@@ -14,10 +14,6 @@
 use rushquay_xds_resources::remove_settings;
 use std::collections::BTreeMap;
 
-/// Name of the registry's record.
-pub const REGISTRY_RECORD: &str = "rollout/board";
-/// Prefix of the records of members; the proxy's name follows.
-const MEMBER_PREFIX: &str = "roster/";
 /// Member records in one write. Danger: a fleet that comes back at once would hold the store, and the lease with it.
 const MAX_MEMBERS_PER_WRITE: usize = 500;
 
@@ -29,22 +25,14 @@
 
 impl MemberWrite {
     fn to_records(&self) -> RecordWrite {
-        let name = |proxy: &str| format!("{MEMBER_PREFIX}{proxy}");
         let json = |member| serde_json::to_value(member).unwrap_or_default();
         RecordWrite {
-            set: self.set.iter().map(|member| (name(&member.name), json(member))).collect(),
-            gone: self.gone.iter().map(|proxy| name(proxy)).collect(),
+            set: self.set.iter().map(|member| (member_record_name(&member.name), json(member))).collect(),
+            gone: self.gone.iter().map(|proxy| member_record_name(proxy)).collect(),
         }
     }
 }
 
-/// Reads the members that an earlier leader persisted; one that can't be read is skipped.
-pub fn read_members(records: &Records) -> BTreeMap<String, MemberRecord> {
-    let members = records.iter().filter(|(name, _)| name.starts_with(MEMBER_PREFIX));
-    let members = members.filter_map(|(_, json)| serde_json::from_value::<MemberRecord>(json.clone()).ok());
-    members.map(|member| (member.name.clone(), member)).collect()
-}
-
 impl RolloutController {
     /// Persists a registry, and applies it only then. Danger: published first, a step would be known to proxies and to no successor.
     pub(super) fn persist_registry(
--- a/crates/services/control-service/src/rollout/settings.rs
+++ b/crates/services/control-service/src/rollout/settings.rs
@@ -52,17 +52,19 @@
     /// The first field that is out of its range, and what is expected of it.
     pub(crate) fn out_of_range(&self) -> Option<(&'static str, String)> {
         let spans = [("late_s", self.late_s), ("restart_s", self.restart_s), ("retire_s", self.retire_s)];
-        let span = spans.into_iter().find(|(_, s)| !(0.1..=2_592_000.0).contains(s));
-        let span = span.map(|(name, s)| (name, format!("seconds from 0.1 to 2592000, found {s}")));
-        let chances = [("alpha", self.alpha), ("beta", self.beta)];
-        let chance = chances.into_iter().find(|(_, c)| !(1e-9..=0.5).contains(c));
-        let chance = chance.map(|(name, c)| (name, format!("a chance from 1e-9 to 0.5, found {c}")));
+        let span = spans.into_iter().find(|(_, seconds)| !(0.1..=2_592_000.0).contains(seconds));
+        let span =
+            span.map(|(name, seconds)| (name, format!("seconds from 0.1 to 2592000, found {seconds}")));
+        let probabilities = [("alpha", self.alpha), ("beta", self.beta)];
+        let probability = probabilities.into_iter().find(|(_, p)| !(1e-9..=0.5).contains(p));
+        let probability =
+            probability.map(|(name, p)| (name, format!("a chance from 1e-9 to 0.5, found {p}")));
         let times =
             (!(1.0..=100.0).contains(&self.times)).then(|| ("times", "a number from 1 to 100".into()));
         let beyond = (!(0.0..=1.0).contains(&self.beyond)).then(|| ("beyond", "a part from 0 to 1".into()));
         let most = (!(1..=1_000_000).contains(&self.most)).then(|| ("most", "1 to 1000000".into()));
-        let look = (!(100..=60_000).contains(&self.look_ms)).then(|| ("look_ms", "100 to 60000".into()));
-        span.or(chance).or(times).or(beyond).or(most).or(look)
+        let period = (!(100..=60_000).contains(&self.look_ms)).then(|| ("look_ms", "100 to 60000".into()));
+        span.or(probability).or(times).or(beyond).or(most).or(period)
     }
 
     /// The period of the rollout controller.
--- a/crates/services/control-service/src/rollout/state.rs
+++ b/crates/services/control-service/src/rollout/state.rs
@@ -1,18 +1,15 @@
 //! What the rollout controller holds in memory while it leads.
 
+use super::settings::RolloutSettings;
 use crate::record_status::RecordStatus;
 use rushquay_config_version::Digest;
 use rushquay_endpoints::Nanos;
 use rushquay_membership::{Member, MemberRecord, MemberStatus, Membership, Report, ReportOutcome};
-use rushquay_rollout::{
-    Analysis, FleetView, HoldReason, Phase, RegistryRecord, Rollout, RolloutRegistry, Timeline, Verdict,
-};
+use rushquay_rollout::{Analysis, FleetView, HoldReason, Phase, Rollout, RolloutRegistry, Timeline, Verdict};
 use rushquay_supervisor::SupervisorReport;
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-use super::settings::RolloutSettings;
-
 /// The last report of a proxy's supervisor.
 pub struct SupervisorEntry {
     pub report: SupervisorReport,
@@ -212,21 +209,3 @@
         refused: member.told.refused.as_ref().map(|r| (r.generation, r.why.as_str())),
     }
 }
-
-/// Why a stored registry can't be used.
-#[derive(Debug, thiserror::Error)]
-pub enum ReadError {
-    /// It is malformed.
-    #[error(transparent)]
-    Form(#[from] serde_json::Error),
-    /// It contradicts itself.
-    #[error("{0}")]
-    Content(String),
-}
-
-/// Reads the registry that an earlier leader persisted, if one did.
-pub fn read_registry(record: Option<&serde_json::Value>, now: Nanos) -> Result<RolloutRegistry, ReadError> {
-    let Some(record) = record else { return Ok(RolloutRegistry::default()) };
-    let record: RegistryRecord = serde_json::from_value(record.clone())?;
-    RolloutRegistry::restore(record, now).map_err(|e| ReadError::Content(e.to_string()))
-}
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -1,7 +1,9 @@
 //! The fleet and its rollouts as JSON for the admin API, and as figures for `/metrics`.
 
 use super::controller::RolloutController;
+use super::state::RolloutState;
 use crate::sync::lock;
+use rushquay_config_version::Digest;
 use rushquay_endpoints::Nanos;
 use rushquay_membership::{Member, MemberStatus};
 use rushquay_rollout::{Rollout, Timeline};
@@ -33,68 +35,90 @@
     pub is_up: bool,
 }
 
+/// A rollout without the proxies that it has moved.
+fn rollout_json(rollout: &Rollout) -> Value {
+    let mut json = json!(rollout);
+    json["told"] = json!(rollout.moved.len());
+    json["in_words"] = json!(rollout.phase.to_string());
+    json["ran_s"] = json!(rollout.ran as f64 / 1e9);
+    if let Some(fields) = json.as_object_mut() {
+        fields.remove("moved");
+        fields.remove("returned");
+    }
+    json
+}
+
+impl RolloutState {
+    /// The config version that a member is assigned.
+    fn assigned(&self, member: &Member) -> Digest {
+        self.registry.given(&member.told.name).1.digest()
+    }
+
+    /// How many proxies of each zone apply which config version, by status.
+    fn fleet_json(&self, now: Nanos) -> Vec<Value> {
+        let mut fleet: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
+        for member in self.membership.instances() {
+            let group = (member.told.zone.clone(), member.told.acting.to_string());
+            let status = self.membership.standing(member, now);
+            *fleet.entry(group).or_default().entry(status).or_default() += 1;
+        }
+        let group_json = |((zone, acting), count)| json!({"zone": zone, "acting": acting, "proxies": count});
+        fleet.into_iter().map(group_json).collect()
+    }
+
+    /// The proxies that don't apply what they are assigned, cut off after [`MAX_LISTED_PROXIES`].
+    fn not_as_assigned_json(&self, now: Nanos) -> Vec<Value> {
+        let members =
+            self.membership.instances().filter(|member| self.assigned(member) != member.told.acting);
+        let member_json = |member: &Member| {
+            let status = self.membership.standing(member, now);
+            json!({"name": member.told.name, "zone": member.told.zone, "standing": status,
+                   "acting": member.told.acting, "given": self.assigned(member),
+                   "refused": member.told.refused})
+        };
+        members.take(MAX_LISTED_PROXIES).map(member_json).collect()
+    }
+
+    /// All that is known of a proxy.
+    fn member_json(&self, member: &Member, now: Nanos) -> Value {
+        let seconds_since = |at: Nanos| now.saturating_sub(at) as f64 / 1e9;
+        let mut json = json!(member.told);
+        json["standing"] = json!(self.membership.standing(member, now));
+        json["given"] = json!(self.assigned(member));
+        json["heard_s_ago"] = json!(member.heard.map(seconds_since));
+        json["requests"] = json!(member.figures.all());
+        json["memory"] = json!(member.figures.memory);
+        json["descriptors"] = json!(member.figures.descriptors);
+        if let Some(supervisor) = self.supervisors.get(&member.told.name) {
+            json["host"] = json!(supervisor.report);
+            json["host"]["heard_s_ago"] = json!(seconds_since(supervisor.received_at));
+        }
+        json
+    }
+}
+
 impl RolloutController {
     /// The status of rollouts and the registry's revision.
     pub(crate) fn status(&self, now: Nanos) -> (Value, u64) {
         let state = lock(&self.state);
         let record = state.registry.record();
-        let mut fleet: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
-        let mut not_as_assigned = Vec::new();
-        for one in state.membership.instances() {
-            let standing = state.membership.standing(one, now);
-            let at = (one.told.zone.clone(), one.told.acting.to_string());
-            *fleet.entry(at).or_default().entry(standing).or_default() += 1;
-            let given = state.registry.given(&one.told.name).1.digest();
-            if given != one.told.acting {
-                not_as_assigned
-                    .push(json!({"name": one.told.name, "zone": one.told.zone, "standing": standing,
-                                  "acting": one.told.acting, "given": given, "refused": one.told.refused}));
-            }
-        }
-        let fleet = fleet
-            .into_iter()
-            .map(|((zone, acting), count)| json!({"zone": zone, "acting": acting, "proxies": count}));
-        let fleet: Vec<Value> = fleet.collect();
-        not_as_assigned.truncate(MAX_LISTED_PROXIES);
-        let change = record.change.as_ref().map(|c| {
-            let mut shown = json!(c);
-            shown["told"] = json!(c.moved.len());
-            shown["in_words"] = json!(c.phase.to_string());
-            shown["ran_s"] = json!(c.ran as f64 / 1e9);
-            if let Some(fields) = shown.as_object_mut() {
-                fields.remove("moved");
-                fields.remove("returned");
-            }
-            shown
-        });
-        let shown = json!({
+        let body = json!({
             "revision": record.revision, "holds": record.holds,
-            "holding": record.generations.get(&record.holds), "change": change, "fault": state.error,
+            "holding": record.generations.get(&record.holds),
+            "change": record.change.as_ref().map(rollout_json), "fault": state.error,
             "waits_for": state.verdict, "evidence": state.analysis.scores(), "usual": record.usual,
-            "fleet": fleet, "not_as_given": not_as_assigned, "proxies": state.membership.len(), "now_ns": now,
+            "fleet": state.fleet_json(now), "not_as_given": state.not_as_assigned_json(now),
+            "proxies": state.membership.len(), "now_ns": now,
         });
-        (shown, record.revision)
+        (body, record.revision)
     }
 
     /// All that is known of each proxy.
     pub(crate) fn members(&self, now: Nanos) -> Value {
         let state = lock(&self.state);
-        let member_json = |i: &Member| {
-            let mut shown = json!(i.told);
-            shown["standing"] = json!(state.membership.standing(i, now));
-            shown["given"] = json!(state.registry.given(&i.told.name).1.digest());
-            shown["heard_s_ago"] = json!(i.heard.map(|at| now.saturating_sub(at) as f64 / 1e9));
-            shown["requests"] = json!(i.figures.all());
-            shown["memory"] = json!(i.figures.memory);
-            shown["descriptors"] = json!(i.figures.descriptors);
-            if let Some(supervisor) = state.supervisors.get(&i.told.name) {
-                shown["host"] = json!(supervisor.report);
-                shown["host"]["heard_s_ago"] = json!(now.saturating_sub(supervisor.received_at) as f64 / 1e9);
-            }
-            shown
-        };
-        let all: Vec<Value> = state.membership.instances().map(member_json).collect();
-        json!({"now_ns": now, "proxies": all})
+        let members: Vec<Value> =
+            state.membership.instances().map(|member| state.member_json(member, now)).collect();
+        json!({"now_ns": now, "proxies": members})
     }
 
     /// The last rollout and what was measured of it.
@@ -107,13 +131,13 @@
     pub(crate) fn stats(&self, now: Nanos) -> RolloutStats {
         let state = lock(&self.state);
         let mut by_status: BTreeMap<&'static str, i64> = BTreeMap::new();
-        for one in state.membership.instances() {
-            *by_status.entry(state.membership.standing(one, now).as_str()).or_default() += 1;
+        for member in state.membership.instances() {
+            *by_status.entry(state.membership.standing(member, now).as_str()).or_default() += 1;
         }
         let running = state.registry.running();
-        let not_as_assigned = state.membership.instances().filter(|i| {
-            state.membership.standing(i, now) == MemberStatus::Serving
-                && state.registry.given(&i.told.name).1.digest() != i.told.acting
+        let not_as_assigned = state.membership.instances().filter(|member| {
+            state.membership.standing(member, now) == MemberStatus::Serving
+                && state.assigned(member) != member.told.acting
         });
         let scores = state.analysis.scores();
         RolloutStats {
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -2,8 +2,9 @@
 
 use crate::leadership::{Leadership, LeadershipState};
 use crate::persistence::Persistence;
-use crate::settings::{Settings, SourceOption};
-use crate::state::{ServiceState, SourceEvent};
+use crate::service_state::ServiceState;
+use crate::settings::{Settings, SourceOption, StandbyError};
+use crate::state::SourceEvent;
 use crate::time::Clocks;
 use crate::{discovery, file, http, leadership_loop};
 use rushquay_control_state::Origin;
@@ -160,11 +161,10 @@
     };
     let leadership = leadership(&options, &clocks)?;
     let (xds_listener, xds) = listen("listen", options.listen).await?;
-    let admin_listener = match options.admin {
-        Some(addr) => Some(listen("admin", addr).await?),
-        None => None,
+    let (admin_listener, admin) = match options.admin {
+        Some(addr) => listen("admin", addr).await.map(|(listener, addr)| (Some(listener), Some(addr)))?,
+        None => (None, None),
     };
-    let admin = admin_listener.as_ref().map(|(_, addr)| *addr);
 
     let (origin, source_name) = describe_source(&options.source);
     let limits = options.settings.overrides.policy();
@@ -187,7 +187,7 @@
     let mut tasks = spawn_source(&state, options.source, reread_requests);
     tasks.extend(spawn_controllers(&state));
     tasks.push(spawn_xds(xds_listener, state.leader.hub.clone(), tls, stopped));
-    if let Some((listener, _)) = admin_listener {
+    if let Some(listener) = admin_listener {
         tasks.push(tokio::spawn(http::serve(listener, state.clone())));
     }
     Ok(ControlService { xds, admin, state, reread, stop, tasks, leadership_thread })
@@ -206,8 +206,9 @@
         let reason = "--state and [standby] name two places for one state; give one of them";
         return Err(StartError::Standby(reason.into()));
     }
-    let terms = standby.terms().map_err(|e| StartError::Standby(format!("standby.{e}")))?;
-    let store = standby.store(clocks).map_err(StartError::Standby)?;
+    let unusable = |error: StandbyError| StartError::Standby(error.to_string());
+    let terms = standby.terms().map_err(|e| unusable(e.into()))?;
+    let store = standby.store(clocks).map_err(unusable)?;
     Ok(Some(Leadership::new(standby.name.clone(), store, terms)))
 }
 
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -8,71 +8,71 @@
 use rushquay_lease::{LeaseTerms, LeaseTermsError};
 use rushquay_overrides::{OverrideLimits, SECOND};
 use rushquay_state::{SharedFile, SharedState};
-use rushquay_xds_grpc::{ServerLimits, Tls, TlsFiles};
+use rushquay_xds_grpc::{ServerLimits, Tls, TlsError, TlsFiles};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where the node list comes from.
+/// The endpoint source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceOption {
     /// Discovery at this address.
     Discovery(SocketAddr),
-    /// A file in discovery's form.
+    /// A file in discovery's format.
     Nodes(PathBuf),
 }
 
-/// The settings file. All of it may be left out.
+/// The settings file. Every part of it is optional.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// What is decided.
+    /// What is decided of the endpoint list.
     pub control: ControlConfig,
     /// Mutual TLS for the xDS listener.
     pub tls: Option<TlsFiles>,
-    /// Bounds.
+    /// Limits for subscribers.
     pub limits: LimitSettings,
-    /// Operators' overrides.
+    /// Limits of operators' overrides.
     pub overrides: OverrideSettings,
-    /// Several instances, one of which leads.
+    /// Several instances, one of which leads; `None`: this is the only one.
     pub standby: Option<StandbySettings>,
-    /// Changes of policy that take hold everywhere or nowhere; `None`: none are taken, and nobody has leave.
+    /// Policy changes, which hold everywhere or nowhere; `None`: none are accepted and no leases are granted.
     pub policy: Option<PolicySettings>,
-    /// Changes of settings in stages; `None`: none are taken, and nobody is asked what it acts by.
+    /// Rollouts; `None`: none are accepted, and proxies are not tracked.
     pub rollout: Option<RolloutSettings>,
 }
 
-/// Several instances, one of which leads: what they share.
+/// Several instances, one of which leads, and the store that they share.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StandbySettings {
-    /// How this instance calls itself; another name for each.
+    /// The name of this instance, which no other may have.
     pub name: String,
-    /// A leader that says nothing for so long is taken to be gone, in seconds, 1 to 300.
-    #[serde(default = "ttl")]
+    /// The lease's time to live in seconds, 1 to 300: a leader silent for that long is taken to be gone.
+    #[serde(default = "default_ttl_s")]
     pub ttl_s: f64,
-    /// Instances on one machine share this file.
+    /// The file that instances on one machine share.
     #[serde(default)]
     pub file: Option<PathBuf>,
-    /// Instances on several machines share an etcd cluster: `http://IP:PORT` of its members. One beyond loopback needs
-    /// `https` and `[standby.tls]`.
+    /// The members of the etcd cluster that instances on several machines share: `http://IP:PORT`. One beyond loopback needs `https` and
+    /// `[standby.tls]`.
     #[serde(default)]
     pub etcd: Vec<String>,
-    /// Where in etcd's keys; all under it belongs to these instances.
-    #[serde(default = "prefix")]
+    /// The prefix of their keys in etcd; all keys under it belong to these instances.
+    #[serde(default = "default_prefix")]
     pub prefix: String,
     /// Mutual TLS towards etcd.
     #[serde(default)]
     pub tls: Option<TlsFiles>,
 }
 
-fn ttl() -> f64 {
+fn default_ttl_s() -> f64 {
     5.0
 }
 
-fn prefix() -> String {
+fn default_prefix() -> String {
     "/rushquay".into()
 }
 
@@ -80,86 +80,107 @@
     /// The terms of a lease.
     ///
     /// # Errors
-    /// They can't hold.
+    /// The time to live is out of its range.
     pub fn terms(&self) -> Result<LeaseTerms, LeaseTermsError> {
         LeaseTerms::of((self.ttl_s * SECOND as f64) as u64)
     }
 
-    /// The store that instances share. Nothing is asked of it yet.
+    /// The store that instances share. No request is sent to it yet.
     ///
     /// # Errors
-    /// A field, or TLS files that can't be used.
-    pub fn store(&self, clocks: &Clocks) -> Result<Arc<dyn SharedState>, String> {
-        self.check().map_err(|f| f.to_string())?;
+    /// A field that is out of its range, or TLS files that can't be used.
+    pub fn store(&self, clocks: &Clocks) -> Result<Arc<dyn SharedState>, StandbyError> {
+        self.check()?;
         if let Some(path) = &self.file {
-            let (steady, now) = (clocks.steady.clone(), (clocks.wall)() / SECOND);
-            return Ok(Arc::new(SharedFile::new(path, &boot_id(), move || steady()).first_epoch(now)));
+            let (steady, unix_s) = (clocks.steady.clone(), (clocks.wall)() / SECOND);
+            return Ok(Arc::new(SharedFile::new(path, &boot_id(), move || steady()).first_epoch(unix_s)));
         }
-        let prefix = Prefix::new(&self.prefix).ok_or("standby.prefix: expected a name")?;
-        let tls = self.tls.as_ref().map(Tls::read).transpose().map_err(|e| format!("standby.{e}"))?;
-        // Each call is over well within a lease.
-        let within = Duration::from_secs_f64(self.ttl_s / 5.0);
+        let prefix = Prefix::new(&self.prefix).ok_or(StandbyError::Prefix)?;
+        let tls = self.tls.as_ref().map(Tls::read).transpose()?;
+        // Each call ends well within a lease.
+        let call_timeout = Duration::from_secs_f64(self.ttl_s / 5.0);
         let tls = tls.map(|tls| tls.client(None));
         Ok(Arc::new(
-            EtcdShared::new(&self.etcd, prefix, within, tls).map_err(|e| format!("standby.etcd: {e}"))?,
+            EtcdShared::new(&self.etcd, prefix, call_timeout, tls)
+                .map_err(|e| StandbyError::Etcd(e.to_string()))?,
         ))
     }
 
     fn check(&self) -> Result<(), ConfigError> {
-        let need = |holds: bool, field: &str, expected: &str| match holds {
+        let require = |is_valid: bool, field: &str, expected: &str| match is_valid {
             true => Ok(()),
             false => Err(ConfigError { field: field.into(), expected: expected.into() }),
         };
-        need(!self.name.trim().is_empty(), "standby.name", "a name, another one for each instance")?;
-        need(self.terms().is_ok(), "standby.ttl_s", "seconds from 1 to 300")?;
-        need(
+        require(!self.name.trim().is_empty(), "standby.name", "a name, another one for each instance")?;
+        require(self.terms().is_ok(), "standby.ttl_s", "seconds from 1 to 300")?;
+        require(
             self.file.is_some() == self.etcd.is_empty(),
             "standby",
             "file (instances on one machine) or etcd (on several)",
         )?;
-        need(Prefix::new(&self.prefix).is_some(), "standby.prefix", "a name")?;
+        require(Prefix::new(&self.prefix).is_some(), "standby.prefix", "a name")?;
         for uri in &self.etcd {
-            let loopback = |rest: &str| rest.parse::<SocketAddr>().is_ok_and(|a| a.ip().is_loopback());
-            let plain = uri.strip_prefix("http://").is_some_and(loopback);
-            let secure = uri.starts_with("https://") && self.tls.is_some();
+            let is_loopback = |rest: &str| rest.parse::<SocketAddr>().is_ok_and(|a| a.ip().is_loopback());
+            let is_local = uri.strip_prefix("http://").is_some_and(is_loopback);
+            let is_secure = uri.starts_with("https://") && self.tls.is_some();
             let expected = "http://127.0.0.1:PORT, or https://HOST:PORT with [standby.tls]";
-            need(plain || secure, "standby.etcd", expected)?;
+            require(is_local || is_secure, "standby.etcd", expected)?;
         }
         Ok(())
     }
 }
 
-/// Bounds of operators' overrides.
+/// Why the store that instances share can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum StandbyError {
+    /// A field is out of its range.
+    #[error(transparent)]
+    Field(#[from] ConfigError),
+    /// The prefix of the keys in etcd is empty.
+    #[error("standby.prefix: expected a name")]
+    Prefix,
+    /// TLS files that can't be used.
+    #[error("standby.{0}")]
+    Tls(#[from] TlsError),
+    /// The etcd client can't be started.
+    #[error("standby.etcd: {0}")]
+    Etcd(String),
+    /// The time to live is out of its range.
+    #[error("standby.{0}")]
+    Terms(#[from] LeaseTermsError),
+}
+
+/// Limits of operators' overrides.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OverrideSettings {
-    /// The longest that one may last, in seconds, 60 to 604800.
+    /// The longest duration of an override in seconds, 60 to 604800.
     pub longest_s: u64,
     /// The part of the fleet's weight that must stay in service, 0 to 1.
     pub stay: f64,
-    /// One is announced so long before it expires, in seconds.
+    /// How long before its expiry an override is announced, in seconds.
     pub announce_s: u64,
-    /// A node that was out for so long comes back with a cold cache, in seconds.
+    /// Seconds out of service after which a node comes back with a cold cache.
     pub cold_after_s: u64,
-    /// Events remembered, 100 to 1000000.
+    /// Events in the history, 100 to 1000000.
     pub history: usize,
 }
 
 impl Default for OverrideSettings {
     fn default() -> Self {
-        let usual = OverrideLimits::default();
+        let defaults = OverrideLimits::default();
         OverrideSettings {
-            longest_s: usual.longest / SECOND,
-            stay: usual.stay,
-            announce_s: usual.announce / SECOND,
-            cold_after_s: usual.cold_after / SECOND,
-            history: usual.history,
+            longest_s: defaults.longest / SECOND,
+            stay: defaults.stay,
+            announce_s: defaults.announce / SECOND,
+            cold_after_s: defaults.cold_after / SECOND,
+            history: defaults.history,
         }
     }
 }
 
 impl OverrideSettings {
-    /// In the form of the decisions.
+    /// The limits as the override set takes them.
     pub fn policy(&self) -> OverrideLimits {
         OverrideLimits {
             longest: self.longest_s.saturating_mul(SECOND),
@@ -172,13 +193,13 @@
     }
 }
 
-/// Bounds for subscribers.
+/// Limits for subscribers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Most streams at once, 1 to 1000000.
+    /// The most streams at once, 1 to 1000000.
     pub streams: usize,
-    /// Most names that a stream subscribes to of one kind, 1 to 1000000.
+    /// The most names of one kind that a stream subscribes to, 1 to 1000000.
     pub names: usize,
     /// The longest message from a subscriber, in KiB, 4 to 65536.
     pub message_kb: usize,
@@ -203,10 +224,10 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// It is no TOML, or a field is unknown or of another type.
+    /// It is no valid TOML, or a field is unknown or of another type.
     #[error("{path}: {why}")]
     Form {
         /// The file.
@@ -225,10 +246,10 @@
 }
 
 impl Settings {
-    /// The bounds in the server's form.
+    /// The limits as the xDS server takes them.
     pub fn limits(&self) -> ServerLimits {
-        let usual = ServerLimits::default();
-        let stream = rushquay_xds::server::Limits { names: self.limits.names, ..usual.stream };
+        let defaults = ServerLimits::default();
+        let stream = rushquay_xds::server::Limits { names: self.limits.names, ..defaults.stream };
         ServerLimits { streams: self.limits.streams, message: self.limits.message_kb << 10, stream }
     }
 
@@ -242,9 +263,9 @@
             ("overrides.longest_s", self.overrides.longest_s as usize, 60..=604_800),
             ("overrides.history", self.overrides.history, 100..=1_000_000),
         ];
-        for (field, held, range) in ranges {
-            if !range.contains(&held) {
-                let expected = format!("a number from {} to {}, found {held}", range.start(), range.end());
+        for (field, value, range) in ranges {
+            if !range.contains(&value) {
+                let expected = format!("a number from {} to {}, found {value}", range.start(), range.end());
                 return Err(ConfigError { field: field.into(), expected });
             }
         }
@@ -262,15 +283,15 @@
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 /// What is wrong, with the file and the field.
 pub fn read_settings(path: &Path) -> Result<Settings, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.to_owned(), source })?;
-    let form = |e: toml::de::Error| SettingsError::Form { path: path.to_owned(), why: e.to_string() };
-    let settings: Settings = toml::from_str(&text).map_err(form)?;
+    let malformed = |e: toml::de::Error| SettingsError::Form { path: path.to_owned(), why: e.to_string() };
+    let settings: Settings = toml::from_str(&text).map_err(malformed)?;
     settings.check().map_err(|fault| SettingsError::Field { path: path.to_owned(), fault })?;
     Ok(settings)
 }
--- a/crates/services/control-service/src/state/endpoints.rs
+++ b/crates/services/control-service/src/state/endpoints.rs
@@ -133,7 +133,8 @@
         let list = match event {
             SourceEvent::Unavailable(error) => {
                 if source.state.error.as_ref() != Some(&error) {
-                    warn!(source = %self.source_name, %error, "endpoint source unavailable; last list stays in use");
+                    let name = &self.source_name;
+                    warn!(source = %name, %error, "endpoint source unavailable; last list stays in use");
                 }
                 source.state.error = Some(error);
                 return;
--- a/crates/services/control-service/src/state/mod.rs
+++ b/crates/services/control-service/src/state/mod.rs
@@ -1,5 +1,4 @@
-//! State that the tasks of the control service share. Endpoint lists arrive from the source and commands from the admin API; the xDS
-//! hub publishes the result. Of several instances only the leader publishes and takes commands.
+//! The components of the service's state, each with its own locks. [`ServiceState`](crate::service_state::ServiceState) joins them.
 //!
 //! Lock order, outermost first; each component documents the order of its own locks:
 //!
@@ -15,7 +14,6 @@
 //! of 2 to 6; its own locks come after them. The hub's store may be locked under all of these.
 
 mod change_lock;
-mod commands;
 mod endpoints;
 mod leader_context;
 mod leadership_gate;
@@ -23,189 +21,8 @@
 mod persistence_handle;
 
 pub use change_lock::{ChangeGuard, ChangeLock};
-pub use commands::OverrideOutcome;
 pub use endpoints::{Endpoints, SourceEvent, SourceState};
 pub use leader_context::LeaderContext;
+pub use leadership_gate::LeadershipGate;
 pub use overrides::Overrides;
-
-use crate::durable_store::DurableStore;
-use crate::leadership::Leadership;
-use crate::persistence::{Persistence, Records};
-use crate::policy::PolicyController;
-use crate::rollout::RolloutController;
-use crate::settings::Settings;
-use crate::time::{Clocks, ServiceClock};
-use leadership_gate::LeadershipGate;
-use persistence_handle::PersistenceHandle;
-use rushquay_control_state::Origin;
-use rushquay_lease::Epoch;
-use rushquay_overrides::{Override, OverrideSet};
-use rushquay_state::StoredState;
-use rushquay_xds::Store;
-use rushquay_xds_grpc::Hub;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tracing::info;
-
-/// The components of the service, joined.
-pub struct ServiceState {
-    /// The hub, the clock, the lease and the store: all that a controller is given.
-    pub leader: LeaderContext,
-    /// The endpoint list.
-    pub endpoints: Endpoints,
-    /// The operators' overrides.
-    pub overrides: Overrides,
-    /// Rollouts; `None`: they are switched off.
-    pub rollout: Option<RolloutController>,
-    /// Policy changes; `None`: they are switched off.
-    pub policies: Option<PolicyController>,
-    /// Lets one rollout or policy change start at a time.
-    pub change_lock: ChangeLock,
-    settings: Settings,
-}
-
-impl ServiceState {
-    /// An empty state. With other instances configured, nothing is published before this one leads.
-    pub(crate) fn new(
-        settings: Settings,
-        origin: Origin,
-        source_name: String,
-        leadership: Option<Arc<Leadership>>,
-        clocks: Clocks,
-    ) -> Arc<ServiceState> {
-        let clock = Arc::new(ServiceClock::new(clocks));
-        let hub_clock = clock.clone();
-        let store = Store::new(&incarnation_name(Epoch(0)), settings.control.removals);
-        let hub = Hub::with_clock(store, settings.limits(), Box::new(move || hub_clock.now()));
-        let gate = LeadershipGate::new(hub.clone(), leadership);
-        let state = Arc::new(ServiceState {
-            endpoints: Endpoints::new(hub.clone(), settings.control.clone(), origin, source_name),
-            overrides: Overrides::new(settings.overrides.policy()),
-            rollout: settings.rollout.map(RolloutController::new),
-            policies: settings.policy.clone().map(PolicyController::new),
-            change_lock: ChangeLock::default(),
-            leader: LeaderContext { hub, clock, gate, persistence: PersistenceHandle::default() },
-            settings,
-        });
-        state.subscribe_to_streams();
-        state
-    }
-
-    /// Has the controllers receive what subscribers report on their streams.
-    fn subscribe_to_streams(self: &Arc<Self>) {
-        if self.rollout.is_none() && self.policies.is_none() {
-            return;
-        }
-        // Weak: the hub must not keep the state, which owns it, alive.
-        let subscriber = Arc::downgrade(self);
-        self.leader.hub.on_stream_event(move |node, event| {
-            let Some(state) = subscriber.upgrade() else { return };
-            let now = state.leader.unix_now();
-            state.policies.iter().for_each(|p| p.on_stream_event(node, &event));
-            state.rollout.iter().for_each(|r| r.on_stream_event(node, event.clone(), now));
-        });
-    }
-
-    /// The period of the rollout controller; `None`: rollouts are switched off.
-    pub(crate) fn rollout_period(&self) -> Option<Duration> {
-        self.settings.rollout.map(|r| r.period())
-    }
-
-    /// The period of the policy controller; `None`: policy changes are switched off.
-    pub(crate) fn policy_period(&self) -> Option<Duration> {
-        self.policies.as_ref().map(PolicyController::period)
-    }
-
-    /// Continues from what this instance alone had persisted before a restart.
-    pub(crate) fn restore(
-        &self,
-        stored: StoredState,
-        overrides: OverrideSet,
-        records: &Records,
-        persistence: Persistence,
-    ) {
-        self.endpoints.restore(stored);
-        self.overrides.lock_persisted_mark().reset_to(&overrides);
-        self.overrides.replace(overrides);
-        self.leader.persistence.install(persistence);
-        self.rollout.iter().for_each(|r| r.lead(records, self.leader.unix_now()));
-        self.policies.iter().for_each(|p| p.lead(records, &self.leader));
-        // What expired while the service was down is over, and the rest applies before anything is published.
-        self.expire_overrides();
-        self.apply_overrides();
-    }
-
-    /// Takes over as the leader, continuing from what the last leader persisted. The list that this instance has followed meanwhile comes
-    /// on top, as the first list after a restart would.
-    pub(crate) fn lead(
-        &self,
-        epoch: Epoch,
-        stored: StoredState,
-        mut overrides: OverrideSet,
-        records: &Records,
-        store: Arc<dyn DurableStore>,
-    ) {
-        // No event of the source is taken meanwhile.
-        let source = self.endpoints.lock_source();
-        let mut persisted_mark = self.overrides.lock_persisted_mark();
-        let mut control = source.lock_control();
-        let (now, unix_now) = (self.leader.hub.now(), self.leader.unix_now());
-        let followed = control.followed();
-        let mut new_state = control.restored_state(&stored, now);
-        persisted_mark.reset_to(&overrides);
-        overrides.expire(unix_now).iter().for_each(log_expired);
-        let cold_after = overrides.policy().cold_after;
-        let _ = new_state.impose(overrides.live().cloned().collect(), unix_now, cold_after);
-        self.overrides.replace(overrides);
-        if let Some(list) = &followed {
-            let _ = new_state.list(list, now);
-        }
-        control.replace(new_state);
-        self.leader.persistence.install(Persistence::on(store, stored));
-        self.endpoints.restart_restored_delay();
-        // What an earlier lease left unpersisted does not belong to this one.
-        self.overrides.clear_unpersisted();
-        self.rollout.iter().for_each(|r| r.lead(records, unix_now));
-        self.policies.iter().for_each(|p| p.lead(records, &self.leader));
-        self.leader.hub.serve(Store::new(&incarnation_name(epoch), self.settings.control.removals));
-        if followed.is_some() {
-            control.publish_all();
-        }
-        control.persist(&self.leader.persistence);
-        drop((control, persisted_mark, source));
-        self.persist_overrides();
-    }
-
-    /// Publishes nothing more and takes no commands. The source is still followed.
-    pub(crate) fn step_down(&self) {
-        self.leader.hub.suspend();
-        self.rollout.iter().for_each(RolloutController::step_down);
-        self.policies.iter().for_each(PolicyController::step_down);
-        self.leader.persistence.remove();
-        self.overrides.replace(OverrideSet::new(self.settings.overrides.policy()));
-    }
-
-    /// Takes an event of the endpoint source.
-    pub(crate) fn on_source_event(&self, event: SourceEvent) {
-        self.endpoints.on_source_event(event, &self.leader.persistence, || self.leader.is_leading());
-    }
-
-    /// Advances the list's timers and checks the clock for jumps.
-    pub(crate) fn tick(&self) {
-        self.leader.clock.check_for_jump();
-        self.endpoints.tick(&self.leader.persistence, || self.leader.is_leading());
-    }
-}
-
-fn log_expired(expired: &Override) {
-    info!(id = expired.id, effect = %expired.effect, on = %expired.scope, "override has expired");
-}
-
-/// A name for this process and its term as the leader, and for no other. Danger: subscribers tell an old process from a new one by it.
-fn incarnation_name(epoch: Epoch) -> String {
-    static STARTED: AtomicU64 = AtomicU64::new(0);
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let number = STARTED.fetch_add(1, Ordering::Relaxed);
-    epoch.name(&format!("rushquay-{:x}-{:x}-{number}", now.as_nanos(), std::process::id()))
-}
+pub use persistence_handle::PersistenceHandle;
--- a/crates/services/control-service/src/state/overrides.rs
+++ b/crates/services/control-service/src/state/overrides.rs
@@ -105,7 +105,7 @@
             Ok(()) => {
                 *last_persisted = last_event;
                 if self.has_unpersisted.swap(false, Ordering::SeqCst) {
-                    info!(overrides = write.live.len(), "overrides are persisted again");
+                    info!(overrides = write.live.len(), "overrides are kept again");
                 }
                 Ok(())
             }
@@ -113,7 +113,7 @@
                 // The disk may have lost more than this write: the whole set is written next time.
                 *last_persisted = 0;
                 if !self.has_unpersisted.swap(true, Ordering::SeqCst) {
-                    warn!(error = %error.reason, "overrides not persisted; held in memory");
+                    warn!(error = %error.reason, "overrides are held in memory");
                 }
                 Err(error)
             }
