--- a/crates/services/control-service/src/error.rs
+++ b/crates/services/control-service/src/error.rs
@@ -52,9 +52,9 @@
     Unfit(#[from] UnfitPolicy),
     /// The store lacks a revision that was already broadcast.
     #[error(
-        "the store stands at revision {store_revision}, and {proxy} has heard of {known_revision}: it was lost, \
-         or is an older copy, and nobody has leave. Put back what was kept (rushquay control state restore), or \
-         go on from a new policy: rushquay policy propose --anew"
+        "the store stands at revision {store_revision}, and {proxy} has heard of {known_revision}: \
+         it was lost, or is an older copy, and nobody has leave. Put back what was kept \
+         (rushquay control state restore), or go on from a new policy: rushquay policy propose --anew"
     )]
     Behind {
         /// The revision in the store.
--- a/crates/services/control-service/src/http/report.rs
+++ b/crates/services/control-service/src/http/report.rs
@@ -91,7 +91,8 @@
     write_summary(&mut page, rollout);
     if timeline.change != rollout.id || timeline.points.is_empty() {
         page.push_str(
-            "<p>This control service has seen nothing of it: what is measured stays with the one that led.</p>",
+            "<p>This control service has seen nothing of it: \
+             what is measured stays with the one that led.</p>",
         );
         return Ok(page);
     }
@@ -129,8 +130,8 @@
     }
     let _ = write!(
         page,
-        "</table><p><b class=\"new\">New</b> against <b class=\"old\">old</b> of the same data centres over the \
-         same time, a point for {:.0} s; grey: the steps above.</p>",
+        "</table><p><b class=\"new\">New</b> against <b class=\"old\">old</b> of the same data centres \
+         over the same time, a point for {:.0} s; grey: the steps above.</p>",
         timeline.every as f64 / 1e9
     );
 }
--- a/crates/services/control-service/src/leadership.rs
+++ b/crates/services/control-service/src/leadership.rs
@@ -2,10 +2,11 @@
 
 use crate::sync::lock;
 use rushquay_lease::LeaseTerms;
-use rushquay_state::SharedState;
+use rushquay_state::{SharedError, SharedState};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
+use tracing::info;
 
 /// The leadership of this instance, for the admin page.
 #[derive(Clone, Debug, Default)]
@@ -24,11 +25,11 @@
 
 /// What the thread and the rest of the service tell one another.
 #[derive(Default)]
-pub(crate) struct Inner {
-    pub(crate) state: LeadershipState,
-    pub(crate) is_ending: bool,
+struct Inner {
+    state: LeadershipState,
+    is_ending: bool,
     /// A write was refused because another instance holds the lease.
-    pub(crate) is_fenced: bool,
+    is_fenced: bool,
 }
 
 /// This instance as one of several.
@@ -56,7 +57,7 @@
         })
     }
 
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         lock(&self.inner)
     }
 
@@ -84,10 +85,50 @@
     }
 
     /// Waits until the time is over, or the thread is to end or to step down.
-    pub(crate) fn wait(&self, most: Duration) {
+    pub(crate) fn wait(&self, timeout: Duration) {
         let inner = self.lock();
         let is_undisturbed = |inner: &mut Inner| !inner.is_ending && !inner.is_fenced;
-        drop(self.wake.wait_timeout_while(inner, most, is_undisturbed));
+        drop(self.wake.wait_timeout_while(inner, timeout, is_undisturbed));
+    }
+
+    /// Whether the thread is to end.
+    pub(crate) fn is_ending(&self) -> bool {
+        self.lock().is_ending
+    }
+
+    /// Whether a write has been refused since the last call.
+    pub(crate) fn take_fenced(&self) -> bool {
+        std::mem::take(&mut self.lock().is_fenced)
+    }
+
+    /// Another instance holds the lease.
+    pub(crate) fn on_other_leader(&self, leader: &str) {
+        let mut inner = self.lock();
+        if inner.state.leader.as_deref() != Some(leader) {
+            info!(leader, "another instance leads");
+        }
+        inner.state.leader = Some(leader.to_owned());
+    }
+
+    /// This instance has taken over.
+    pub(crate) fn on_takeover(&self, epoch: u64, took_ms: u64) {
+        let mut inner = self.lock();
+        inner.state.leader = Some(self.instance_name.clone());
+        inner.state.epoch = epoch;
+        inner.state.takeovers += 1;
+        inner.state.takeover_ms = took_ms;
+        info!(leader = %self.instance_name, epoch, took_ms, "this instance leads");
+    }
+
+    /// This instance has stepped down, and it is not known who leads.
+    pub(crate) fn on_step_down(&self) {
+        let mut inner = self.lock();
+        (inner.state.epoch, inner.state.leader) = (0, None);
+    }
+
+    /// Sets why the store can't be reached or read; `None`: it can.
+    pub(crate) fn set_store_error(&self, error: Option<&SharedError>) {
+        self.lock().state.fault = error.map(ToString::to_string);
     }
 
     /// A write was refused: the thread is to step down.
--- a/crates/services/control-service/src/leadership_loop.rs
+++ b/crates/services/control-service/src/leadership_loop.rs
@@ -15,6 +15,8 @@
 /// The longest wait before the thread checks whether it is to end.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 
+const NANOS_PER_MILLI: u64 = 1_000_000;
+
 /// Runs until [`Leadership::end`] is called.
 pub(crate) fn run(service: &ServiceState, leadership: &Leadership) {
     let mut leadership_loop = LeadershipLoop {
@@ -24,7 +26,7 @@
         held: None,
         outage: Outage::default(),
     };
-    while !leadership.lock().is_ending {
+    while !leadership.is_ending() {
         leadership_loop.step();
     }
     if let Some(held) = leadership_loop.held {
@@ -36,6 +38,7 @@
     }
 }
 
+/// The state of the thread.
 struct LeadershipLoop<'a> {
     service: &'a ServiceState,
     leadership: &'a Leadership,
@@ -50,7 +53,7 @@
     }
 
     fn step(&mut self) {
-        if std::mem::take(&mut self.leadership.lock().is_fenced) {
+        if self.leadership.take_fenced() {
             self.leadership.set_lease_valid_until(0);
             self.step_down("a write was fenced");
             return;
@@ -69,14 +72,15 @@
         self.leadership.set_lease_valid_until(until);
     }
 
+    /// Waits at most this long; a standby for the lease to become free, a leader for an end or a refused write.
     fn wait(&mut self, nanos: u64) {
-        let most = Duration::from_nanos(nanos).min(MAX_WAIT);
+        let timeout = Duration::from_nanos(nanos).min(MAX_WAIT);
         if matches!(self.elector.role(), Role::Standby { .. }) {
-            self.leadership.store.wait(most);
+            self.leadership.store.wait(timeout);
             self.elector.free(self.now());
             return;
         }
-        self.leadership.wait(most);
+        self.leadership.wait(timeout);
     }
 
     fn renew(&mut self) {
@@ -98,12 +102,7 @@
         match leadership.store.campaign(&leadership.instance_name, ttl) {
             Ok(Campaign::Taken { by }) => {
                 self.on_store_reached();
-                let mut inner = leadership.lock();
-                if inner.state.leader.as_ref() != Some(&by) {
-                    info!(leader = %by, "another instance leads");
-                }
-                inner.state.leader = Some(by.clone());
-                drop(inner);
+                leadership.on_other_leader(&by);
                 self.elector.beaten(Some(by), self.now());
             }
             Ok(Campaign::Won(held)) => {
@@ -116,6 +115,7 @@
         }
     }
 
+    /// Leads from now on, under a lease that was just won.
     fn take_over(&mut self, held: HeldLease) {
         let (start, leadership) = (self.now(), self.leadership);
         let (stored, overrides, records) = match self.load() {
@@ -124,7 +124,7 @@
                 // Danger: leading on from nothing would forget every drain and override.
                 error!(epoch = held.epoch, %error, "stored state unreadable; lease resigned");
                 let _ = leadership.store.resign(held);
-                leadership.lock().state.fault = Some(error.to_string());
+                leadership.set_store_error(Some(&error));
                 return self.elector.lost(self.now());
             }
         };
@@ -135,13 +135,7 @@
         self.held = Some(held);
         let store = Arc::new(LeasedStore { store: leadership.store.clone(), held });
         self.service.lead(Epoch(held.epoch), stored, overrides, &records, store);
-        let took = (self.now() - start) / 1_000_000;
-        let mut inner = leadership.lock();
-        inner.state.leader = Some(leadership.instance_name.clone());
-        inner.state.epoch = held.epoch;
-        inner.state.takeovers += 1;
-        inner.state.takeover_ms = took;
-        info!(leader = %leadership.instance_name, epoch = held.epoch, took_ms = took, "this instance leads");
+        leadership.on_takeover(held.epoch, (self.now() - start) / NANOS_PER_MILLI);
     }
 
     /// Reads what the last leader persisted.
@@ -167,24 +161,22 @@
             self.service.step_down();
             warn!(epoch = held.epoch, reason, "stepped down");
         }
-        let mut inner = self.leadership.lock();
-        (inner.state.epoch, inner.state.leader) = (0, None);
-        drop(inner);
+        self.leadership.on_step_down();
         self.elector.lost(self.now());
     }
 
     fn on_store_reached(&mut self) {
-        if let Some(n) = self.outage.over() {
-            info!(store = %self.leadership.store.name(), failures = n, "lease store reachable again");
+        if let Some(failures) = self.outage.over() {
+            info!(store = %self.leadership.store.name(), failures, "lease store reachable again");
         }
-        self.leadership.lock().state.fault = None;
+        self.leadership.set_store_error(None);
     }
 
     fn on_store_unreachable(&mut self, error: &SharedError) {
-        if let Some(n) = self.outage.failed(&error.to_string()) {
-            warn!(%error, failure = n, "lease store unreachable");
+        if let Some(failure) = self.outage.failed(&error.to_string()) {
+            warn!(%error, failure, "lease store unreachable");
         }
-        self.leadership.lock().state.fault = Some(error.to_string());
+        self.leadership.set_store_error(Some(error));
         self.elector.unknown(self.now());
     }
 }
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -1,7 +1,6 @@
 //! Starts the service: binds its listeners, restores its state, and spawns its tasks.
 
 use crate::leadership::{Leadership, LeadershipState};
-use crate::persistence::Persistence;
 use crate::service_state::ServiceState;
 use crate::settings::{Settings, SourceOption, StandbyError};
 use crate::state::SourceEvent;
@@ -167,12 +166,10 @@
     };
 
     let (origin, source_name) = describe_source(&options.source);
-    let limits = options.settings.overrides.policy();
     let state = ServiceState::new(options.settings, origin, source_name, leadership.clone(), clocks);
     if let Some(path) = options.state {
         // Reading the state of a fleet takes a millisecond, and nothing runs yet.
-        let (persistence, stored, overrides, records) = Persistence::open(&path, limits);
-        state.restore(stored, overrides, &records, persistence);
+        state.restore_from(&path);
     }
     if let Some(list) = first_list {
         state.on_source_event(SourceEvent::EndpointList(list));
--- a/crates/services/control-service/src/service_state/mod.rs
+++ b/crates/services/control-service/src/service_state/mod.rs
@@ -23,6 +23,7 @@
 use rushquay_state::StoredState;
 use rushquay_xds::Store;
 use rushquay_xds_grpc::Hub;
+use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -97,20 +98,16 @@
         self.policies.as_ref().map(PolicyController::period)
     }
 
-    /// Continues from what this instance alone had persisted before a restart.
-    pub(crate) fn restore(
-        &self,
-        stored: StoredState,
-        overrides: OverrideSet,
-        records: &Records,
-        persistence: Persistence,
-    ) {
+    /// Continues from the state file that this instance alone wrote before a restart.
+    pub(crate) fn restore_from(&self, path: &Path) {
+        let limits = self.settings.overrides.policy();
+        let (persistence, stored, overrides, records) = Persistence::open(path, limits);
         self.endpoints.restore(stored);
         self.overrides.lock_persisted_mark().reset_to(&overrides);
         self.overrides.replace(overrides);
         self.leader.persistence.install(persistence);
-        self.rollout.iter().for_each(|r| r.lead(records, self.leader.unix_now()));
-        self.policies.iter().for_each(|p| p.lead(records, &self.leader));
+        self.rollout.iter().for_each(|r| r.lead(&records, self.leader.unix_now()));
+        self.policies.iter().for_each(|p| p.lead(&records, &self.leader));
         // What expired while the service was down is over, and the rest applies before anything is published.
         self.expire_overrides();
         self.apply_overrides();
