--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -161,7 +161,7 @@
     /// Whether a failed attempt calls for another one. Danger: the key's other endpoints do not hold it, so a
     /// retry after an overloaded, late or failed answer is one more miss at an origin that may be the cause.
     /// Only an endpoint that did not take the request, because it cannot be reached or is ejected, is worth
-    /// another; and in aside deployments silence counts as a miss. A proxy with sparse traffic cannot know
+    /// another; in cache-aside deployments silence counts as a miss. A proxy with sparse traffic cannot know
     /// that an endpoint is overloaded; while the origin is healthy it tries the next one.
     fn retry_cause(&self, now: Nanos, ended: &Completion, to_origin: bool) -> Option<RetryCause> {
         if to_origin {
@@ -194,8 +194,8 @@
         self.retry(now, id, RetryCause::Silence, actions);
     }
 
-    /// Sends a further attempt if time, budget and rules allow it; tells whether it did. After silence an
-    /// aside deployment asks the origin and no other endpoint, which would lack the key.
+    /// Sends a further attempt if time, budget and rules allow it; tells whether it did. After silence a
+    /// cache-aside deployment sends to the origin and to no other endpoint, which would lack the key.
     fn retry(&mut self, now: Nanos, id: RequestId, cause: RetryCause, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.remove(&id) else { return false };
         let target = if !self.may_retry(now, &request, cause) {
--- a/src/decision/endpoint_set.rs
+++ b/src/decision/endpoint_set.rs
@@ -150,12 +150,12 @@
 
     /// Whether keys are placed on this endpoint.
     pub(super) fn takes_keys(&self, endpoint: &Endpoint) -> bool {
-        // The origin of an aside deployment is an endpoint of last resort, never a candidate.
+        // The origin of a cache-aside deployment is an endpoint of last resort, never a candidate.
         endpoint.entry.state == State::Ready && !(self.settings.aside && self.is_origin(endpoint))
     }
 
-    /// Whether requests of a class may be sent to this endpoint. The origin of an aside deployment is open to
-    /// all classes.
+    /// Whether requests of a class may be sent to this endpoint. The origin of a cache-aside deployment is
+    /// open to all classes.
     pub(super) fn is_open_to(&self, class: Option<&Class>, endpoint: &Endpoint) -> bool {
         let allows = |set: &Option<Vec<u32>>, value: u32| set.as_ref().is_none_or(|set| set.contains(&value));
         let is_allowed =
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -45,16 +45,28 @@
     pub(super) failure_rate: f64,
 }
 
+/// What an outcome says of one endpoint, given how many attempts fail on the whole. Danger: with a slow
+/// origin or under overload all endpoints fail at times; ejecting each after a few failures in a row moves
+/// all keys to the few endpoints left, which are then overloaded, and each move is a cache miss.
 impl OutlierDetection {
-    /// What a failure and a success say of one endpoint, as log-odds, given how many attempts fail on the
-    /// whole. Danger: with a slow origin or under overload all endpoints fail at times; ejecting each after a
-    /// few failures in a row moves all keys to the few endpoints left, which are then overloaded, and each
-    /// move is a cache miss.
-    fn log_odds(&self) -> (f64, f64) {
-        let usual = self.failure_rate.clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE);
-        // The failure rate of a broken endpoint.
-        let broken = 0.5 + 0.5 * usual;
-        ((broken / usual).ln(), ((1.0 - broken) / (1.0 - usual)).ln())
+    /// The failure rate of endpoints on the whole.
+    fn usual_failure_rate(&self) -> f64 {
+        self.failure_rate.clamp(MIN_FAILURE_RATE, MAX_FAILURE_RATE)
+    }
+
+    /// The failure rate that a broken endpoint is assumed to have.
+    fn broken_failure_rate(&self) -> f64 {
+        0.5 + 0.5 * self.usual_failure_rate()
+    }
+
+    /// The log-odds that one failure adds.
+    fn failure_log_odds(&self) -> f64 {
+        (self.broken_failure_rate() / self.usual_failure_rate()).ln()
+    }
+
+    /// The log-odds that one success adds; negative.
+    fn success_log_odds(&self) -> f64 {
+        ((1.0 - self.broken_failure_rate()) / (1.0 - self.usual_failure_rate())).ln()
     }
 }
 
@@ -76,7 +88,7 @@
     /// evidence.
     pub(super) fn record_failure(&mut self, now: Nanos, server: ServerId, weight: f64) {
         let jitter = 1.0 - EJECTION_JITTER / 2.0 + EJECTION_JITTER * self.rng.next_unit();
-        let (of_failure, _) = self.outliers.log_odds();
+        let of_failure = self.outliers.failure_log_odds();
         let threshold = self.ejection_threshold(now);
         // With sparse traffic nothing would be sent there for seconds anyway: a short ejection has no effect.
         let shortest = if self.has_sparse_traffic(now) { MIN_EJECTION_SPARSE } else { MIN_EJECTION };
@@ -95,7 +107,7 @@
 
     /// Counts a success of an endpoint, which ends its ejection.
     pub(super) fn record_success(&mut self, now: Nanos, server: ServerId) {
-        let (_, of_success) = self.outliers.log_odds();
+        let of_success = self.outliers.success_log_odds();
         let threshold = self.ejection_threshold(now);
         let Some(index) = self.endpoints.index_of(server) else { return };
         let ejection = &mut self.endpoints[index].ejection;
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -125,7 +125,7 @@
     pub(super) elapsed: Nanos,
     /// The request has had its final answer.
     pub(super) is_final: bool,
-    /// Cache hit or miss, where the endpoint told.
+    /// Cache hit or miss, if the endpoint reported it.
     pub(super) hit: Option<bool>,
 }
 
