--- a/crates/testing/history/src/lib.rs
+++ b/crates/testing/history/src/lib.rs
@@ -1,5 +1,5 @@
 //! Books of what clients asked and got, what a proxy sent to which node, what nodes ran and what the proxy was told; and
-//! the [`Books::audit`] that holds them against the four rules. It believes nothing that the proxy says of itself: all
+//! the [`History::check`] that holds them against the four rules. It believes nothing that the proxy says of itself: all
 //! entries are made by the ends, or by taps on the way.
 #![forbid(unsafe_code)]
 
--- a/src/supervisor/mod.rs
+++ b/src/supervisor/mod.rs
@@ -1,4 +1,4 @@
-//! `rushquay host`: the hand on a machine. It carries out what [`rushquay_supervisor::Host`] decides: starts the proxy, replaces it by
+//! `rushquay host`: the hand on a machine. It carries out what [`rushquay_supervisor::Supervisor`] decides: starts the proxy, replaces it by
 //! hand-over, watches it, and goes back by itself; and it is told by a control service what is to run.
 
 mod files;
