--- a/crates/services/control-service/src/http/overrides.rs
+++ b/crates/services/control-service/src/http/overrides.rs
@@ -3,6 +3,7 @@
 use super::rejection::Rejection;
 use super::versioned::{change, respond, Author, HistoryQuery};
 use crate::service_state::{OverrideOutcome, ServiceState};
+use crate::versioned::Versioned;
 use axum::extract::{Path, Query, State};
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::Response;
@@ -58,7 +59,7 @@
 }
 
 /// All live overrides with their effects, and the set's revision.
-fn overrides_json(service: &ServiceState) -> (Value, u64) {
+fn overrides_json(service: &ServiceState) -> Versioned {
     let fleet = service.endpoints.fleet();
     let (now, set) = (service.leader.unix_now(), service.overrides.set());
     let statuses: Vec<(u64, OverrideStatus)> =
@@ -67,7 +68,8 @@
     let announce = set.policy().announce;
     let all: Vec<Value> =
         set.live().map(|o| override_json(o, &effect(o.id, &statuses, &pins), now, announce)).collect();
-    (json!({"revision": set.revision(), "now_ns": now, "overrides": all}), set.revision())
+    let revision = set.revision();
+    Versioned { body: json!({"revision": revision, "now_ns": now, "overrides": all}), revision }
 }
 
 async fn list(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
@@ -77,11 +79,11 @@
 }
 
 /// The result of a command, and the set's revision.
-fn outcome_json(service: &ServiceState, outcome: &OverrideOutcome) -> (Value, u64) {
+fn outcome_json(service: &ServiceState, outcome: &OverrideOutcome) -> Versioned {
     let revision = service.overrides.set().revision();
     let body = json!({"override": outcome.value, "revision": revision,
                       "durable": outcome.not_durable.is_none(), "why": outcome.not_durable});
-    (body, revision)
+    Versioned { body, revision }
 }
 
 async fn set(
--- a/crates/services/control-service/src/http/rollout.rs
+++ b/crates/services/control-service/src/http/rollout.rs
@@ -7,6 +7,7 @@
 use crate::policy::PolicyController;
 use crate::rollout::RolloutController;
 use crate::service_state::ServiceState;
+use crate::versioned::Versioned;
 use axum::extract::{Path, Query, State};
 use axum::http::header::CONTENT_TYPE;
 use axum::http::{HeaderMap, StatusCode};
@@ -74,16 +75,11 @@
 ) -> Result<Response, Rejection> {
     change(service, headers, StatusCode::CREATED, move |service, expected| {
         let rollout = controller(service)?;
-        let _change = service.change_lock.acquire();
+        let guard = service.change_lock.acquire();
         if let Some(policy) = service.policies.as_ref().and_then(PolicyController::undecided) {
             return Err(CommandError::from(PolicyCommandError::PolicyUndecided(policy.0)).into());
         }
-        let (mut body, revision) = rollout.command(&service.leader, |registry, baseline, now| {
-            let left_behind = registry.start(request, expected, baseline, now)?;
-            Ok(json!({"change": registry.running(), "left_behind": left_behind}))
-        })?;
-        body["revision"] = json!(revision);
-        Ok((body, revision))
+        Ok(rollout.start(&service.leader, &guard, request, expected)?)
     })
     .await
 }
@@ -103,7 +99,7 @@
                 _ => Err(RegistryError::Field("path", "hold, resume or back")),
             });
         let ((), revision) = steered?;
-        Ok((json!({"revision": revision}), revision))
+        Ok(Versioned { body: json!({"revision": revision}), revision })
     })
     .await
 }
--- a/crates/services/control-service/src/http/versioned.rs
+++ b/crates/services/control-service/src/http/versioned.rs
@@ -3,11 +3,11 @@
 
 use super::rejection::Rejection;
 use crate::service_state::ServiceState;
+use crate::versioned::Versioned;
 use axum::http::{header, HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::Json;
 use serde::Deserialize;
-use serde_json::Value;
 use std::sync::Arc;
 
 /// Events that a history returns where the request gives no limit.
@@ -33,7 +33,8 @@
 }
 
 /// A resource at a revision, as a response.
-pub fn respond(status: StatusCode, (body, revision): (Value, u64)) -> Response {
+pub fn respond(status: StatusCode, resource: Versioned) -> Response {
+    let Versioned { body, revision } = resource;
     (status, [(header::ETAG, format!("\"{revision}\""))], Json(body)).into_response()
 }
 
@@ -54,7 +55,7 @@
     service: Arc<ServiceState>,
     headers: HeaderMap,
     status: StatusCode,
-    change: impl FnOnce(&ServiceState, Option<u64>) -> Result<(Value, u64), Rejection> + Send + 'static,
+    change: impl FnOnce(&ServiceState, Option<u64>) -> Result<Versioned, Rejection> + Send + 'static,
 ) -> Result<Response, Rejection> {
     let expected_revision = expected_revision(&headers)?;
     let changed = tokio::task::spawn_blocking(move || change(&service, expected_revision)).await;
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -23,6 +23,7 @@
 mod state;
 mod sync;
 mod time;
+mod versioned;
 
 pub use file::{Watched, LOOK_EVERY};
 pub use http::serve_pages;
--- a/crates/services/control-service/src/policy/controller.rs
+++ b/crates/services/control-service/src/policy/controller.rs
@@ -8,6 +8,7 @@
 use crate::rollout::RolloutController;
 use crate::state::{ChangeGuard, LeaderContext};
 use crate::sync::lock;
+use crate::versioned::Versioned;
 use rushquay_policy::{LeaseRequest, Policy, PolicyNumber, PolicyRecord, RecordError, Revision};
 use rushquay_xds::client::Topic;
 use rushquay_xds_grpc::StreamEvent;
@@ -145,7 +146,7 @@
         _change: &ChangeGuard<'_>,
         proposal: &Proposal,
         expected_revision: Option<u64>,
-    ) -> Result<(Value, u64), CommandError> {
+    ) -> Result<Versioned, CommandError> {
         let _decision = lock(&self.decision);
         self.require_ready(leader)?;
         if let Some(id) = rollout.and_then(|r| r.running()) {
@@ -158,7 +159,7 @@
         let mut body = fitted.comparison;
         body["policy"] = json!(number);
         body["revision"] = json!(revision);
-        Ok((body, revision))
+        Ok(Versioned { body, revision })
     }
 
     /// Ends the pending change without its policy.
@@ -167,7 +168,7 @@
         leader: &LeaderContext,
         by: &str,
         expected_revision: Option<u64>,
-    ) -> Result<(Value, u64), CommandError> {
+    ) -> Result<Versioned, CommandError> {
         let _decision = lock(&self.decision);
         self.require_ready(leader)?;
         let record = {
@@ -178,7 +179,7 @@
         let record = record.map_err(PolicyCommandError::from)?;
         let revision = record.revision.0;
         self.persist_record(leader, record, None)?;
-        Ok((json!({"revision": revision}), revision))
+        Ok(Versioned { body: json!({"revision": revision}), revision })
     }
 
     /// What a proposal would change now, and the record's revision.
@@ -187,13 +188,13 @@
         leader: &LeaderContext,
         rollout: Option<&RolloutController>,
         proposal: &Proposal,
-    ) -> Result<(Value, u64), CommandError> {
+    ) -> Result<Versioned, CommandError> {
         self.require_ready(leader)?;
         // A record needs an author and a reason, and a comparison has neither.
         let nobody = || "nobody".to_owned();
         let proposal = Proposal { author: nobody(), reason: nobody(), ..proposal.clone() };
         let fitted = self.fit(leader, rollout, &proposal, None)?;
-        Ok((fitted.comparison, fitted.record.revision.0 - 1))
+        Ok(Versioned { body: fitted.comparison, revision: fitted.record.revision.0 - 1 })
     }
 
     /// Rejects a command where another instance leads or the stored record is unusable.
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -6,6 +6,7 @@
 use crate::error::{CommandError, PolicyCommandError};
 use crate::state::LeaderContext;
 use crate::sync::lock;
+use crate::versioned::Versioned;
 use rushquay_endpoints::Nanos;
 use rushquay_policy::{intersect, Phase, Policy, PolicyNumber, PolicySet};
 use serde_json::{json, Map, Value};
@@ -33,9 +34,9 @@
                 flatten(&path, value, into);
             }
         }
-        Value::Array(list) if list.iter().any(|one| one["name"].is_string()) => {
-            for one in list {
-                flatten(&format!("{path}[{}]", one["name"].as_str().unwrap_or("")), one, into);
+        Value::Array(list) if list.iter().any(|item| item["name"].is_string()) => {
+            for item in list {
+                flatten(&format!("{path}[{}]", item["name"].as_str().unwrap_or("")), item, into);
             }
         }
         value => drop(into.insert(path.to_owned(), value.clone())),
@@ -155,7 +156,7 @@
 
 impl PolicyController {
     /// The status of policies and the record's revision.
-    pub(crate) fn status(&self, leader: &LeaderContext) -> (Value, u64) {
+    pub(crate) fn status(&self, leader: &LeaderContext) -> Versioned {
         let now = leader.monotonic_now();
         let state = lock(&self.state);
         let record = state.coordinator.record();
@@ -171,7 +172,7 @@
             "members": state.members_json(), "processes": state.coordinator.members().count(),
             "joined": joined, "fault": state.error.clone().or(store_error), "now_ns": leader.unix_now(),
         });
-        (body, record.revision.0)
+        Versioned { body, revision: record.revision.0 }
     }
 
     /// The last events, the newest first.
--- a/crates/services/control-service/src/rollout/assignment.rs
+++ b/crates/services/control-service/src/rollout/assignment.rs
@@ -24,16 +24,16 @@
         }
         if leader.hub.store().is_open() {
             leader.hub.change(|store, now| {
-                for one in &new {
-                    declare_settings(store, &one.proxy, &one.assignment, now);
+                for NewAssignment { proxy, assignment, .. } in &new {
+                    declare_settings(store, proxy, assignment, now);
                 }
             });
             return;
         }
         // Nothing is published before the first endpoint list; a later tick tries again.
         let mut state = lock(&self.state);
-        for one in &new {
-            state.declared.remove(&one.proxy);
+        for NewAssignment { proxy, .. } in &new {
+            state.declared.remove(proxy);
         }
     }
 }
@@ -56,7 +56,7 @@
                 new.push(NewAssignment { proxy: proxy.clone(), key, assignment });
             }
         }
-        self.declared.extend(new.iter().map(|one| (one.proxy.clone(), one.key)));
+        self.declared.extend(new.iter().map(|new| (new.proxy.clone(), new.key)));
         new
     }
 }
--- a/crates/services/control-service/src/rollout/controller.rs
+++ b/crates/services/control-service/src/rollout/controller.rs
@@ -5,13 +5,14 @@
 use super::state::RolloutState;
 use crate::error::CommandError;
 use crate::persistence::Records;
-use crate::state::LeaderContext;
+use crate::state::{ChangeGuard, LeaderContext};
 use crate::sync::lock;
+use crate::versioned::Versioned;
 use rushquay_endpoints::Nanos;
 use rushquay_rollout::{preview, RegistryError, RolloutRegistry, RolloutRequest, Verdict};
 use rushquay_xds::client::Topic;
 use rushquay_xds_grpc::StreamEvent;
-use serde_json::{json, Value};
+use serde_json::json;
 use std::collections::BTreeSet;
 use std::sync::Mutex;
 use tracing::warn;
@@ -124,6 +125,22 @@
         }
     }
 
+    /// Starts a rollout; returns it and the registry's revision.
+    pub(crate) fn start(
+        &self,
+        leader: &LeaderContext,
+        _change: &ChangeGuard<'_>,
+        request: RolloutRequest,
+        expected_revision: Option<u64>,
+    ) -> Result<Versioned, CommandError> {
+        let (mut body, revision) = self.command(leader, |registry, baseline, now| {
+            let left_behind = registry.start(request, expected_revision, baseline, now)?;
+            Ok(json!({"change": registry.running(), "left_behind": left_behind}))
+        })?;
+        body["revision"] = json!(revision);
+        Ok(Versioned { body, revision })
+    }
+
     /// Runs an operator's command on the registry; returns its result and the registry's revision. Blocks on the store.
     pub(crate) fn command<T>(
         &self,
@@ -148,7 +165,7 @@
     }
 
     /// What a rollout would do now, and the registry's revision.
-    pub(crate) fn plan(&self, request: &RolloutRequest, now: Nanos) -> Result<(Value, u64), CommandError> {
+    pub(crate) fn plan(&self, request: &RolloutRequest, now: Nanos) -> Result<Versioned, CommandError> {
         let state = lock(&self.state);
         let (config_version, plan) = state.registry.check(request, None)?;
         let record = state.registry.record();
@@ -158,7 +175,7 @@
         let displaced = unfinished.map(|rollout| rollout.moved.keys().collect::<Vec<_>>());
         let body = json!({"from": record.holds, "to": config_version.digest(), "stages": stages,
                           "least_s": least_s, "displaced_leaves": displaced});
-        Ok((body, record.revision))
+        Ok(Versioned { body, revision: record.revision })
     }
 }
 
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -3,6 +3,7 @@
 use super::controller::RolloutController;
 use super::state::RolloutState;
 use crate::sync::lock;
+use crate::versioned::Versioned;
 use rushquay_config_version::Digest;
 use rushquay_endpoints::Nanos;
 use rushquay_membership::{Member, MemberStatus};
@@ -99,7 +100,7 @@
 
 impl RolloutController {
     /// The status of rollouts and the registry's revision.
-    pub(crate) fn status(&self, now: Nanos) -> (Value, u64) {
+    pub(crate) fn status(&self, now: Nanos) -> Versioned {
         let state = lock(&self.state);
         let record = state.registry.record();
         let body = json!({
@@ -110,7 +111,7 @@
             "fleet": state.fleet_json(now), "not_as_given": state.not_as_assigned_json(now),
             "proxies": state.membership.len(), "now_ns": now,
         });
-        (body, record.revision)
+        Versioned { body, revision: record.revision }
     }
 
     /// All that is known of each proxy.
--- a/crates/services/control-service/src/state/change_lock.rs
+++ b/crates/services/control-service/src/state/change_lock.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub struct ChangeLock(Mutex<()>);
 
-/// Proof that no other change is being started.
+/// Proof that no other change is being started. Whoever starts one has to be given it.
 pub struct ChangeGuard<'a>(#[expect(dead_code, reason = "held for its drop")] MutexGuard<'a, ()>);
 
 impl ChangeLock {
