--- a/crates/services/control-service/src/state/endpoints.rs
+++ b/crates/services/control-service/src/state/endpoints.rs
@@ -66,7 +66,7 @@
 /// Holds what is decided, and publishes it.
 pub struct ControlGuard<'a> {
     endpoints: &'a Endpoints,
-    control: MutexGuard<'a, ControlState>,
+    state: MutexGuard<'a, ControlState>,
 }
 
 impl Endpoints {
@@ -111,7 +111,7 @@
     }
 
     fn lock_control(&self) -> ControlGuard<'_> {
-        ControlGuard { endpoints: self, control: lock(&self.control) }
+        ControlGuard { endpoints: self, state: lock(&self.control) }
     }
 
     /// Continues from a list that was persisted, if there is one.
@@ -145,7 +145,7 @@
         source.state.lists += 1;
         let mut control = source.lock_control();
         let now = self.hub.now();
-        match control.control.list(&list, now) {
+        match control.state.list(&list, now) {
             ListOutcome::EmptyRefused => {
                 source.state.rejected += 1;
                 warn!(list = list.version, "endpoint list without any node rejected");
@@ -167,7 +167,7 @@
     ) {
         let mut control = self.lock_control();
         let (live, cold_after) = live_overrides();
-        let change = control.control.impose(live, unix_now(), cold_after);
+        let change = control.state.impose(live, unix_now(), cold_after);
         // Nothing is published before the first list.
         if self.hub.store().is_open() {
             control.publish(&change);
@@ -177,7 +177,7 @@
     /// Advances the list's timers; publishes what changes by it where this instance leads.
     pub fn tick(&self, persistence: &PersistenceHandle, is_leading: impl Fn() -> bool) {
         let mut control = self.lock_control();
-        let change = control.control.tick(self.hub.now());
+        let change = control.state.tick(self.hub.now());
         if !is_leading() {
             return;
         }
@@ -200,7 +200,7 @@
 impl ControlGuard<'_> {
     /// The list that this instance has followed from the source by itself.
     pub fn followed(&self) -> Option<EndpointList> {
-        self.control.followed()
+        self.state.followed()
     }
 
     /// A fresh state that continues from a persisted list.
@@ -214,19 +214,19 @@
 
     /// Puts another state in place of this one.
     pub fn replace(&mut self, state: ControlState) {
-        *self.control = state;
+        *self.state = state;
     }
 
     /// Whether there is a list of which nothing has been published yet.
     fn awaits_first_publication(&self) -> bool {
-        self.control.version().is_some() && !self.endpoints.hub.store().is_open()
+        self.state.version().is_some() && !self.endpoints.hub.store().is_open()
     }
 
     /// Declares all endpoints and opens the store to subscribers.
     pub fn publish_all(&self) {
-        let [cluster, origin] = self.control.names();
+        let [cluster, origin] = self.state.names();
         let names = ClusterNames { cluster: cluster.to_owned(), origin: origin.to_owned() };
-        let clusters = self.control.clusters();
+        let clusters = self.state.clusters();
         self.endpoints.hub.change(|store, now| {
             declare(store, &names, clusters, now);
             store.open();
@@ -239,7 +239,7 @@
             return;
         }
         self.endpoints.hub.change(|store, now| {
-            let clusters = self.control.names().into_iter().zip(self.control.clusters());
+            let clusters = self.state.names().into_iter().zip(self.state.clusters());
             for (i, (cluster, nodes)) in clusters.enumerate() {
                 if !change.changed[i].is_empty() || !change.gone[i].is_empty() {
                     declare_changed(store, cluster, nodes, &change.changed[i], &change.gone[i], now);
@@ -250,8 +250,8 @@
 
     /// Hands the list to the store's thread; does not wait for it.
     pub fn persist(&self, persistence: &PersistenceHandle) {
-        if let (Some(persistence), Some(version)) = (persistence.current(), self.control.version()) {
-            persistence.write_endpoints(version, self.control.kept());
+        if let (Some(persistence), Some(version)) = (persistence.current(), self.state.version()) {
+            persistence.write_endpoints(version, self.state.kept());
         }
     }
 }
