--- a/crates/adapters/state/src/shared.rs
+++ b/crates/adapters/state/src/shared.rs
@@ -152,7 +152,7 @@
                     }
                     Ok(_) => {}
                     Err(StateError::Locked(_)) => {
-                        self.files.close(number).map_err(|e| self.unreachable(&e))?
+                        self.files.close(number).map_err(|e| self.unreachable(&e))?;
                     }
                     Err(e) => return Err(e.into()),
                 }
@@ -168,7 +168,7 @@
         loop {
             match StateStore::open(&path) {
                 Err(StateError::Locked(_)) if start.elapsed() < max => {
-                    std::thread::sleep(LOCK_RETRY_INTERVAL)
+                    std::thread::sleep(LOCK_RETRY_INTERVAL);
                 }
                 other => return other,
             }
--- a/crates/adapters/state/src/store.rs
+++ b/crates/adapters/state/src/store.rs
@@ -86,7 +86,7 @@
             Err(_) if path.exists() => {}
             // Not every file system has hard links.
             Err(e) if e.kind() != ErrorKind::NotFound => {
-                std::fs::rename(&temporary, path).map_err(io_error)?
+                std::fs::rename(&temporary, path).map_err(io_error)?;
             }
             Err(e) => return Err(io_error(e)),
         }
--- a/crates/adapters/xds-grpc/src/hub.rs
+++ b/crates/adapters/xds-grpc/src/hub.rs
@@ -121,6 +121,7 @@
 }
 
 /// The machine's Unix time in nanoseconds.
+#[expect(clippy::disallowed_methods, reason = "the clock of a hub that is given none")]
 fn unix_now() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
--- a/crates/core/policy/src/intersection.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -182,7 +182,7 @@
             (_, Value::Object(_), Value::Null) => compare(&path, one, &Map::new().into(), looser),
             (_, Value::Null, Value::Object(_)) => compare(&path, &Map::new().into(), than, looser),
             (_, one, than) if compare_strictness(&path).is_at_least_as_strict(one, than) != Some(true) => {
-                looser.push(path)
+                looser.push(path);
             }
             _ => {}
         }
--- a/crates/services/control-service/src/service_state/mod.rs
+++ b/crates/services/control-service/src/service_state/mod.rs
@@ -182,6 +182,7 @@
 /// A name for this process and its term as the leader, and for no other. Danger: subscribers tell an old process from a new one by it.
 fn incarnation_name(epoch: Epoch) -> String {
     static STARTED: AtomicU64 = AtomicU64::new(0);
+    #[expect(clippy::disallowed_methods, reason = "names an incarnation; no span is measured by it")]
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
     epoch.name(&format!("rushquay-{:x}-{:x}-{number}", now.as_nanos(), std::process::id()))
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -102,7 +102,7 @@
         let tls = tls.map(|tls| tls.client(None));
         Ok(Arc::new(
             EtcdShared::new(&self.etcd, prefix, call_timeout, tls)
-                .map_err(|e| StandbyError::Etcd(e.to_string()))?,
+                .map_err(|e| StandbyError::Etcd(e.clone()))?,
         ))
     }
 
--- a/crates/services/control-service/src/time.rs
+++ b/crates/services/control-service/src/time.rs
@@ -17,6 +17,7 @@
     id.map(|id| id.trim().to_owned()).unwrap_or_default()
 }
 
+#[expect(clippy::disallowed_methods, reason = "the machine's wall clock, which `ServiceClock` makes even")]
 fn unix_time() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
