--- a/crates/adapters/grpc-transport/src/lib.rs
+++ b/crates/adapters/grpc-transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! The connections under gRPC, on both sides: interrupted and short transfers end no stream. A crate of its own, since the client of
-//! etcd needs it as well as xDS does.
+//! The connections under gRPC, on both sides: an interrupted call or a short transfer ends no stream. Messages and
+//! services are not its subject; it is a crate of its own because the etcd client needs it as well as xDS does.
 #![forbid(unsafe_code)]
 
 use hyper_util::rt::TokioIo;
@@ -18,10 +18,10 @@
 use tonic::codegen::Service;
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// Where the system lacks what a connection needs, accepting goes on after this.
-const SHORTAGE_WAIT: Duration = Duration::from_millis(10);
+/// Where the system lacks resources for a connection, accepting continues after this time.
+const SHORTAGE_BACKOFF: Duration = Duration::from_millis(10);
 
-/// A subscriber's connection.
+/// An accepted connection.
 pub struct Accepted(RetryStream<TcpStream>);
 
 impl Connected for Accepted {
@@ -69,16 +69,16 @@
     }
 }
 
-/// The connections that come to a listener. No error ends it.
+/// The stream of incoming connections of a listener. No error ends it.
 pub struct Incoming {
     listener: TcpListener,
-    shortage: Option<Pin<Box<Sleep>>>,
+    backoff: Option<Pin<Box<Sleep>>>,
 }
 
 impl Incoming {
-    /// Of this listener.
+    /// Accepts the connections of this listener.
     pub fn new(listener: TcpListener) -> Self {
-        Incoming { listener, shortage: None }
+        Incoming { listener, backoff: None }
     }
 }
 
@@ -87,75 +87,75 @@
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         loop {
-            if let Some(wait) = &mut self.shortage {
+            if let Some(wait) = &mut self.backoff {
                 ready!(wait.as_mut().poll(cx));
-                self.shortage = None;
+                self.backoff = None;
             }
             match ready!(poll_accept(&self.listener, cx)) {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
                     return Poll::Ready(Some(Ok(Accepted(RetryStream::new(stream)))));
                 }
-                Err(_) => self.shortage = Some(Box::pin(sleep(SHORTAGE_WAIT))),
+                Err(_) => self.backoff = Some(Box::pin(sleep(SHORTAGE_BACKOFF))),
             }
         }
     }
 }
 
 /// A client's connection.
-type Dialled = TokioIo<RetryStream<TcpStream>>;
-type Dialling = Pin<Box<dyn Future<Output = io::Result<Dialled>> + Send>>;
+type ClientConnection = TokioIo<RetryStream<TcpStream>>;
+type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<ClientConnection>> + Send>>;
 
-/// Dials one server, whatever the address in a request says.
+/// Connects to one server, whatever the address in a request is.
 #[derive(Clone, Copy, Debug)]
 pub struct Dial(pub SocketAddr);
 
 impl Service<Uri> for Dial {
-    type Response = Dialled;
+    type Response = ClientConnection;
     type Error = io::Error;
-    type Future = Dialling;
+    type Future = ConnectFuture;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, _: Uri) -> Dialling {
-        Box::pin(dial(self.0))
+    fn call(&mut self, _: Uri) -> ConnectFuture {
+        Box::pin(connect_client(self.0))
     }
 }
 
-/// Dials the server that a request's address names; a name is looked up for each connection.
+/// Connects to the server that a request's address names; a host name is resolved for each connection.
 #[derive(Clone, Copy, Debug)]
 pub struct DialNamed;
 
 impl Service<Uri> for DialNamed {
-    type Response = Dialled;
+    type Response = ClientConnection;
     type Error = io::Error;
-    type Future = Dialling;
+    type Future = ConnectFuture;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, uri: Uri) -> Dialling {
+    fn call(&mut self, uri: Uri) -> ConnectFuture {
         Box::pin(async move {
-            let host = uri.host().ok_or_else(|| invalid(&uri))?;
-            let port = uri.port_u16().or_else(|| default_port(&uri)).ok_or_else(|| invalid(&uri))?;
-            // An address of IPv6 stands in brackets in a URI.
+            let host = uri.host().ok_or_else(|| invalid_uri(&uri))?;
+            let port = uri.port_u16().or_else(|| default_port(&uri)).ok_or_else(|| invalid_uri(&uri))?;
+            // An IPv6 address is in brackets in a URI.
             let host = host.trim_start_matches('[').trim_end_matches(']');
-            let mut last = io::Error::new(io::ErrorKind::NotFound, format!("{host}: no address"));
+            let mut last_error = io::Error::new(io::ErrorKind::NotFound, format!("{host}: no address"));
             for addr in lookup_host((host, port)).await? {
-                match dial(addr).await {
-                    Ok(dialled) => return Ok(dialled),
-                    Err(e) => last = e,
+                match connect_client(addr).await {
+                    Ok(connection) => return Ok(connection),
+                    Err(e) => last_error = e,
                 }
             }
-            Err(last)
+            Err(last_error)
         })
     }
 }
 
-fn invalid(uri: &Uri) -> io::Error {
+fn invalid_uri(uri: &Uri) -> io::Error {
     io::Error::new(
         io::ErrorKind::InvalidInput,
         format!("{uri}: expected a host, as in http://127.0.0.1:2379"),
@@ -170,7 +170,7 @@
     }
 }
 
-async fn dial(addr: SocketAddr) -> io::Result<Dialled> {
+async fn connect_client(addr: SocketAddr) -> io::Result<ClientConnection> {
     let stream = connect(addr).await.map_err(io::Error::from)?;
     let _ = stream.set_nodelay(true);
     Ok(TokioIo::new(RetryStream::new(stream)))
--- a/crates/adapters/sockets/src/accept.rs
+++ b/crates/adapters/sockets/src/accept.rs
@@ -1,4 +1,4 @@
-//! Taking connections: errors of a single connection are passed over, a shortage is told.
+//! Accepting connections: errors of a single connection are skipped, a shortage is reported.
 
 use crate::{classify, ErrorClass};
 use socket2::SockRef;
@@ -8,15 +8,15 @@
 use std::task::{ready, Context, Poll};
 use tokio::net::{TcpListener, TcpStream};
 
-/// So many errors in a row concern single connections; more are the listener's own.
-const PASSED_OVER_MOST: usize = 1000;
+/// The most errors in a row that are attributed to single connections; more are the listener's own.
+const MAX_SKIPPED_ERRORS: usize = 1000;
 
-/// Whether an error of accept concerns one connection alone, or none. Linux hands over errors that are pending on the new
-/// connection (accept(2)): these are no error of the listener.
-fn passes(error: &io::Error) -> bool {
+/// Whether an error of accept concerns one connection only, or none. Linux reports errors that are pending on the new
+/// connection (accept(2)): these are not errors of the listener.
+fn is_skippable(error: &io::Error) -> bool {
     match classify(error) {
         ErrorClass::Repeat | ErrorClass::PeerGone | ErrorClass::NoRoute => true,
-        // A firewall forbids this one, or its protocol has no such option.
+        // A firewall forbids this connection, or its protocol has no such option.
         ErrorClass::Other => matches!(error.raw_os_error(), Some(EPERM | ENOPROTOOPT | EOPNOTSUPP)),
         ErrorClass::Shortage => false,
     }
@@ -26,43 +26,44 @@
 const ENOPROTOOPT: i32 = rustix::io::Errno::NOPROTOOPT.raw_os_error();
 const EOPNOTSUPP: i32 = rustix::io::Errno::OPNOTSUPP.raw_os_error();
 
-/// The next connection.
+/// Accepts the next connection.
 ///
 /// # Errors
-/// A shortage, or the listener's own fault.
+/// A shortage, or an error of the listener itself.
 pub async fn accept(listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
     poll_fn(|cx| poll_accept(listener, cx)).await
 }
 
-/// The same for whoever polls.
+/// The poll form of [`accept`].
 pub fn poll_accept(
     listener: &TcpListener,
     cx: &mut Context<'_>,
 ) -> Poll<io::Result<(TcpStream, SocketAddr)>> {
-    let mut passed = 0;
+    let mut skipped = 0;
     loop {
         match ready!(listener.poll_accept(cx)) {
-            Err(e) if passes(&e) && passed < PASSED_OVER_MOST => passed += 1,
+            Err(e) if is_skippable(&e) && skipped < MAX_SKIPPED_ERRORS => skipped += 1,
             other => return Poll::Ready(other),
         }
     }
 }
 
-/// What waited at a listener.
+/// The connections that were queued at a listener.
 #[derive(Debug)]
 pub struct Queued {
-    /// The connections, in the order in which they came.
+    /// The connections, in the order of their arrival.
     pub streams: Vec<TcpStream>,
     /// Why there may be more; `None`: there are no more.
     pub shortage: Option<io::Error>,
 }
 
-/// All connections that wait at a listener now, so many at most, also those of which the runtime has not heard.
-pub fn accept_queued(listener: &TcpListener, most: usize) -> Queued {
+/// Accepts the connections that are queued at a listener now, at most `max`, including those of which the runtime was
+/// not notified yet.
+pub fn accept_queued(listener: &TcpListener, max: usize) -> Queued {
     let socket = SockRef::from(listener);
     let mut queued = Queued { streams: Vec::new(), shortage: None };
-    let mut passed = 0;
-    while queued.streams.len() < most {
+    let mut skipped = 0;
+    while queued.streams.len() < max {
         let accepted = socket.accept().and_then(|(stream, _)| {
             stream.set_nonblocking(true)?;
             TcpStream::from_std(stream.into())
@@ -70,7 +71,7 @@
         match accepted {
             Ok(stream) => queued.streams.push(stream),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return queued,
-            Err(e) if passes(&e) && passed < PASSED_OVER_MOST => passed += 1,
+            Err(e) if is_skippable(&e) && skipped < MAX_SKIPPED_ERRORS => skipped += 1,
             Err(e) => {
                 queued.shortage = Some(e);
                 return queued;
--- a/crates/adapters/sockets/src/class.rs
+++ b/crates/adapters/sockets/src/class.rs
@@ -1,24 +1,24 @@
-//! Errors of socket calls by what has to be done about them.
+//! Errors of socket calls, classified by the reaction to them.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What an error of a socket call says.
+/// The class of an error of a socket call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// Nothing: the call is to be made again.
+    /// The call was interrupted, and has to be repeated.
     Repeat,
-    /// The peer has gone, or this connection with it.
+    /// The peer, or the connection to it, is gone.
     PeerGone,
-    /// This machine lacks descriptors, ports, buffers or memory. It says nothing of any peer.
+    /// This machine lacks descriptors, ports, buffers or memory. It says nothing about any peer.
     Shortage,
-    /// There is no way to the peer.
+    /// There is no route to the peer.
     NoRoute,
-    /// Anything else: the address is refused, or the call is wrong.
+    /// Anything else: the address is rejected, or the call is invalid.
     Other,
 }
 
-/// The class of an error.
+/// Returns the class of an error.
 pub fn classify(error: &io::Error) -> ErrorClass {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ErrorClass::Repeat,
--- a/crates/adapters/sockets/src/connect.rs
+++ b/crates/adapters/sockets/src/connect.rs
@@ -1,24 +1,24 @@
-//! Dialling: what the peer or the way to it refuses is told apart from what this machine lacks.
+//! Connecting: an unreachable peer is distinguished from a shortage on this machine.
 
 use crate::{classify, ErrorClass};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// A dial that signals interrupt is made so often at most.
-const DIALS_MOST: usize = 64;
+/// The most attempts where the call is interrupted.
+const MAX_ATTEMPTS: usize = 64;
 
-/// Why there is no connection.
+/// Why a connection could not be established.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// This machine lacks descriptors, ports, buffers or memory: it says nothing of the peer.
+    /// This machine lacks descriptors, ports, buffers or memory: it says nothing about the peer.
     Shortage(io::Error),
-    /// The peer refuses, or can't be reached.
+    /// The peer rejects the connection, or is unreachable.
     Unreached(io::Error),
 }
 
 impl ConnectError {
-    /// The error itself.
+    /// The underlying error.
     pub fn source(&self) -> &io::Error {
         match self {
             ConnectError::Shortage(e) | ConnectError::Unreached(e) => e,
@@ -34,18 +34,18 @@
     }
 }
 
-/// Connects.
+/// Connects to an address.
 ///
 /// # Errors
 /// See [`ConnectError`].
 pub async fn connect(addr: SocketAddr) -> Result<TcpStream, ConnectError> {
-    let mut dials = 0;
+    let mut attempts = 0;
     loop {
-        dials += 1;
+        attempts += 1;
         match TcpStream::connect(addr).await {
             Ok(stream) => return Ok(stream),
             Err(e) => match classify(&e) {
-                ErrorClass::Repeat if dials < DIALS_MOST => {}
+                ErrorClass::Repeat if attempts < MAX_ATTEMPTS => {}
                 ErrorClass::Repeat | ErrorClass::Shortage => return Err(ConnectError::Shortage(e)),
                 ErrorClass::PeerGone | ErrorClass::NoRoute | ErrorClass::Other => {
                     return Err(ConnectError::Unreached(e))
--- a/crates/adapters/sockets/src/lib.rs
+++ b/crates/adapters/sockets/src/lib.rs
@@ -1,6 +1,6 @@
-//! Sockets as the operating system gives them: calls that a signal interrupts, transfers that move a part, machines that run out
-//! of descriptors or buffers, peers that have gone. What of it concerns nobody above is dealt with here; the rest is told in
-//! classes ([`ErrorClass`]) that say what to do about it.
+//! Sockets with the errors that an operating system produces: interrupted calls, short transfers, machines without
+//! free descriptors or buffers, peers that have gone. Errors without meaning for callers are handled here; the others
+//! are reported by class ([`ErrorClass`]), which says how to react. Protocols are not its subject.
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/adapters/sockets/src/start.rs
+++ b/crates/adapters/sockets/src/start.rs
@@ -1,29 +1,32 @@
-//! Calls that a process makes once, when it starts: it must not end for a shortage that passes.
+//! Calls that a process makes once, at startup: a temporary shortage must not end it.
 
 use crate::{classify, ErrorClass};
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A shortage is waited out for so long.
-const WAIT_MOST: Duration = Duration::from_secs(5);
-const AGAIN: Duration = Duration::from_millis(50);
+/// The longest time to wait for the end of a shortage.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Makes a call again where it is interrupted or the machine lacks descriptors, buffers or memory for it. It blocks.
+/// Repeats a call while it is interrupted, or the machine lacks descriptors, buffers or memory for it. It blocks the
+/// thread.
 ///
 /// # Errors
-/// Anything else, or a shortage that does not pass.
+/// Any other error, or a shortage that does not end.
 pub fn patiently<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let start = Instant::now();
     loop {
         let error = match call() {
-            Ok(done) => return Ok(done),
+            Ok(value) => return Ok(value),
             Err(e) => e,
         };
-        // Of an address to listen at, this says that it is none of this machine's.
-        let lasts = error.kind() == io::ErrorKind::AddrNotAvailable;
+        // For the address of a listener this error means that the address is not this machine's.
+        let is_permanent = error.kind() == io::ErrorKind::AddrNotAvailable;
         match classify(&error) {
             ErrorClass::Repeat => {}
-            ErrorClass::Shortage if !lasts && start.elapsed() < WAIT_MOST => std::thread::sleep(AGAIN),
+            ErrorClass::Shortage if !is_permanent && start.elapsed() < MAX_WAIT => {
+                std::thread::sleep(RETRY_INTERVAL)
+            }
             _ => return Err(error),
         }
     }
--- a/crates/adapters/sockets/src/stream.rs
+++ b/crates/adapters/sockets/src/stream.rs
@@ -1,4 +1,4 @@
-//! A stream whose calls are made again when a signal interrupts them, and whose short transfers lose no wake-up.
+//! A stream that repeats interrupted calls, and whose short transfers lose no wake-up.
 
 use crate::{classify, ErrorClass};
 use std::future::Future;
@@ -10,32 +10,32 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::{sleep, Sleep};
 
-/// A call for which the system has no buffers is made again after this, so often at most.
-const SHORTAGE_WAIT: Duration = Duration::from_millis(5);
-const SHORTAGES_MOST: u32 = 400;
+/// A call for which the system has no buffers is repeated after this time, at most this often.
+const SHORTAGE_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_SHORTAGES: u32 = 400;
 
-/// The calls of a stream that does not block, and the runtime's word on when they can be made.
+/// The calls of a non-blocking stream, and the runtime's notification of when they can be made.
 pub trait ReadyStream {
-    /// Waits until a read may bring something.
+    /// Waits until a read may return data.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     /// Reads once.
     ///
     /// # Errors
-    /// As the system says, `WouldBlock` included.
-    fn try_read(&self, to: &mut [u8]) -> io::Result<usize>;
-    /// Waits until a write may move something.
+    /// As reported by the system, `WouldBlock` included.
+    fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize>;
+    /// Waits until a write may accept data.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     /// Writes once.
     ///
     /// # Errors
-    /// As the system says, `WouldBlock` included.
-    fn try_write(&self, from: &[u8]) -> io::Result<usize>;
+    /// As reported by the system, `WouldBlock` included.
+    fn try_write(&self, data: &[u8]) -> io::Result<usize>;
     /// Writes several parts once.
     ///
     /// # Errors
-    /// As the system says, `WouldBlock` included.
-    fn try_write_vectored(&self, from: &[IoSlice<'_>]) -> io::Result<usize>;
-    /// Ends the sending.
+    /// As reported by the system, `WouldBlock` included.
+    fn try_write_vectored(&self, parts: &[IoSlice<'_>]) -> io::Result<usize>;
+    /// Shuts down the write side.
     fn poll_end(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
@@ -45,17 +45,17 @@
             fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
                 <$stream>::poll_read_ready(self, cx)
             }
-            fn try_read(&self, to: &mut [u8]) -> io::Result<usize> {
-                <$stream>::try_read(self, to)
+            fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
+                <$stream>::try_read(self, buffer)
             }
             fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
                 <$stream>::poll_write_ready(self, cx)
             }
-            fn try_write(&self, from: &[u8]) -> io::Result<usize> {
-                <$stream>::try_write(self, from)
+            fn try_write(&self, data: &[u8]) -> io::Result<usize> {
+                <$stream>::try_write(self, data)
             }
-            fn try_write_vectored(&self, from: &[IoSlice<'_>]) -> io::Result<usize> {
-                <$stream>::try_write_vectored(self, from)
+            fn try_write_vectored(&self, parts: &[IoSlice<'_>]) -> io::Result<usize> {
+                <$stream>::try_write_vectored(self, parts)
             }
             fn poll_end(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
                 AsyncWrite::poll_shutdown(self, cx)
@@ -66,47 +66,48 @@
 
 ready_stream!(TcpStream, UnixStream);
 
-/// A stream for whoever reads and writes through the runtime's traits.
+/// A stream with the runtime's traits for reading and writing.
 ///
-/// The runtime takes a read that brings less than was asked for as the sign that nothing more is there, and waits for the next
-/// edge; where a read is cut short for another reason that edge never comes. Here only `WouldBlock` says that nothing is there.
+/// The runtime takes a read that returns less than the buffer holds as a sign that there is nothing more, and waits
+/// for the next edge; where a read is cut short for another reason that edge never comes. Here only `WouldBlock`
+/// means that there is nothing more.
 #[derive(Debug)]
 pub struct RetryStream<S> {
     stream: S,
-    shortage: Option<Pin<Box<Sleep>>>,
+    backoff: Option<Pin<Box<Sleep>>>,
     shortages: u32,
 }
 
 impl<S> RetryStream<S> {
-    /// Around this stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Self {
-        RetryStream { stream, shortage: None, shortages: 0 }
+        RetryStream { stream, backoff: None, shortages: 0 }
     }
 
-    /// The stream itself.
+    /// The wrapped stream.
     pub fn get_ref(&self) -> &S {
         &self.stream
     }
 
-    /// Waits for the end of a shortage that was met just now.
-    fn poll_shortage(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        if let Some(wait) = &mut self.shortage {
+    /// Waits for the end of the backoff after a shortage.
+    fn poll_backoff(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        if let Some(wait) = &mut self.backoff {
             ready!(wait.as_mut().poll(cx));
-            self.shortage = None;
+            self.backoff = None;
         }
         Poll::Ready(())
     }
 
-    /// What to do about a failed call: `None`: make it again.
-    fn failed(&mut self, error: io::Error) -> Option<io::Error> {
+    /// Handles the error of a call; `None`: repeat the call.
+    fn on_error(&mut self, error: io::Error) -> Option<io::Error> {
         if error.kind() == io::ErrorKind::WouldBlock {
             return None;
         }
         match classify(&error) {
             ErrorClass::Repeat => None,
-            ErrorClass::Shortage if self.shortages < SHORTAGES_MOST => {
+            ErrorClass::Shortage if self.shortages < MAX_SHORTAGES => {
                 self.shortages += 1;
-                self.shortage = Some(Box::pin(sleep(SHORTAGE_WAIT)));
+                self.backoff = Some(Box::pin(sleep(SHORTAGE_BACKOFF)));
                 None
             }
             _ => Some(error),
@@ -121,7 +122,7 @@
         send: impl Fn(&S) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.poll_shortage(cx));
+            ready!(self.poll_backoff(cx));
             ready!(self.stream.poll_write_ready(cx))?;
             match send(&self.stream) {
                 Ok(n) => {
@@ -129,7 +130,7 @@
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) => {
-                    if let Some(e) = self.failed(e) {
+                    if let Some(e) = self.on_error(e) {
                         return Poll::Ready(Err(e));
                     }
                 }
@@ -144,18 +145,18 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let me = &mut *self;
+        let this = &mut *self;
         loop {
-            ready!(me.poll_shortage(cx));
-            ready!(me.stream.poll_read_ready(cx))?;
-            match me.stream.try_read(buf.initialize_unfilled()) {
+            ready!(this.poll_backoff(cx));
+            ready!(this.stream.poll_read_ready(cx))?;
+            match this.stream.try_read(buf.initialize_unfilled()) {
                 Ok(n) => {
-                    me.shortages = 0;
+                    this.shortages = 0;
                     buf.advance(n);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) => {
-                    if let Some(e) = me.failed(e) {
+                    if let Some(e) = this.on_error(e) {
                         return Poll::Ready(Err(e));
                     }
                 }
@@ -165,16 +166,16 @@
 }
 
 impl<S: ReadyStream + Unpin> AsyncWrite for RetryStream<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_send(cx, |s| s.try_write(from))
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_send(cx, |s| s.try_write(data))
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[IoSlice<'_>],
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_send(cx, |s| s.try_write_vectored(from))
+        self.poll_send(cx, |s| s.try_write_vectored(parts))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/adapters/sockets/tests/class.rs
+++ b/crates/adapters/sockets/tests/error_class.rs
@@ -1,4 +1,4 @@
-//! Every error that the manual pages of socket, connect, accept, recv and send name has the class that its answer hangs on.
+//! Every error that the manual pages of socket, connect, accept, recv and send list has the expected class.
 
 use rushquay_sockets::{classify, ErrorClass};
 use rustix::io::Errno;
