--- a/crates/core/supervisor/src/heartbeat.rs
+++ b/crates/core/supervisor/src/heartbeat.rs
@@ -1,28 +1,28 @@
-//! What a process tells its host, several times a second.
+//! The heartbeat that a process sends to its supervisor several times a second.
 
 use serde::{Deserialize, Serialize};
 
-/// A pulse is at most this long, in bytes.
-const MOST: usize = 512;
+/// The longest heartbeat, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 512;
 
-/// A sign of life.
+/// A heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The process.
     pub pid: u32,
-    /// It serves.
+    /// Whether it serves.
     pub yes: bool,
 }
 
 impl Heartbeat {
-    /// As it travels.
+    /// Encodes the heartbeat.
     pub fn bytes(&self) -> Vec<u8> {
         // Plain fields always have a JSON form.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads one; fields that a later program adds are passed over. `None`: it is none.
+    /// Decodes a heartbeat; unknown fields of later programs are ignored. `None`: it is not valid.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        (bytes.len() <= MOST).then(|| serde_json::from_slice(bytes).ok())?
+        (bytes.len() <= MAX_HEARTBEAT_BYTES).then(|| serde_json::from_slice(bytes).ok())?
     }
 }
--- a/crates/core/supervisor/src/lib.rs
+++ b/crates/core/supervisor/src/lib.rs
@@ -1,9 +1,9 @@
-//! The hand on a machine, without the hand: which program a proxy's host has run, when it is replaced by a process of another one,
-//! and when that is gone back from. [`Host`] is told what happens to processes and what is wanted, and says what to do. No I/O;
-//! time is passed in.
+//! The supervisor of a proxy as a state machine: which program runs, when it is replaced by a process of another one,
+//! and when that is rolled back. [`Supervisor`] receives events of processes and the wanted target, and returns the
+//! actions to take. No I/O; time is passed in.
 //!
-//! Processes are known by what the machine says of them and not by what was written down: a host that is killed finds them
-//! again, and never starts a second one beside a first by mistake (`docs/design-host.md`).
+//! Processes are identified by what the operating system reports and not by what was written down: a supervisor that
+//! was killed finds them again, and never starts a second one beside a first by mistake (`docs/design-host.md`).
 #![forbid(unsafe_code)]
 
 mod heartbeat;
@@ -20,8 +20,8 @@
 pub use state_machine::{Action, Supervisor};
 pub use timeouts::{Timeouts, TimeoutsError};
 
-/// A point in time or a span, in nanoseconds of a clock that is never set.
+/// A point in time or a duration, in nanoseconds of a monotonic clock.
 pub type Nanos = u64;
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/core/supervisor/src/process.rs
+++ b/crates/core/supervisor/src/process.rs
@@ -1,66 +1,75 @@
-//! A process as its host knows it.
+//! A process as its supervisor sees it.
 
 use crate::{Nanos, SECOND};
 use rushquay_config_version::Digest;
 
-/// One process. A number that the machine gives out again is told from the first by its start.
+/// The identity of a process. A reused process id is distinguished by the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId {
-    /// When it was started, by the machine's own count: the later of two has the higher one.
+    /// The start by the operating system's own count, which is higher for the later of two.
     pub start: u64,
-    /// Its number.
+    /// The process id.
     pub pid: u32,
 }
 
-/// A process that a host finds when it starts: one that an earlier host of the same folder has started.
+/// A process that a supervisor finds at startup: one that an earlier supervisor of the same folder started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundProcess {
-    /// Which.
+    /// The identity.
     pub id: ProcessId,
-    /// The program that it was started as.
+    /// The program that it was started from.
     pub program: Digest,
 }
 
-/// A process that was heard within this time has not fallen silent.
-const FRESH: Nanos = SECOND;
+/// A process whose last heartbeat is younger than this is not silent.
+const HEARTBEAT_FRESHNESS: Nanos = SECOND;
 
-/// What a process is there for.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// It serves.
+    /// The process that serves.
     Main,
-    /// It comes up beside the one that serves, or is watched there.
+    /// The successor, which starts beside the one that serves, or is observed there.
     Trying,
-    /// It was found, and nobody knows how it came to run: it is told to end once another serves, or serves itself.
+    /// A process that was found, and whose origin is unknown: it is ended once another serves, or serves itself.
     Stray,
-    /// It was told to end at this time.
+    /// It was asked to end at this time.
     Ending(Nanos),
     /// It was killed at this time.
     Killed(Nanos),
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Proc {
+pub(crate) struct Process {
     pub id: ProcessId,
     pub program: Digest,
     pub role: Role,
     /// When it was started, or found.
-    pub began: Nanos,
-    /// Since when it says yes.
-    pub yes: Option<Nanos>,
-    /// From when its silence counts: when it was heard last, and no time in which this host was stopped itself.
-    pub heard: Nanos,
-    /// When it was heard last; `None`: never by this host.
-    pub pulse: Option<Nanos>,
+    pub started_at: Nanos,
+    /// Since when it has been serving.
+    pub serving_since: Option<Nanos>,
+    /// The start of its silence: the last heartbeat, and no time in which this supervisor was suspended itself.
+    pub last_active: Nanos,
+    /// The last heartbeat; `None`: this supervisor has received none.
+    pub last_heartbeat: Option<Nanos>,
 }
 
-impl Proc {
+impl Process {
     pub fn new(id: ProcessId, program: Digest, role: Role, now: Nanos) -> Self {
-        Proc { id, program, role, began: now, yes: None, heard: now, pulse: None }
+        Process {
+            id,
+            program,
+            role,
+            started_at: now,
+            serving_since: None,
+            last_active: now,
+            last_heartbeat: None,
+        }
     }
 
-    /// It serves, by its own word of just now.
-    pub fn serves(&self, now: Nanos) -> bool {
-        self.yes.is_some() && self.pulse.is_some_and(|at| now.saturating_sub(at) < FRESH)
+    /// Whether it serves, by a recent heartbeat.
+    pub fn is_serving(&self, now: Nanos) -> bool {
+        self.serving_since.is_some()
+            && self.last_heartbeat.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_FRESHNESS)
     }
 }
--- a/crates/core/supervisor/src/record.rs
+++ b/crates/core/supervisor/src/record.rs
@@ -1,85 +1,94 @@
-//! What a host keeps on its disk.
+//! The record that a supervisor persists.
 
 use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 
-/// The form of the record.
-const FORM: u32 = 1;
+/// The format version of the record.
+const FORMAT_VERSION: u32 = 1;
 
-/// What is to run, and what it is to act by.
+/// What is to run, and with which settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The program, by the digest of its file.
     pub program: Digest,
-    /// The generation that says so.
+    /// The config version that assigns it.
     pub generation: Digest,
-    /// The assignment as it came; `None`: the host's own file says so.
+    /// The assignment as received; `None`: the supervisor's own file assigns it.
     #[serde(default)]
     pub given: Option<String>,
 }
 
-/// What did not do.
+/// A target that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedTarget {
-    /// What was tried.
+    /// The target.
     pub target: Target,
-    /// What came of it.
+    /// The reason.
     pub why: String,
-    /// How often in a row.
+    /// The number of failures in a row.
     pub times: u32,
 }
 
-/// What is kept: what was told, what has served well, and what has not.
+/// The persisted state: the wanted target, the one that has served well, and the one that has failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupervisorRecord {
-    /// The form of what follows.
+    /// The format version.
     pub form: u32,
-    /// The highest epoch of a control service that was heard: word of an earlier one is not taken.
+    /// The highest epoch of a control service seen: assignments of earlier ones are rejected.
     pub epoch: u64,
-    /// What was told last; `None`: nothing was.
+    /// The last assigned target; `None`: there was none.
     #[serde(default)]
     pub wanted: Option<Target>,
-    /// Whether what was told names its program, or leaves that to the host's own file.
+    /// Whether the assignment names its program, or leaves that to the supervisor's own file.
     #[serde(default)]
     pub named: bool,
-    /// What has served well, and is started where nothing runs.
+    /// The last target that served well, which is started where nothing runs.
     pub good: Target,
-    /// What had before that.
+    /// The one before that.
     #[serde(default)]
     pub before: Option<Target>,
-    /// What is tried beside the good.
+    /// The target of the successor, if one runs.
     #[serde(default)]
     pub trying: Option<Target>,
-    /// What failed last.
+    /// The last failure.
     #[serde(default)]
     pub failed: Option<FailedTarget>,
 }
 
-/// Why a record can't be gone on from.
+/// Why a record can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// It can't be read.
     #[error("not a host's record: {0}")]
     Malformed(String),
-    /// It is of a later form.
-    #[error("a record of form {0}; this program reads form {FORM}: use the version that wrote it")]
+    /// It is of a later format version.
+    #[error("a record of form {0}; this program reads form {FORMAT_VERSION}: use the version that wrote it")]
     Form(u32),
 }
 
 impl SupervisorRecord {
-    /// Nothing was told yet: what the host's own file says is good.
+    /// A record without an assignment: the target of the supervisor's own file is good.
     pub fn new(good: Target) -> Self {
         let (wanted, before, trying, failed) = (None, None, None, None);
-        SupervisorRecord { form: FORM, epoch: 0, wanted, named: false, good, before, trying, failed }
+        SupervisorRecord {
+            form: FORMAT_VERSION,
+            epoch: 0,
+            wanted,
+            named: false,
+            good,
+            before,
+            trying,
+            failed,
+        }
     }
 
-    /// As it is kept.
+    /// Encodes the record.
     pub fn text(&self) -> String {
         // Plain fields always have a JSON form.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads what was kept.
+    /// Decodes a record.
     ///
     /// # Errors
     /// See [`RecordError`].
@@ -87,12 +96,12 @@
         let malformed = |e: serde_json::Error| RecordError::Malformed(e.to_string());
         let value: serde_json::Value = serde_json::from_str(text).map_err(malformed)?;
         match value["form"].as_u64() {
-            Some(form) if form != u64::from(FORM) => Err(RecordError::Form(form as u32)),
+            Some(form) if form != u64::from(FORMAT_VERSION) => Err(RecordError::Form(form as u32)),
             _ => serde_json::from_value(value).map_err(malformed),
         }
     }
 
-    /// The programs that may have to be started: their files are to be held on to.
+    /// The programs that may have to be started: their files must be retained.
     pub fn programs(&self) -> Vec<Digest> {
         let others = [&self.before, &self.trying, &self.wanted].into_iter().flatten();
         let mut all: Vec<Digest> = std::iter::once(&self.good).chain(others).map(|t| t.program).collect();
--- a/crates/core/supervisor/src/report.rs
+++ b/crates/core/supervisor/src/report.rs
@@ -1,80 +1,82 @@
-//! What a host tells the control service of itself.
+//! The report that a supervisor sends to the control service.
 
 use rushquay_config_version::Digest;
 use serde::{Deserialize, Serialize};
 
-/// The form of the report.
-const FORM: u32 = 1;
-/// A report is at most this long, in bytes.
-const MOST: usize = 8 << 10;
-/// A reason is at most this long, in characters.
-pub(crate) const WHY_MOST: usize = 500;
+/// The format version of the report.
+const FORMAT_VERSION: u32 = 1;
+/// The longest report, in bytes.
+const MAX_REPORT_BYTES: usize = 8 << 10;
+/// The longest reason, in characters.
+pub(crate) const MAX_REASON_CHARS: usize = 500;
 
-/// What one host says of itself.
+/// The report of one supervisor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupervisorReport {
-    /// The form of what follows.
+    /// The format version.
     pub form: u32,
-    /// Unix time of the host's start in nanoseconds: another one for each host process.
+    /// Unix time of the supervisor's start in nanoseconds, which identifies its process.
     pub boot: u64,
-    /// Counts up with each report of the process.
+    /// The sequence number of the report.
     pub seq: u64,
     /// The program that serves; `None`: none runs.
     #[serde(default)]
     pub runs: Option<Digest>,
-    /// The program that is tried beside it.
+    /// The program of the successor.
     #[serde(default)]
     pub trying: Option<Digest>,
-    /// The generation that can't be obeyed, and why; `None`: what was told last is obeyed, or is about to be.
+    /// The config version that was rejected, and why; `None`: the last one is active, or is about to be.
     #[serde(default)]
     pub refused: Option<(Digest, String)>,
-    /// What is wrong on this machine.
+    /// The error on this machine.
     #[serde(default)]
     pub fault: Option<String>,
-    /// How many processes ended without being told to, since the host's start.
+    /// The number of processes that ended unexpectedly since the supervisor's start.
     #[serde(default)]
     pub ends: u64,
 }
 
-/// Why a report can't be taken.
+/// Why a report is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SupervisorReportError {
     /// It can't be read.
     #[error("not a host's report: {0}")]
     Malformed(String),
-    /// It is of a later form.
-    #[error("a host's report of form {0}; this control service reads form {FORM}: upgrade it first")]
+    /// It is of a later format version.
+    #[error(
+        "a host's report of form {0}; this control service reads form {FORMAT_VERSION}: upgrade it first"
+    )]
     Form(u32),
-    /// It is larger than one may be.
-    #[error("a host's report beyond its bound of {MOST} bytes")]
+    /// It is too long.
+    #[error("a host's report beyond its bound of {MAX_REPORT_BYTES} bytes")]
     Large,
 }
 
 impl SupervisorReport {
-    /// Of the form that this version writes; `seq` is set by who sends it.
+    /// An empty report of the present format version; the sender sets `seq`.
     pub(crate) fn new(boot: u64) -> Self {
         let (runs, trying, refused, fault) = (None, None, None, None);
-        SupervisorReport { form: FORM, boot, seq: 0, runs, trying, refused, fault, ends: 0 }
+        SupervisorReport { form: FORMAT_VERSION, boot, seq: 0, runs, trying, refused, fault, ends: 0 }
     }
 
-    /// As it travels.
+    /// Encodes the report.
     pub fn text(&self) -> String {
         // Plain fields always have a JSON form.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads what came; fields that a later program adds are passed over.
+    /// Decodes a report; unknown fields of later programs are ignored.
     ///
     /// # Errors
-    /// See [`HostReportError`].
+    /// See [`SupervisorReportError`].
     pub fn read(text: &str) -> Result<Self, SupervisorReportError> {
-        if text.len() > MOST {
+        if text.len() > MAX_REPORT_BYTES {
             return Err(SupervisorReportError::Large);
         }
         let report: Self =
             serde_json::from_str(text).map_err(|e| SupervisorReportError::Malformed(e.to_string()))?;
         match report.form {
-            FORM => Ok(report),
+            FORMAT_VERSION => Ok(report),
             other => Err(SupervisorReportError::Form(other)),
         }
     }
--- a/crates/core/supervisor/src/state_machine.rs
+++ b/crates/core/supervisor/src/state_machine.rs
@@ -1,15 +1,16 @@
-//! The host: what it knows, and what it does next.
+//! The state machine of a supervisor.
 
-use crate::process::{FoundProcess, Proc, ProcessId, Role};
+use crate::process::{FoundProcess, Process, ProcessId, Role};
 use crate::record::{FailedTarget, SupervisorRecord, Target};
-use crate::report::{SupervisorReport, WHY_MOST};
+use crate::report::{SupervisorReport, MAX_REASON_CHARS};
 use crate::{Nanos, Timeouts, SECOND};
 use rushquay_config_version::{ConfigAssignment, Digest};
 
-/// What is to be done. Starting and signalling are the adapter's; it tells what came of each start before it looks again.
+/// An action to take. The adapter starts and signals processes; it reports the result of each start before the next
+/// tick.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start a process of this.
+    /// Start a process of this target.
     Start(Target),
     /// Ask it to end.
     End(ProcessId),
@@ -17,106 +18,106 @@
     Kill(ProcessId),
 }
 
-/// The host of one proxy.
+/// The supervisor of one proxy.
 #[derive(Clone, Debug)]
 pub struct Supervisor {
-    terms: Timeouts,
-    /// What runs where nothing that was told names a program.
+    timeouts: Timeouts,
+    /// The target of this machine's own file, which applies where no assignment names a program.
     own: Target,
     record: SupervisorRecord,
-    procs: Vec<Proc>,
-    /// What is being started, and as what.
+    processes: Vec<Process>,
+    /// The target being started, and its role.
     starting: Option<(Target, Role)>,
-    /// Nothing is started in place of what ended before this time.
+    /// No replacement is started before this time.
     not_before: Nanos,
-    /// What failed is not tried again before this time.
+    /// The failed target is not retried before this time.
     retry_at: Nanos,
-    /// Ends in a row of what serves, without a steady run.
-    row: u32,
-    /// Ends without being told to.
+    /// Unexpected ends in a row of the serving process, without a steady run.
+    failures_in_row: u32,
+    /// The number of unexpected ends.
     ends: u64,
-    /// Word that could not be kept, and so is not obeyed.
-    unkept: Option<(Digest, String)>,
+    /// An assignment that could not be persisted, and so is not applied.
+    unpersisted: Option<(Digest, String)>,
     fault: Option<String>,
-    looked: Nanos,
+    last_tick: Nanos,
 }
 
-/// Looks further apart than this: the host itself was stopped, or had no core, and heard nobody.
-const LOOK_MOST: Nanos = SECOND;
+/// Ticks further apart than this: the supervisor itself was suspended, or had no CPU, and received no heartbeats.
+const MAX_TICK_INTERVAL: Nanos = SECOND;
 
-fn cut(why: &str) -> String {
-    why.chars().take(WHY_MOST).collect()
+fn truncate(reason: &str) -> String {
+    reason.chars().take(MAX_REASON_CHARS).collect()
 }
 
 impl Supervisor {
-    /// A host that starts. `found` are the processes that run already; whoever calls this must be the only host that can start
-    /// any.
+    /// Creates a supervisor. `found` are the processes that run already; the caller must be the only supervisor that
+    /// can start any.
     pub fn new(
-        terms: Timeouts,
+        timeouts: Timeouts,
         own: Target,
         record: SupervisorRecord,
         found: &[FoundProcess],
         now: Nanos,
     ) -> Self {
-        let mut host = Supervisor {
-            terms,
+        let mut supervisor = Supervisor {
+            timeouts,
             own,
             record,
-            procs: Vec::new(),
+            processes: Vec::new(),
             starting: None,
             not_before: now,
             retry_at: now,
-            row: 0,
+            failures_in_row: 0,
             ends: 0,
-            unkept: None,
+            unpersisted: None,
             fault: None,
-            looked: now,
+            last_tick: now,
         };
-        if let Some(failed) = &host.record.failed {
-            host.retry_at = now.saturating_add(terms.pause_after(failed.times));
+        if let Some(failed) = &supervisor.record.failed {
+            supervisor.retry_at = now.saturating_add(timeouts.pause_after(failed.times));
         }
-        host.find(found, now);
-        host
+        supervisor.adopt(found, now);
+        supervisor
     }
 
-    /// Of what runs already the youngest that is known to be good serves, the youngest of what was being tried is watched
-    /// anew, and all else is to end once one of these serves.
-    fn find(&mut self, found: &[FoundProcess], now: Nanos) {
+    /// Assigns roles to running processes: the youngest of the good program serves, the youngest of the target that
+    /// was being tried is observed anew, and all others are ended once one of these serves.
+    fn adopt(&mut self, found: &[FoundProcess], now: Nanos) {
         let mut found = found.to_vec();
         found.sort_by_key(|f| std::cmp::Reverse(f.id));
         let good = self.record.good.program;
         let trying = self.record.trying.as_ref().map(|t| t.program).filter(|program| *program != good);
         for one in found {
-            let has = |role| self.procs.iter().any(|p: &Proc| p.role == role);
+            let has = |role| self.processes.iter().any(|p: &Process| p.role == role);
             let role = match one.program {
                 program if program == good && !has(Role::Main) => Role::Main,
                 program if Some(program) == trying && !has(Role::Trying) => Role::Trying,
                 _ => Role::Stray,
             };
-            self.procs.push(Proc::new(one.id, one.program, role, now));
+            self.processes.push(Process::new(one.id, one.program, role, now));
         }
-        if !self.procs.iter().any(|p| p.role == Role::Trying) {
-            // The host before this one ended before it could start it, or it has ended since: it is tried anew.
+        if !self.processes.iter().any(|p| p.role == Role::Trying) {
+            // The previous supervisor ended before it could start it, or it has ended since: it is tried anew.
             self.record.trying = None;
         }
     }
 
-    /// What is kept.
+    /// The state to persist.
     pub fn record(&self) -> &SupervisorRecord {
         &self.record
     }
 
-    /// The processes that it knows.
+    /// The known processes.
     pub fn processes(&self) -> impl Iterator<Item = ProcessId> + '_ {
-        self.procs.iter().map(|p| p.id)
+        self.processes.iter().map(|p| p.id)
     }
 
-    /// How many serve or may come to serve: told to end are not counted.
+    /// The number of processes that serve or may come to serve, without those that were asked to end.
     pub fn standing(&self) -> usize {
-        self.procs.iter().filter(|p| matches!(p.role, Role::Main | Role::Trying)).count()
+        self.processes.iter().filter(|p| matches!(p.role, Role::Main | Role::Trying)).count()
     }
 
-    /// What is to run.
+    /// The wanted target.
     pub fn target(&self) -> Target {
         match &self.record.wanted {
             Some(wanted) if self.record.named => wanted.clone(),
@@ -125,8 +126,8 @@
         }
     }
 
-    /// A control service of this epoch says what is to run. Returns false where that is word of an epoch that is over: it
-    /// changes nothing.
+    /// Handles an assignment of a control service of this epoch. Returns false where the epoch is over: nothing
+    /// changes.
     pub fn told(&mut self, epoch: u64, given: &ConfigAssignment) -> bool {
         if epoch < self.record.epoch {
             return false;
@@ -143,70 +144,70 @@
             self.record.failed = None;
         }
         (self.record.wanted, self.record.named) = (Some(target), named.is_some());
-        self.unkept = None;
+        self.unpersisted = None;
         true
     }
 
-    /// Whether word may be obeyed though it can't be kept: it leads to a program that has served well here. Danger: a disk that
-    /// is full must not be what holds a machine at a bad version.
+    /// Whether an assignment may be applied though it can't be persisted: it leads to a program that has served well
+    /// here. Danger: a full disk must not hold a machine at a bad version.
     pub fn known_good(&self, given: &ConfigAssignment) -> bool {
         let program = given.generation.program().unwrap_or(self.own.program);
         let served = [Some(&self.record.good), self.record.before.as_ref(), Some(&self.own)];
         served.into_iter().flatten().any(|t| t.program == program)
     }
 
-    /// Word could not be kept and so is not obeyed.
+    /// Records that an assignment could not be persisted and so is not applied.
     pub fn not_kept(&mut self, given: &ConfigAssignment, why: &str) {
-        self.unkept = Some((given.generation.digest(), cut(why)));
+        self.unpersisted = Some((given.generation.digest(), truncate(why)));
     }
 
-    /// Something is wrong on this machine; `None`: it is no more.
+    /// Sets or clears the error on this machine.
     pub fn fault(&mut self, fault: Option<String>) {
-        self.fault = fault.map(|f| cut(&f));
+        self.fault = fault.map(|f| truncate(&f));
     }
 
-    /// A process says something of itself.
+    /// Handles a heartbeat.
     pub fn pulse(&mut self, pid: u32, yes: bool, now: Nanos) {
-        if let Some(one) = self.procs.iter_mut().find(|p| p.id.pid == pid) {
-            (one.heard, one.pulse) = (now, Some(now));
+        if let Some(one) = self.processes.iter_mut().find(|p| p.id.pid == pid) {
+            (one.last_active, one.last_heartbeat) = (now, Some(now));
             if yes {
-                one.yes.get_or_insert(now);
+                one.serving_since.get_or_insert(now);
             }
         }
     }
 
-    /// What was to be started runs.
+    /// Called when the process that was to be started runs.
     pub fn started(&mut self, id: ProcessId, now: Nanos) {
         if let Some((target, role)) = self.starting.take() {
             self.fault = None;
-            self.procs.push(Proc::new(id, target.program, role, now));
+            self.processes.push(Process::new(id, target.program, role, now));
         }
     }
 
-    /// What was to be started could not be.
+    /// Called when the process could not be started.
     pub fn not_started(&mut self, why: &str, now: Nanos) {
         match self.starting.take() {
             Some((target, Role::Trying)) => {
                 self.record.trying = None;
-                self.failed(target, why.to_owned(), now);
+                self.record_failure(target, why.to_owned(), now);
             }
             Some((target, _)) => {
-                self.fault = Some(cut(why));
+                self.fault = Some(truncate(why));
                 self.ended(&target, why, now);
             }
             None => {}
         }
     }
 
-    /// A process has ended.
+    /// Called when a process has ended.
     pub fn gone(&mut self, id: ProcessId, how: &str, now: Nanos) {
-        let Some(at) = self.procs.iter().position(|p| p.id == id) else { return };
-        let one = self.procs.remove(at);
+        let Some(at) = self.processes.iter().position(|p| p.id == id) else { return };
+        let one = self.processes.remove(at);
         match one.role {
             Role::Main => self.main_ended(one, &format!("its process ended by itself: {how}"), now),
             Role::Trying => {
                 self.ends += 1;
-                let why = match one.yes {
+                let why = match one.serving_since {
                     None => format!("its process ended without a yes: {how}"),
                     Some(yes) => {
                         let after = now.saturating_sub(yes) as f64 / SECOND as f64;
@@ -214,183 +215,188 @@
                     }
                 };
                 if let Some(target) = self.record.trying.take() {
-                    self.failed(target, why, now);
+                    self.record_failure(target, why, now);
                 }
             }
             Role::Stray | Role::Ending(_) | Role::Killed(_) => {}
         }
     }
 
-    /// The process that serves has ended without being told to.
-    fn main_ended(&mut self, main: Proc, why: &str, now: Nanos) {
+    /// Handles an unexpected end of the serving process.
+    fn main_ended(&mut self, main: Process, why: &str, now: Nanos) {
         self.ends += 1;
-        if now.saturating_sub(main.began) >= self.terms.steady {
-            self.row = 0;
+        if now.saturating_sub(main.started_at) >= self.timeouts.steady {
+            self.failures_in_row = 0;
         }
-        // One that only happened to run says nothing of what is good.
+        // A process of another program that happened to run proves nothing about the good one.
         if main.program == self.record.good.program {
             self.ended(&self.record.good.clone(), why, now);
         }
     }
 
-    /// What serves has ended, or could not be started.
+    /// Records that the serving process has ended, or could not be started, and rolls back after too many failures.
     fn ended(&mut self, target: &Target, why: &str, now: Nanos) {
-        self.row += 1;
-        self.not_before = now.saturating_add(self.terms.pause_after(self.row));
-        if self.row < self.terms.ends_most {
+        self.failures_in_row += 1;
+        self.not_before = now.saturating_add(self.timeouts.pause_after(self.failures_in_row));
+        if self.failures_in_row < self.timeouts.ends_most {
             return;
         }
-        // What served before it; else what is wanted by now; else what this machine's own file says.
+        // The target that served before; else the wanted one; else that of this machine's own file.
         let others = [self.record.before.take(), Some(self.target()), Some(self.own.clone())];
         if let Some(other) = others.into_iter().flatten().find(|t| t.program != target.program) {
-            let why = format!("{} times without a steady run: {why}", self.row);
+            let why = format!("{} times without a steady run: {why}", self.failures_in_row);
             self.record.good = other;
-            self.failed(target.clone(), why, now);
-            (self.row, self.not_before) = (0, now);
+            self.record_failure(target.clone(), why, now);
+            (self.failures_in_row, self.not_before) = (0, now);
         }
     }
 
-    /// What was tried did not do.
-    fn failed(&mut self, target: Target, why: String, now: Nanos) {
+    /// Records the failure of a target.
+    fn record_failure(&mut self, target: Target, why: String, now: Nanos) {
         let same = self.record.failed.take().filter(|f| f.target.program == target.program);
         let times = same.map_or(1, |f| f.times + 1);
-        self.retry_at = now.saturating_add(self.terms.pause_after(times));
-        self.record.failed = Some(FailedTarget { target, why: cut(&why), times });
+        self.retry_at = now.saturating_add(self.timeouts.pause_after(times));
+        self.record.failed = Some(FailedTarget { target, why: truncate(&why), times });
     }
 
-    fn with(&self, role: Role) -> Option<Proc> {
-        self.procs.iter().copied().find(|p| p.role == role)
+    fn find_role(&self, role: Role) -> Option<Process> {
+        self.processes.iter().copied().find(|p| p.role == role)
     }
 
-    fn set(&mut self, id: ProcessId, role: Role) {
-        self.procs.iter_mut().filter(|p| p.id == id).for_each(|p| p.role = role);
+    fn set_role(&mut self, id: ProcessId, role: Role) {
+        self.processes.iter_mut().filter(|p| p.id == id).for_each(|p| p.role = role);
     }
 
-    /// What is to be done now. At most one process is started at a time.
+    /// Advances to the time `now`, and returns the actions to take. At most one process is started at a time.
     pub fn look(&mut self, now: Nanos) -> Vec<Action> {
-        // Danger: what was said while this host was stopped is read after the first look; silence that is its own is nobody's fault.
-        let missed = now.saturating_sub(std::mem::replace(&mut self.looked, now));
-        if missed > LOOK_MOST {
-            for one in &mut self.procs {
-                one.heard = one.heard.saturating_add(missed).min(now);
-                one.began = one.began.saturating_add(missed).min(now);
-                // Nobody watched meanwhile.
-                one.yes = one.yes.map(|yes| yes.saturating_add(missed).min(now));
+        // Danger: heartbeats sent while this supervisor was suspended are read after its first tick; the silence that
+        // it caused itself must not be blamed on a process.
+        let missed = now.saturating_sub(std::mem::replace(&mut self.last_tick, now));
+        if missed > MAX_TICK_INTERVAL {
+            for one in &mut self.processes {
+                one.last_active = one.last_active.saturating_add(missed).min(now);
+                one.started_at = one.started_at.saturating_add(missed).min(now);
+                // It was not observed meanwhile.
+                one.serving_since = one.serving_since.map(|yes| yes.saturating_add(missed).min(now));
             }
         }
-        let mut acts = Vec::new();
-        self.look_at_ending(now, &mut acts);
-        self.look_at_main(now, &mut acts);
-        self.look_at_trying(now, &mut acts);
+        let mut actions = Vec::new();
+        self.tick_ending(now, &mut actions);
+        self.tick_main(now, &mut actions);
+        self.tick_trying(now, &mut actions);
         self.take_settings();
-        if let Some((target, role)) = self.next(now) {
+        if let Some((target, role)) = self.next_start(now) {
             if role == Role::Trying {
                 self.record.trying = Some(target.clone());
             }
             self.starting = Some((target.clone(), role));
-            acts.push(Action::Start(target));
+            actions.push(Action::Start(target));
         }
-        acts
+        actions
     }
 
-    fn look_at_ending(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let drain = self.terms.drain;
-        // Danger: where the record is older than what runs, a stray may be all that serves.
+    fn tick_ending(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let drain = self.timeouts.drain;
+        // Danger: where the record is older than what runs, a stray process may be all that serves.
         if self.standing() == 0 {
-            let strays = self.procs.iter_mut().filter(|p| p.role == Role::Stray);
+            let strays = self.processes.iter_mut().filter(|p| p.role == Role::Stray);
             strays.max_by_key(|p| p.id).into_iter().for_each(|p| p.role = Role::Main);
         }
-        let serves = |p: &Proc| matches!(p.role, Role::Main | Role::Trying) && p.serves(now);
-        let others = self.procs.iter().any(serves);
-        for one in &mut self.procs {
+        let serves = |p: &Process| matches!(p.role, Role::Main | Role::Trying) && p.is_serving(now);
+        let others = self.processes.iter().any(serves);
+        for one in &mut self.processes {
             match one.role {
-                // A host before this one may have told it, or not.
+                // The previous supervisor may have asked it to end, or not.
                 Role::Stray if others => {
                     one.role = Role::Ending(now);
-                    acts.push(Action::End(one.id));
+                    actions.push(Action::End(one.id));
                 }
                 Role::Ending(since) if now.saturating_sub(since) >= drain => {
                     one.role = Role::Killed(now);
-                    acts.push(Action::Kill(one.id));
+                    actions.push(Action::Kill(one.id));
                 }
-                // It was asked, and asking may have failed.
+                // It was killed before, which may have failed.
                 Role::Killed(since) if now.saturating_sub(since) >= drain => {
                     one.role = Role::Killed(now);
-                    acts.push(Action::Kill(one.id));
+                    actions.push(Action::Kill(one.id));
                 }
                 _ => {}
             }
         }
     }
 
-    fn look_at_main(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let Some(main) = self.with(Role::Main) else { return };
-        let steady = now.saturating_sub(main.began) >= self.terms.steady;
+    fn tick_main(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let Some(main) = self.find_role(Role::Main) else { return };
+        let is_steady = now.saturating_sub(main.started_at) >= self.timeouts.steady;
         let target = self.target();
-        if steady
-            && main.serves(now)
+        if is_steady
+            && main.is_serving(now)
             && main.program == target.program
             && main.program != self.record.good.program
         {
-            // It was found running: what is wanted serves, and so it is good.
+            // It was found running: the wanted target serves, and so it is good.
             self.record.before = Some(std::mem::replace(&mut self.record.good, target));
         }
-        self.record.failed.take_if(|f| steady && f.target.program == main.program);
-        let why = match main.yes {
-            None if now.saturating_sub(main.began) >= self.terms.yes_within => "it did not say yes in time",
-            Some(_) if now.saturating_sub(main.heard) >= self.terms.hang => "it hung",
+        self.record.failed.take_if(|f| is_steady && f.target.program == main.program);
+        let why = match main.serving_since {
+            None if now.saturating_sub(main.started_at) >= self.timeouts.yes_within => {
+                "it did not say yes in time"
+            }
+            Some(_) if now.saturating_sub(main.last_active) >= self.timeouts.hang => "it hung",
             _ => return,
         };
-        self.set(main.id, Role::Killed(now));
-        acts.push(Action::Kill(main.id));
+        self.set_role(main.id, Role::Killed(now));
+        actions.push(Action::Kill(main.id));
         self.main_ended(main, &format!("{why} and was killed"), now);
     }
 
-    fn look_at_trying(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let Some(new) = self.with(Role::Trying) else { return };
+    fn tick_trying(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let Some(new) = self.find_role(Role::Trying) else { return };
         let Some(target) = self.record.trying.clone() else { return };
-        let silent = now.saturating_sub(new.heard);
+        let silent = now.saturating_sub(new.last_active);
         let seconds = |span: Nanos| span as f64 / SECOND as f64;
-        let why = match new.yes {
-            None if now.saturating_sub(new.began) >= self.terms.yes_within => {
-                Some(format!("it did not say yes within {} s", seconds(self.terms.yes_within)))
+        let why = match new.serving_since {
+            None if now.saturating_sub(new.started_at) >= self.timeouts.yes_within => {
+                Some(format!("it did not say yes within {} s", seconds(self.timeouts.yes_within)))
             }
-            Some(_) if silent >= self.terms.hang => {
+            Some(_) if silent >= self.timeouts.hang => {
                 Some(format!("it hung after its yes: nothing heard for {:.1} s", seconds(silent)))
             }
             _ => None,
         };
         if let Some(why) = why {
-            self.set(new.id, Role::Killed(now));
-            acts.push(Action::Kill(new.id));
+            self.set_role(new.id, Role::Killed(now));
+            actions.push(Action::Kill(new.id));
             self.record.trying = None;
-            self.failed(target, why, now);
+            self.record_failure(target, why, now);
             return;
         }
-        let main = self.with(Role::Main);
-        // Danger: the old one may hang, or be on its way up itself.
-        if self.target().program != target.program && main.is_some_and(|m| m.serves(now)) {
-            // Wanted no more: the old one serves on.
+        let main = self.find_role(Role::Main);
+        // Danger: the incumbent may hang, or be starting itself.
+        if self.target().program != target.program && main.is_some_and(|m| m.is_serving(now)) {
+            // The successor is no longer wanted: the incumbent continues.
             self.record.trying = None;
-            self.set(new.id, Role::Ending(now));
-            acts.push(Action::End(new.id));
+            self.set_role(new.id, Role::Ending(now));
+            actions.push(Action::End(new.id));
             return;
         }
-        // Danger: one that has just fallen silent would have the old one ended, and then be found to hang.
-        if new.serves(now) && new.yes.is_some_and(|yes| now.saturating_sub(yes) >= self.terms.watch) {
+        // Danger: a successor that has just fallen silent would have the incumbent ended, and then be found to hang.
+        if new.is_serving(now)
+            && new.serving_since.is_some_and(|yes| now.saturating_sub(yes) >= self.timeouts.watch)
+        {
             let before = std::mem::replace(&mut self.record.good, target);
-            // What failed of it before is kept until it has run steadily, so that pauses grow.
+            // The record of its earlier failures stays until it has run steadily, so that the backoff grows.
             (self.record.before, self.record.trying) = (Some(before), None);
-            self.row = 0;
-            self.set(new.id, Role::Main);
+            self.failures_in_row = 0;
+            self.set_role(new.id, Role::Main);
             if let Some(old) = main {
-                self.set(old.id, Role::Ending(now));
-                acts.push(Action::End(old.id));
+                self.set_role(old.id, Role::Ending(now));
+                actions.push(Action::End(old.id));
             }
         }
     }
 
-    /// Settings alone are taken by the process that runs: its host follows.
+    /// Settings without another program are applied by the running process: the target follows.
     fn take_settings(&mut self) {
         let target = self.target();
         if target.program == self.record.good.program && target != self.record.good {
@@ -398,26 +404,27 @@
         }
     }
 
-    /// What is to be started, and as what.
-    fn next(&self, now: Nanos) -> Option<(Target, Role)> {
-        if self.starting.is_some() || self.with(Role::Trying).is_some() {
+    /// The target to start next, and its role.
+    fn next_start(&self, now: Nanos) -> Option<(Target, Role)> {
+        if self.starting.is_some() || self.find_role(Role::Trying).is_some() {
             return None;
         }
-        let Some(main) = self.with(Role::Main) else {
+        let Some(main) = self.find_role(Role::Main) else {
             return (now >= self.not_before).then(|| (self.record.good.clone(), Role::Main));
         };
         let target = self.target();
         let waits = self.record.failed.as_ref().is_some_and(|f| f.target.program == target.program);
-        // Danger: beside one that is still ending a new process is told to wait, and would miss its time for a yes.
-        let alone = self.procs.len() == 1;
-        let due = main.serves(now) && alone && !(waits && now < self.retry_at);
+        // Danger: beside a process that is still ending a successor would be told to wait, and would miss its time to
+        // serve.
+        let alone = self.processes.len() == 1;
+        let due = main.is_serving(now) && alone && !(waits && now < self.retry_at);
         (due && target.program != main.program).then_some((target, Role::Trying))
     }
 
-    /// What to tell a control service. `boot` is this host's start; who sends it counts `seq`.
+    /// The report for a control service. `boot` is this supervisor's start; the sender counts `seq`.
     pub fn report(&self, boot: u64, seq: u64) -> SupervisorReport {
         let target = self.target();
-        let main = self.with(Role::Main).map(|p| p.program);
+        let main = self.find_role(Role::Main).map(|p| p.program);
         let fails = |f: &&FailedTarget| f.target.program == target.program && main != Some(target.program);
         let failed = self.record.failed.as_ref().filter(fails);
         let failed =
@@ -425,8 +432,8 @@
         SupervisorReport {
             seq,
             runs: main,
-            trying: self.with(Role::Trying).map(|p| p.program),
-            refused: self.unkept.clone().or(failed),
+            trying: self.find_role(Role::Trying).map(|p| p.program),
+            refused: self.unpersisted.clone().or(failed),
             fault: self.fault.clone(),
             ends: self.ends,
             ..SupervisorReport::new(boot)
--- a/crates/core/supervisor/src/timeouts.rs
+++ b/crates/core/supervisor/src/timeouts.rs
@@ -1,25 +1,25 @@
-//! Spans by which a host judges its processes.
+//! The timeouts by which a supervisor judges its processes.
 
 use crate::{Nanos, SECOND};
 
-/// Spans, in nanoseconds.
+/// Timeouts, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// A new process says yes within this time.
+    /// A successor has to be serving within this time.
     pub yes_within: Nanos,
-    /// From its yes on a new process is watched for so long beside the old one.
+    /// How long a serving successor is observed beside the incumbent.
     pub watch: Nanos,
-    /// A process that says nothing for so long hangs.
+    /// A process without a heartbeat for this time hangs.
     pub hang: Nanos,
-    /// A process that was told to end is killed after this time.
+    /// A process that was asked to end is killed after this time.
     pub drain: Nanos,
-    /// The first pause after a failure; it doubles.
+    /// The initial backoff after a failure; it doubles.
     pub pause: Nanos,
-    /// The longest pause.
+    /// The maximal backoff.
     pub pause_most: Nanos,
-    /// A process that ran for so long had not failed: the next end is counted anew.
+    /// A process that ran for this time is steady: the next unexpected end is counted from 1.
     pub steady: Nanos,
-    /// A program whose processes end so often without a steady run is gone back from.
+    /// After this many ends in a row without a steady run the program is rolled back.
     pub ends_most: u32,
 }
 
@@ -38,28 +38,28 @@
     }
 }
 
-/// A span out of its bounds.
+/// A timeout out of its bounds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct TimeoutsError {
-    /// The field, as settings name it.
+    /// The field, by its name in settings.
     pub field: &'static str,
-    /// What is expected.
+    /// The expected value.
     pub expected: &'static str,
 }
 
 impl Timeouts {
-    /// The same spans, where they can be worked with.
+    /// Validates the timeouts.
     ///
     /// # Errors
-    /// The first field that can't.
+    /// The first invalid field.
     pub fn checked(self) -> Result<Self, TimeoutsError> {
         let need =
             |holds, field, expected| if holds { Ok(()) } else { Err(TimeoutsError { field, expected }) };
         let within = |span: Nanos| (SECOND / 10..=3600 * SECOND).contains(&span);
         need(within(self.yes_within), "yes_within_s", "seconds from 0.1 to 3600")?;
         need(within(self.watch), "watch_s", "seconds from 0.1 to 3600")?;
-        // Danger: pulses come four times a second, and a busy machine delays them.
+        // Danger: heartbeats come four times a second, and a busy machine delays them.
         need(self.hang >= SECOND && within(self.hang), "hang_s", "seconds from 1 to 3600")?;
         need(within(self.drain), "drain_s", "seconds from 0.1 to 3600")?;
         need(within(self.pause), "pause_s", "seconds from 0.1 to 3600")?;
@@ -69,7 +69,7 @@
         Ok(self)
     }
 
-    /// The pause after the nth failure in a row, from 1.
+    /// The backoff after the nth failure in a row, from 1.
     pub fn pause_after(&self, failures: u32) -> Nanos {
         let doubled = self.pause.saturating_mul(1 << failures.saturating_sub(1).min(30));
         doubled.min(self.pause_most)
--- a/crates/core/supervisor/tests/walk.rs
+++ b/crates/core/supervisor/tests/simulated_machine.rs
@@ -1,5 +1,5 @@
-//! The host against a machine that is played: processes that don't say yes, end, hang or leave files behind, hosts that are
-//! killed between any two steps, disks that keep nothing, and word of epochs that are over.
+//! The supervisor on a simulated machine: processes that do not start serving, end, hang or leave files behind,
+//! supervisors that are killed between any two steps, disks that persist nothing, and assignments of earlier epochs.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -31,7 +31,7 @@
 }
 
 impl Life {
-    /// It serves, and nobody has asked it not to.
+    /// It serves, and nobody has asked it to end.
     fn well(&self) -> bool {
         self.yes.is_some() && !self.told && self.hung.is_none()
     }
@@ -41,7 +41,7 @@
     kinds: Vec<Kind>,
     lives: Vec<Life>,
     host: Supervisor,
-    /// What is on the disk.
+    /// The record on the disk.
     kept: SupervisorRecord,
     full: bool,
     now: u64,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// As the adapter does: word counts once it is kept, or where it leads back.
+    /// As the adapter does: an assignment is applied once it is persisted, or where it leads back.
     fn tell(&mut self, epoch: u64, program: usize, change: u64) {
         let (before, given) = (self.host.clone(), wants(program, change));
         if !self.host.told(epoch, &given) {
@@ -93,7 +93,7 @@
         self.keep();
     }
 
-    /// The host is killed and another one starts.
+    /// The supervisor is killed and another one starts.
     fn kill_host(&mut self) {
         let found: Vec<FoundProcess> =
             self.lives.iter().map(|l| FoundProcess { id: l.id, program: digest(l.program) }).collect();
@@ -104,7 +104,7 @@
         self.lives.iter().copied().filter(|l| !l.told).collect()
     }
 
-    /// One step of time; `dies`: the host is killed after so many acts.
+    /// One step of time; `dies`: the supervisor is killed after this many actions.
     fn step(&mut self, dies: Option<usize>) {
         self.now += STEP;
         let now = self.now;
@@ -166,7 +166,7 @@
                     let id = ProcessId { start: self.starts, pid: self.starts as u32 };
                     let life = Life { id, program, born: now, yes: None, told: false, hung: None };
                     self.lives.push(life);
-                    // Killed just after the start, before anything is known of it.
+                    // Killed just after the start, before anything is known of the process.
                     if dies == Some(n + 1) {
                         return self.kill_host();
                     }
@@ -179,7 +179,7 @@
                 }
             }
         }
-        // Who fell silent just now is not known to.
+        // A process that fell silent just now is not known to be.
         let just = |l: &&Life| l.hung.is_some_and(|at| now - at < SECOND) && !l.told;
         let left = self.lives.iter().filter(|l| l.well() || just(l)).count();
         assert!(well == 0 || left > 0, "nobody is left that serves of {lives:?}: {did:?} by {before}");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_new_program_is_watched_beside_the_old_one_and_takes_over() {
+fn a_successor_is_observed_beside_the_incumbent_and_takes_over() {
     let mut world = World::new(&[Kind::Well, Kind::Well]);
     world.run(5);
     assert_eq!(world.serves(), [0]);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn what_does_not_do_is_gone_back_from_and_told() {
+fn a_failing_target_is_rolled_back_and_reported() {
     let cases = [
         (Kind::NeverYes, "did not say yes within 10 s"),
         (Kind::Ends(SECOND), "ended 1.0 s after its yes: exit status 1"),
@@ -224,13 +224,13 @@
         assert!(world.serves().contains(&0), "{kind:?}: {:?}", world.lives);
         let (generation, said) = world.host.report(1, 1).refused.expect("told");
         assert!(said.contains(why) && generation == wants(1, 1).generation.digest(), "{kind:?}: {said}");
-        // It is tried again, but ever less often.
+        // It is retried, but ever less often.
         let before = world.starts;
         world.run(2000);
         let times = world.host.record().failed.as_ref().expect("failed").times;
         assert!((6..=14).contains(&times), "{kind:?}: tried {times} times");
         assert!(world.starts - before <= 13 && world.serves().contains(&0), "{kind:?}");
-        // Told to go back, it has nothing left to refuse.
+        // With an assignment that leads back it has nothing left to reject.
         world.tell(1, 0, 2);
         world.run(80);
         assert_eq!((world.serves(), world.host.report(1, 1).refused), (vec![0], None), "{kind:?}");
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn one_that_was_taken_for_good_and_ends_again_and_again_is_gone_back_from() {
+fn a_good_program_that_ends_repeatedly_is_rolled_back() {
     let mut world = World::new(&[Kind::Well, Kind::Ends(15 * SECOND)]);
     world.run(3);
     world.tell(1, 1, 1);
@@ -254,7 +254,7 @@
             .filter(|_| world.host.record().good.program == digest(0)));
     }
     assert!(told.expect("told").1.contains("3 times without a steady run"));
-    // It passes each watch, and is tried ever less often all the same.
+    // It passes each observation, and is retried ever less often all the same.
     let before = world.starts;
     world.run(4000);
     let times = world.host.record().failed.as_ref().expect("failed").times;
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_host_that_was_stopped_kills_nobody_for_its_own_silence() {
+fn a_suspended_supervisor_does_not_kill_processes_for_its_own_silence() {
     let mut world = World::new(&[Kind::Well]);
     world.run(5);
     world.now += 3600 * SECOND;
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn word_of_an_epoch_that_is_over_changes_nothing() {
+fn an_assignment_of_an_earlier_epoch_changes_nothing() {
     let mut world = World::new(&[Kind::Well, Kind::Well]);
     world.run(5);
     world.tell(7, 0, 2);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn with_a_full_disk_it_goes_back_but_not_on() {
+fn with_a_full_disk_it_rolls_back_but_not_forward() {
     let mut world = World::new(&[Kind::Well, Kind::Well, Kind::Well]);
     world.run(5);
     world.tell(1, 1, 1);
@@ -300,9 +300,9 @@
     assert_eq!((world.serves(), world.host.report(1, 1).refused), (vec![0], None));
 }
 
-/// Hosts killed at any act of a change, with one and with two processes running: the next one finds them.
+/// Supervisors killed at any action of a change, with one and with two processes running: the next one finds them.
 #[test]
-fn a_host_killed_between_any_two_acts_is_followed_by_one_that_finds_all() {
+fn a_supervisor_killed_between_any_two_actions_is_followed_by_one_that_finds_all_processes() {
     for at in 0..200 {
         for act in 0..2 {
             let mut world = World::new(&[Kind::Well, Kind::Well]);
@@ -322,9 +322,9 @@
     }
 }
 
-/// The record is older than what runs, and what it names can't be started: what serves stays, and is watched.
+/// The record is older than what runs, and its target can't be started: the serving process stays, and is observed.
 #[test]
-fn what_serves_is_kept_whatever_the_record_says() {
+fn a_serving_process_stays_whatever_the_record_says() {
     let mut world = World::new(&[Kind::Well, Kind::Well]);
     world.run(5);
     world.tell(1, 1, 1);
@@ -335,10 +335,10 @@
     assert_eq!((world.serves(), world.host.report(1, 1).runs), (vec![1], Some(digest(1))));
 }
 
-/// Everything at once, from a seed: in no step is the last process that serves told to end, and in the end, when nothing fails
-/// any more, one process serves: of what is wanted, if that is any good.
+/// Everything at once, from a seed: in no step is the last serving process asked to end, and in the end, when nothing
+/// fails any more, one process serves: of the wanted target, if that is good.
 #[test]
-fn whatever_fails_one_serves_in_the_end() {
+fn one_process_serves_in_the_end_whatever_fails() {
     let seed = std::env::var("RUSHQUAY_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(31u64);
     println!("seed {seed}");
     for play in 0..100u64 {
@@ -364,7 +364,7 @@
                 3 => world.tell(world.epoch - 1, random.random_range(0..3usize), change),
                 4 => world.full = !world.full,
                 5 => {
-                    // Anything may end at any time.
+                    // Any process may end at any time.
                     let any = random.random_range(0..2usize);
                     if let Some(life) = world.lives.get(any).copied() {
                         world.lives.retain(|l| l.id != life.id);
