--- a/crates/core/handover/src/incumbent.rs
+++ b/crates/core/handover/src/incumbent.rs
@@ -1,19 +1,19 @@
-//! The old side: the process that listens, and may have to hand that on.
+//! The incumbent: the process that listens, and may hand its listener over.
 
 use crate::{HandoverState, IncumbentMessage, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 
-/// A connection of a process that wants to take over; its number is never used twice.
+/// A connection of a possible successor; its number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Peer(pub u64);
 
-/// What to say to a new process.
+/// The reply to a successor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// This, with the listening socket.
+    /// This message with the listening socket.
     WithListener(IncumbentMessage),
-    /// This alone, and the connection goes on.
+    /// This message only; the connection stays open.
     And(IncumbentMessage),
-    /// This alone, and then the connection ends.
+    /// This message only; then the connection is closed.
     Only(IncumbentMessage),
 }
 
@@ -21,7 +21,7 @@
 enum State {
     Alone,
     Offered(Peer),
-    /// The new process serves.
+    /// The successor serves.
     Succeeded(Peer),
 }
 
@@ -30,29 +30,29 @@
 pub struct Incumbent {
     whole: ResourceShare,
     state: State,
-    /// What it may hold while the process before it still runs.
+    /// Its share while the process before it still runs.
     beside: Option<ResourceShare>,
-    /// It listens no more.
-    closed: bool,
+    /// It no longer listens.
+    is_closed: bool,
 }
 
 impl Incumbent {
-    /// With the limits of the whole proxy.
+    /// An incumbent with the limits of the whole proxy.
     pub fn new(whole: ResourceShare) -> Self {
-        Incumbent { whole, state: State::Alone, beside: None, closed: false }
+        Incumbent { whole, state: State::Alone, beside: None, is_closed: false }
     }
 
-    /// One that holds so much while the process runs that it takes over from.
+    /// An incumbent with this share while the process runs that it took over from.
     pub fn beside(whole: ResourceShare, share: ResourceShare) -> Self {
         Incumbent { beside: Some(share), ..Incumbent::new(whole) }
     }
 
-    /// The process before it has ended.
+    /// Called when the process before it has ended.
     pub fn alone(&mut self) {
         self.beside = None;
     }
 
-    /// What this process may hold now.
+    /// The present share of this process.
     pub fn share(&self) -> ResourceShare {
         match (self.state, self.beside) {
             (State::Alone, Some(share)) => share,
@@ -61,30 +61,31 @@
         }
     }
 
-    /// Whether a new process serves in its place, so that it need not accept any more.
+    /// Whether a successor serves, so that this process need not accept any more.
     pub fn succeeded(&self) -> bool {
         matches!(self.state, State::Succeeded(_))
     }
 
-    /// A process has said something; `held`: descriptors that this one holds; `known`: what it knows, asked for only if it is
-    /// handed on, since to tell it may be to give it away. `None`: nothing is to be said.
+    /// Handles a message of a possible successor; `held`: the descriptors that this process has open; `known`:
+    /// returns the state to hand over, called only if it is handed over, since it may be given away by the call.
+    /// `None`: there is no reply.
     pub fn said(
         &mut self,
-        by: Peer,
-        what: &SuccessorMessage,
+        peer: Peer,
+        message: &SuccessorMessage,
         held: usize,
         known: impl FnOnce() -> HandoverState,
     ) -> Option<Reply> {
-        match what {
-            SuccessorMessage::Hello { forms } => Some(self.hello(by, forms, held, known)),
+        match message {
+            SuccessorMessage::Hello { forms } => Some(self.hello(peer, forms, held, known)),
             SuccessorMessage::Ready => {
-                // One that was not offered anything can't take over.
-                if self.state != State::Offered(by) {
+                // A process without an offer can't take over.
+                if self.state != State::Offered(peer) {
                     return None;
                 }
-                self.state = State::Succeeded(by);
-                // Danger: a new process that says yes before this is known here has the old one told to end as if it had no
-                // successor.
+                self.state = State::Succeeded(peer);
+                // Danger: a successor that reported itself serving before this is known here would have the incumbent
+                // ended as if it had no successor.
                 Some(Reply::And(IncumbentMessage::Heard))
             }
         }
@@ -92,40 +93,50 @@
 
     fn hello(
         &mut self,
-        by: Peer,
+        peer: Peer,
         forms: &[u32],
         held: usize,
         known: impl FnOnce() -> HandoverState,
     ) -> Reply {
-        let Some(form) = PROTOCOL_VERSIONS.into_iter().filter(|f| forms.contains(f)).max() else {
+        let Some(version) = PROTOCOL_VERSIONS.into_iter().filter(|version| forms.contains(version)).max()
+        else {
             return Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() });
         };
-        if self.closed {
+        if self.is_closed {
             return Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() });
         }
-        // Danger: two new processes that each hold the other half, and the old one its own, are over the limits.
+        // Danger: two successors with the other half each, and the incumbent with its own, would exceed the limits.
         if self.state != State::Alone || self.beside.is_some() {
             return Reply::Only(IncumbentMessage::Busy);
         }
-        self.state = State::Offered(by);
+        self.state = State::Offered(peer);
         let ResourceShare { sockets, memory } = self.whole.beside(self.whole.kept(), held);
         let HandoverState { list, settings, policy, cold } = known();
-        Reply::WithListener(IncumbentMessage::Offer { form, sockets, memory, list, settings, policy, cold })
+        Reply::WithListener(IncumbentMessage::Offer {
+            form: version,
+            sockets,
+            memory,
+            list,
+            settings,
+            policy,
+            cold,
+        })
     }
 
-    /// This process has been told to end and listens no more. Danger: a socket that it hands on from then on may be closed
-    /// already.
+    /// Called when this process shuts down and closes its listener. Danger: a socket that it hands over from then on
+    /// may be closed already.
     pub fn close(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
     }
 
-    /// The connection of a process has ended. Danger: one that dies before its yes must leave all as it was. Returns whether it
-    /// had said yes, and so had taken the place where new processes ask: that has to be taken back.
+    /// Called when the connection of a process has ended. Danger: one that dies before it serves must leave
+    /// everything unchanged. Returns whether it had been serving, and so had taken over the socket for hand-over
+    /// requests, which has to be taken back.
     pub fn lost(&mut self, peer: Peer) -> bool {
-        let served = self.state == State::Succeeded(peer);
-        if served || self.state == State::Offered(peer) {
+        let was_serving = self.state == State::Succeeded(peer);
+        if was_serving || self.state == State::Offered(peer) {
             self.state = State::Alone;
         }
-        served && !self.closed
+        was_serving && !self.is_closed
     }
 }
--- a/crates/core/handover/src/lib.rs
+++ b/crates/core/handover/src/lib.rs
@@ -1,6 +1,6 @@
-//! A new version of the proxy takes over from an old one while both run: what they say to one another, what each does
-//! next, and how they divide what the two may hold together. No I/O and no clock: the adapter carries the messages and the
-//! listening socket, and says when time has run out.
+//! The hand-over from a running proxy (the incumbent) to a new version of it (the successor): their messages, what
+//! each side does next, and how they share the resource limits while both run. No I/O and no clock: the adapter
+//! transports the messages and the listening socket, and reports timeouts.
 
 mod incumbent;
 mod messages;
--- a/crates/core/handover/src/messages.rs
+++ b/crates/core/handover/src/messages.rs
@@ -1,4 +1,4 @@
-//! What old and new process say, as JSON behind its length in four bytes, most significant first.
+//! The messages of incumbent and successor: JSON after its length in four bytes, most significant first.
 
 use crate::ResourceShare;
 use rushquay_endpoints::EndpointList;
@@ -6,184 +6,171 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The forms of the hand-over that this version speaks, the newest last. A form that changes its messages gets a new number.
+/// The protocol versions that this program supports, the newest last. A version that changes its messages gets a new
+/// number.
 pub const PROTOCOL_VERSIONS: [u32; 1] = [1];
 
-/// A message holds at most so many bytes: a list of a thousand nodes takes a fifth.
+/// The longest message: a list of a thousand endpoints takes a fifth of it.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What a new process says.
+/// Allowances from this number of requests on are invalid.
+const MAX_ALLOWANCE: f64 = 1e9;
+
+/// A message of the successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum SuccessorMessage {
-    /// It wants to take over.
+    /// It requests the hand-over.
     Hello {
-        /// The forms that it speaks.
+        /// The protocol versions that it supports.
         forms: Vec<u32>,
     },
-    /// It serves; the old process may go.
+    /// It serves; the incumbent may end.
     Ready,
 }
 
-/// What an old process says.
+/// A message of the incumbent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum IncumbentMessage {
-    /// The listening socket comes with this.
+    /// An offer, sent with the listening socket.
     Offer {
-        /// The form in which the hand-over goes on.
+        /// The protocol version of the hand-over.
         form: u32,
-        /// Descriptors that the new process may hold beside the old one.
+        /// Descriptors that the successor may hold beside the incumbent.
         sockets: usize,
         /// Bytes that it may hold.
         memory: usize,
-        /// The node list as the old process has it, in discovery's form; null: it has none.
+        /// The endpoint list of the incumbent, in discovery's format; null: it has none.
         list: Value,
-        /// The settings that the old process was given to act by, as they came; a version that knows none of it passes it over.
+        /// The settings assigned to the incumbent, as received; ignored by versions that do not know them.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         settings: Option<String>,
-        /// What the old process acts by of policies; a version that knows none of it passes it over.
+        /// The policy state of the incumbent; ignored by versions that do not know it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         policy: Option<String>,
-        /// What the old process might still have sent to nodes that are cold, and now leaves to the new one.
+        /// The slow-start allowance that the incumbent leaves to the successor.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         cold: Vec<SlowStartAllowance>,
     },
-    /// It has heard that the new process serves.
+    /// It has registered that the successor serves.
     Heard,
-    /// Another new process is coming up.
+    /// Another successor is starting.
     Busy,
-    /// None of the forms is known.
+    /// No protocol version is shared.
     Unknown {
-        /// The forms that the old process speaks.
+        /// The protocol versions that the incumbent supports.
         forms: Vec<u32>,
     },
 }
 
-/// An offer that was checked.
+/// A validated offer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// What the new process may hold while the old one runs.
+    /// The share of the successor while the incumbent runs.
     pub share: ResourceShare,
-    /// The node list of the old process, where it had one that can be used.
+    /// The endpoint list of the incumbent, where it had a usable one.
     pub list: Option<EndpointList>,
-    /// What the old process was given to act by.
+    /// The settings assigned to the incumbent.
     pub settings: Option<String>,
-    /// What the old process acts by of policies.
+    /// The policy state of the incumbent.
     pub policy: Option<String>,
-    /// What the old process left to be sent to cold nodes.
+    /// The slow-start allowances that the incumbent left.
     pub cold: Vec<SlowStartAllowance>,
 }
 
-/// What may still be sent to a node that is cold.
+/// The requests that may still be sent to an endpoint in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartAllowance {
-    /// The node, by the number that its name has in both processes.
+    /// The endpoint, by the number that its name has in both processes.
     pub node: u64,
     /// When its process started, Unix time in nanoseconds.
     pub started: u64,
-    /// Requests, from 0.
+    /// The number of requests, from 0.
     pub left: f64,
 }
 
-/// What an old process tells of what it knows.
+/// The state that an incumbent hands over.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// Its node list, in discovery's form; null: it has none.
+    /// Its endpoint list, in discovery's format; null: it has none.
     pub list: Value,
-    /// The settings that it was given to act by, as they came.
+    /// The settings assigned to it, as received.
     pub settings: Option<String>,
-    /// What it acts by of policies.
+    /// Its policy state.
     pub policy: Option<String>,
-    /// What it leaves to be sent to cold nodes.
+    /// Its slow-start allowances.
     pub cold: Vec<SlowStartAllowance>,
 }
 
-/// Why a message can't be used.
+/// Why a message is rejected.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// Longer than any message is.
+    /// It is too long.
     #[error("a message of {0} bytes, at most {MAX_MESSAGE_BYTES} are taken; is the other side a rushquay?")]
     Long(usize),
-    /// No message of a known form.
+    /// It is no message of a known protocol version.
     #[error("not a message of the hand-over: {0}; is the other side a rushquay?")]
     Spoilt(#[from] serde_json::Error),
 }
 
-/// A message with its length ahead.
+/// Encodes a message with its length before it.
 fn framed(message: &impl Serialize) -> Vec<u8> {
-    // Nothing in these types can fail to be written.
+    // Plain fields always have a JSON form.
     let body = serde_json::to_vec(message).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
     bytes
 }
 
-/// The length that stands ahead of a message.
+/// Decodes the length before a message.
 ///
 /// # Errors
-/// More than a message holds.
+/// It exceeds [`MAX_MESSAGE_BYTES`].
 pub(crate) fn length(head: [u8; 4]) -> Result<usize, MessageError> {
     match u32::from_be_bytes(head) as usize {
-        long if long > MAX_MESSAGE_BYTES => Err(MessageError::Long(long)),
+        length if length > MAX_MESSAGE_BYTES => Err(MessageError::Long(length)),
         length => Ok(length),
     }
 }
 
-impl SuccessorMessage {
-    /// The bytes to write.
-    pub fn bytes(&self) -> Vec<u8> {
-        framed(self)
-    }
-
-    /// Reads what stood behind the length.
-    ///
-    /// # Errors
-    /// Anything that is no such message.
-    pub fn read(body: &[u8]) -> Result<Self, MessageError> {
-        Ok(serde_json::from_slice(body)?)
-    }
-
-    /// How many bytes follow these four.
-    ///
-    /// # Errors
-    /// More than a message holds.
-    pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
-        length(head)
-    }
+macro_rules! framed_messages {
+    ($($message:ty),+) => {$(
+        impl $message {
+            /// Encodes the message, with its length before it.
+            pub fn bytes(&self) -> Vec<u8> {
+                framed(self)
+            }
+
+            /// Decodes a message from the bytes after the length.
+            ///
+            /// # Errors
+            /// The bytes are no such message.
+            pub fn read(body: &[u8]) -> Result<Self, MessageError> {
+                Ok(serde_json::from_slice(body)?)
+            }
+
+            /// The number of bytes after these four.
+            ///
+            /// # Errors
+            /// It exceeds [`MAX_MESSAGE_BYTES`].
+            pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
+                length(head)
+            }
+        }
+    )+};
 }
 
-impl IncumbentMessage {
-    /// The bytes to write.
-    pub fn bytes(&self) -> Vec<u8> {
-        framed(self)
-    }
-
-    /// Reads what stood behind the length.
-    ///
-    /// # Errors
-    /// Anything that is no such message.
-    pub fn read(body: &[u8]) -> Result<Self, MessageError> {
-        Ok(serde_json::from_slice(body)?)
-    }
-
-    /// How many bytes follow these four.
-    ///
-    /// # Errors
-    /// More than a message holds.
-    pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
-        length(head)
-    }
-}
+framed_messages!(SuccessorMessage, IncumbentMessage);
 
-/// What an old process left for cold nodes. Danger: a figure that is none would be a leave without end.
-pub(crate) fn cold(told: Vec<SlowStartAllowance>) -> Vec<SlowStartAllowance> {
-    told.into_iter().filter(|c| c.left.is_finite() && (0.0..1e9).contains(&c.left)).collect()
+/// The valid allowances of an incumbent. Danger: a value that is no number would be an allowance without bound.
+pub(crate) fn valid_allowances(allowances: Vec<SlowStartAllowance>) -> Vec<SlowStartAllowance> {
+    allowances.into_iter().filter(|a| a.left.is_finite() && (0.0..MAX_ALLOWANCE).contains(&a.left)).collect()
 }
 
-/// A list that an old process sent. Danger: an empty one, or one of changes alone, would leave the new process without
-/// nodes; its own configuration has a list that is older and better.
-pub(crate) fn list(told: Value) -> Option<EndpointList> {
-    let list: EndpointList = serde_json::from_value(told).ok()?;
+/// The valid list of an incumbent. Danger: an empty list, or an incremental one, would leave the successor without
+/// endpoints; its own configuration has a list that is older and better.
+pub(crate) fn valid_list(list: Value) -> Option<EndpointList> {
+    let list: EndpointList = serde_json::from_value(list).ok()?;
     (list.full && !list.servers.is_empty()).then_some(list)
 }
--- a/crates/core/handover/src/successor.rs
+++ b/crates/core/handover/src/successor.rs
@@ -1,24 +1,24 @@
-//! The new side: a process that starts, and looks for one to take over from.
+//! The successor: a process that starts, and tries to take over from an incumbent.
 
-use crate::messages::{cold, list};
+use crate::messages::{valid_allowances, valid_list};
 use crate::{IncumbentMessage, Offer, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 use thiserror::Error;
 
-/// So often a process that is told of another new one asks again, before it gives up.
-const ASK_MOST: u32 = 50;
+/// How often a process requests a hand-over while another one is in progress, before it gives up.
+const MAX_REQUESTS: u32 = 50;
 
-/// What came of asking.
+/// The result of a request for a hand-over.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    /// There is nobody: no socket, or one that a dead process left.
+    /// There is no incumbent: no socket, or one that a dead process left.
     Nobody,
-    /// Nothing came in time, the connection broke, or what came can't be used.
+    /// No valid answer: a timeout, a broken connection, or an unusable message.
     Nothing,
-    /// An answer; `listener`: with it came a socket that listens where this process is to.
+    /// An answer; `listener`: it came with a socket that listens at this process's address.
     Answer {
-        /// What was said.
+        /// The message.
         said: IncumbentMessage,
-        /// Whether the right socket came along.
+        /// Whether the right socket came with it.
         listener: bool,
     },
 }
@@ -26,50 +26,52 @@
 /// What to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Use the socket that came.
+    /// Use the received socket.
     Take(Offer),
-    /// Listen alone; where the address is taken by a process that can't be asked, beside it.
+    /// Open a listener; where the address is in use by a process that does not answer, beside it.
     Listen,
-    /// Ask again after a moment.
+    /// Request the hand-over again after a moment.
     AskAgain,
 }
 
 /// Why a process can't start.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HandoverError {
-    /// Two new ones at once.
+    /// There is another successor.
     #[error("another new version is coming up beside the old one; wait for its yes, or end it, and start this one again")]
     Another,
 }
 
-/// A process that starts.
+/// A starting process.
 #[derive(Debug, Default)]
 pub struct Successor {
-    asked: u32,
+    requests: u32,
 }
 
 impl Successor {
-    /// What to say first.
+    /// The first message.
     pub fn hello(&self) -> SuccessorMessage {
         SuccessorMessage::Hello { forms: PROTOCOL_VERSIONS.to_vec() }
     }
 
-    /// What to do after this.
+    /// Handles the result of a request; returns what to do next.
     ///
     /// # Errors
-    /// Another new process has been coming up for as long as this one has asked.
+    /// Another successor has been starting for as long as this one has requested the hand-over.
     pub fn heard(&mut self, heard: Heard) -> Result<Step, HandoverError> {
-        self.asked += 1;
+        self.requests += 1;
         match heard {
             Heard::Answer {
-                said:
-                    IncumbentMessage::Offer { form, sockets, memory, list: told, settings, policy, cold: left },
+                said: IncumbentMessage::Offer { form, sockets, memory, list, settings, policy, cold },
                 listener: true,
             } if PROTOCOL_VERSIONS.contains(&form) => {
-                let (share, list, cold) = (ResourceShare { sockets, memory }, list(told), cold(left));
+                let (share, list, cold) =
+                    (ResourceShare { sockets, memory }, valid_list(list), valid_allowances(cold));
                 Ok(Step::Take(Offer { share, list, settings, policy, cold }))
             }
-            Heard::Answer { said: IncumbentMessage::Busy, .. } if self.asked < ASK_MOST => Ok(Step::AskAgain),
+            Heard::Answer { said: IncumbentMessage::Busy, .. } if self.requests < MAX_REQUESTS => {
+                Ok(Step::AskAgain)
+            }
             Heard::Answer { said: IncumbentMessage::Busy, .. } => Err(HandoverError::Another),
             Heard::Answer { .. } | Heard::Nobody | Heard::Nothing => Ok(Step::Listen),
         }
--- a/crates/core/handover/tests/handover.rs
+++ b/crates/core/handover/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Old and new process in every order of events: the limits hold together, and there is at most one successor.
+//! Incumbent and successor in every order of events: the limits hold together, and there is at most one successor.
 
 use proptest::prelude::*;
 use rushquay_handover::{
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn the_budget_is_divided_and_comes_back() {
+fn limits_are_shared_and_restored() {
     let mut old = Incumbent::new(WHOLE);
     let new = offered(old.said(Peer(1), &hello(), 100, nothing));
     assert_eq!((old.share().sockets + new.sockets, old.share().memory + new.memory), (384, 48 << 20));
     assert!(!old.lost(Peer(1)), "it had not said yes");
     assert_eq!(old.share(), WHOLE, "the new one died before its yes");
-    // What the old one still holds over its half is not given away.
+    // What the incumbent still holds over its half is not given away.
     let new = offered(old.said(Peer(2), &hello(), 300, nothing));
     assert_eq!(new.sockets, 84);
     assert!(!old.succeeded());
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn a_second_new_process_waits_and_gives_up_plainly() {
+fn a_second_successor_waits_and_gives_up_with_an_error() {
     let mut old = Incumbent::new(WHOLE);
     offered(old.said(Peer(1), &hello(), 0, nothing));
     assert_eq!(old.said(Peer(2), &hello(), 0, nothing), Some(Reply::Only(IncumbentMessage::Busy)));
-    // Nobody takes over without an offer.
+    // No process takes over without an offer.
     old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing);
     assert!(!old.succeeded());
     let mut second = Successor::default();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_leads_back_to_listening() {
+fn an_unusable_answer_leads_to_listening_alone() {
     let offer = |form, list| IncumbentMessage::Offer {
         form,
         sockets: 9,
@@ -111,19 +111,19 @@
 }
 
 #[test]
-fn forms_that_nobody_shares_are_named() {
+fn a_version_mismatch_is_reported() {
     let mut old = Incumbent::new(WHOLE);
     let reply = old.said(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, nothing);
     assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() })));
     assert_eq!(old.share(), WHOLE);
-    // Of several, the newest that both know.
+    // Of several versions, the newest that both support.
     let reply = old.said(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, nothing);
     assert!(matches!(reply, Some(Reply::WithListener(IncumbentMessage::Offer { form: 1, .. }))));
 }
 
 #[test]
-fn a_second_upgrade_waits_until_the_first_old_process_has_gone() {
-    // Danger: three processes with a half each are over the limits.
+fn a_second_upgrade_waits_until_the_first_incumbent_has_ended() {
+    // Danger: three processes with a half each would exceed the limits.
     let part = ResourceShare { sockets: 100, memory: 20 << 20 };
     let mut new = Incumbent::beside(WHOLE, part);
     assert_eq!(new.share(), part);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_process_that_listens_no_more_hands_nothing_on() {
+fn an_incumbent_that_closed_its_listener_offers_nothing() {
     let mut old = Incumbent::new(WHOLE);
     offered(old.said(Peer(1), &hello(), 0, nothing));
     old.close();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn messages_come_back_as_they_went_and_spoilt_ones_are_named() {
+fn messages_round_trip_and_invalid_ones_are_rejected() {
     let cold = vec![SlowStartAllowance { node: u64::MAX, started: 1_700_000_000_000_000_000, left: 2.5 }];
     let offer = IncumbentMessage::Offer {
         form: 1,
@@ -196,7 +196,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Danger: together the processes of one proxy must stay within its limits, whatever comes when.
+    /// Danger: together the processes of one proxy must stay within its limits, whatever the order of events.
     #[test]
     fn all_processes_together_stay_within_the_limits(events in prop::collection::vec(event(), 0..80)) {
         let mut old = Incumbent::new(WHOLE);
@@ -237,17 +237,17 @@
     }
 }
 
-/// What the old process was given to act by goes to the new one; a version that knows none of it takes the rest, and one that
-/// is told nothing goes by its own file.
+/// The settings assigned to the incumbent go to the successor; a version that does not know them uses the rest, and
+/// one that receives none uses its own file.
 #[test]
-fn settings_are_handed_on_between_versions_that_know_them() {
+fn settings_are_handed_over_between_versions_that_know_them() {
     let mut old = Incumbent::new(WHOLE);
     let known = || HandoverState { settings: Some("by these".into()), ..HandoverState::default() };
     let Some(Reply::WithListener(offer)) = old.said(Peer(1), &hello(), 0, known) else { panic!("no offer") };
     let bytes = offer.bytes();
     let taken = Successor::default().heard(Heard::Answer { said: offer, listener: true });
     assert!(matches!(taken, Ok(Step::Take(Offer { settings: Some(s), .. })) if s == "by these"));
-    // As the version before wrote it, and as one that is to come may.
+    // As the previous version wrote it, and as a later one may.
     let text = String::from_utf8(bytes[4..].to_vec()).expect("JSON");
     let before = text.replace(",\"settings\":\"by these\"", "");
     assert_ne!(before, text);
