--- a/crates/adapters/xds-grpc/src/server.rs
+++ b/crates/adapters/xds-grpc/src/server.rs
@@ -217,7 +217,8 @@
         Ok(RequestOutcome::Acked(_)) => drop(hub.counters.acks.fetch_add(1, Relaxed)),
         Ok(RequestOutcome::Nacked(kind, reason)) => {
             hub.counters.nacks.fetch_add(1, Relaxed);
-            tracing::warn!(subscriber = %registration.node(), ?kind, ?reason, "subscriber rejected an answer");
+            let subscriber = registration.node();
+            tracing::warn!(%subscriber, ?kind, ?reason, "subscriber rejected an answer");
         }
         Ok(RequestOutcome::Subscribed | RequestOutcome::Stale(_)) => {}
         Err(error) => {
