--- a/crates/core/endpoints/src/lib.rs
+++ b/crates/core/endpoints/src/lib.rs
@@ -24,7 +24,7 @@
 pub use pins::{Pin, Pins};
 pub use start_times::StartTimes;
 pub use validation::{validate_list, ListError};
-pub use watch_schedule::{CallFailure, NextCall, WatchMode, WatchSchedule, TOLD};
+pub use watch_schedule::{CallFailure, NextCall, WatchMode, WatchSchedule, NOTIFICATION_DEADLINE};
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/endpoints/src/watch_schedule.rs
+++ b/crates/core/endpoints/src/watch_schedule.rs
@@ -9,7 +9,7 @@
 const SECOND: Nanos = 1_000 * MS;
 /// A change must be known within this time after discovery had it and could be reached, whatever failed meanwhile
 /// (PROTOCOL).
-pub const TOLD: Nanos = 6 * SECOND;
+pub const NOTIFICATION_DEADLINE: Nanos = 6 * SECOND;
 /// A discovery that serves a whole fleet may leave a call in its queue for two seconds before it rejects it
 /// (PROTOCOL). To hang up just before that would give up the place in the queue.
 const RESPONSE_TIMEOUT: Nanos = 2_050 * MS;
--- a/crates/core/endpoints/tests/watch_fleet.rs
+++ b/crates/core/endpoints/tests/watch_fleet.rs
@@ -1,6 +1,6 @@
 //! Three hundred proxies watch one discovery of limited capacity, on one virtual clock.
 
-use rushquay_endpoints::{CallFailure, Nanos, WatchMode, WatchSchedule, TOLD};
+use rushquay_endpoints::{CallFailure, Nanos, WatchMode, WatchSchedule, NOTIFICATION_DEADLINE};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -183,7 +183,10 @@
             let last = fleet.when[version].iter().map(|w| w.expect("known at last")).max().expect("proxies");
             let took = (last - reached) / MS;
             println!("seed {seed}, change {version}: the last of {PROXIES} knew after {took} ms");
-            assert!(last <= reached + TOLD, "seed {seed}: change {version} known after {took} ms");
+            assert!(
+                last <= reached + NOTIFICATION_DEADLINE,
+                "seed {seed}: change {version} known after {took} ms"
+            );
         }
         // Nothing happens in this interval: each proxy has one watch after another.
         let quiet = fleet.within(14 * SECOND, 19 * SECOND) / 5;
--- a/crates/core/endpoints/tests/watch_schedule.rs
+++ b/crates/core/endpoints/tests/watch_schedule.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use rushquay_endpoints::{CallFailure, Nanos, NextCall, WatchMode, WatchSchedule, TOLD};
+use rushquay_endpoints::{CallFailure, Nanos, NextCall, WatchMode, WatchSchedule, NOTIFICATION_DEADLINE};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
@@ -178,7 +178,12 @@
 #[test]
 fn a_change_is_known_within_the_deadline_where_discovery_is_polled() {
     for within in [0, 2 * SECOND, 10 * SECOND, 60 * SECOND] {
-        assert_known_within(WatchMode::Asked { within }, TOLD, 300 * MS, fault_sequences(Some(2), 1));
+        assert_known_within(
+            WatchMode::Asked { within },
+            NOTIFICATION_DEADLINE,
+            300 * MS,
+            fault_sequences(Some(2), 1),
+        );
     }
 }
 
@@ -187,7 +192,7 @@
     // As late as possible before the call has failed.
     assert_known_within(
         WatchMode::Asked { within: 10 * SECOND },
-        TOLD,
+        NOTIFICATION_DEADLINE,
         1_900 * MS,
         fault_sequences(Some(0), 0),
     );
@@ -203,7 +208,12 @@
 #[test]
 fn a_silent_watch_at_an_agent_is_reopened_in_time() {
     for grace in [100 * MS, 500 * MS, 2 * SECOND] {
-        assert_known_within(WatchMode::Pushed { grace }, TOLD, grace / 50, fault_sequences(Some(2), 1));
+        assert_known_within(
+            WatchMode::Pushed { grace },
+            NOTIFICATION_DEADLINE,
+            grace / 50,
+            fault_sequences(Some(2), 1),
+        );
     }
 }
 
