--- a/crates/core/supervisor/src/state_machine.rs
+++ b/crates/core/supervisor/src/state_machine.rs
@@ -139,7 +139,7 @@
             generation: given.generation.digest(),
             given: Some(given.text()),
         };
-        // Told anew under another generation, what failed may be tried again at once.
+        // A target that failed may be retried at once under another config version.
         if self.record.failed.as_ref().is_some_and(|f| f.target.generation != target.generation) {
             self.record.failed = None;
         }
--- a/crates/core/xds/src/store.rs
+++ b/crates/core/xds/src/store.rs
@@ -75,7 +75,7 @@
 
 impl Store {
     /// Creates an empty store, which serves nothing before [`Store::open`]. `incarnation` names this process in every
-    /// answer; of each kind at most `remembered` removed names are remembered.
+    /// answer; of each kind at most `max_removed` removed names are remembered.
     pub fn new(incarnation: &str, max_removed: usize) -> Self {
         Store {
             tables: Default::default(),
