--- a/crates/core/routing/src/headers.rs
+++ b/crates/core/routing/src/headers.rs
@@ -1,40 +1,40 @@
-//! Changes of headers on the way there and back (`HeaderValueOption`, "Custom request/response headers").
+//! Header mutations of requests and responses (`HeaderValueOption`; Envoy: "Custom request/response headers").
 
-/// What becomes of a value where the header is there already.
+/// What to do with a value when the header may already be present (`HeaderAppendAction`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Append {
-    /// `APPEND_IF_EXISTS_OR_ADD`: it stands behind the others.
+    /// `APPEND_IF_EXISTS_OR_ADD`: appended after existing values.
     Add,
-    /// `ADD_IF_ABSENT`: it is left out.
+    /// `ADD_IF_ABSENT`: set only if the header is absent.
     IfAbsent,
-    /// `OVERWRITE_IF_EXISTS_OR_ADD`: it stands alone.
+    /// `OVERWRITE_IF_EXISTS_OR_ADD`: replaces all existing values.
     Overwrite,
-    /// `OVERWRITE_IF_EXISTS`: it stands alone, and only where there was one.
+    /// `OVERWRITE_IF_EXISTS`: replaces all existing values; not added if the header is absent.
     OverwriteOnly,
 }
 
-/// One change.
+/// One header to set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The header's name in lower case.
+    /// Header name in lower case.
     pub name: String,
-    /// Its value.
+    /// Header value.
     pub value: String,
-    /// What becomes of it.
+    /// How the value combines with existing ones.
     pub append: Append,
 }
 
-/// Changes of one side's headers at one place of the configuration.
+/// Header mutations for one direction (request or response) from one level of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mutations {
-    /// To set, in order.
+    /// Headers to set, in order.
     pub set: Vec<Change>,
-    /// To take out, before anything is set; names in lower case.
+    /// Headers to remove before any is set; names in lower case.
     pub remove: Vec<String>,
 }
 
 impl Mutations {
-    /// Whether nothing changes.
+    /// Returns `true` if no header is changed.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.remove.is_empty()
     }
--- a/crates/core/routing/src/index.rs
+++ b/crates/core/routing/src/index.rs
@@ -1,53 +1,55 @@
-//! The routes of a virtual host, so that a request looks at few of them. The first that fits counts, as in the order in
-//! which they stand; thousands of prefixes must not cost thousands of comparisons.
+//! Index over the routes of a virtual host by path. The result is that of a linear search (the first matching route in
+//! configuration order wins), but the cost of a lookup does not grow with the number of prefixes.
 
 use crate::route::{PathMatch, Route};
 use std::collections::{BTreeMap, HashMap};
 
-/// Where routes stand that may fit a path.
+/// Positions of routes by the paths they may match. Each list of positions is in ascending order.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     exact: HashMap<String, Vec<u32>>,
-    /// By length of the prefix, then by prefix.
+    /// By prefix length in bytes, then by prefix.
     prefixes: BTreeMap<usize, HashMap<String, Vec<u32>>>,
-    /// Looked at for every path: expressions, and what doesn't mind case.
-    others: Vec<u32>,
+    /// Candidates for every path: regular expressions and case-insensitive matches.
+    unindexed: Vec<u32>,
 }
 
 impl Index {
-    /// Of these routes.
+    /// Builds the index of `routes`.
     pub fn new(routes: &[Route]) -> Self {
         let mut index = Index::default();
-        for (i, route) in (0..).zip(routes) {
+        for (position, route) in (0..).zip(routes) {
             match &route.matcher.path {
-                _ if !route.matcher.case => index.others.push(i),
-                PathMatch::Regex(_) => index.others.push(i),
-                PathMatch::Exact(p) => index.exact.entry(p.clone()).or_default().push(i),
-                PathMatch::Prefix(p) | PathMatch::Under(p) => {
-                    index.prefixes.entry(p.len()).or_default().entry(p.clone()).or_default().push(i);
+                _ if !route.matcher.case => index.unindexed.push(position),
+                PathMatch::Regex(_) => index.unindexed.push(position),
+                PathMatch::Exact(path) => index.exact.entry(path.clone()).or_default().push(position),
+                PathMatch::Prefix(prefix) | PathMatch::Under(prefix) => {
+                    let same_length = index.prefixes.entry(prefix.len()).or_default();
+                    same_length.entry(prefix.clone()).or_default().push(position);
                 }
             }
         }
         index
     }
 
-    /// The first route, in their order, that `fits`. Only routes whose path may fit are asked.
-    pub fn first(&self, path: &str, mut fits: impl FnMut(u32) -> bool) -> Option<u32> {
-        // Each list is in order; they are few, so the smallest head is looked for.
+    /// Returns the position of the first route, in configuration order, for which `matches` returns `true`. `matches` is
+    /// called only for routes whose path may match.
+    pub fn first(&self, path: &str, mut matches: impl FnMut(u32) -> bool) -> Option<u32> {
+        // A merge of sorted lists; there are few of them, so a linear scan for the smallest head is enough.
         let mut lists: Vec<&[u32]> = Vec::with_capacity(8);
         lists.extend(self.exact.get(path).map(Vec::as_slice));
-        lists.extend((!self.others.is_empty()).then_some(self.others.as_slice()));
-        for (length, named) in self.prefixes.range(..=path.len()) {
-            // A prefix can't end in the midst of a character that the path has.
-            let start = path.get(..*length);
-            lists.extend(start.and_then(|start| named.get(start)).map(Vec::as_slice));
+        lists.extend((!self.unindexed.is_empty()).then_some(self.unindexed.as_slice()));
+        for (length, by_prefix) in self.prefixes.range(..=path.len()) {
+            // `get` returns `None` inside a multi-byte character; no prefix of that length can match then.
+            let path_prefix = path.get(..*length);
+            lists.extend(path_prefix.and_then(|prefix| by_prefix.get(prefix)).map(Vec::as_slice));
         }
         loop {
-            let next = lists.iter_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0])?;
-            let i = next[0];
+            let next = lists.iter_mut().filter(|list| !list.is_empty()).min_by_key(|list| list[0])?;
+            let position = next[0];
             *next = &next[1..];
-            if fits(i) {
-                return Some(i);
+            if matches(position) {
+                return Some(position);
             }
         }
     }
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -1,9 +1,12 @@
-//! Which cluster a request goes to, and what is done to it on the way: Envoy's route configuration as a table that is
-//! asked once a request. No I/O; chance is passed in.
+//! Request routing: Envoy's route configuration as a table that maps a request to a cluster and to changes of the request.
 //!
-//! - [`Table`]: all virtual hosts; [`Table::find`] gives the route of a request.
-//! - [`text`]: matches of texts, headers and query parameters.
-//! - [`Route`], [`Action`]: what a match leads to. [`Mutations`]: changes of headers. [`Retries`]: when to try again.
+//! This crate neither parses route configurations nor forwards requests. It does no I/O and reads no clock; random numbers
+//! are passed in by the caller.
+//!
+//! - [`Table`]: all virtual hosts of a route configuration; [`Table::find`] returns the route of a request.
+//! - [`Route`], [`Action`]: a route and what it does with a request.
+//! - [`text`]: string, header and query parameter matchers.
+//! - [`Mutations`]: header mutations. [`Retries`]: the retry policy of a route.
 //!
 //! Source: Envoy's documentation, "HTTP route components" (`envoy/config/route/v3/route_components.proto`).
 #![forbid(unsafe_code)]
@@ -20,19 +23,19 @@
 pub use route::{Action, Clusters, Direct, Found, Importance, Matcher, PathMatch, Rewrite, Route, Weighted};
 pub use table::{DomainError, Host, Table};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A request as routes see it.
+/// The parts of a request that routes match on.
 pub trait Head {
-    /// `:authority`, or the `Host` header.
+    /// The `:authority` pseudo-header or the `Host` header.
     fn authority(&self) -> &str;
-    /// The path without its query.
+    /// The path without the query string.
     fn path(&self) -> &str;
-    /// What stands behind the `?`; empty where nothing does.
+    /// The query string without the `?`; empty if there is none.
     fn query(&self) -> &str;
-    /// The method.
+    /// The request method.
     fn method(&self) -> &str;
-    /// All values of a header (its name in lower case), in order. One that isn't text counts as empty text.
+    /// All values of the header `name` (in lower case), in order. A value that is not valid text is given as an empty string.
     fn header<'a>(&'a self, name: &'a str) -> Box<dyn Iterator<Item = &'a str> + 'a>;
 }
--- a/crates/core/routing/src/retry.rs
+++ b/crates/core/routing/src/retry.rs
@@ -1,42 +1,42 @@
-//! What a route says of repeated attempts (`RetryPolicy`). It can only forbid: whether another attempt is lawful and worth it
-//! the decision module says.
+//! The retry policy of a route (`RetryPolicy`). It can only forbid a retry: whether a further attempt is permitted and
+//! worthwhile is up to the decision module.
 
 use crate::Nanos;
 
-/// How an attempt ended, as far as a policy tells ends apart.
+/// The outcome of an attempt, as far as retry conditions distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// No connection came up, or it broke before the request was written.
+    /// No connection was established, or it broke before the request was written.
     ConnectFailure,
-    /// The connection broke, or what came could not be read.
+    /// The connection broke, or the response could not be parsed.
     Reset,
-    /// Nothing came in time.
+    /// No response arrived within the timeout.
     TimedOut,
-    /// The node turned it away unseen.
+    /// The endpoint rejected the request without processing it.
     Overloaded,
-    /// An answer of this status that is no success.
+    /// A response with this non-success status.
     Status(u16),
 }
 
-/// When another attempt may be made.
+/// When a further attempt may be made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Retries {
-    /// So many attempts beside the first (`num_retries`; 1 where a policy doesn't tell).
+    /// Maximum number of attempts after the first (`num_retries`; 1 if the policy does not set it).
     pub most: u32,
-    /// An attempt ends after this time; 0: when the request's time is over.
+    /// Timeout of one attempt; 0: bounded only by the timeout of the request.
     pub per_try: Nanos,
-    /// Bits of [`Retries::RESET`] and the others.
+    /// Retry conditions as a bit set of [`Retries::RESET`] and the other constants.
     pub on: u32,
-    /// `retriable_status_codes`.
+    /// Status codes to retry on under [`Retries::CODES`] (`retriable_status_codes`).
     pub codes: Vec<u16>,
 }
 
 impl Retries {
     /// `connect-failure`.
     pub const CONNECT: u32 = 1;
-    /// `reset`: no answer at all came.
+    /// `reset`: no response at all was received.
     pub const RESET: u32 = 2;
-    /// `5xx`, which holds all of the others but codes named.
+    /// `5xx`: includes all other conditions except explicitly listed status codes.
     pub const SERVER: u32 = 4;
     /// `gateway-error`: 502, 503 and 504.
     pub const GATEWAY: u32 = 8;
@@ -44,12 +44,12 @@
     pub const CONFLICT: u32 = 16;
     /// `retriable-status-codes`.
     pub const CODES: u32 = 32;
-    /// `refused-stream`: turned away unseen.
+    /// `refused-stream`: rejected without processing.
     pub const REFUSED: u32 = 64;
     /// `reset-before-request`.
     pub const UNSENT: u32 = 128;
 
-    /// The bit of a condition's name; `None`: it isn't known here.
+    /// Returns the bit of a `retry_on` condition, or `None` if the condition is unknown.
     pub fn condition(name: &str) -> Option<u32> {
         Some(match name {
             "5xx" => Self::SERVER,
@@ -64,25 +64,25 @@
         })
     }
 
-    /// Whether another attempt may follow `made` ones, of which the last that ended did so as told. `None`: none has ended,
-    /// so this would be a second copy.
-    pub fn allow(&self, made: u32, last: Option<Ended>) -> bool {
-        if made > self.most {
+    /// Returns `true` if a further attempt may follow `attempts` ones, of which the last finished one had the outcome
+    /// `last`. `None` means that no attempt has finished, so that the further one is a hedged request.
+    pub fn allow(&self, attempts: u32, last: Option<Ended>) -> bool {
+        if attempts > self.most {
             return false;
         }
-        let on = |bits: u32| self.on & bits != 0;
+        let retries_on = |conditions: u32| self.on & conditions != 0;
         match last {
             None => true,
             Some(Ended::ConnectFailure) => {
-                on(Self::CONNECT | Self::UNSENT | Self::RESET | Self::SERVER | Self::GATEWAY)
+                retries_on(Self::CONNECT | Self::UNSENT | Self::RESET | Self::SERVER | Self::GATEWAY)
             }
-            Some(Ended::Reset | Ended::TimedOut) => on(Self::RESET | Self::SERVER | Self::GATEWAY),
-            Some(Ended::Overloaded) => on(Self::REFUSED | Self::SERVER | Self::GATEWAY),
+            Some(Ended::Reset | Ended::TimedOut) => retries_on(Self::RESET | Self::SERVER | Self::GATEWAY),
+            Some(Ended::Overloaded) => retries_on(Self::REFUSED | Self::SERVER | Self::GATEWAY),
             Some(Ended::Status(status)) => {
-                (500..600).contains(&status) && on(Self::SERVER)
-                    || (502..=504).contains(&status) && on(Self::GATEWAY)
-                    || status == 409 && on(Self::CONFLICT)
-                    || on(Self::CODES) && self.codes.contains(&status)
+                (500..600).contains(&status) && retries_on(Self::SERVER)
+                    || (502..=504).contains(&status) && retries_on(Self::GATEWAY)
+                    || status == 409 && retries_on(Self::CONFLICT)
+                    || retries_on(Self::CODES) && self.codes.contains(&status)
             }
         }
     }
--- a/crates/core/routing/src/route.rs
+++ b/crates/core/routing/src/route.rs
@@ -1,4 +1,4 @@
-//! One route: what a request must be, and what is then done.
+//! A single route: what it matches and what it does with a matching request.
 
 use crate::headers::Mutations;
 use crate::retry::Retries;
@@ -8,107 +8,108 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-/// How the path must be. Queries don't count.
+/// A matcher of the path without its query string.
 #[derive(Clone, Debug)]
 pub enum PathMatch {
-    /// It begins so.
+    /// The path starts with this string (`prefix`).
     Prefix(String),
-    /// It is this, or begins with this and a slash.
+    /// The path equals this string or starts with it and a slash (`path_separated_prefix`).
     Under(String),
-    /// It is this.
+    /// The path equals this string (`path`).
     Exact(String),
-    /// The whole of it fits the expression.
+    /// The whole path matches the expression (`safe_regex`).
     Regex(Regex),
 }
 
-/// What a request must be.
+/// The conditions of a route; all must hold (`RouteMatch`).
 #[derive(Clone, Debug)]
 pub struct Matcher {
-    /// Its path.
+    /// The path.
     pub path: PathMatch,
-    /// The case of the path matters.
+    /// Whether the path is compared case-sensitively.
     pub case: bool,
-    /// All of these headers.
+    /// Header matchers.
     pub headers: Vec<HeaderMatch>,
-    /// All of these query parameters.
+    /// Query parameter matchers.
     pub query: Vec<QueryMatch>,
-    /// The part of such requests that match, from 0 to 1 (`runtime_fraction`).
+    /// The fraction of otherwise matching requests that match, from 0 to 1 (`runtime_fraction`).
     pub part: Option<f64>,
 }
 
 impl Matcher {
-    /// Whether all but the path fits. `random` is from 0 up to 1.
+    /// Returns `true` if everything but the path matches. `random` is in `[0, 1)`.
     pub fn rest_fits(&self, head: &dyn Head, random: f64) -> bool {
-        self.headers.iter().all(|h| h.fits(head))
-            && self.query.iter().all(|q| q.fits(head))
-            && self.part.is_none_or(|part| random < part)
+        self.headers.iter().all(|header| header.fits(head))
+            && self.query.iter().all(|parameter| parameter.fits(head))
+            && self.part.is_none_or(|fraction| random < fraction)
     }
 
-    /// Whether the path fits.
+    /// Returns `true` if the path matches.
     pub fn path_fits(&self, path: &str) -> bool {
-        let begins = |with: &str| {
-            let start = path.as_bytes().get(..with.len());
-            start.is_some_and(|s| match self.case {
-                true => s == with.as_bytes(),
-                false => s.eq_ignore_ascii_case(with.as_bytes()),
+        let has_prefix = |prefix: &str| {
+            let start = path.as_bytes().get(..prefix.len());
+            start.is_some_and(|start| match self.case {
+                true => start == prefix.as_bytes(),
+                false => start.eq_ignore_ascii_case(prefix.as_bytes()),
             })
         };
         match &self.path {
-            PathMatch::Prefix(with) => begins(with),
-            PathMatch::Exact(whole) => path.len() == whole.len() && begins(whole),
-            PathMatch::Under(with) => {
-                begins(with) && path.as_bytes().get(with.len()).is_none_or(|b| *b == b'/')
+            PathMatch::Prefix(prefix) => has_prefix(prefix),
+            PathMatch::Exact(exact) => path.len() == exact.len() && has_prefix(exact),
+            PathMatch::Under(prefix) => {
+                has_prefix(prefix) && path.as_bytes().get(prefix.len()).is_none_or(|byte| *byte == b'/')
             }
-            PathMatch::Regex(r) => r.is_match(path),
+            PathMatch::Regex(regex) => regex.is_match(path),
         }
     }
 }
 
-/// A part of weighted clusters.
+/// One of several weighted clusters (`WeightedCluster.ClusterWeight`).
 #[derive(Clone, Debug)]
 pub struct Weighted {
-    /// The cluster.
+    /// The name of the cluster.
     pub cluster: Arc<str>,
-    /// Its weight; all add up to 1 at least.
+    /// Weight of the cluster; the sum over all clusters is at least 1.
     pub weight: u32,
-    /// Changes of request headers.
+    /// Request header mutations.
     pub request: Mutations,
-    /// Changes of response headers.
+    /// Response header mutations.
     pub response: Mutations,
-    /// Another host name.
+    /// Rewritten host name (`host_rewrite_literal`).
     pub host: Option<String>,
 }
 
-/// Where requests go.
+/// How the cluster of a request is chosen (`cluster_specifier`).
 #[derive(Clone, Debug)]
 pub enum Clusters {
-    /// To this one.
+    /// A fixed cluster (`cluster`).
     One(Arc<str>),
-    /// To one of these by weight.
+    /// One of several clusters, chosen by weight (`weighted_clusters`).
     Weighted(Vec<Weighted>),
-    /// To the one that this header names.
+    /// The cluster named by this request header (`cluster_header`).
     Header(String),
 }
 
-/// How the path changes.
+/// A rewrite of the path.
 #[derive(Clone, Debug)]
 pub enum Rewrite {
-    /// What matched becomes this.
+    /// The matched part of the path is replaced by this string (`prefix_rewrite`).
     Prefix(String),
-    /// Every place that fits becomes this; `\1` stands for a group.
+    /// Every match of the expression is replaced by this string, in the replacement syntax of `regex`
+    /// (`regex_rewrite`).
     Regex(Regex, String),
 }
 
-/// An answer that needs no node.
+/// A response sent without contacting an endpoint (`direct_response`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Direct {
-    /// Its status, from 200 to 599.
+    /// Response status, from 200 to 599.
     pub status: u16,
-    /// Its body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// A route's priority: which limits of its cluster hold.
+/// The priority of a route, which selects the circuit breaker thresholds of its cluster (`RoutingPriority`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Importance {
     /// `DEFAULT`.
@@ -118,97 +119,101 @@
     High,
 }
 
-/// What is done with a request.
+/// What a route does with a request.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// It goes on.
+    /// Forwards the request to a cluster.
     Forward {
-        /// Where to.
+        /// How the cluster is chosen.
         clusters: Clusters,
-        /// The answer's status where there is no such cluster: 404, 500 or 503.
+        /// Response status if the cluster does not exist: 404, 500 or 503.
         not_found: u16,
-        /// How the path changes.
+        /// Rewrite of the path.
         rewrite: Option<Rewrite>,
-        /// Another host name.
+        /// Rewritten host name (`host_rewrite_literal`).
         host: Option<String>,
-        /// Most time for all attempts together; `None`: as the class has it.
+        /// Timeout for all attempts together; `None`: the one of the request class.
         timeout: Option<Nanos>,
-        /// When to try again; `None`: as the decision module will.
+        /// Retry policy; `None`: the decision module alone decides.
         retries: Option<Retries>,
-        /// Which limits hold.
+        /// Which circuit breaker thresholds apply.
         importance: Importance,
     },
-    /// It is answered here.
+    /// Responds directly.
     Direct(Direct),
 }
 
-/// A route.
+/// A route of a virtual host.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name; may be empty.
+    /// Name of the route; may be empty.
     pub name: String,
-    /// What a request must be.
+    /// What a request must match.
     pub matcher: Matcher,
-    /// What is done with it.
+    /// What is done with a matching request.
     pub action: Action,
-    /// The class that requests are taken for (metadata `rushquay.class`); `None`: as the path's first part says.
+    /// Request class (metadata `rushquay.class`); `None`: derived from the first path segment.
     pub class: Option<String>,
-    /// Changes of request headers.
+    /// Request header mutations.
     pub request: Mutations,
-    /// Changes of response headers.
+    /// Response header mutations.
     pub response: Mutations,
 }
 
-/// What a table has found for a request.
+/// The result of a route lookup.
 #[derive(Clone, Copy, Debug)]
 pub struct Found<'t> {
-    /// The route.
+    /// The matching route.
     pub route: &'t Route,
-    /// Changes of request headers of the virtual host and of the whole table, in the order in which they are made.
+    /// Request header mutations of the virtual host and of the route configuration, in the order to apply them.
     pub request: [&'t Mutations; 2],
-    /// The same for responses.
+    /// Response header mutations, in the same order.
     pub response: [&'t Mutations; 2],
-    /// Changes of the route and its cluster come last.
+    /// Whether the mutations of the route and its cluster are applied last.
     pub specific_last: bool,
 }
 
 impl Clusters {
-    /// The cluster that a request goes to, with the part of weighted ones that it came by. `at` is from 0 up to 1; the same
-    /// number leads to the same cluster for as long as the weights stand.
+    /// Returns the cluster for a request and, for weighted clusters, the chosen entry. `at` is in `[0, 1)`; the same
+    /// number leads to the same cluster for as long as the weights are unchanged.
     pub fn pick(&self, head: &dyn Head, at: f64) -> Option<(Cow<'_, str>, Option<&Weighted>)> {
         match self {
             Clusters::One(name) => Some((Cow::Borrowed(name), None)),
             Clusters::Header(header) => {
-                let named = head.header(header).next().filter(|n| !n.is_empty());
-                named.map(|n| (Cow::Owned(n.to_owned()), None))
+                let name = head.header(header).next().filter(|name| !name.is_empty());
+                name.map(|name| (Cow::Owned(name.to_owned()), None))
             }
-            Clusters::Weighted(parts) => {
-                let whole: u64 = parts.iter().map(|p| u64::from(p.weight)).sum();
-                let mut point = (at * whole as f64) as u64;
-                let here = parts.iter().find(|p| {
-                    let weight = u64::from(p.weight);
-                    let here = point < weight;
-                    point = point.saturating_sub(weight);
-                    here
+            Clusters::Weighted(entries) => {
+                let total_weight: u64 = entries.iter().map(|entry| u64::from(entry.weight)).sum();
+                let mut remaining = (at * total_weight as f64) as u64;
+                let chosen = entries.iter().find(|entry| {
+                    let weight = u64::from(entry.weight);
+                    let is_chosen = remaining < weight;
+                    remaining = remaining.saturating_sub(weight);
+                    is_chosen
                 });
-                here.map(|p| (Cow::Borrowed(&*p.cluster), Some(p)))
+                chosen.map(|entry| (Cow::Borrowed(&*entry.cluster), Some(entry)))
             }
         }
     }
 }
 
 impl Route {
-    /// The path as it goes on, without its query; `None`: it stays.
+    /// Returns the rewritten path without its query string, or `None` if this route does not rewrite paths.
     pub fn rewritten(&self, path: &str) -> Option<String> {
         let Action::Forward { rewrite, .. } = &self.action else { return None };
         match rewrite.as_ref()? {
-            Rewrite::Regex(expression, to) => Some(expression.replace_all(path, to.as_str()).into_owned()),
-            Rewrite::Prefix(to) => {
-                let matched = match &self.matcher.path {
-                    PathMatch::Prefix(p) | PathMatch::Under(p) | PathMatch::Exact(p) => p.len(),
+            Rewrite::Regex(regex, replacement) => {
+                Some(regex.replace_all(path, replacement.as_str()).into_owned())
+            }
+            Rewrite::Prefix(replacement) => {
+                let matched_len = match &self.matcher.path {
+                    PathMatch::Prefix(matched) | PathMatch::Under(matched) | PathMatch::Exact(matched) => {
+                        matched.len()
+                    }
                     PathMatch::Regex(_) => path.len(),
                 };
-                Some(format!("{to}{}", &path[matched.min(path.len())..]))
+                Some(format!("{replacement}{}", &path[matched_len.min(path.len())..]))
             }
         }
     }
--- a/crates/core/routing/src/table.rs
+++ b/crates/core/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! All virtual hosts of a route configuration.
+//! The routing table: all virtual hosts of a route configuration and the choice among them by authority.
 
 use crate::headers::Mutations;
 use crate::index::Index;
@@ -7,131 +7,140 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A virtual host.
+/// A virtual host (`VirtualHost`).
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its name.
+    /// Name of the virtual host.
     pub name: String,
-    /// The domains that it stands for: `www.x.y`, `*.x.y`, `www.*` or `*`.
+    /// The domains that it serves: `www.x.y`, `*.x.y`, `www.*` or `*`.
     pub domains: Vec<String>,
-    /// In order; the first that fits counts.
+    /// Routes in order; the first matching one wins.
     pub routes: Vec<Route>,
-    /// Changes of request headers.
+    /// Request header mutations.
     pub request: Mutations,
-    /// Changes of response headers.
+    /// Response header mutations.
     pub response: Mutations,
 }
 
-/// Why virtual hosts can't stand side by side; correct them at their source.
+/// An invalid or ambiguous domain in a route configuration; to be corrected at its source.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DomainError {
-    /// No request could be told to belong to one of the two.
+    /// The same domain is listed twice, so that its requests cannot be assigned to one virtual host.
     #[error("virtual_hosts[{host}].domains[{domain}]: {text:?} stands already in virtual_hosts[{first}]")]
     Twice {
-        /// The later one.
+        /// Index of the later virtual host.
         host: usize,
-        /// Its domain.
+        /// Index of the domain in the later virtual host.
         domain: usize,
-        /// The text of both.
+        /// The domain in lower case.
         text: String,
-        /// The earlier one.
+        /// Index of the earlier virtual host.
         first: usize,
     },
-    /// It can't match anything.
+    /// The domain has a form that cannot match any authority.
     #[error("virtual_hosts[{host}].domains[{domain}]: {text:?}; expected a name, *.name, name.* or *")]
     Form {
-        /// The virtual host.
+        /// Index of the virtual host.
         host: usize,
-        /// Its domain.
+        /// Index of the domain in the virtual host.
         domain: usize,
-        /// Its text.
+        /// The domain in lower case.
         text: String,
     },
 }
 
-/// Domains with a wildcard on one side, the longest first.
-type Wild = Vec<(String, usize)>;
+/// Wildcard domains without their star, the longest first, each with the index of its virtual host.
+type WildcardDomains = Vec<(String, usize)>;
 
-/// A route configuration.
+/// A route configuration (`RouteConfiguration`).
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     name: String,
     hosts: Vec<(Host, Index)>,
+    /// Domains without a wildcard.
     exact: HashMap<String, usize>,
-    /// `*.name`: the part behind the star.
-    suffixes: Wild,
+    /// `*.name`: the part after the star.
+    suffixes: WildcardDomains,
     /// `name.*`: the part before the star.
-    prefixes: Wild,
-    any: Option<usize>,
+    prefixes: WildcardDomains,
+    /// The virtual host of the domain `*`.
+    catch_all: Option<usize>,
     request: Mutations,
     response: Mutations,
-    /// Changes of the most specific place are made last and so win (`most_specific_header_mutations_wins`).
+    /// The most specific header mutations are applied last and so win (`most_specific_header_mutations_wins`).
     specific_last: bool,
     ignore_port: bool,
 }
 
 impl Table {
-    /// A table of these hosts.
+    /// Creates a table of virtual hosts.
     ///
     /// # Errors
-    /// Domains that stand twice, or that can match nothing.
+    /// A domain that is listed twice or that cannot match any authority.
     pub fn new(name: &str, hosts: Vec<Host>) -> Result<Self, DomainError> {
         let mut table = Table { name: name.to_owned(), ..Table::default() };
-        for (h, host) in hosts.into_iter().enumerate() {
-            for (d, domain) in host.domains.iter().enumerate() {
-                let text = domain.to_ascii_lowercase();
-                let stars = text.matches('*').count();
-                let before = match (text.as_str(), stars) {
-                    ("*", _) => table.any.replace(h),
-                    ("", _) => return Err(DomainError::Form { host: h, domain: d, text }),
-                    (_, 0) => table.exact.insert(text.clone(), h),
-                    (_, 1) if text.starts_with('*') => put(&mut table.suffixes, &text[1..], h),
-                    (_, 1) if text.ends_with('*') => put(&mut table.prefixes, &text[..text.len() - 1], h),
-                    _ => return Err(DomainError::Form { host: h, domain: d, text }),
-                };
-                if let Some(first) = before {
-                    return Err(DomainError::Twice { host: h, domain: d, text, first });
-                }
+        for (host_index, host) in hosts.into_iter().enumerate() {
+            for (domain_index, domain) in host.domains.iter().enumerate() {
+                table.insert_domain(host_index, domain_index, domain.to_ascii_lowercase())?;
             }
             let index = Index::new(&host.routes);
             table.hosts.push((host, index));
         }
-        for wild in [&mut table.suffixes, &mut table.prefixes] {
-            wild.sort_by_key(|(part, _)| std::cmp::Reverse(part.len()));
+        for wildcards in [&mut table.suffixes, &mut table.prefixes] {
+            wildcards.sort_by_key(|(part, _)| std::cmp::Reverse(part.len()));
         }
         Ok(table)
     }
 
-    /// With changes of headers for all requests and responses.
+    /// Maps a domain (in lower case) to the virtual host at index `host`.
+    fn insert_domain(&mut self, host: usize, domain: usize, text: String) -> Result<(), DomainError> {
+        let stars = text.matches('*').count();
+        let previous = match (text.as_str(), stars) {
+            ("*", _) => self.catch_all.replace(host),
+            ("", _) => return Err(DomainError::Form { host, domain, text }),
+            (_, 0) => self.exact.insert(text.clone(), host),
+            (_, 1) if text.starts_with('*') => insert_wildcard(&mut self.suffixes, &text[1..], host),
+            (_, 1) if text.ends_with('*') => {
+                insert_wildcard(&mut self.prefixes, &text[..text.len() - 1], host)
+            }
+            _ => return Err(DomainError::Form { host, domain, text }),
+        };
+        match previous {
+            Some(first) => Err(DomainError::Twice { host, domain, text, first }),
+            None => Ok(()),
+        }
+    }
+
+    /// Sets the header mutations for all requests and responses.
     pub fn with_headers(mut self, request: Mutations, response: Mutations, specific_last: bool) -> Self {
         (self.request, self.response, self.specific_last) = (request, response, specific_last);
         self
     }
 
-    /// With a port in the authority that doesn't count (`ignore_port_in_host_matching`).
+    /// With `ignore`, a port in the authority is ignored (`ignore_port_in_host_matching`).
     pub fn without_ports(mut self, ignore: bool) -> Self {
         self.ignore_port |= ignore;
         self
     }
 
-    /// Its name.
+    /// The name of the route configuration.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its virtual hosts.
+    /// The virtual hosts, in order.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().map(|(host, _)| host)
     }
 
-    /// The clusters that its routes name, not those that a header may.
+    /// The clusters that routes name directly; those named by a request header are not included.
     pub fn clusters(&self) -> BTreeSet<&Arc<str>> {
         let mut names = BTreeSet::new();
-        for route in self.hosts().flat_map(|h| &h.routes) {
+        for route in self.hosts().flat_map(|host| &host.routes) {
             match &route.action {
                 Action::Forward { clusters: Clusters::One(name), .. } => drop(names.insert(name)),
-                Action::Forward { clusters: Clusters::Weighted(parts), .. } => {
-                    names.extend(parts.iter().filter(|p| p.weight > 0).map(|p| &p.cluster));
+                Action::Forward { clusters: Clusters::Weighted(entries), .. } => {
+                    names.extend(entries.iter().filter(|entry| entry.weight > 0).map(|entry| &entry.cluster));
                 }
                 _ => {}
             }
@@ -139,41 +148,54 @@
         names
     }
 
-    /// The route of a request; `None`: there is none, which is answered with 404. `random` gives numbers from 0 up to 1.
+    /// Returns the route of a request, or `None` if no route matches (to be answered with 404). `random` returns numbers
+    /// in `[0, 1)`; it is called only for routes that match a fraction of requests.
     pub fn find(&self, head: &dyn Head, mut random: impl FnMut() -> f64) -> Option<Found<'_>> {
-        let (host, index) = &self.hosts[self.host(head.authority())?];
-        let fits = |i: u32| {
-            let matcher = &host.routes[i as usize].matcher;
-            let chance = if matcher.part.is_some() { random() } else { 0.0 };
-            matcher.path_fits(head.path()) && matcher.rest_fits(head, chance)
+        let (host, index) = &self.hosts[self.host_index(head.authority())?];
+        let matches = |position: u32| {
+            let matcher = &host.routes[position as usize].matcher;
+            let fraction = if matcher.part.is_some() { random() } else { 0.0 };
+            matcher.path_fits(head.path()) && matcher.rest_fits(head, fraction)
         };
-        let route = &host.routes[index.first(head.path(), fits)? as usize];
-        let order = |host, all| if self.specific_last { [all, host] } else { [host, all] };
+        let route = &host.routes[index.first(head.path(), matches)? as usize];
+        let in_order = |host, table| if self.specific_last { [table, host] } else { [host, table] };
         Some(Found {
             route,
-            request: order(&host.request, &self.request),
-            response: order(&host.response, &self.response),
+            request: in_order(&host.request, &self.request),
+            response: in_order(&host.response, &self.response),
             specific_last: self.specific_last,
         })
     }
 
-    /// "Exact domain names, then suffix wildcards, then prefix wildcards, then `*`"; of wildcards the longest.
-    fn host(&self, authority: &str) -> Option<usize> {
+    /// Returns the index of the virtual host for an authority, in Envoy's search order: "Exact domain names, then suffix
+    /// wildcards, then prefix wildcards, then `*`"; among wildcards the longest wins.
+    fn host_index(&self, authority: &str) -> Option<usize> {
         let authority = authority.to_ascii_lowercase();
         let name = match authority.rsplit_once(':') {
-            Some((name, port)) if self.ignore_port && port.bytes().all(|b| b.is_ascii_digit()) => name,
+            Some((name, port)) if self.ignore_port && port.bytes().all(|byte| byte.is_ascii_digit()) => name,
             _ => &authority,
         };
-        let longer = |part: &str| name.len() > part.len();
+        // A star stands for at least one character.
+        let is_longer = |part: &str| name.len() > part.len();
         let exact = self.exact.get(name).copied();
-        let suffix = || self.suffixes.iter().find(|(p, _)| longer(p) && name.ends_with(p.as_str()));
-        let prefix = || self.prefixes.iter().find(|(p, _)| longer(p) && name.starts_with(p.as_str()));
-        exact.or_else(|| suffix().map(|w| w.1)).or_else(|| prefix().map(|w| w.1)).or(self.any)
+        let by_suffix = || {
+            let mut wildcards = self.suffixes.iter();
+            wildcards.find(|(suffix, _)| is_longer(suffix) && name.ends_with(suffix.as_str()))
+        };
+        let by_prefix = || {
+            let mut wildcards = self.prefixes.iter();
+            wildcards.find(|(prefix, _)| is_longer(prefix) && name.starts_with(prefix.as_str()))
+        };
+        exact
+            .or_else(|| by_suffix().map(|(_, host)| *host))
+            .or_else(|| by_prefix().map(|(_, host)| *host))
+            .or(self.catch_all)
     }
 }
 
-fn put(wild: &mut Wild, part: &str, host: usize) -> Option<usize> {
-    let before = wild.iter().find(|(p, _)| p == part).map(|(_, h)| *h);
-    wild.push((part.to_owned(), host));
-    before
+/// Adds a wildcard domain and returns the virtual host that already had it, if any.
+fn insert_wildcard(wildcards: &mut WildcardDomains, part: &str, host: usize) -> Option<usize> {
+    let previous = wildcards.iter().find(|(known, _)| known == part).map(|(_, host)| *host);
+    wildcards.push((part.to_owned(), host));
+    previous
 }
--- a/crates/core/routing/src/text.rs
+++ b/crates/core/routing/src/text.rs
@@ -1,118 +1,124 @@
-//! Matches of texts (`envoy/type/matcher/v3/string.proto`), headers and query parameters.
+//! String matchers (`envoy/type/matcher/v3/string.proto`) and the header and query parameter matchers built on them.
 
 use crate::Head;
 use regex::Regex;
 use std::borrow::Cow;
 
-/// How a text must be.
+/// The pattern of a string matcher.
 #[derive(Clone, Debug)]
 pub enum Text {
-    /// Equal.
+    /// Equals this string.
     Exact(String),
-    /// Begins so.
+    /// Starts with this string.
     Prefix(String),
-    /// Ends so.
+    /// Ends with this string.
     Suffix(String),
-    /// Holds this.
+    /// Contains this string.
     Contains(String),
-    /// The whole of it fits the expression.
+    /// The whole string matches the expression.
     Regex(Regex),
 }
 
-/// A match of a text.
+/// A string matcher (`StringMatcher`).
 #[derive(Clone, Debug)]
 pub struct TextMatch {
-    text: Text,
-    /// Case doesn't matter (not for expressions, which say so themselves).
-    fold: bool,
+    pattern: Text,
+    /// Does not apply to regular expressions, which state it in the expression itself.
+    ignore_case: bool,
 }
 
-/// Compiles an expression that must fit the whole of a text, bounded in size.
+/// Upper bound of the size of a compiled regular expression, in bytes.
+const MAX_COMPILED_REGEX_BYTES: usize = 1 << 20;
+
+/// Compiles a regular expression that must match a whole string. The size of the compiled expression is bounded.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The last line of the compiler's message if the expression is invalid or too large.
 pub fn whole(expression: &str) -> Result<Regex, String> {
-    let compiled = regex::RegexBuilder::new(&format!("^(?:{expression})$")).size_limit(1 << 20).build();
-    compiled.map_err(|e| e.to_string().lines().last().unwrap_or_default().trim().to_owned())
+    let anchored = format!("^(?:{expression})$");
+    let compiled = regex::RegexBuilder::new(&anchored).size_limit(MAX_COMPILED_REGEX_BYTES).build();
+    compiled.map_err(|error| error.to_string().lines().last().unwrap_or_default().trim().to_owned())
 }
 
 impl TextMatch {
-    /// With `fold` the case of ASCII letters doesn't matter.
-    pub fn new(text: Text, fold: bool) -> Self {
-        let lower = |t: String| if fold { t.to_ascii_lowercase() } else { t };
-        let text = match text {
-            Text::Exact(t) => Text::Exact(lower(t)),
-            Text::Prefix(t) => Text::Prefix(lower(t)),
-            Text::Suffix(t) => Text::Suffix(lower(t)),
-            Text::Contains(t) => Text::Contains(lower(t)),
-            Text::Regex(r) => Text::Regex(r),
+    /// Creates a matcher; with `ignore_case` the case of ASCII letters is ignored.
+    pub fn new(pattern: Text, ignore_case: bool) -> Self {
+        let normalize = |text: String| if ignore_case { text.to_ascii_lowercase() } else { text };
+        let pattern = match pattern {
+            Text::Exact(exact) => Text::Exact(normalize(exact)),
+            Text::Prefix(prefix) => Text::Prefix(normalize(prefix)),
+            Text::Suffix(suffix) => Text::Suffix(normalize(suffix)),
+            Text::Contains(part) => Text::Contains(normalize(part)),
+            Text::Regex(regex) => Text::Regex(regex),
         };
-        TextMatch { text, fold }
+        TextMatch { pattern, ignore_case }
     }
 
-    /// Whether a text fits.
+    /// Returns `true` if `text` matches.
     pub fn fits(&self, text: &str) -> bool {
-        let folded = match (&self.text, self.fold) {
-            (Text::Regex(r), _) => return r.is_match(text),
+        let normalized = match (&self.pattern, self.ignore_case) {
+            (Text::Regex(regex), _) => return regex.is_match(text),
             (_, true) => Cow::Owned(text.to_ascii_lowercase()),
             (_, false) => Cow::Borrowed(text),
         };
-        match &self.text {
-            Text::Exact(t) => *folded == *t,
-            Text::Prefix(t) => folded.starts_with(t.as_str()),
-            Text::Suffix(t) => folded.ends_with(t.as_str()),
-            Text::Contains(t) => folded.contains(t.as_str()),
+        match &self.pattern {
+            Text::Exact(exact) => *normalized == *exact,
+            Text::Prefix(prefix) => normalized.starts_with(prefix.as_str()),
+            Text::Suffix(suffix) => normalized.ends_with(suffix.as_str()),
+            Text::Contains(part) => normalized.contains(part.as_str()),
             Text::Regex(_) => false,
         }
     }
 }
 
-/// How a header must be.
+/// The condition of a header matcher.
 #[derive(Clone, Debug)]
 pub enum HeaderIs {
-    /// There, or not there.
+    /// The header is present (`true`) or absent (`false`).
     Present(bool),
-    /// A whole number from the first up to the second, which is out.
+    /// The value is an integer in the half-open range from the first to the second number.
     Range(i64, i64),
-    /// A text.
+    /// The value matches a string matcher.
     Text(TextMatch),
 }
 
-/// A match of a header (`HeaderMatcher`).
+/// A header matcher (`HeaderMatcher`).
 #[derive(Clone, Debug)]
 pub struct HeaderMatch {
-    /// Its name in lower case; `:method`, `:path` and `:authority` stand for these.
+    /// Header name in lower case; `:method`, `:path` and `:authority` name the pseudo-headers.
     pub name: String,
-    /// How it must be.
+    /// The condition on the header.
     pub is: HeaderIs,
-    /// It must not be so. One that isn't there then fits a match of its text (`invert_match`).
+    /// Negates the condition; an absent header then matches a condition on its value (`invert_match`).
     pub invert: bool,
-    /// One that isn't there counts as an empty text (`treat_missing_header_as_empty`).
+    /// Treats an absent header as an empty value (`treat_missing_header_as_empty`).
     pub missing_is_empty: bool,
 }
 
 impl HeaderMatch {
-    /// Whether a request fits.
+    /// Returns `true` if the request matches.
     pub fn fits(&self, head: &dyn Head) -> bool {
-        let value = value(head, &self.name);
+        let value = header_value(head, &self.name);
         let value = match value {
             None if self.missing_is_empty && !matches!(self.is, HeaderIs::Present(_)) => {
                 Some(Cow::Borrowed(""))
             }
-            other => other,
+            value => value,
         };
-        let fits = match (&self.is, &value) {
-            (HeaderIs::Present(wanted), value) => value.is_some() == *wanted,
+        let holds = match (&self.is, &value) {
+            (HeaderIs::Present(expected), value) => value.is_some() == *expected,
             (_, None) => return self.invert,
-            (HeaderIs::Range(from, to), Some(v)) => v.parse::<i64>().is_ok_and(|n| (*from..*to).contains(&n)),
-            (HeaderIs::Text(text), Some(v)) => text.fits(v),
+            (HeaderIs::Range(start, end), Some(value)) => {
+                value.parse::<i64>().is_ok_and(|number| (*start..*end).contains(&number))
+            }
+            (HeaderIs::Text(matcher), Some(value)) => matcher.fits(value),
         };
-        fits != self.invert
+        holds != self.invert
     }
 }
 
-/// A header's values joined by commas.
-fn value<'a>(head: &'a dyn Head, name: &'a str) -> Option<Cow<'a, str>> {
+/// Returns all values of a header joined by commas, or `None` if it is absent.
+fn header_value<'a>(head: &'a dyn Head, name: &'a str) -> Option<Cow<'a, str>> {
     match name {
         ":method" => return Some(Cow::Borrowed(head.method())),
         ":authority" => return Some(Cow::Borrowed(head.authority())),
@@ -125,30 +131,30 @@
     match values.next() {
         None => Some(Cow::Borrowed(first)),
         Some(second) => {
-            let rest = values.fold(format!("{first},{second}"), |all, v| all + "," + v);
+            let rest = values.fold(format!("{first},{second}"), |joined, value| joined + "," + value);
             Some(Cow::Owned(rest))
         }
     }
 }
 
-/// A match of a query parameter (`QueryParameterMatcher`).
+/// A query parameter matcher (`QueryParameterMatcher`).
 #[derive(Clone, Debug)]
 pub struct QueryMatch {
-    /// Its name.
+    /// Name of the parameter.
     pub name: String,
-    /// How its first value must be; `None`: it must be there.
+    /// Condition on the first value; `None`: the parameter must be present.
     pub is: Option<TextMatch>,
 }
 
 impl QueryMatch {
-    /// Whether a request fits. Values are compared as they stand, not decoded, as Envoy does.
+    /// Returns `true` if the request matches. Values are compared without percent-decoding, as in Envoy.
     pub fn fits(&self, head: &dyn Head) -> bool {
-        let pairs = head.query().split('&').map(|p| p.split_once('=').unwrap_or((p, "")));
-        let mut named = pairs.filter(|(name, _)| *name == self.name);
-        match (named.next(), &self.is) {
+        let pairs = head.query().split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
+        let mut matching_pairs = pairs.filter(|(name, _)| *name == self.name);
+        match (matching_pairs.next(), &self.is) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some((_, value)), Some(is)) => is.fits(value),
+            (Some((_, value)), Some(matcher)) => matcher.fits(value),
         }
     }
 }
--- a/crates/core/routing/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes against a plain search through all of them, and each sort of match by hand.
+//! Route lookup compared with a linear search, and each kind of matcher by example.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -6,14 +6,14 @@
 use rushquay_routing::*;
 
 #[derive(Clone, Default)]
-struct Asked {
+struct TestRequest {
     authority: String,
     path: String,
     query: String,
     headers: Vec<(String, String)>,
 }
 
-impl Head for Asked {
+impl Head for TestRequest {
     fn authority(&self) -> &str {
         &self.authority
     }
@@ -31,11 +31,11 @@
     }
 }
 
-fn asked(path: &str) -> Asked {
-    Asked { path: path.into(), authority: "x".into(), ..Asked::default() }
+fn request_for(path: &str) -> TestRequest {
+    TestRequest { path: path.into(), authority: "x".into(), ..TestRequest::default() }
 }
 
-fn to(cluster: &str) -> Action {
+fn forward_to(cluster: &str) -> Action {
     forward(Clusters::One(cluster.into()), None)
 }
 
@@ -71,7 +71,7 @@
     domains.join(" ")
 }
 
-fn name(found: Option<Found<'_>>) -> Option<String> {
+fn cluster_name(found: Option<Found<'_>>) -> Option<String> {
     match &found?.route.action {
         Action::Forward { clusters: Clusters::One(name), .. } => Some(name.to_string()),
         _ => None,
@@ -85,34 +85,34 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(0x70), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order thousands of routes stand in, the first that fits counts.
+    /// Whatever the order of the routes, the first matching one wins.
     #[test]
-    fn the_index_finds_what_a_plain_search_finds(
-        told in prop::collection::vec(path_match(), 0..60),
+    fn indexed_lookup_agrees_with_linear_search(
+        path_matches in prop::collection::vec(path_match(), 0..60),
         paths in prop::collection::vec("(/[abA]{0,3}){1,4}", 1..20),
     ) {
-        let routes: Vec<Route> = told.iter().enumerate().map(|(i, (sort, text, case))| {
-            let path = match sort {
+        let routes: Vec<Route> = path_matches.iter().enumerate().map(|(i, (kind, text, case))| {
+            let path = match kind {
                 0 => PathMatch::Prefix(text.clone()),
                 1 => PathMatch::Exact(text.clone()),
                 2 => PathMatch::Under(text.trim_end_matches('/').to_owned()),
                 _ => PathMatch::Regex(whole(&format!("{text}[ab]*")).expect("an expression")),
             };
-            let mut route = route(path, to(&i.to_string()));
+            let mut route = route(path, forward_to(&i.to_string()));
             route.matcher.case = *case;
             route
         }).collect();
         let table = Table::new("t", vec![host(&["*"], routes.clone())]).expect("good");
         for path in &paths {
-            let plain = routes.iter().position(|r| r.matcher.path_fits(path)).map(|i| i.to_string());
-            prop_assert_eq!(name(table.find(&asked(path), || 0.0)), plain, "{}", path);
+            let expected = routes.iter().position(|r| r.matcher.path_fits(path)).map(|i| i.to_string());
+            prop_assert_eq!(cluster_name(table.find(&request_for(path), || 0.0)), expected, "{}", path);
         }
     }
 }
 
 #[test]
-fn domains_are_tried_from_the_most_to_the_least_exact() {
-    let one = |d: &str| host(&[d], vec![route(PathMatch::Prefix("/".into()), to(d))]);
+fn most_specific_domain_wins() {
+    let one = |d: &str| host(&[d], vec![route(PathMatch::Prefix("/".into()), forward_to(d))]);
     let domains = ["*", "*.org", "*.a.org", "www.a.org", "www.*", "www.a.*", "b.org:81"];
     let table = Table::new("t", domains.iter().map(|d| one(d)).collect()).expect("good");
     for (authority, expected) in [
@@ -127,29 +127,30 @@
         ("elsewhere", "*"),
         ("www.a.org:80", "www.a.*"),
     ] {
-        let mut head = asked("/");
+        let mut head = request_for("/");
         head.authority = authority.into();
-        assert_eq!(name(table.find(&head, || 0.0)).as_deref(), Some(expected), "{authority}");
+        assert_eq!(cluster_name(table.find(&head, || 0.0)).as_deref(), Some(expected), "{authority}");
     }
-    let mut head = asked("/");
+    let mut head = request_for("/");
     head.authority = "www.a.org:80".into();
-    assert_eq!(name(table.without_ports(true).find(&head, || 0.0)).as_deref(), Some("www.a.org"));
+    assert_eq!(cluster_name(table.without_ports(true).find(&head, || 0.0)).as_deref(), Some("www.a.org"));
     let twice = Table::new("t", vec![one("a.org"), one("A.org")]).expect_err("twice").to_string();
     assert!(twice.starts_with("virtual_hosts[1].domains[0]"), "{twice}");
     assert!(Table::new("t", vec![one("a.*.org")]).is_err());
-    assert!(name(Table::new("t", vec![one("a.org")]).expect("good").find(&asked("/"), || 0.0)).is_none());
+    assert!(cluster_name(Table::new("t", vec![one("a.org")]).expect("good").find(&request_for("/"), || 0.0))
+        .is_none());
 }
 
 #[test]
-fn headers_and_parameters_decide_after_the_path() {
+fn header_and_query_parameter_matchers_apply_after_the_path() {
     let header = |is, invert, missing_is_empty| {
-        let mut r = route(PathMatch::Prefix("/".into()), to("it"));
+        let mut r = route(PathMatch::Prefix("/".into()), forward_to("it"));
         r.matcher.headers = vec![HeaderMatch { name: "x-plant".into(), is, invert, missing_is_empty }];
         Table::new("t", vec![host(&["*"], vec![r])]).expect("good")
     };
     let text = |t, fold| HeaderIs::Text(TextMatch::new(t, fold));
     let fits = |table: &Table, values: &[&str]| {
-        let mut head = asked("/");
+        let mut head = request_for("/");
         head.headers = values.iter().map(|v| ("x-plant".to_owned(), v.to_string())).collect();
         table.find(&head, || 0.0).is_some()
     };
@@ -170,9 +171,12 @@
     let joined = header(text(Text::Exact("a,b".into()), false), false, false);
     assert!(fits(&joined, &["a", "b"]));
     let expression = header(text(Text::Regex(whole("a|b").expect("good")), false), false, false);
-    assert!(fits(&expression, &["b"]) && !fits(&expression, &["ab"]), "the whole of it");
+    assert!(
+        fits(&expression, &["b"]) && !fits(&expression, &["ab"]),
+        "the expression must match the whole value"
+    );
 
-    let mut r = route(PathMatch::Prefix("/".into()), to("it"));
+    let mut r = route(PathMatch::Prefix("/".into()), forward_to("it"));
     r.matcher.query = vec![
         QueryMatch { name: "zone".into(), is: Some(TextMatch::new(Text::Suffix("ra".into()), false)) },
         QueryMatch { name: "dry".into(), is: None },
@@ -185,25 +189,28 @@
         ("zone=vadodara", false),
         ("", false),
     ] {
-        let head = Asked { query: query.into(), ..asked("/") };
+        let head = TestRequest { query: query.into(), ..request_for("/") };
         assert_eq!(table.find(&head, || 0.0).is_some(), expected, "{query}");
     }
 }
 
 #[test]
-fn a_part_of_the_requests_takes_another_route() {
-    let mut trial = route(PathMatch::Prefix("/".into()), to("trial"));
+fn runtime_fraction_matches_its_share_of_requests() {
+    let mut trial = route(PathMatch::Prefix("/".into()), forward_to("trial"));
     trial.matcher.part = Some(0.25);
-    let table =
-        Table::new("t", vec![host(&["*"], vec![trial, route(PathMatch::Prefix("/".into()), to("rest"))])])
-            .expect("good");
-    let taken = (0..1000)
-        .filter(|i| name(table.find(&asked("/"), || f64::from(*i) / 1000.0)).as_deref() == Some("trial"));
+    let table = Table::new(
+        "t",
+        vec![host(&["*"], vec![trial, route(PathMatch::Prefix("/".into()), forward_to("rest"))])],
+    )
+    .expect("good");
+    let taken = (0..1000).filter(|i| {
+        cluster_name(table.find(&request_for("/"), || f64::from(*i) / 1000.0)).as_deref() == Some("trial")
+    });
     assert_eq!(taken.count(), 250);
 }
 
 #[test]
-fn weights_share_requests_and_a_key_keeps_its_cluster() {
+fn weighted_and_header_named_clusters_are_picked() {
     let weighted = |name: &str, weight| Weighted {
         cluster: name.into(),
         weight,
@@ -213,20 +220,20 @@
     };
     let clusters =
         Clusters::Weighted(vec![weighted("a", 1), weighted("none", 0), weighted("b", u32::MAX - 1)]);
-    let head = asked("/");
+    let head = request_for("/");
     assert_eq!(clusters.pick(&head, 0.0).map(|p| p.0).as_deref(), Some("a"));
     assert_eq!(clusters.pick(&head, 0.5).map(|p| p.0).as_deref(), Some("b"));
     assert_eq!(clusters.pick(&head, 0.999_999_999_999).map(|p| p.0).as_deref(), Some("b"));
-    let head = Asked { headers: vec![("x-to".into(), "c".into())], ..asked("/") };
+    let head = TestRequest { headers: vec![("x-to".into(), "c".into())], ..request_for("/") };
     assert_eq!(
         Clusters::Header("x-to".into()).pick(&head, 0.0).map(|p| p.0.into_owned()).as_deref(),
         Some("c")
     );
-    assert!(Clusters::Header("x-to".into()).pick(&asked("/"), 0.0).is_none());
+    assert!(Clusters::Header("x-to".into()).pick(&request_for("/"), 0.0).is_none());
 }
 
 #[test]
-fn paths_are_rewritten_where_they_matched() {
+fn prefix_and_regex_rewrites_replace_the_matched_part() {
     let prefix =
         |path, to: &str| route(path, forward(Clusters::One("c".into()), Some(Rewrite::Prefix(to.into()))));
     assert_eq!(
@@ -242,7 +249,7 @@
 }
 
 #[test]
-fn a_policy_allows_what_it_names_and_no_more() {
+fn retry_policy_allows_only_its_conditions_and_count() {
     let policy = |on, most| Retries { most, per_try: 0, on, codes: vec![418] };
     let all = [
         Ended::ConnectFailure,
@@ -268,5 +275,5 @@
         policy(Retries::SERVER, 2).allow(2, Some(Ended::Reset))
             && !policy(Retries::SERVER, 2).allow(3, Some(Ended::Reset))
     );
-    assert!(policy(0, 1).allow(1, None), "a second copy is no repeat of what failed");
+    assert!(policy(0, 1).allow(1, None), "a hedged request is not a retry of a failed attempt");
 }
