--- a/crates/core/load-assignment/src/aggregate.rs
+++ b/crates/core/load-assignment/src/aggregate.rs
@@ -1,29 +1,31 @@
-//! How requests are split over the clusters of an aggregate.
+//! Distribution of requests over the clusters of an aggregate cluster.
 //!
-//! Source: Envoy's documentation, "Aggregate Cluster": the priorities of all clusters stand in one row, in the order in which
-//! the clusters are named, and load spills along that row by the usual rules. Within a cluster its own priorities share as
-//! ever.
+//! Source: Envoy's documentation, "Aggregate Cluster": the priorities of all clusters are concatenated in the
+//! order in which the clusters are listed, and load spills over along that sequence by the usual rules. Within a cluster its
+//! own priorities apply as usual.
 
 use crate::levels::{loads, Level};
 
-/// Percent of the requests that each cluster takes, in order; they add up to 100, or to 0 where nobody can take any. A
-/// cluster that isn't there has no levels.
+/// Returns the percentage of requests for each cluster, in order. The sum is 100, or 0 if no cluster can take any. A
+/// cluster that does not exist has no levels.
 pub fn split(clusters: &[Vec<Level>], panic: f64) -> Vec<u32> {
-    let row: Vec<Level> = clusters.iter().flatten().copied().collect();
-    let mut loads = loads(&row, panic).into_iter();
-    let taken = |levels: &Vec<Level>| loads.by_ref().take(levels.len()).map(|l| l.healthy + l.degraded).sum();
-    clusters.iter().map(taken).collect()
+    let all_levels: Vec<Level> = clusters.iter().flatten().copied().collect();
+    let mut loads = loads(&all_levels, panic).into_iter();
+    let cluster_load = |levels: &Vec<Level>| {
+        loads.by_ref().take(levels.len()).map(|load| load.healthy + load.degraded).sum()
+    };
+    clusters.iter().map(cluster_load).collect()
 }
 
-/// The one that a number from 0 up to 1 falls to; `None` where all parts are 0. The same number falls to the same one for
-/// as long as the parts are the same, so that a key keeps its cluster.
+/// Returns the index that `at`, in `[0, 1)`, selects in proportion to `parts`, or `None` if all are 0. The same number
+/// selects the same index for as long as the parts are unchanged, so that a key keeps its cluster.
 pub fn pick(parts: &[u32], at: f64) -> Option<usize> {
-    let whole: u64 = parts.iter().map(|p| u64::from(*p)).sum();
-    let mut point = (at * whole as f64) as u64;
+    let total: u64 = parts.iter().map(|part| u64::from(*part)).sum();
+    let mut remaining = (at * total as f64) as u64;
     parts.iter().position(|part| {
         let part = u64::from(*part);
-        let here = point < part;
-        point = point.saturating_sub(part);
-        here
+        let is_selected = remaining < part;
+        remaining = remaining.saturating_sub(part);
+        is_selected
     })
 }
--- a/crates/core/load-assignment/src/assignment.rs
+++ b/crates/core/load-assignment/src/assignment.rs
@@ -1,4 +1,4 @@
-//! What is declared of a cluster's endpoints (`ClusterLoadAssignment`), as types that hold nothing contradictory.
+//! The declared endpoints of a cluster (`ClusterLoadAssignment`) as validated types.
 
 use crate::Nanos;
 use std::collections::HashMap;
@@ -6,53 +6,53 @@
 use std::num::NonZeroU32;
 use std::sync::Arc;
 
-/// The highest priority number there may be ("Priority levels": Envoy takes 128 levels).
+/// The highest priority number ("Priority levels": Envoy supports 128 levels).
 pub const PRIORITY_MOST: u8 = 127;
-/// Hosts count as if there were 1.4 times as many, unless told otherwise ("Overprovisioning Factor").
+/// Default overprovisioning factor, in percent ("Overprovisioning Factor").
 pub const OVERPROVISIONING: u32 = 140;
 
-/// What is declared of an endpoint's health (`envoy.config.core.v3.HealthStatus`).
+/// The declared health of an endpoint (`envoy.config.core.v3.HealthStatus`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Health {
     /// `UNKNOWN` and `HEALTHY`.
     Healthy,
-    /// `DEGRADED`: taken when the healthy ones are too few.
+    /// `DEGRADED`: used when there are too few healthy endpoints.
     Degraded,
-    /// `UNHEALTHY` and `TIMEOUT`: taken in a panic alone.
+    /// `UNHEALTHY` and `TIMEOUT`: used in panic mode only.
     Unhealthy,
-    /// `DRAINING`: never given anything new. Envoy would in a panic; the rule on drains goes before that.
+    /// `DRAINING`: never gets new requests. Envoy would send some in panic mode; here draining takes precedence.
     Draining,
 }
 
-/// Where an endpoint stands, and of what sort it is.
+/// Location and kind of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Place {
-    /// The zone: the locality's, or what metadata says.
+    /// Zone: from the locality or from metadata.
     pub zone: Arc<str>,
-    /// The machine kind, from metadata; may be empty.
+    /// Machine kind, from metadata; may be empty.
     pub kind: Arc<str>,
-    /// The cell, from metadata.
+    /// Cell, from metadata.
     pub cell: u32,
 }
 
-/// An endpoint.
+/// An endpoint (`LbEndpoint`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its identity, the same at every proxy: from metadata, or else its address.
+    /// Identity, the same at every proxy: from metadata, else the address.
     pub id: Arc<str>,
-    /// Where to connect.
+    /// Address to connect to.
     pub addr: SocketAddr,
     /// Weight among the endpoints of its locality.
     pub weight: NonZeroU32,
-    /// What is declared of its health.
+    /// Declared health.
     pub health: Health,
-    /// Where it stands.
+    /// Location and kind.
     pub place: Place,
-    /// When it started, where that is told: Unix time in nanoseconds.
+    /// Start time if known: Unix time in nanoseconds.
     pub started: Option<Nanos>,
 }
 
-/// A locality's name.
+/// The name of a locality (`envoy.config.core.v3.Locality`).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default, PartialOrd, Ord)]
 pub struct LocalityName {
     /// Region.
@@ -63,38 +63,38 @@
     pub sub_zone: Arc<str>,
 }
 
-/// Endpoints of one place at one priority.
+/// The endpoints of a locality at one priority (`LocalityLbEndpoints`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Locality {
-    /// Its name.
+    /// Name of the locality.
     pub name: LocalityName,
-    /// 0 is the highest; 127 at most.
+    /// Priority from 0, the highest, to [`PRIORITY_MOST`].
     pub priority: u8,
-    /// Weight among the localities of its priority; `None`: it takes no load where these weights count.
+    /// Weight among the localities of its priority; `None`: takes no load where locality weights apply.
     pub weight: Option<NonZeroU32>,
-    /// Its endpoints.
+    /// Endpoints in the order declared.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Requests that are turned away on purpose (`drop_overloads`).
+/// A fraction of requests to drop deliberately (`drop_overloads`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overload {
-    /// Why, in the configuration's words.
+    /// Category, as configured.
     pub category: Arc<str>,
-    /// The part of the requests, from 0 to 1.
+    /// Fraction of requests to drop, from 0 to 1.
     pub part: f64,
 }
 
-/// Rules of an assignment (`ClusterLoadAssignment.Policy`).
+/// The policy of an assignment (`ClusterLoadAssignment.Policy`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// In hundredths; 140 where nothing is told.
+    /// Overprovisioning factor in percent; [`OVERPROVISIONING`] by default.
     pub overprovisioning: u32,
-    /// For so long after it came the assignment counts; then its endpoints are unhealthy (`endpoint_stale_after`).
+    /// Time after receipt at which the assignment becomes stale and its endpoints unhealthy (`endpoint_stale_after`).
     pub stale_after: Option<Nanos>,
-    /// Health counts by weight (`weighted_priority_health`).
+    /// Whether availability is computed by weight rather than by number (`weighted_priority_health`).
     pub weighted_health: bool,
-    /// In order; each is asked in turn.
+    /// Drop rules, evaluated in order.
     pub overloads: Vec<Overload>,
 }
 
@@ -109,112 +109,79 @@
     }
 }
 
-/// A cluster's endpoints; none stands in it twice.
+/// The endpoints of a cluster; none is listed twice.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Assignment {
     localities: Vec<Locality>,
     rules: Rules,
 }
 
-/// Why an assignment contradicts itself. Numbers count from 0 in the order declared; correct it at its source.
+/// A contradiction in an assignment, to be corrected at its source. Indices count from 0 in the order declared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// One address twice. Danger: of two weights for one endpoint, the one read last would win by chance.
+    /// An address is listed twice. Danger: of two weights for one endpoint, the one read last would win by chance.
     #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the address {addr} stands already in endpoints[{first}]; list it once")]
     AddressTwice {
-        /// Where it stands again.
+        /// Index of the locality of the second listing.
         locality: usize,
-        /// Where it stands again.
+        /// Index of the endpoint in that locality.
         endpoint: usize,
-        /// The locality in which it stands first.
+        /// Index of the locality of the first listing.
         first: usize,
-        /// The address.
+        /// The repeated address.
         addr: SocketAddr,
     },
-    /// One identity twice.
+    /// An identity is listed twice.
     #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the id {id:?} stands already in endpoints[{first}]; list it once")]
     IdTwice {
-        /// Where it stands again.
+        /// Index of the locality of the second listing.
         locality: usize,
-        /// Where it stands again.
+        /// Index of the endpoint in that locality.
         endpoint: usize,
-        /// The locality in which it stands first.
+        /// Index of the locality of the first listing.
         first: usize,
-        /// The identity.
+        /// The repeated identity.
         id: Arc<str>,
     },
-    /// One locality twice at one priority.
+    /// A locality is listed twice at the same priority.
     #[error("endpoints[{locality}].locality: stands already in endpoints[{first}] with the same priority; join the two")]
     LocalityTwice {
-        /// Where it stands again.
+        /// Index of the locality of the second listing.
         locality: usize,
-        /// Where it stands first.
+        /// Index of the locality listed first.
         first: usize,
     },
-    /// Weights that add up to more than 2^32-1.
+    /// The sum of weights exceeds 2^32-1.
     #[error(
         "endpoints[{locality}].{field}: the weights add up to more than 4294967295; divide all by one number"
     )]
     WeightSum {
-        /// The locality at which the sum is passed.
+        /// Index of the locality at which the sum exceeds the limit.
         locality: usize,
-        /// Whose weights.
+        /// The weight field.
         field: &'static str,
     },
-    /// A number that is out of range.
+    /// A number is out of range.
     #[error("{field}: {why}")]
     Range {
         /// The field.
         field: String,
-        /// What is expected.
+        /// The expected range.
         why: &'static str,
     },
 }
 
 impl Assignment {
-    /// Checks what is declared.
+    /// Validates a declared assignment.
     ///
     /// # Errors
-    /// See [`AssignmentError`]; nothing of it is to be used.
+    /// See [`AssignmentError`]; no part of the assignment may be used then.
     pub fn new(localities: Vec<Locality>, rules: Rules) -> Result<Self, AssignmentError> {
-        let range = |field: &str, why| Err(AssignmentError::Range { field: field.into(), why });
-        if rules.overprovisioning == 0 {
-            return range("policy.overprovisioning_factor", "expected 1 at least");
-        }
-        if rules.overloads.iter().any(|o| !(0.0..=1.0).contains(&o.part)) {
-            return range("policy.drop_overloads", "expected 0 to 100 percent");
-        }
-        let (mut addrs, mut ids, mut names) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let mut sums: HashMap<u8, u64> = HashMap::new();
-        for (l, locality) in localities.iter().enumerate() {
-            if locality.priority > PRIORITY_MOST {
-                let field = format!("endpoints[{l}].priority");
-                return Err(AssignmentError::Range { field, why: "expected 0 to 127" });
-            }
-            if let Some(first) = names.insert((&locality.name, locality.priority), l) {
-                return Err(AssignmentError::LocalityTwice { locality: l, first });
-            }
-            let sum = sums.entry(locality.priority).or_default();
-            *sum += locality.weight.map_or(0, |w| u64::from(w.get()));
-            if *sum > u64::from(u32::MAX) {
-                return Err(AssignmentError::WeightSum { locality: l, field: "load_balancing_weight" });
-            }
-            let mut inner = 0u64;
-            for (e, endpoint) in locality.endpoints.iter().enumerate() {
-                if let Some(first) = addrs.insert(endpoint.addr, l) {
-                    let addr = endpoint.addr;
-                    return Err(AssignmentError::AddressTwice { locality: l, endpoint: e, first, addr });
-                }
-                if let Some(first) = ids.insert(&endpoint.id, l) {
-                    let id = endpoint.id.clone();
-                    return Err(AssignmentError::IdTwice { locality: l, endpoint: e, first, id });
-                }
-                inner += u64::from(endpoint.weight.get());
-            }
-            if inner > u64::from(u32::MAX) {
-                let field = "lb_endpoints.load_balancing_weight";
-                return Err(AssignmentError::WeightSum { locality: l, field });
-            }
+        validate_rules(&rules)?;
+        let mut validator = Validator::default();
+        for (index, locality) in localities.iter().enumerate() {
+            validator.validate_locality(index, locality)?;
+            validator.validate_endpoints(index, locality)?;
         }
         Ok(Assignment { localities, rules })
     }
@@ -224,13 +191,81 @@
         &self.localities
     }
 
-    /// Its rules.
+    /// The policy.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
     /// All endpoints with their localities.
     pub fn endpoints(&self) -> impl Iterator<Item = (&Locality, &Endpoint)> {
-        self.localities.iter().flat_map(|l| l.endpoints.iter().map(move |e| (l, e)))
+        let localities = self.localities.iter();
+        localities.flat_map(|locality| locality.endpoints.iter().map(move |endpoint| (locality, endpoint)))
+    }
+}
+
+fn validate_rules(rules: &Rules) -> Result<(), AssignmentError> {
+    let out_of_range = |field: &str, why| Err(AssignmentError::Range { field: field.into(), why });
+    if rules.overprovisioning == 0 {
+        return out_of_range("policy.overprovisioning_factor", "expected 1 at least");
+    }
+    if rules.overloads.iter().any(|overload| !(0.0..=1.0).contains(&overload.part)) {
+        return out_of_range("policy.drop_overloads", "expected 0 to 100 percent");
+    }
+    Ok(())
+}
+
+/// What the localities validated so far have declared, each with the index of its locality.
+#[derive(Default)]
+struct Validator<'a> {
+    addrs: HashMap<SocketAddr, usize>,
+    ids: HashMap<&'a Arc<str>, usize>,
+    localities: HashMap<(&'a LocalityName, u8), usize>,
+    /// Sum of locality weights by priority.
+    weight_sums: HashMap<u8, u64>,
+}
+
+impl<'a> Validator<'a> {
+    fn validate_locality(&mut self, index: usize, locality: &'a Locality) -> Result<(), AssignmentError> {
+        if locality.priority > PRIORITY_MOST {
+            let field = format!("endpoints[{index}].priority");
+            return Err(AssignmentError::Range { field, why: "expected 0 to 127" });
+        }
+        if let Some(first) = self.localities.insert((&locality.name, locality.priority), index) {
+            return Err(AssignmentError::LocalityTwice { locality: index, first });
+        }
+        let weight_sum = self.weight_sums.entry(locality.priority).or_default();
+        *weight_sum += locality.weight.map_or(0, |weight| u64::from(weight.get()));
+        if *weight_sum > u64::from(u32::MAX) {
+            return Err(AssignmentError::WeightSum { locality: index, field: "load_balancing_weight" });
+        }
+        Ok(())
+    }
+
+    fn validate_endpoints(&mut self, index: usize, locality: &'a Locality) -> Result<(), AssignmentError> {
+        let mut weight_sum = 0u64;
+        for (endpoint_index, endpoint) in locality.endpoints.iter().enumerate() {
+            if let Some(first) = self.addrs.insert(endpoint.addr, index) {
+                return Err(AssignmentError::AddressTwice {
+                    locality: index,
+                    endpoint: endpoint_index,
+                    first,
+                    addr: endpoint.addr,
+                });
+            }
+            if let Some(first) = self.ids.insert(&endpoint.id, index) {
+                return Err(AssignmentError::IdTwice {
+                    locality: index,
+                    endpoint: endpoint_index,
+                    first,
+                    id: endpoint.id.clone(),
+                });
+            }
+            weight_sum += u64::from(endpoint.weight.get());
+        }
+        if weight_sum > u64::from(u32::MAX) {
+            let field = "lb_endpoints.load_balancing_weight";
+            return Err(AssignmentError::WeightSum { locality: index, field });
+        }
+        Ok(())
     }
 }
--- a/crates/core/load-assignment/src/breakers.rs
+++ b/crates/core/load-assignment/src/breakers.rs
@@ -1,12 +1,12 @@
-//! Limits on what is out at once at a cluster.
+//! Circuit breakers: limits on what is in flight to a cluster.
 //!
-//! Source: Envoy's documentation, "Circuit breaking", and `envoy/config/cluster/v3/circuit_breaker.proto`. What is over a
-//! limit is refused at once; nothing waits for a place.
+//! Source: Envoy's documentation, "Circuit breaking", and `envoy/config/cluster/v3/circuit_breaker.proto`. What
+//! exceeds a limit is rejected at once; nothing queues for a slot.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A route's priority (`envoy.config.core.v3.RoutingPriority`); each has limits of its own.
+/// The priority of a route (`envoy.config.core.v3.RoutingPriority`); each has its own thresholds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Importance {
     /// `DEFAULT`.
@@ -16,27 +16,27 @@
     High,
 }
 
-/// How many repeats may be out, as a part of the requests that are.
+/// Retry budget: limit of retries in flight relative to the requests in flight (`retry_budget`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Percent of the requests that are out; 20 where nothing is told.
+    /// Percentage of the requests in flight; 20 by default (`budget_percent`).
     pub percent: f64,
-    /// So many may be out in any case; 3 where nothing is told.
+    /// Retries allowed in flight in any case; 3 by default (`min_retry_concurrency`).
     pub least: u32,
 }
 
-/// Limits of one importance. Envoy's own stand where a threshold is given and the field is not.
+/// Thresholds for one routing priority. The defaults are Envoy's, for fields that a configured threshold leaves out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Connections, idle ones among them.
+    /// Connections, including idle ones.
     pub connections: u32,
-    /// Attempts that wait for their connection to come up.
+    /// Attempts that wait for a connection to be established.
     pub pending: u32,
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Repeats; not read where there is a budget.
+    /// Retries in flight; ignored if there is a budget.
     pub retries: u32,
-    /// Repeats as a part of the requests.
+    /// Retry budget.
     pub budget: Option<Budget>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Thresholds {
-    /// For a cluster that names no limits: the proxy's own hold.
+    /// No limits, for a cluster without thresholds: only the proxy's own limits apply.
     pub const NONE: Thresholds = Thresholds {
         connections: u32::MAX,
         pending: u32::MAX,
@@ -55,21 +55,32 @@
         retries: u32::MAX,
         budget: None,
     };
+
+    /// The limit of retries while `requests` requests are in flight.
+    fn max_retries(&self, requests: u32) -> u32 {
+        match self.budget {
+            None => self.retries,
+            Some(budget) => {
+                let share = f64::from(requests) * budget.percent / 100.0;
+                (share as u32).max(budget.least)
+            }
+        }
+    }
 }
 
-/// What has reached its limit.
+/// A limit that a circuit breaker enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trip {
     /// `max_requests`.
     Requests,
-    /// `max_retries`, or the budget.
+    /// `max_retries` or the retry budget.
     Retries,
     /// `max_pending_requests`.
     Pending,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Out {
+struct InFlight {
     requests: u32,
     retries: u32,
     pending: u32,
@@ -78,83 +89,75 @@
 #[derive(Debug)]
 struct State {
     limits: [Thresholds; 2],
-    out: [Out; 2],
-    /// How often each limit was reached.
+    in_flight: [InFlight; 2],
+    /// How often each limit was reached, by [`Trip`].
     trips: [u64; 3],
 }
 
-/// The limits of a cluster and what is out. Clones share one state.
+/// The circuit breakers of a cluster: limits and what is in flight. Clones share one state.
 #[derive(Clone, Debug)]
 pub struct Breakers(Rc<RefCell<State>>);
 
-/// A place, given back when it is dropped.
+/// A slot under a limit, released on drop.
 #[derive(Debug)]
 pub struct Hold {
     breakers: Breakers,
     importance: Importance,
-    of: Trip,
+    limit: Trip,
 }
 
 impl Breakers {
-    /// Limits by importance, default and high.
+    /// Creates circuit breakers with the thresholds for the default and the high priority.
     pub fn new(limits: [Thresholds; 2]) -> Self {
-        Breakers(Rc::new(RefCell::new(State { limits, out: Default::default(), trips: [0; 3] })))
+        Breakers(Rc::new(RefCell::new(State { limits, in_flight: Default::default(), trips: [0; 3] })))
     }
 
-    /// Other limits from now on; what is out stays out.
+    /// Replaces the thresholds; what is in flight stays counted.
     pub fn set(&self, limits: [Thresholds; 2]) {
         self.0.borrow_mut().limits = limits;
     }
 
-    /// Takes a place for a request, a repeat or an attempt that connects.
+    /// Acquires a slot for a request, a retry or a connecting attempt.
     ///
     /// # Errors
-    /// The limit that is reached.
-    pub fn take(&self, importance: Importance, of: Trip) -> Result<Hold, Trip> {
+    /// The limit, if it is reached.
+    pub fn take(&self, importance: Importance, limit: Trip) -> Result<Hold, Trip> {
         let mut state = self.0.borrow_mut();
-        let (limits, out) = (state.limits[importance as usize], state.out[importance as usize]);
-        let (now, most) = match of {
-            Trip::Requests => (out.requests, limits.requests),
-            Trip::Pending => (out.pending, limits.pending),
-            Trip::Retries => (
-                out.retries,
-                match limits.budget {
-                    None => limits.retries,
-                    Some(budget) => {
-                        let part = f64::from(out.requests) * budget.percent / 100.0;
-                        (part as u32).max(budget.least)
-                    }
-                },
-            ),
+        let thresholds = state.limits[importance as usize];
+        let in_flight = state.in_flight[importance as usize];
+        let (current, max) = match limit {
+            Trip::Requests => (in_flight.requests, thresholds.requests),
+            Trip::Pending => (in_flight.pending, thresholds.pending),
+            Trip::Retries => (in_flight.retries, thresholds.max_retries(in_flight.requests)),
         };
-        if now >= most {
-            state.trips[of as usize] += 1;
-            return Err(of);
+        if current >= max {
+            state.trips[limit as usize] += 1;
+            return Err(limit);
         }
-        *state.out[importance as usize].of(of) += 1;
-        Ok(Hold { breakers: self.clone(), importance, of })
+        *state.in_flight[importance as usize].count_mut(limit) += 1;
+        Ok(Hold { breakers: self.clone(), importance, limit })
     }
 
-    /// How many connections there may be.
+    /// The limit of connections.
     pub fn connections(&self, importance: Importance) -> u32 {
         self.0.borrow().limits[importance as usize].connections
     }
 
-    /// How many requests, repeats and connecting attempts are out.
+    /// Numbers of requests, retries and connecting attempts in flight.
     pub fn out(&self, importance: Importance) -> [u32; 3] {
-        let out = self.0.borrow().out[importance as usize];
-        [out.requests, out.retries, out.pending]
+        let in_flight = self.0.borrow().in_flight[importance as usize];
+        [in_flight.requests, in_flight.retries, in_flight.pending]
     }
 
-    /// How often the limits on requests, repeats and connecting attempts were reached.
+    /// How often the limits of requests, retries and connecting attempts were reached.
     pub fn trips(&self) -> [u64; 3] {
         self.0.borrow().trips
     }
 }
 
-impl Out {
-    fn of(&mut self, of: Trip) -> &mut u32 {
-        match of {
+impl InFlight {
+    fn count_mut(&mut self, limit: Trip) -> &mut u32 {
+        match limit {
             Trip::Requests => &mut self.requests,
             Trip::Retries => &mut self.retries,
             Trip::Pending => &mut self.pending,
@@ -165,6 +168,6 @@
 impl Drop for Hold {
     fn drop(&mut self) {
         let mut state = self.breakers.0.borrow_mut();
-        *state.out[self.importance as usize].of(self.of) -= 1;
+        *state.in_flight[self.importance as usize].count_mut(self.limit) -= 1;
     }
 }
--- a/crates/core/load-assignment/src/dns.rs
+++ b/crates/core/load-assignment/src/dns.rs
@@ -1,7 +1,8 @@
-//! Endpoints whose addresses are looked up (`STRICT_DNS`): when to look, and what the answers make of the assignment. The
-//! look-up itself is somebody else's.
+//! Endpoints whose addresses come from DNS (`STRICT_DNS`): the schedule of resolutions and the assignment that results. The
+//! caller resolves the names.
 //!
-//! Source: Envoy's documentation, "Strict DNS": every address that a name has is an endpoint; those that it has no more go.
+//! Source: Envoy's documentation, "Strict DNS": every address of a name is an endpoint; addresses no longer returned are
+//! removed.
 
 use crate::assignment::{
     Assignment, AssignmentError, Endpoint, Health, Locality, LocalityName, Place, Rules,
@@ -12,52 +13,57 @@
 use std::num::NonZeroU32;
 use std::sync::Arc;
 
-/// An endpoint by name.
+/// An endpoint declared by host name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Named {
-    /// The name, or an address.
+    /// Host name or IP address.
     pub host: Arc<str>,
-    /// The port.
+    /// Port.
     pub port: u16,
-    /// Weight of each address that it has.
+    /// Weight of each resolved address.
     pub weight: NonZeroU32,
-    /// What is declared of its health.
+    /// Declared health.
     pub health: Health,
-    /// Where it stands.
+    /// Location and kind.
     pub place: Place,
 }
 
-/// Endpoints by name of one place at one priority.
+/// The endpoints of a locality at one priority, declared by host name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedLocality {
-    /// Its name.
+    /// Name of the locality.
     pub name: LocalityName,
-    /// 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
     /// Weight among the localities of its priority.
     pub weight: Option<NonZeroU32>,
-    /// Its endpoints.
+    /// Endpoints in the order declared.
     pub endpoints: Vec<Named>,
 }
 
-/// How often to look.
+/// Intervals between resolutions of a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rates {
-    /// After an answer (`dns_refresh_rate`), in nanoseconds.
+    /// Interval after a success (`dns_refresh_rate`), in nanoseconds.
     pub refresh: Nanos,
-    /// After a failure, doubling up to the second (`dns_failure_refresh_rate`), in nanoseconds.
+    /// Backoff after failures: first interval and maximum (`dns_failure_refresh_rate`), in nanoseconds.
     pub failure: (Nanos, Nanos),
 }
 
+/// Bound of the exponent of the failure backoff, against overflow of the shift.
+const MAX_BACKOFF_DOUBLINGS: u32 = 20;
+
+/// The state of one name.
 #[derive(Clone, Debug, Default)]
 struct Lookup {
+    /// Addresses of the last successful resolution.
     addresses: Option<Vec<IpAddr>>,
     due: Nanos,
-    out: bool,
+    is_in_flight: bool,
     failures: u32,
 }
 
-/// The look-ups of a cluster.
+/// The DNS lookups of a cluster.
 #[derive(Clone, Debug)]
 pub struct Lookups {
     localities: Vec<NamedLocality>,
@@ -67,67 +73,71 @@
 }
 
 impl Lookups {
-    /// All names are due at once; addresses need no look-up.
+    /// Creates the lookups of a cluster. All names are due at once; IP addresses need no lookup.
     pub fn new(localities: Vec<NamedLocality>, rules: Rules, rates: Rates) -> Self {
-        let names = localities.iter().flat_map(|l| &l.endpoints).map(|e| {
-            let addresses = e.host.parse::<IpAddr>().ok().map(|ip| vec![ip]);
+        let endpoints = localities.iter().flat_map(|locality| &locality.endpoints);
+        let names = endpoints.map(|endpoint| {
+            let addresses = endpoint.host.parse::<IpAddr>().ok().map(|ip| vec![ip]);
             let due = if addresses.is_some() { Nanos::MAX } else { 0 };
-            (e.host.clone(), Lookup { addresses, due, ..Lookup::default() })
+            (endpoint.host.clone(), Lookup { addresses, due, ..Lookup::default() })
         });
         Lookups { names: names.collect(), localities, rules, rates }
     }
 
-    /// Names to look up now; each counts as out until [`Lookups::found`] or [`Lookups::failed`].
+    /// Returns the names to resolve now. Each is in flight until [`Lookups::found`] or [`Lookups::failed`] is called for it.
     pub fn due(&mut self, now: Nanos) -> Vec<Arc<str>> {
-        let due = self.names.iter_mut().filter(|(_, l)| !l.out && l.due <= now);
+        let due = self.names.iter_mut().filter(|(_, lookup)| !lookup.is_in_flight && lookup.due <= now);
         due.map(|(name, lookup)| {
-            lookup.out = true;
+            lookup.is_in_flight = true;
             name.clone()
         })
         .collect()
     }
 
-    /// When a name is due next.
+    /// Returns when the next name is due.
     pub fn wake(&self) -> Option<Nanos> {
-        self.names.values().filter(|l| !l.out).map(|l| l.due).filter(|d| *d < Nanos::MAX).min()
+        let idle = self.names.values().filter(|lookup| !lookup.is_in_flight);
+        idle.map(|lookup| lookup.due).filter(|due| *due < Nanos::MAX).min()
     }
 
-    /// A name has these addresses; none: it has no endpoints any more.
+    /// Records the addresses of a name. Without addresses the name has no endpoints.
     pub fn found(&mut self, name: &str, mut addresses: Vec<IpAddr>, now: Nanos) {
         let Some(lookup) = self.names.get_mut(name) else { return };
         addresses.sort_unstable();
         addresses.dedup();
         let due = now.saturating_add(self.rates.refresh);
-        *lookup = Lookup { addresses: Some(addresses), due, out: false, failures: 0 };
+        *lookup = Lookup { addresses: Some(addresses), due, is_in_flight: false, failures: 0 };
     }
 
-    /// A look-up failed: what was found before stands.
+    /// Records a failed lookup; the addresses found before stay in use.
     pub fn failed(&mut self, name: &str, now: Nanos) {
         let Some(lookup) = self.names.get_mut(name) else { return };
-        let (base, most) = self.rates.failure;
-        let wait = base.saturating_mul(1 << lookup.failures.min(20)).min(most.max(base));
+        let (base, max) = self.rates.failure;
+        let doublings = lookup.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = base.saturating_mul(1 << doublings).min(max.max(base));
         lookup.failures = lookup.failures.saturating_add(1);
-        (lookup.out, lookup.due) = (false, now.saturating_add(wait));
+        (lookup.is_in_flight, lookup.due) = (false, now.saturating_add(backoff));
     }
 
-    /// Whether every name has been found once.
+    /// Returns `true` if every name has been resolved at least once.
     pub fn complete(&self) -> bool {
-        self.names.values().all(|l| l.addresses.is_some())
+        self.names.values().all(|lookup| lookup.addresses.is_some())
     }
 
-    /// The assignment as it is now. An address that several names have counts once, where it stands first: nobody declared
-    /// it twice.
+    /// Returns the current assignment. An address that several names resolve to is listed once, at its first occurrence:
+    /// it is not a duplicate in the configuration.
     ///
     /// # Errors
-    /// As for any assignment.
+    /// See [`Assignment::new`].
     pub fn assignment(&self) -> Result<Assignment, AssignmentError> {
         let mut seen = HashSet::new();
         let mut localities = Vec::with_capacity(self.localities.len());
         for locality in &self.localities {
             let mut endpoints = Vec::new();
             for named in &locality.endpoints {
-                let found = self.names.get(&named.host).and_then(|l| l.addresses.as_deref()).unwrap_or(&[]);
-                for ip in found {
+                let lookup = self.names.get(&named.host);
+                let addresses = lookup.and_then(|lookup| lookup.addresses.as_deref()).unwrap_or(&[]);
+                for ip in addresses {
                     let addr = SocketAddr::new(*ip, named.port);
                     if seen.insert(addr) {
                         let Named { weight, health, ref place, .. } = *named;
--- a/crates/core/load-assignment/src/effective.rs
+++ b/crates/core/load-assignment/src/effective.rs
@@ -1,18 +1,18 @@
-//! The part of a cluster's load that each endpoint takes.
+//! The share of a cluster's load that each endpoint takes.
 //!
 //! Source: Envoy's documentation, "Priority levels", "Locality weighted load balancing" and "Degraded endpoints".
 
 use crate::assignment::{Assignment, Endpoint, Health, Locality};
 use crate::levels::{availability, loads, Level, Load, PANIC};
 
-/// How a cluster's endpoints share its load (`common_lb_config`, `load_balancing_policy`).
+/// Settings for how the endpoints of a cluster share its load (`common_lb_config`, `load_balancing_policy`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sharing {
     /// `healthy_panic_threshold` in percent.
     pub panic: f64,
-    /// A priority that panics takes nothing (`fail_traffic_on_panic`).
+    /// Whether the load of a panicking priority is rejected (`fail_traffic_on_panic`).
     pub fail_on_panic: bool,
-    /// Locality weights count (`locality_weighted_lb_config`).
+    /// Whether locality weights apply (`locality_weighted_lb_config`).
     pub by_locality: bool,
 }
 
@@ -22,46 +22,47 @@
     }
 }
 
-/// Who takes what.
+/// The effective distribution of a cluster's load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effective {
-    /// By priority, the highest first.
+    /// State and load of each priority, the highest first.
     pub levels: Vec<(Level, Load)>,
-    /// For each endpoint in the order of [`Assignment::endpoints`]: its part of the load. They add up to 1, or to 0 where
-    /// nobody may be sent to.
+    /// For each endpoint in the order of [`Assignment::endpoints`]: its share of the load. The sum is 1, or 0 if no
+    /// endpoint is eligible.
     pub parts: Vec<f64>,
-    /// The part of all requests that is to be refused, since it falls to a priority that panics and may not.
+    /// The fraction of all requests to reject, because it falls to a panicking priority under `fail_on_panic`.
     pub refused: f64,
 }
 
-fn health(endpoint: &Endpoint, stale: bool) -> Health {
+/// The health of an endpoint; in a stale assignment none is healthy.
+fn effective_health(endpoint: &Endpoint, stale: bool) -> Health {
     match endpoint.health {
         Health::Healthy | Health::Degraded if stale => Health::Unhealthy,
-        told => told,
+        declared => declared,
     }
 }
 
-/// What is known of each priority; a gap between priorities is one without endpoints.
+/// Returns the state of each priority. A gap in the priority numbers is a priority without endpoints.
 pub fn levels(assignment: &Assignment, stale: bool) -> Vec<Level> {
-    let most = assignment.localities().iter().map(|l| l.priority).max();
-    let mut levels = vec![Level::default(); most.map_or(0, |p| usize::from(p) + 1)];
+    let lowest = assignment.localities().iter().map(|locality| locality.priority).max();
+    let mut levels = vec![Level::default(); lowest.map_or(0, |priority| usize::from(priority) + 1)];
     let rules = assignment.rules();
-    // All, healthy, degraded: by number, or by weight.
+    // Sums over all, healthy and degraded endpoints: of weights with `weighted_health`, else of numbers.
     let mut sums = vec![[0u64; 3]; levels.len()];
     for (locality, endpoint) in assignment.endpoints() {
-        let (level, sum) =
-            (&mut levels[usize::from(locality.priority)], &mut sums[usize::from(locality.priority)]);
-        let one = if rules.weighted_health { u64::from(endpoint.weight.get()) } else { 1 };
+        let priority = usize::from(locality.priority);
+        let (level, sum) = (&mut levels[priority], &mut sums[priority]);
+        let amount = if rules.weighted_health { u64::from(endpoint.weight.get()) } else { 1 };
         level.hosts += 1;
-        sum[0] += one;
-        match health(endpoint, stale) {
+        sum[0] += amount;
+        match effective_health(endpoint, stale) {
             Health::Healthy => {
                 level.healthy += 1;
-                sum[1] += one;
+                sum[1] += amount;
             }
             Health::Degraded => {
                 level.degraded += 1;
-                sum[2] += one;
+                sum[2] += amount;
             }
             Health::Unhealthy | Health::Draining => {}
         }
@@ -74,83 +75,105 @@
     levels
 }
 
-/// Calculates all parts. `stale`: the assignment is older than it may be.
+/// Computes the distribution of the load. `stale`: the assignment is older than `endpoint_stale_after`.
 pub fn effective(assignment: &Assignment, sharing: &Sharing, stale: bool) -> Effective {
     let levels = levels(assignment, stale);
     let loads = loads(&levels, sharing.panic);
     let mut parts = vec![0.0; assignment.endpoints().count()];
-    let mut placed: Vec<Vec<(&Locality, usize)>> = vec![Vec::new(); levels.len()];
-    let mut first = 0;
-    for locality in assignment.localities() {
-        placed[usize::from(locality.priority)].push((locality, first));
-        first += locality.endpoints.len();
-    }
-    let factor = f64::from(assignment.rules().overprovisioning) / 100.0;
+    let overprovisioning = f64::from(assignment.rules().overprovisioning) / 100.0;
+    let by_priority = localities_by_priority(assignment, levels.len());
     let mut refused = 0.0;
-    for (localities, load) in placed.iter().zip(&loads) {
+    for (localities, load) in by_priority.iter().zip(&loads) {
         if load.panic {
             if sharing.fail_on_panic {
                 refused += f64::from(load.healthy + load.degraded) / 100.0;
             } else {
-                let open = |e: &Endpoint| e.health != Health::Draining;
-                spread(localities, load.healthy + load.degraded, None, open, &mut parts);
+                let is_open = |endpoint: &Endpoint| endpoint.health != Health::Draining;
+                spread(localities, load.healthy + load.degraded, None, is_open, &mut parts);
             }
             continue;
         }
-        let weights = sharing.by_locality.then_some(factor);
-        spread(localities, load.healthy, weights, |e| health(e, stale) == Health::Healthy, &mut parts);
-        spread(localities, load.degraded, weights, |e| health(e, stale) == Health::Degraded, &mut parts);
+        let factor = sharing.by_locality.then_some(overprovisioning);
+        let has_health = |health| move |endpoint: &Endpoint| effective_health(endpoint, stale) == health;
+        spread(localities, load.healthy, factor, has_health(Health::Healthy), &mut parts);
+        spread(localities, load.degraded, factor, has_health(Health::Degraded), &mut parts);
     }
-    // Among those that may be sent to; what a priority of draining ones alone would take goes to the others.
+    // Normalized over eligible endpoints: the load of a priority whose endpoints all drain goes to the others.
     let sum: f64 = parts.iter().sum();
     if sum > 0.0 {
-        parts.iter_mut().for_each(|p| *p /= sum);
+        parts.iter_mut().for_each(|part| *part /= sum);
     }
     Effective { levels: levels.into_iter().zip(loads).collect(), parts, refused }
 }
 
-/// Spreads a load over the endpoints that fit: by locality first where `factor` is given, then by weight.
+/// A locality with the index of its first endpoint in the order of [`Assignment::endpoints`].
+type IndexedLocality<'a> = (&'a Locality, usize);
+
+fn localities_by_priority(assignment: &Assignment, priorities: usize) -> Vec<Vec<IndexedLocality<'_>>> {
+    let mut by_priority = vec![Vec::new(); priorities];
+    let mut first_endpoint = 0;
+    for locality in assignment.localities() {
+        by_priority[usize::from(locality.priority)].push((locality, first_endpoint));
+        first_endpoint += locality.endpoints.len();
+    }
+    by_priority
+}
+
+/// Spreads a load over the eligible endpoints: by locality first if `overprovisioning` is given, then by weight.
 fn spread(
-    localities: &[(&Locality, usize)],
-    load: u32,
-    factor: Option<f64>,
-    fits: impl Fn(&Endpoint) -> bool,
+    localities: &[IndexedLocality<'_>],
+    load_percent: u32,
+    overprovisioning: Option<f64>,
+    is_eligible: impl Fn(&Endpoint) -> bool,
     parts: &mut [f64],
 ) {
-    if load == 0 {
+    if load_percent == 0 {
         return;
     }
-    let load = f64::from(load) / 100.0;
-    let fitting = |l: &Locality| l.endpoints.iter().filter(|e| fits(e)).count();
-    let sum =
-        |l: &Locality| l.endpoints.iter().filter(|e| fits(e)).map(|e| f64::from(e.weight.get())).sum::<f64>();
-    // "Locality weighted load balancing": weight x min(1, 1.4 x the part that is available).
-    let weight = |l: &Locality, factor: f64| {
-        let (fit, all) = (fitting(l), l.endpoints.len());
-        match l.weight {
-            Some(weight) if fit > 0 => f64::from(weight.get()) * (factor * fit as f64 / all as f64).min(1.0),
-            _ => 0.0,
+    let load = f64::from(load_percent) / 100.0;
+    let Some(unit_shares) = unit_shares(localities, overprovisioning, &is_eligible) else { return };
+    for ((locality, first_endpoint), unit_share) in localities.iter().zip(unit_shares) {
+        let endpoints = locality.endpoints.iter().enumerate();
+        for (index, endpoint) in endpoints.filter(|(_, endpoint)| is_eligible(endpoint)) {
+            parts[first_endpoint + index] += load * unit_share * f64::from(endpoint.weight.get());
         }
+    }
+}
+
+/// Returns for each locality the share of the load per unit of endpoint weight, or `None` if no endpoint is eligible.
+fn unit_shares(
+    localities: &[IndexedLocality<'_>],
+    overprovisioning: Option<f64>,
+    is_eligible: &impl Fn(&Endpoint) -> bool,
+) -> Option<Vec<f64>> {
+    let eligible = |locality: &Locality| locality.endpoints.iter().filter(|e| is_eligible(e)).count();
+    let weight_sum = |locality: &Locality| -> f64 {
+        let endpoints = locality.endpoints.iter().filter(|e| is_eligible(e));
+        endpoints.map(|endpoint| f64::from(endpoint.weight.get())).sum()
     };
-    let by_locality: Vec<f64> = match factor {
-        Some(factor) => localities.iter().map(|(l, _)| weight(l, factor)).collect(),
-        None => Vec::new(),
-    };
-    let whole: f64 = by_locality.iter().sum();
-    // Where no locality has a weight they all share as one.
-    let inner: Vec<f64> = match whole > 0.0 {
-        true => localities.iter().zip(&by_locality).map(|((l, _), w)| w / whole / sum(l).max(1.0)).collect(),
-        false => {
-            let all: f64 = localities.iter().map(|(l, _)| sum(l)).sum();
-            if all == 0.0 {
-                return;
+    // "Locality weighted load balancing": weight x min(1, 1.4 x the available fraction).
+    let effective_weight = |locality: &Locality, factor: f64| {
+        let (eligible, all) = (eligible(locality), locality.endpoints.len());
+        match locality.weight {
+            Some(weight) if eligible > 0 => {
+                f64::from(weight.get()) * (factor * eligible as f64 / all as f64).min(1.0)
             }
-            vec![1.0 / all; localities.len()]
+            _ => 0.0,
         }
     };
-    for ((locality, first), each) in localities.iter().zip(inner) {
-        for (i, endpoint) in locality.endpoints.iter().enumerate().filter(|(_, e)| fits(e)) {
-            parts[first + i] += load * each * f64::from(endpoint.weight.get());
-        }
+    let locality_weights: Vec<f64> = match overprovisioning {
+        Some(factor) => localities.iter().map(|(locality, _)| effective_weight(locality, factor)).collect(),
+        None => Vec::new(),
+    };
+    let total_weight: f64 = locality_weights.iter().sum();
+    if total_weight > 0.0 {
+        let weighted = localities.iter().zip(&locality_weights);
+        let share = |((locality, _), weight): (&IndexedLocality<'_>, &f64)| {
+            weight / total_weight / weight_sum(locality).max(1.0)
+        };
+        return Some(weighted.map(share).collect());
     }
+    // If no locality has a weight, their endpoints share the load as if in one locality.
+    let all: f64 = localities.iter().map(|(locality, _)| weight_sum(locality)).sum();
+    (all != 0.0).then(|| vec![1.0 / all; localities.len()])
 }
--- a/crates/core/load-assignment/src/levels.rs
+++ b/crates/core/load-assignment/src/levels.rs
@@ -1,37 +1,37 @@
-//! How much of the load each priority takes.
+//! The load of each priority level.
 //!
-//! Source: Envoy's documentation, "Priority levels", "Degraded endpoints" and "Panic threshold". All is whole percent, as
-//! there: shares that Envoy rounds are rounded here in the same way.
+//! Source: Envoy's documentation, "Priority levels", "Degraded endpoints" and "Panic threshold". All loads are whole
+//! percentages, as there: what Envoy rounds is rounded here in the same way.
 
-/// What is known of a priority's endpoints.
+/// Endpoint counts and availability of a priority level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Level {
-    /// How many there are.
+    /// Number of endpoints.
     pub hosts: u64,
-    /// How many may be sent to in a panic: all that don't drain.
+    /// Number of endpoints eligible in panic mode: all that are not draining.
     pub open: u64,
-    /// How many are healthy.
+    /// Number of healthy endpoints.
     pub healthy: u64,
-    /// How many are degraded.
+    /// Number of degraded endpoints.
     pub degraded: u64,
-    /// Percent of what it should be able to take that its healthy ones can, from 0 to 100.
+    /// Availability from healthy endpoints, in percent, from 0 to 100; includes the overprovisioning factor.
     pub availability: u32,
-    /// The same for its degraded ones.
+    /// Availability from degraded endpoints, in percent, from 0 to 100.
     pub degraded_availability: u32,
 }
 
-/// What a priority takes.
+/// The load of a priority level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Percent of all requests that go to its healthy endpoints.
+    /// Percentage of all requests that go to its healthy endpoints.
     pub healthy: u32,
-    /// Percent that go to its degraded ones.
+    /// Percentage of all requests that go to its degraded endpoints.
     pub degraded: u32,
-    /// Its health is not believed: what it takes goes to all that don't drain.
+    /// Panic mode: health is disregarded, and the load goes to all endpoints that are not draining.
     pub panic: bool,
 }
 
-/// min(100, overprovisioning x part / whole), in whole percent.
+/// Returns min(100, overprovisioning x part / whole) in whole percent.
 pub fn availability(overprovisioning: u32, part: u64, whole: u64) -> u32 {
     match whole {
         0 => 0,
@@ -39,69 +39,80 @@
     }
 }
 
-/// Below this percentage of endpoints that are healthy or degraded a priority panics, unless told otherwise.
+/// Default panic threshold: the percentage of healthy or degraded endpoints below which a priority panics.
 pub const PANIC: f64 = 50.0;
 
-/// The loads of all priorities, the highest first; they add up to 100, or to 0 where there is nothing to send to.
+/// Returns the loads of all priorities, the highest first. The sum is 100, or 0 if there is no eligible endpoint.
 /// `panic` is `healthy_panic_threshold` in percent.
 pub fn loads(levels: &[Level], panic: f64) -> Vec<Load> {
-    let mut loads = vec![Load::default(); levels.len()];
-    if levels.iter().all(|l| l.open == 0) {
-        return loads;
+    if levels.iter().all(|level| level.open == 0) {
+        return vec![Load::default(); levels.len()];
     }
-    let sum: u32 = levels.iter().map(|l| l.availability + l.degraded_availability).sum();
+    let sum: u32 = levels.iter().map(|level| level.availability + level.degraded_availability).sum();
     // "Normalized total availability."
     let total = sum.min(100);
-    if total > 0 {
-        let mut left = 100;
-        let mut share = |available: u32| {
-            let taken = (available * 100 / total).min(left);
-            left -= taken;
-            taken
-        };
-        // "Degraded endpoints": healthy ones of all priorities come first.
-        for (load, level) in loads.iter_mut().zip(levels) {
-            load.healthy = share(level.availability);
-        }
-        for (load, level) in loads.iter_mut().zip(levels) {
-            load.degraded = share(level.degraded_availability);
-        }
-        // What rounding leaves goes to the first that can take it.
-        if let Some(first) = levels.iter().position(|l| l.availability > 0) {
-            loads[first].healthy += left;
-        } else if let Some(first) = levels.iter().position(|l| l.degraded_availability > 0) {
-            loads[first].degraded += left;
-        }
-    }
-    // "Panic threshold": where all of the load can be taken no priority panics.
+    let mut loads = loads_by_availability(levels, total);
+    // "Panic threshold": if the available endpoints can take all of the load, no priority panics.
     if total == 100 {
         return loads;
     }
-    // Without panic the first takes all where no priority can take a whole percent: a few that are healthy among very many
-    // are still sent to.
+    // With panic mode disabled, priority 0 takes all if no priority reaches a whole percent, so that a few healthy
+    // endpoints among very many still get requests.
     if total == 0 && panic == 0.0 {
         loads[0].healthy = 100;
         return loads;
     }
     for (load, level) in loads.iter_mut().zip(levels) {
-        let percent = match level.hosts {
+        let available_percent = match level.hosts {
             0 => 0.0,
             hosts => 100.0 * (level.healthy + level.degraded) as f64 / hosts as f64,
         };
-        load.panic = percent < panic;
+        load.panic = available_percent < panic;
+    }
+    if loads.iter().all(|load| load.panic) {
+        distribute_by_host_count(&mut loads, levels);
+    }
+    loads
+}
+
+/// Distributes the load in proportion to availability; `total` is the normalized total availability.
+fn loads_by_availability(levels: &[Level], total: u32) -> Vec<Load> {
+    let mut loads = vec![Load::default(); levels.len()];
+    if total == 0 {
+        return loads;
+    }
+    let mut unassigned = 100;
+    let mut assign = |availability: u32| {
+        let load = (availability * 100 / total).min(unassigned);
+        unassigned -= load;
+        load
+    };
+    // "Degraded endpoints": healthy endpoints of all priorities come first.
+    for (load, level) in loads.iter_mut().zip(levels) {
+        load.healthy = assign(level.availability);
+    }
+    for (load, level) in loads.iter_mut().zip(levels) {
+        load.degraded = assign(level.degraded_availability);
     }
-    if loads.iter().all(|l| l.panic) {
-        // All panic: the load follows the numbers of endpoints.
-        let open: u64 = levels.iter().map(|l| l.open).sum();
-        let mut left = 100;
-        for (load, level) in loads.iter_mut().zip(levels) {
-            let taken = (100 * level.open / open) as u32;
-            (load.healthy, load.degraded) = (taken, 0);
-            left -= taken;
-        }
-        if let Some(first) = levels.iter().position(|l| l.open > 0) {
-            loads[first].healthy += left;
-        }
+    // The remainder from rounding goes to the first priority that is available at all.
+    if let Some(first) = levels.iter().position(|level| level.availability > 0) {
+        loads[first].healthy += unassigned;
+    } else if let Some(first) = levels.iter().position(|level| level.degraded_availability > 0) {
+        loads[first].degraded += unassigned;
     }
     loads
 }
+
+/// Distributes the load in proportion to the numbers of eligible endpoints, for when all priorities panic.
+fn distribute_by_host_count(loads: &mut [Load], levels: &[Level]) {
+    let open: u64 = levels.iter().map(|level| level.open).sum();
+    let mut unassigned = 100;
+    for (load, level) in loads.iter_mut().zip(levels) {
+        let share = (100 * level.open / open) as u32;
+        (load.healthy, load.degraded) = (share, 0);
+        unassigned -= share;
+    }
+    if let Some(first) = levels.iter().position(|level| level.open > 0) {
+        loads[first].healthy += unassigned;
+    }
+}
--- a/crates/core/load-assignment/src/lib.rs
+++ b/crates/core/load-assignment/src/lib.rs
@@ -1,16 +1,19 @@
-//! Which endpoints of a cluster take requests, and how many of a hundred each: Envoy's rules on priorities, localities,
-//! weights and health as plain calculations. No I/O; time and chance are passed in.
+//! Load assignment: which endpoints of a cluster take requests and which share each, by Envoy's rules on priorities,
+//! localities, weights and health.
 //!
-//! - [`Assignment`]: what is declared of a cluster's endpoints, checked.
-//! - [`levels`](mod@levels): how much of the load each priority takes, and which of them panic.
-//! - [`effective`](mod@effective): the part of the load of each endpoint.
-//! - [`Pool`]: one cluster's endpoints over time; hands on what changes.
-//! - [`aggregate`]: how requests are split over the clusters of an aggregate.
-//! - [`Breakers`]: limits on what is out at once. [`repeats`]: whether a keyed request may be sent once more.
-//! - [`dns`]: endpoints whose addresses are looked up.
+//! This crate does not pick the endpoint of a request; the decision module does. It does no I/O and reads no clock; time and
+//! random numbers are passed in by the caller.
+//!
+//! - [`Assignment`]: the validated `ClusterLoadAssignment` of a cluster.
+//! - [`levels`](mod@levels): the load of each priority, and which priorities are in panic mode.
+//! - [`effective`](mod@effective): the share of the load of each endpoint.
+//! - [`Pool`]: the endpoints of a cluster over time; reports changes.
+//! - [`aggregate`]: distribution of requests over the clusters of an aggregate cluster.
+//! - [`Breakers`]: circuit breakers. [`repeats`]: whether a keyed request may be retried.
+//! - [`dns`]: endpoints whose addresses come from DNS.
 //!
 //! Source: Envoy's documentation, "Load Balancing" (sections "Priority levels", "Degraded endpoints", "Panic threshold",
-//! "Locality weighted load balancing", "Aggregate Cluster", "Circuit breaking"), named at each piece.
+//! "Locality weighted load balancing", "Aggregate Cluster", "Circuit breaking"); each module names its section.
 #![forbid(unsafe_code)]
 
 pub mod aggregate;
@@ -28,5 +31,5 @@
 pub use breakers::{Breakers, Budget, Hold, Importance, Thresholds, Trip};
 pub use pool::{ClusterRules, Node, NodeChange, Pool, Shown, Standing};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
