--- a/crates/core/load-assignment/src/pool.rs
+++ b/crates/core/load-assignment/src/pool.rs
@@ -1,6 +1,6 @@
-//! One cluster's endpoints over time: what was declared last, who takes part, and what has changed since it was last told.
+//! The endpoints of a cluster over time: the last assignment, the state of each endpoint, and the changes not yet reported.
 
-use crate::assignment::{Assignment, Health};
+use crate::assignment::{Assignment, Endpoint, Health};
 use crate::effective::{effective, levels, Effective, Sharing};
 use crate::levels::{Level, Load};
 use crate::Nanos;
@@ -8,61 +8,61 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What becomes of an endpoint now.
+/// How an endpoint is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes its part.
+    /// It takes its share of the load.
     Serves,
-    /// It would do, but its priority or locality takes nothing now. Connections to it may stay.
+    /// It is eligible, but its priority or locality takes no load. Connections to it may stay open.
     StandsBy,
-    /// Nothing new may be sent: it drains, or is unhealthy.
+    /// It gets no new requests: it is draining or unhealthy.
     Drains,
 }
 
-/// An endpoint as it is used.
+/// An endpoint as the pool reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its identity.
+    /// Identity.
     pub id: Arc<str>,
-    /// Where to connect.
+    /// Address to connect to.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone.
     pub zone: Arc<str>,
-    /// Its machine kind.
+    /// Machine kind.
     pub kind: Arc<str>,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
-    /// Its part, as a multiple of an even one; over 0.
+    /// Share of the load as a multiple of an equal share; over 0.
     pub weight: f64,
-    /// What becomes of it.
+    /// How it is used.
     pub standing: Standing,
-    /// When it started, or came where that isn't told; 0: long ago.
+    /// When it started, or was first listed if the start time is unknown; 0: long ago.
     pub started: Nanos,
-    /// Since when its zone and cell are what they are; 0: since it came. See [`crate::repeats`].
+    /// When its zone or cell last changed; 0: never. See [`crate::repeats`].
     pub grouped: Nanos,
-    /// It is the origin behind the cluster.
+    /// Whether it is the origin behind the cluster.
     pub origin: bool,
 }
 
-/// A change of a cluster's endpoints.
+/// A change of the endpoints of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeChange {
-    /// New or changed.
+    /// An endpoint was added or changed.
     Put(Node),
-    /// Gone.
+    /// The endpoint with this identity was removed.
     Gone(Arc<str>),
 }
 
-/// How a cluster is used, apart from its endpoints.
+/// Settings of a cluster apart from its endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClusterRules {
-    /// How endpoints share the load.
+    /// How the endpoints share the load.
     pub sharing: Sharing,
-    /// Changes of weights alone wait for so long after the last one (`update_merge_window`).
+    /// Minimum time between reports of pure weight changes (`update_merge_window`).
     pub merge: Nanos,
 }
 
-/// Envoy's `update_merge_window` where nothing is told.
+/// Envoy's default `update_merge_window`, in nanoseconds.
 pub const MERGE: Nanos = 1_000_000_000;
 
 impl Default for ClusterRules {
@@ -71,156 +71,172 @@
     }
 }
 
-/// An endpoint as an operator sees it.
+/// An endpoint as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shown {
-    /// As it is used.
+    /// Present state.
     pub node: Node,
-    /// Its part of the load, from 0 to 1.
+    /// Share of the load, from 0 to 1.
     pub part: f64,
-    /// What is declared of its health.
+    /// Declared health.
     pub health: Health,
-    /// Its own weight.
+    /// Declared weight.
     pub weight: u32,
-    /// Its priority.
+    /// Priority.
     pub priority: u8,
     /// Region and sub-zone of its locality.
     pub locality: (Arc<str>, Arc<str>),
 }
 
-/// What is remembered of an endpoint beside what is declared.
-struct Held {
+/// What the pool tracks of an endpoint beyond its declaration.
+struct TrackedNode {
     node: Node,
-    /// The node as it was last told; `None`: never.
-    told: Option<Node>,
-    /// Seen in the pass that is being made.
-    pass: u64,
+    /// The node as last reported; `None`: never.
+    reported: Option<Node>,
+    /// Number of the last assignment that listed it.
+    listed_in: u64,
 }
 
-/// One cluster's endpoints.
+impl TrackedNode {
+    fn new(endpoint: &Endpoint, started: Nanos) -> Self {
+        let place = &endpoint.place;
+        let node = Node {
+            id: endpoint.id.clone(),
+            addr: endpoint.addr,
+            zone: place.zone.clone(),
+            kind: place.kind.clone(),
+            cell: place.cell,
+            weight: 1.0,
+            standing: Standing::StandsBy,
+            started,
+            grouped: 0,
+            origin: false,
+        };
+        TrackedNode { node, reported: None, listed_in: 0 }
+    }
+
+    /// Applies the endpoint's declaration in a new assignment.
+    fn update(&mut self, endpoint: &Endpoint, now: Nanos) {
+        let (node, place) = (&mut self.node, &endpoint.place);
+        if (&node.zone, node.cell) != (&place.zone, place.cell) {
+            // Danger: what it remembers of keyed requests is what its former group sent it.
+            node.grouped = now;
+        }
+        if let Some(started) = endpoint.started {
+            node.started = started;
+        } else if node.addr != endpoint.addr {
+            // Another process now has this identity.
+            node.started = now;
+        }
+        node.addr = endpoint.addr;
+        (node.zone, node.kind, node.cell) = (place.zone.clone(), place.kind.clone(), place.cell);
+    }
+}
+
+/// The endpoints of a cluster.
 #[derive(Default)]
 pub struct Pool {
     rules: ClusterRules,
     assignment: Assignment,
-    assigned: bool,
-    /// When the assignment stops counting.
+    is_assigned: bool,
+    /// When the assignment becomes stale.
     stale_at: Option<Nanos>,
-    now: Effective,
-    held: HashMap<Arc<str>, Held>,
-    gone: Vec<Arc<str>>,
-    pass: u64,
-    /// When changes of weights were last told.
-    told_at: Option<Nanos>,
-    /// Weights have changed that were not told yet.
-    waiting: bool,
+    effective: Effective,
+    nodes: HashMap<Arc<str>, TrackedNode>,
+    /// Reported nodes whose removal has not been reported yet.
+    removed: Vec<Arc<str>>,
+    /// Number of assignments so far.
+    assignments: u64,
+    /// When weight changes were last reported.
+    weights_reported_at: Option<Nanos>,
+    has_unreported_weights: bool,
 }
 
 impl Pool {
-    /// Nothing is declared yet.
+    /// Creates a pool without an assignment.
     pub fn new(rules: ClusterRules) -> Self {
         Pool { rules, ..Pool::default() }
     }
 
-    /// Whether an assignment has come.
+    /// Returns `true` once an assignment has been received.
     pub fn is_assigned(&self) -> bool {
-        self.assigned
+        self.is_assigned
     }
 
-    /// What is declared.
+    /// The last assignment.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
 
-    /// What each priority takes, and what is refused.
+    /// The effective distribution of the load.
     pub fn effective(&self) -> &Effective {
-        &self.now
+        &self.effective
     }
 
-    /// Changes how the cluster is used.
+    /// Replaces the settings of the cluster.
     pub fn set_rules(&mut self, rules: ClusterRules, now: Nanos) {
         if self.rules != rules {
             self.rules = rules;
-            self.compute(now);
+            self.recompute(now);
         }
     }
 
-    /// Takes an assignment. One that says the same as the last still counts as new (`endpoint_stale_after`).
+    /// Applies an assignment. One equal to the last still restarts `endpoint_stale_after`.
     pub fn assign(&mut self, assignment: Assignment, now: Nanos) {
         self.stale_at = assignment.rules().stale_after.map(|after| now.saturating_add(after));
-        // A pool that has its first list has not seen its endpoints start.
-        let first = !std::mem::replace(&mut self.assigned, true);
+        // The endpoints of the first assignment may have started long before.
+        let is_first = !std::mem::replace(&mut self.is_assigned, true);
         self.assignment = assignment;
-        self.pass += 1;
+        self.assignments += 1;
         for (_, endpoint) in self.assignment.endpoints() {
-            let started = endpoint.started.unwrap_or(if first { 0 } else { now });
-            let place = &endpoint.place;
-            let held = self.held.entry(endpoint.id.clone()).or_insert_with(|| Held {
-                node: Node {
-                    id: endpoint.id.clone(),
-                    addr: endpoint.addr,
-                    zone: place.zone.clone(),
-                    kind: place.kind.clone(),
-                    cell: place.cell,
-                    weight: 1.0,
-                    standing: Standing::StandsBy,
-                    started,
-                    grouped: 0,
-                    origin: false,
-                },
-                told: None,
-                pass: 0,
-            });
-            held.pass = self.pass;
-            let node = &mut held.node;
-            if (&node.zone, node.cell) != (&place.zone, place.cell) {
-                // Danger: what it remembers of keyed requests is what its old group sent it.
-                node.grouped = now;
-            }
-            if endpoint.started.is_some() {
-                node.started = started;
-            } else if node.addr != endpoint.addr {
-                // Under this name another process answers.
-                node.started = now;
-            }
-            node.addr = endpoint.addr;
-            (node.zone, node.kind, node.cell) = (place.zone.clone(), place.kind.clone(), place.cell);
+            let started = endpoint.started.unwrap_or(if is_first { 0 } else { now });
+            let tracked = self.nodes.entry(endpoint.id.clone());
+            let tracked = tracked.or_insert_with(|| TrackedNode::new(endpoint, started));
+            tracked.listed_in = self.assignments;
+            tracked.update(endpoint, now);
         }
-        let pass = self.pass;
-        let gone = self.held.iter().filter(|(_, h)| h.pass != pass).map(|(id, _)| id.clone());
-        let gone: Vec<Arc<str>> = gone.collect();
-        for id in gone {
-            if self.held.remove(&id).is_some_and(|h| h.told.is_some()) {
-                self.gone.push(id);
+        self.remove_unlisted();
+        self.recompute(now);
+    }
+
+    /// Removes the endpoints that the last assignment does not list.
+    fn remove_unlisted(&mut self) {
+        let current = self.assignments;
+        let unlisted = self.nodes.iter().filter(|(_, tracked)| tracked.listed_in != current);
+        let unlisted: Vec<Arc<str>> = unlisted.map(|(id, _)| id.clone()).collect();
+        for id in unlisted {
+            if self.nodes.remove(&id).is_some_and(|tracked| tracked.reported.is_some()) {
+                self.removed.push(id);
             }
         }
-        self.compute(now);
     }
 
-    /// Time has passed; returns whether the assignment has grown too old by it.
+    /// Recomputes the distribution if the assignment has become stale, and returns whether it has.
     pub fn tick(&mut self, now: Nanos) -> bool {
-        let over = self.stale_at.is_some_and(|at| at <= now) && !self.is_stale(now, true);
-        if over {
-            self.compute(now);
+        // Without available endpoints, staleness is already accounted for or changes nothing.
+        let became_stale = self.is_stale(now) && self.has_available();
+        if became_stale {
+            self.recompute(now);
         }
-        over
+        became_stale
     }
 
-    /// Whether the assignment is older than it may be; `told`: whether that has been reckoned with.
-    fn is_stale(&self, now: Nanos, told: bool) -> bool {
-        let over = self.stale_at.is_some_and(|at| at <= now);
-        match told {
-            true => over && self.now.levels.iter().all(|(l, _)| l.healthy + l.degraded == 0),
-            false => over,
-        }
+    fn is_stale(&self, now: Nanos) -> bool {
+        self.stale_at.is_some_and(|at| at <= now)
+    }
+
+    /// Returns `true` if the last computation found a healthy or degraded endpoint.
+    fn has_available(&self) -> bool {
+        self.effective.levels.iter().any(|(level, _)| level.healthy + level.degraded != 0)
     }
 
-    fn compute(&mut self, now: Nanos) {
-        let stale = self.is_stale(now, false);
-        self.now = effective(&self.assignment, &self.rules.sharing, stale);
-        let serving = self.now.parts.iter().filter(|p| **p > 0.0).count() as f64;
-        for ((_, endpoint), part) in self.assignment.endpoints().zip(&self.now.parts) {
-            let Some(held) = self.held.get_mut(&endpoint.id) else { continue };
-            held.node.standing = match endpoint.health {
+    fn recompute(&mut self, now: Nanos) {
+        let stale = self.is_stale(now);
+        self.effective = effective(&self.assignment, &self.rules.sharing, stale);
+        let serving = self.effective.parts.iter().filter(|part| **part > 0.0).count() as f64;
+        for ((_, endpoint), part) in self.assignment.endpoints().zip(&self.effective.parts) {
+            let Some(tracked) = self.nodes.get_mut(&endpoint.id) else { continue };
+            tracked.node.standing = match endpoint.health {
                 Health::Draining => Standing::Drains,
                 _ if *part > 0.0 => Standing::Serves,
                 Health::Unhealthy => Standing::Drains,
@@ -228,70 +244,72 @@
                 Health::Healthy | Health::Degraded => Standing::StandsBy,
             };
             if *part > 0.0 {
-                held.node.weight = part * serving;
+                tracked.node.weight = part * serving;
             }
         }
     }
 
-    /// What has changed since it was last asked. Changes of weights alone wait out the merge window; who may be sent to, and
-    /// where, never does.
+    /// Returns the changes since the last call. Pure weight changes wait for the merge window; all others are reported at
+    /// once.
     pub fn changes(&mut self, now: Nanos) -> Vec<NodeChange> {
-        let due = self.told_at.is_none_or(|at| now >= at.saturating_add(self.rules.merge));
-        let mut changes: Vec<NodeChange> = self.gone.drain(..).map(NodeChange::Gone).collect();
-        let (mut weights, mut waiting) = (false, false);
-        for held in self.held.values_mut() {
-            let news = match &held.told {
-                None => News::Urgent,
-                Some(told) => News::between(told, &held.node),
+        let is_window_over =
+            self.weights_reported_at.is_none_or(|at| now >= at.saturating_add(self.rules.merge));
+        let mut changes: Vec<NodeChange> = self.removed.drain(..).map(NodeChange::Gone).collect();
+        let mut reports_weights = false;
+        self.has_unreported_weights = false;
+        for tracked in self.nodes.values_mut() {
+            let kind = match &tracked.reported {
+                None => ChangeKind::Urgent,
+                Some(reported) => ChangeKind::between(reported, &tracked.node),
             };
-            match news {
-                News::None => {}
-                News::Weight if !due => waiting = true,
-                News::Weight | News::Urgent => {
-                    weights |= news == News::Weight;
-                    changes.push(NodeChange::Put(held.node.clone()));
-                    held.told = Some(held.node.clone());
+            match kind {
+                ChangeKind::Unchanged => {}
+                ChangeKind::Weight if !is_window_over => self.has_unreported_weights = true,
+                ChangeKind::Weight | ChangeKind::Urgent => {
+                    reports_weights |= kind == ChangeKind::Weight;
+                    changes.push(NodeChange::Put(tracked.node.clone()));
+                    tracked.reported = Some(tracked.node.clone());
                 }
             }
         }
-        self.waiting = waiting;
-        if weights {
-            self.told_at = Some(now);
+        if reports_weights {
+            self.weights_reported_at = Some(now);
         }
         changes
     }
 
-    /// All endpoints as they were last told.
+    /// All endpoints as last reported.
     pub fn told(&self) -> impl Iterator<Item = &Node> {
-        self.held.values().filter_map(|h| h.told.as_ref())
+        self.nodes.values().filter_map(|tracked| tracked.reported.as_ref())
     }
 
-    /// When something is due that nobody will tell.
+    /// Returns when the pool next needs a call: at the end of the merge window or when the assignment becomes stale.
     pub fn wake(&self, now: Nanos) -> Option<Nanos> {
-        let merged =
-            self.told_at.filter(|_| self.waiting).map(|at| at.saturating_add(self.rules.merge).max(now));
+        let reported_at = self.weights_reported_at.filter(|_| self.has_unreported_weights);
+        let merged = reported_at.map(|at| at.saturating_add(self.rules.merge).max(now));
         let stale = self.stale_at.filter(|at| *at > now);
         merged.into_iter().chain(stale).min()
     }
 
-    /// What is known of each priority, also for an aggregate that this cluster is part of.
+    /// The state of each priority, also for an aggregate cluster that contains this one.
     pub fn levels(&self, now: Nanos) -> Vec<Level> {
-        levels(&self.assignment, self.is_stale(now, false))
+        levels(&self.assignment, self.is_stale(now))
     }
 
-    /// What each priority takes.
+    /// The state and load of each priority.
     pub fn loads(&self) -> impl Iterator<Item = &(Level, Load)> {
-        self.now.levels.iter()
+        self.effective.levels.iter()
     }
 
-    /// All endpoints as an operator sees them.
+    /// All endpoints as shown to operators.
     pub fn shown(&self) -> Vec<Shown> {
-        let shown = self.assignment.endpoints().zip(&self.now.parts).filter_map(|((locality, e), part)| {
+        let endpoints = self.assignment.endpoints().zip(&self.effective.parts);
+        let shown = endpoints.filter_map(|((locality, endpoint), part)| {
             Some(Shown {
-                node: self.held.get(&e.id)?.node.clone(),
+                node: self.nodes.get(&endpoint.id)?.node.clone(),
                 part: *part,
-                health: e.health,
-                weight: e.weight.get(),
+                health: endpoint.health,
+                weight: endpoint.weight.get(),
                 priority: locality.priority,
                 locality: (locality.name.region.clone(), locality.name.sub_zone.clone()),
             })
@@ -300,22 +318,23 @@
     }
 }
 
+/// The kind of difference between two states of a node.
 #[derive(Clone, Copy, PartialEq)]
-enum News {
-    None,
+enum ChangeKind {
+    Unchanged,
     Weight,
     Urgent,
 }
 
-impl News {
-    fn between(old: &Node, new: &Node) -> News {
-        // Rounding is no change.
-        let same = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(b.abs());
+impl ChangeKind {
+    fn between(old: &Node, new: &Node) -> ChangeKind {
+        // Differences within rounding do not count.
+        let is_same = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(b.abs());
         let Node { weight, .. } = *new;
-        match (Node { weight, ..old.clone() } == *new, same(old.weight, weight)) {
-            (false, _) => News::Urgent,
-            (true, false) => News::Weight,
-            (true, true) => News::None,
+        match (Node { weight, ..old.clone() } == *new, is_same(old.weight, weight)) {
+            (false, _) => ChangeKind::Urgent,
+            (true, false) => ChangeKind::Weight,
+            (true, true) => ChangeKind::Unchanged,
         }
     }
 }
--- a/crates/core/load-assignment/tests/shares.rs
+++ b/crates/core/load-assignment/tests/shares.rs
@@ -1,55 +1,51 @@
-//! The shares of load against a second calculation, plain and slow, written from Envoy's documentation ("Priority
+//! Shares of load compared with a reference calculation, simple and slow, written from Envoy's documentation ("Priority
 //! levels", "Degraded endpoints", "Panic threshold", "Locality weighted load balancing").
 
+mod support;
+
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rushquay_load_assignment::effective::{effective, Sharing};
 use rushquay_load_assignment::*;
 use std::num::NonZeroU32;
+use support::{endpoint, locality};
 
 const STATES: [Health; 4] = [Health::Healthy, Health::Degraded, Health::Unhealthy, Health::Draining];
 
 /// Priority, locality weight, and each endpoint's health and weight.
-type Row = (u8, Option<u32>, Vec<(usize, u32)>);
-type Told = Vec<Row>;
+type DeclaredLocality = (u8, Option<u32>, Vec<(usize, u32)>);
+type Declaration = Vec<DeclaredLocality>;
 
-fn told() -> impl Strategy<Value = Told> {
+fn declaration() -> impl Strategy<Value = Declaration> {
     let weight = prop_oneof![Just(1u32), Just(u32::MAX / 40), 1u32..100];
     let endpoint = (0usize..4, weight);
     let locality = (0u8..4, prop::option::of(1u32..50), prop::collection::vec(endpoint, 0..7));
     prop::collection::vec(locality, 0..6)
 }
 
-fn assignment(told: &Told, factor: u32) -> Assignment {
-    let locality = |(l, (priority, weight, endpoints)): (usize, &Row)| Locality {
-        name: LocalityName { zone: format!("z{l}").into(), ..LocalityName::default() },
-        priority: *priority,
-        weight: weight.and_then(NonZeroU32::new),
-        endpoints: endpoints
-            .iter()
-            .enumerate()
-            .map(|(e, (health, weight))| Endpoint {
-                id: format!("{l}-{e}").into(),
-                addr: format!("127.{}.{l}.{}:80", e / 250, e % 250 + 1).parse().expect("an address"),
-                weight: NonZeroU32::new(*weight).expect("over 0"),
-                health: STATES[*health],
-                place: Place::default(),
-                started: None,
-            })
-            .collect(),
+fn assignment(declared: &Declaration, factor: u32) -> Assignment {
+    let declared_locality = |(l, (priority, weight, endpoints)): (usize, &DeclaredLocality)| {
+        let declared_endpoint = |(e, (health, weight)): (usize, &(usize, u32))| {
+            let addr = format!("127.{}.{l}.{}:80", e / 250, e % 250 + 1);
+            endpoint(&format!("{l}-{e}"), &addr, *weight, STATES[*health])
+        };
+        let endpoints = endpoints.iter().enumerate().map(declared_endpoint).collect();
+        let weight = weight.and_then(NonZeroU32::new);
+        Locality { weight, ..locality(&format!("z{l}"), *priority, endpoints) }
     };
     let rules = Rules { overprovisioning: factor, ..Rules::default() };
-    Assignment::new(told.iter().enumerate().map(locality).collect(), rules).expect("good")
+    Assignment::new(declared.iter().enumerate().map(declared_locality).collect(), rules)
+        .expect("valid assignment")
 }
 
-/// For each endpoint in order its part of 1, by the documents' words, one priority after another.
-fn by_the_book(told: &Told, factor: u32, panic: f64, by_locality: bool) -> Vec<f64> {
-    let all: Vec<(usize, u8, Option<u32>, usize, u32)> = told
+/// The share of each endpoint in order, computed as the documentation states it, one priority after another.
+fn reference_shares(declared: &Declaration, factor: u32, panic: f64, by_locality: bool) -> Vec<f64> {
+    let all: Vec<(usize, u8, Option<u32>, usize, u32)> = declared
         .iter()
         .enumerate()
         .flat_map(|(l, (p, lw, es))| es.iter().map(move |(h, w)| (l, *p, *lw, *h, *w)))
         .collect();
-    let top = told.iter().map(|t| t.0).max().map_or(0, |p| p + 1);
+    let top = declared.iter().map(|t| t.0).max().map_or(0, |p| p + 1);
     let count = |p: u8, h: &[usize]| all.iter().filter(|e| e.1 == p && h.contains(&e.3)).count() as u64;
     // "health = 140 x healthy / all, at most 100", degraded ones apart.
     let health = |p: u8, which: usize| match count(p, &[0, 1, 2, 3]) {
@@ -129,14 +125,14 @@
         // "effective weight = weight x min(1, 1.4 x the available part of the locality)".
         let effective = |l: usize| {
             let of = |h: &[usize]| all.iter().filter(|o| o.0 == l && h.contains(&o.3)).count() as f64;
-            let weight = f64::from(told[l].1.unwrap_or(0));
+            let weight = f64::from(declared[l].1.unwrap_or(0));
             if of(&[e.3]) == 0.0 {
                 0.0
             } else {
                 weight * (f64::from(factor) / 100.0 * of(&[e.3]) / of(&[0, 1, 2, 3])).min(1.0)
             }
         };
-        let whole: f64 = (0..told.len()).filter(|l| told[*l].0 == e.1).map(effective).sum();
+        let whole: f64 = (0..declared.len()).filter(|l| declared[*l].0 == e.1).map(effective).sum();
         match by_locality && whole > 0.0 {
             true => load * effective(e.0) / whole * f64::from(e.4) / peers(Some(e.0)),
             false => load * f64::from(e.4) / peers(None),
@@ -148,21 +144,26 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 3000, rng_seed: RngSeed::Fixed(0x9001), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 3000,
+        rng_seed: RngSeed::Fixed(0x9001),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn shares_are_those_of_the_documentation(
-        told in told(), factor in prop_oneof![Just(140u32), 100u32..300],
+    fn shares_agree_with_the_reference_calculation(
+        declared in declaration(), factor in prop_oneof![Just(140u32), 100u32..300],
         panic in prop_oneof![Just(50.0f64), Just(0.0), 0.0f64..100.0], by_locality: bool,
     ) {
-        let assignment = assignment(&told, factor);
+        let assignment = assignment(&declared, factor);
         let sharing = Sharing { panic, fail_on_panic: false, by_locality };
         let now = effective(&assignment, &sharing, false);
-        let book = by_the_book(&told, factor, panic, by_locality);
-        for (i, (ours, theirs)) in now.parts.iter().zip(&book).enumerate() {
-            prop_assert!((ours - theirs).abs() < 1e-9, "endpoint {i}: {ours}, by the book {theirs}");
+        let reference = reference_shares(&declared, factor, panic, by_locality);
+        for (i, (ours, theirs)) in now.parts.iter().zip(&reference).enumerate() {
+            prop_assert!((ours - theirs).abs() < 1e-9, "endpoint {i}: {ours}, reference {theirs}");
         }
-        // Whatever panics, nothing goes to one that drains; and where one may be sent to without a panic, all is sent.
+        // A draining endpoint gets nothing, also in panic mode; the shares add up to 1 or all are 0.
         for ((_, e), part) in assignment.endpoints().zip(&now.parts) {
             prop_assert!(e.health != Health::Draining || *part == 0.0);
         }
@@ -173,13 +174,14 @@
 
 /// The table of Envoy's page "Priority levels", two and three levels.
 #[test]
-fn the_tables_of_the_documentation() {
+fn priority_loads_agree_with_the_tables_of_the_documentation() {
     let load = |healthy: &[u32]| {
-        let told: Told = (0u8..)
+        let declared: Declaration = (0u8..)
             .zip(healthy)
             .map(|(p, percent)| (p, None, (0..100).map(|i| (if i < *percent { 0 } else { 2 }, 1)).collect()))
             .collect();
-        let now = effective(&assignment(&told, 140), &Sharing { panic: 0.0, ..Sharing::default() }, false);
+        let now =
+            effective(&assignment(&declared, 140), &Sharing { panic: 0.0, ..Sharing::default() }, false);
         now.levels.iter().map(|(_, l)| l.healthy).collect::<Vec<_>>()
     };
     for (healthy, expected) in [
@@ -199,30 +201,30 @@
 }
 
 #[test]
-fn weights_from_one_to_the_largest_keep_their_ratio() {
-    let told: Told = vec![(0, None, vec![(0, 1), (0, u32::MAX - 1)])];
-    let now = effective(&assignment(&told, 140), &Sharing::default(), false);
+fn extreme_weights_keep_their_ratio() {
+    let declared: Declaration = vec![(0, None, vec![(0, 1), (0, u32::MAX - 1)])];
+    let now = effective(&assignment(&declared, 140), &Sharing::default(), false);
     assert!((now.parts[0] * f64::from(u32::MAX) - 1.0).abs() < 1e-6, "{:?}", now.parts);
 }
 
-/// What falls to a priority that panics and may not is refused, and not given to the others.
+/// The load of a panicking priority under `fail_on_panic` is rejected, not moved to other priorities.
 #[test]
-fn a_panic_that_is_not_allowed_refuses_its_part() {
-    let told: Told = vec![
+fn fail_on_panic_rejects_the_share_of_a_panicking_priority() {
+    let declared: Declaration = vec![
         (0, None, vec![(0, 1), (2, 1), (2, 1), (2, 1)]),
         (1, None, vec![(0, 1), (0, 1), (2, 1), (2, 1), (2, 1)]),
     ];
     let sharing = Sharing { fail_on_panic: true, ..Sharing::default() };
-    let now = effective(&assignment(&told, 140), &sharing, false);
+    let now = effective(&assignment(&declared, 140), &sharing, false);
     assert!((now.refused - 1.0).abs() < 1e-9, "{now:?}");
-    let calm = effective(&assignment(&told, 140), &Sharing { panic: 0.0, ..sharing }, false);
+    let calm = effective(&assignment(&declared, 140), &Sharing { panic: 0.0, ..sharing }, false);
     assert_eq!(calm.refused, 0.0);
 }
 
-/// A handful that is healthy among thousands rounds to no percent at all.
+/// The availability of few healthy endpoints among thousands rounds to zero percent.
 #[test]
-fn a_few_among_very_many_are_still_sent_to_without_a_panic() {
-    let told: Told = vec![(0, None, (0..2000).map(|i| (if i < 2 { 0 } else { 2 }, 1)).collect())];
-    let now = effective(&assignment(&told, 140), &Sharing { panic: 0.0, ..Sharing::default() }, false);
+fn few_healthy_endpoints_among_thousands_get_requests_without_panic() {
+    let declared: Declaration = vec![(0, None, (0..2000).map(|i| (if i < 2 { 0 } else { 2 }, 1)).collect())];
+    let now = effective(&assignment(&declared, 140), &Sharing { panic: 0.0, ..Sharing::default() }, false);
     assert_eq!((now.parts[0], now.parts[1], now.parts[2]), (0.5, 0.5, 0.0));
 }
--- a/crates/core/routing/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -83,7 +83,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(0x70), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 500,
+        rng_seed: RngSeed::Fixed(0x70),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     /// Whatever the order of the routes, the first matching one wins.
     #[test]
