--- a/crates/core/admin/src/causes.rs
+++ b/crates/core/admin/src/causes.rs
@@ -1,71 +1,71 @@
-//! Why requests were tried again, refused or failed, and why connections to nodes ended.
+//! Metric labels for why requests were retried, rejected or failed, and why upstream connections were closed.
 
 use rushquay_invariants::labels;
 
 labels! {
-    /// What preceded a retry, a refusal or a failure.
+    /// What led to a retry, a rejection or a failure.
     pub enum Cause {
-        /// Nothing was sent: the module did not take the request, or knew no node for it.
+        /// Nothing was sent: the decision module did not accept the request, or had no endpoint for it.
         NotSent = "not_sent",
-        /// The policy that the proxy acts by, or its floor.
+        /// The active policy or the fallback policy rejected the request.
         Policy = "policy",
-        /// A node lacked the key.
+        /// The endpoint did not have the key.
         Miss = "miss",
-        /// A node had no room.
+        /// The endpoint was at capacity.
         Full = "full",
-        /// No connection came up, or it broke before the request's last byte.
+        /// No connection was established, or it broke before the request's last byte was sent.
         Unreached = "unreached",
-        /// The connection broke behind the request's last byte.
+        /// The connection broke after the request's last byte was sent.
         Reset = "reset",
-        /// No answer came in time.
+        /// No response arrived in time.
         Timeout = "timeout",
-        /// The node answered with an error.
+        /// The endpoint responded with an error.
         Error = "error",
-        /// The attempt was called off, or denied at its last look.
+        /// The attempt was cancelled, or denied by the final check before its first byte.
         NotWritten = "not_written",
-        /// An attempt beside one that is still out.
+        /// A hedged attempt, made while another one is still in flight.
         SecondCopy = "second_copy",
-        /// The module had no answer in time.
+        /// The decision module did not decide in time.
         Overdue = "overdue",
-        /// The request could not be used.
+        /// The request was malformed.
         BadRequest = "bad_request",
-        /// A request under the same id was open.
+        /// A request with the same id was still open.
         DuplicateId = "duplicate_id",
     }
 }
 
 labels! {
-    /// Why a request or a connection was turned away before the class of a request was known.
+    /// Why a request or a connection was rejected before the request's class was known.
     pub enum TurnedAway {
         /// The request could not be parsed.
         Unparsable = "unparsable",
-        /// Its framing can be read in two ways, or its path is cut.
+        /// Its framing is ambiguous, or its path is truncated.
         BadFraming = "bad_framing",
-        /// No class has its name.
+        /// It names an unknown class.
         UnknownClass = "unknown_class",
-        /// No route leads anywhere.
+        /// No route matches it.
         NoRoute = "no_route",
-        /// A route or its cluster's limits answered it.
+        /// A route, or the limits of the route's cluster, answered it directly.
         ByRoute = "by_route",
-        /// The process ended before the connection had a place.
+        /// The process ended before the connection got a slot.
         NeverLetIn = "never_let_in",
     }
 }
 
 labels! {
-    /// Why a connection to a node ended.
+    /// Why a connection to an endpoint was closed.
     pub enum NodeCloseCause {
-        /// It stood idle for too long, or the node ended it while it was idle.
+        /// It was idle for too long, or the endpoint closed it while it was idle.
         Idle = "idle",
-        /// Its descriptor was needed.
+        /// Its file descriptor was needed elsewhere.
         MadeRoom = "made_room",
-        /// The node drains, was removed, restarted or moved.
+        /// The endpoint is draining, was removed, restarted or changed its address.
         NodeChanged = "node_changed",
-        /// Bytes stood behind its last answer, or it had ended, when it was to be used again.
+        /// When it was to be reused, it had unread bytes after its last response, or was closed already.
         NotClean = "not_clean",
-        /// Its last answer was not to be followed by another, or it had carried enough.
+        /// Its last response forbade reuse, or it had served its maximum of requests.
         Finished = "finished",
-        /// An attempt on it failed or was called off.
+        /// An attempt on it failed or was cancelled.
         Failed = "failed",
     }
 }
--- a/crates/core/admin/src/connection_slots.rs
+++ b/crates/core/admin/src/connection_slots.rs
@@ -1,41 +1,41 @@
-//! Which of the callers that have not sent their line yet gives way to a new one.
+//! Limits the admin connections that have not sent their line yet, and picks the one to evict for a new one.
 
 use std::collections::VecDeque;
 
-/// A caller's place; its number is never used twice.
+/// Identifies a waiting connection; numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(u64);
 
-/// The places of callers. Danger: callers that send nothing, or half a line, would keep a true one out for as long as they
-/// stay; a true one sends its line at once, so whoever has waited for longest gives way.
+/// The slots of waiting connections. Danger: clients that send nothing, or half a line, would lock out a genuine one for as
+/// long as they stay connected. A genuine client sends its line at once, so the longest-waiting connection is evicted.
 #[derive(Debug)]
 pub struct ConnectionSlots {
-    most: usize,
-    next: u64,
+    capacity: usize,
+    next_ticket: u64,
     waiting: VecDeque<Ticket>,
 }
 
 impl ConnectionSlots {
-    /// So many callers at once, at least one.
+    /// Allows `most` waiting connections, at least one.
     pub fn new(most: usize) -> Self {
-        ConnectionSlots { most: most.max(1), next: 0, waiting: VecDeque::new() }
+        ConnectionSlots { capacity: most.max(1), next_ticket: 0, waiting: VecDeque::new() }
     }
 
-    /// A caller has come; also tells who has to go for it.
+    /// Admits a new connection; also returns the connection to evict for it, if any.
     pub fn come(&mut self) -> (Ticket, Option<Ticket>) {
-        let gives_way = if self.waiting.len() >= self.most { self.waiting.pop_front() } else { None };
-        let ticket = Ticket(self.next);
-        self.next += 1;
+        let evicted = if self.waiting.len() >= self.capacity { self.waiting.pop_front() } else { None };
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
         self.waiting.push_back(ticket);
-        (ticket, gives_way)
+        (ticket, evicted)
     }
 
-    /// A caller has gone.
+    /// Releases the slot of a connection; one that was evicted already has none.
     pub fn left(&mut self, ticket: Ticket) {
-        self.waiting.retain(|t| *t != ticket);
+        self.waiting.retain(|waiting| *waiting != ticket);
     }
 
-    /// How many wait.
+    /// Number of waiting connections.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/core/admin/src/exposition.rs
+++ b/crates/core/admin/src/exposition.rs
@@ -1,52 +1,52 @@
-//! The figures as text. Each line is `name value` or `name{lane="class"} value`.
+//! Text exposition of the metrics: one `name value` or `name{label="value"} value` per line.
 
 use crate::{LabelCounter, RequestMetrics, RequestOutcome};
 use rushquay_invariants::Label;
 use std::fmt::Write as _;
 
-/// All figures, a line each, and the line that ends them.
-pub fn figures(ledger: &RequestMetrics) -> String {
+/// Renders all metrics, one per line, followed by the terminating `.` line.
+pub fn figures(metrics: &RequestMetrics) -> String {
     let mut text = String::new();
-    for (name, end) in [
+    for (name, outcome) in [
         ("completed", RequestOutcome::Completed),
         ("rejected", RequestOutcome::Rejected),
         ("failed", RequestOutcome::Failed),
     ] {
-        for (number, class) in ledger.classes().iter().enumerate() {
-            let (class, value) = (escaped(class), ledger.ended(number, end));
+        for (index, class_name) in metrics.classes().iter().enumerate() {
+            let (class, value) = (escape_label(class_name), metrics.ended(index, outcome));
             let _ = writeln!(text, "proxy_{name}{{lane=\"{class}\"}} {value}");
         }
     }
-    let rest = [
-        ("upstream_requests", ledger.attempts.get()),
-        ("pending", ledger.pending()),
-        ("members", ledger.members.get()),
-        ("members_unavailable", ledger.unavailable.get()),
+    let gauges_and_totals = [
+        ("upstream_requests", metrics.attempts.get()),
+        ("pending", metrics.pending()),
+        ("members", metrics.members.get()),
+        ("members_unavailable", metrics.unavailable.get()),
     ];
-    for (name, value) in rest {
+    for (name, value) in gauges_and_totals {
         let _ = writeln!(text, "proxy_{name} {value}");
     }
-    by_label(&mut text, "retries", "after", &ledger.retries);
-    by_label(&mut text, "refusals", "after", &ledger.refusals);
-    by_label(&mut text, "failures", "after", &ledger.failures);
-    by_label(&mut text, "turned_away", "reason", &ledger.turned_away);
-    by_label(&mut text, "attempts_denied", "cause", &ledger.denied);
-    by_label(&mut text, "client_closes", "cause", &ledger.closes);
-    by_label(&mut text, "node_closes", "cause", &ledger.node_closes);
-    by_label(&mut text, "violations", "rule", &ledger.violations);
+    write_labelled(&mut text, "retries", "after", &metrics.retries);
+    write_labelled(&mut text, "refusals", "after", &metrics.refusals);
+    write_labelled(&mut text, "failures", "after", &metrics.failures);
+    write_labelled(&mut text, "turned_away", "reason", &metrics.turned_away);
+    write_labelled(&mut text, "attempts_denied", "cause", &metrics.denied);
+    write_labelled(&mut text, "client_closes", "cause", &metrics.closes);
+    write_labelled(&mut text, "node_closes", "cause", &metrics.node_closes);
+    write_labelled(&mut text, "violations", "rule", &metrics.violations);
     text.push_str(".\n");
     text
 }
 
-/// A figure by label: those that were counted, and the total.
-fn by_label<L: Label>(text: &mut String, name: &str, label: &str, tally: &LabelCounter<L>) {
-    for (value, count) in tally.counted() {
+/// Writes a labelled counter: its non-zero values, then the total.
+fn write_labelled<L: Label>(text: &mut String, name: &str, label: &str, counter: &LabelCounter<L>) {
+    for (value, count) in counter.counted() {
         let _ = writeln!(text, "proxy_{name}{{{label}=\"{}\"}} {count}", value.name());
     }
-    let _ = writeln!(text, "proxy_{name}_total {}", tally.total());
+    let _ = writeln!(text, "proxy_{name}_total {}", counter.total());
 }
 
-/// A label's value in the text format of metrics.
-fn escaped(label: &str) -> String {
+/// Escapes a label value for the text exposition format.
+fn escape_label(label: &str) -> String {
     label.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/core/admin/src/label_counter.rs
+++ b/crates/core/admin/src/label_counter.rs
@@ -1,11 +1,11 @@
-//! Figures that are counted by label.
+//! Counters keyed by a metric label.
 
 use crate::Counter;
 use rushquay_invariants::Label;
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A count for each value of a label. One thread counts and others read.
+/// One counter per value of a label. A single thread writes; any thread may read.
 pub struct LabelCounter<L> {
     counts: Vec<Counter>,
     label: PhantomData<fn() -> L>,
@@ -24,22 +24,22 @@
 }
 
 impl<L: Label> LabelCounter<L> {
-    /// One more of a value.
+    /// Increments the counter of `label`.
     pub fn one_more(&self, label: L) {
         self.counts[label.index()].one_more();
     }
 
-    /// How many of a value were counted.
+    /// Count of `label`.
     pub fn get(&self, label: L) -> u64 {
         self.counts[label.index()].get()
     }
 
-    /// How many were counted in all.
+    /// Sum over all labels.
     pub fn total(&self) -> u64 {
         self.counts.iter().map(Counter::get).sum()
     }
 
-    /// The values that were counted, each with its count.
+    /// Labels with a non-zero count, each with its count.
     pub fn counted(&self) -> impl Iterator<Item = (L, u64)> + '_ {
         let all = L::ALL.iter().map(|label| (*label, self.get(*label)));
         all.filter(|(_, count)| *count > 0)
--- a/crates/core/admin/src/lib.rs
+++ b/crates/core/admin/src/lib.rs
@@ -1,5 +1,8 @@
-//! What operators call and read: how a call is read, which of the waiting callers gives way, the ledger that each request
-//! and attempt passes through once, and the text of the figures. No I/O and no clock: time is passed in.
+//! The proxy's admin protocol and request metrics.
+//!
+//! [`AdminCommand`] parses an operator's command, [`ConnectionSlots`] picks the waiting connection to evict,
+//! [`RequestMetrics`] counts each request and attempt exactly once, and [`figures`] renders the metrics as text. The crate
+//! does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 
 mod causes;
--- a/crates/core/admin/src/request_metrics.rs
+++ b/crates/core/admin/src/request_metrics.rs
@@ -1,37 +1,37 @@
-//! The account that each request passes through exactly once at its end, and each attempt when it has been written whole.
+//! Request accounting: each request is counted exactly once when it ends, each attempt once it is fully written.
 
 use crate::{Cause, LabelCounter, NodeCloseCause, TurnedAway};
 use rushquay_invariants::{CloseCause, SendDenied, Violation};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// How a request that was taken ended.
+/// How an accepted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was served.
+    /// The request was served.
     Completed,
-    /// It was refused.
+    /// The request was rejected.
     Rejected,
-    /// It was failed.
+    /// The request failed.
     Failed,
 }
 
-/// A number that one thread moves and others read.
+/// A number that one thread updates and any thread may read.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// What it stands at.
+    /// Current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Sets it.
-    pub fn set(&self, to: u64) {
-        self.0.store(to, Ordering::Relaxed);
+    /// Sets the value.
+    pub fn set(&self, value: u64) {
+        self.0.store(value, Ordering::Relaxed);
     }
 
-    /// One more.
+    /// Increments the value by one.
     pub fn one_more(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -41,115 +41,120 @@
     }
 }
 
-/// What a process may answer on STATUS.
+/// The state that a process reports on STATUS.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
-    /// It has not come so far that it could serve.
+    /// Not ready to serve yet.
     Starting,
-    /// It can serve.
+    /// Ready to serve.
     Serving,
-    /// It was told to end.
+    /// Shutting down gracefully.
     Draining,
 }
 
-/// The figures of one class.
+/// Outcome counters of one request class.
 #[derive(Debug, Default)]
-struct Class {
+struct ClassCounters {
     completed: Counter,
     rejected: Counter,
     failed: Counter,
 }
 
-/// The account of one process, from 0 at its start. Threads other than the proxy's read it at any time.
+/// The metrics of one process, starting at zero. Threads other than the proxy's may read them at any time.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
-    names: Vec<String>,
-    classes: Vec<Class>,
+    class_names: Vec<String>,
+    classes: Vec<ClassCounters>,
     taken: Counter,
-    gone: Counter,
+    client_gone: Counter,
     pending: Counter,
     /// Attempts whose last byte has been written.
     pub attempts: Counter,
-    /// Cache nodes in the list.
+    /// Cache nodes in the endpoint list.
     pub members: Counter,
-    /// Of these, those that the proxy avoids now.
+    /// Of these, the ones that the proxy avoids at present.
     pub unavailable: Counter,
-    /// Further attempts, by how the one before ended.
+    /// Retries, by how the preceding attempt ended.
     pub retries: LabelCounter<Cause>,
-    /// Refused requests, by how their last attempt ended.
+    /// Rejected requests, by how their last attempt ended.
     pub refusals: LabelCounter<Cause>,
     /// Failed requests, by how their last attempt ended.
     pub failures: LabelCounter<Cause>,
-    /// Requests and connections that were turned away before a class was known, by reason.
+    /// Requests and connections that were rejected before the request's class was known, by reason.
     pub turned_away: LabelCounter<TurnedAway>,
-    /// Attempts that were denied at their last look, by reason.
+    /// Attempts denied by the final check before their first byte, by reason.
     pub denied: LabelCounter<SendDenied>,
-    /// Clients' connections that ended, by reason.
+    /// Closed client connections, by reason.
     pub closes: LabelCounter<CloseCause>,
-    /// Connections to nodes that ended, by reason.
+    /// Closed upstream connections, by reason.
     pub node_closes: LabelCounter<NodeCloseCause>,
-    /// Rules that were broken.
+    /// Violated invariants, by rule.
     pub violations: LabelCounter<Violation>,
-    standing: Counter,
+    serving_state: Counter,
 }
 
 impl RequestMetrics {
-    /// An empty account of requests of these classes.
+    /// Creates empty metrics for requests of these classes.
     pub fn new(classes: &[String]) -> Arc<Self> {
-        let figures = classes.iter().map(|_| Class::default()).collect();
-        Arc::new(RequestMetrics { names: classes.to_vec(), classes: figures, ..RequestMetrics::default() })
+        let counters = classes.iter().map(|_| ClassCounters::default()).collect();
+        Arc::new(RequestMetrics {
+            class_names: classes.to_vec(),
+            classes: counters,
+            ..RequestMetrics::default()
+        })
     }
 
-    /// A request of this class has been taken; past the last class it is counted as pending alone.
+    /// Records that a request of `class` was accepted. With an index past the last class it has no outcome counters: when it
+    /// ends, it is counted with the requests whose client had gone.
     pub fn take(self: &Arc<Self>, class: usize) -> Entry {
         self.taken.one_more();
         self.pending.one_more();
-        Entry { ledger: self.clone(), class, end: None }
+        Entry { metrics: self.clone(), class, outcome: None }
     }
 
-    /// The classes' names.
+    /// Names of the request classes.
     pub fn classes(&self) -> &[String] {
-        &self.names
+        &self.class_names
     }
 
-    /// How many requests of a class ended so.
-    pub fn ended(&self, class: usize, end: RequestOutcome) -> u64 {
-        self.classes.get(class).map_or(0, |c| c.count(end).get())
+    /// Number of requests of `class` that ended with `outcome`.
+    pub fn ended(&self, class: usize, outcome: RequestOutcome) -> u64 {
+        self.classes.get(class).map_or(0, |counters| counters.count(outcome).get())
     }
 
-    /// How many requests were taken.
+    /// Number of accepted requests.
     pub fn taken(&self) -> u64 {
         self.taken.get()
     }
 
-    /// How many were taken and have not ended.
+    /// Number of accepted requests that have not ended.
     pub fn pending(&self) -> u64 {
         self.pending.get()
     }
 
-    /// How many ended since their client had gone.
+    /// Number of requests that ended because their client had gone.
     pub fn gone(&self) -> u64 {
-        self.gone.get()
+        self.client_gone.get()
     }
 
-    /// What the process answers on STATUS from now on.
-    pub fn stand(&self, standing: ServingState) {
-        self.standing.set(standing as u64);
+    /// Sets the state reported on STATUS.
+    pub fn stand(&self, state: ServingState) {
+        self.serving_state.set(state as u64);
     }
 
-    /// What the process answers on STATUS.
+    /// The state reported on STATUS.
     pub fn standing(&self) -> ServingState {
-        match self.standing.get() {
-            n if n == ServingState::Serving as u64 => ServingState::Serving,
-            n if n == ServingState::Draining as u64 => ServingState::Draining,
+        match self.serving_state.get() {
+            state if state == ServingState::Serving as u64 => ServingState::Serving,
+            state if state == ServingState::Draining as u64 => ServingState::Draining,
             _ => ServingState::Starting,
         }
     }
 }
 
-impl Class {
-    fn count(&self, end: RequestOutcome) -> &Counter {
-        match end {
+impl ClassCounters {
+    fn count(&self, outcome: RequestOutcome) -> &Counter {
+        match outcome {
             RequestOutcome::Completed => &self.completed,
             RequestOutcome::Rejected => &self.rejected,
             RequestOutcome::Failed => &self.failed,
@@ -157,27 +162,28 @@
     }
 }
 
-/// A request in the account. It ends when it is dropped: as was said last, or, if nothing was, since its client had gone.
+/// An accepted request. Dropping it counts the request's end: with the outcome recorded last, or, if none was recorded, as
+/// one whose client had gone.
 #[derive(Debug)]
 pub struct Entry {
-    ledger: Arc<RequestMetrics>,
+    metrics: Arc<RequestMetrics>,
     class: usize,
-    end: Option<RequestOutcome>,
+    outcome: Option<RequestOutcome>,
 }
 
 impl Entry {
-    /// Its final answer is known; it is pending for as long as the answer is passed on.
-    pub fn answered(&mut self, end: RequestOutcome) {
-        self.end = Some(end);
+    /// Records the final outcome; the request stays pending while its response is being forwarded.
+    pub fn answered(&mut self, outcome: RequestOutcome) {
+        self.outcome = Some(outcome);
     }
 }
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        self.ledger.pending.one_less();
-        match (self.end, self.ledger.classes.get(self.class)) {
-            (Some(end), Some(class)) => class.count(end).one_more(),
-            _ => self.ledger.gone.one_more(),
+        self.metrics.pending.one_less();
+        match (self.outcome, self.metrics.classes.get(self.class)) {
+            (Some(outcome), Some(class)) => class.count(outcome).one_more(),
+            _ => self.metrics.client_gone.one_more(),
         }
     }
 }
--- a/crates/core/admin/tests/operate.rs
+++ b/crates/core/admin/tests/operate.rs
@@ -1,4 +1,4 @@
-//! Calls in every shape, and the ledger's one law under any order of events.
+//! Command parsing, connection slots, the text exposition, and request accounting under any order of events.
 
 use proptest::prelude::*;
 use rushquay_admin::{
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn calls_are_read_and_everything_else_is_named() {
+fn commands_are_parsed_and_invalid_lines_are_classified() {
     let whole = |line: &[u8]| AdminCommand::read(line, false);
     for line in [&b"STATUS\n"[..], b"STATUS\r\n", b" STATUS \n"] {
         assert_eq!(whole(line), Line::Whole(Ok(AdminCommand::Status)));
@@ -34,35 +34,35 @@
 }
 
 #[test]
-fn a_true_caller_always_finds_a_place() {
-    let mut places = ConnectionSlots::new(3);
-    let mute: Vec<_> = (0..3).map(|_| places.come().0).collect();
-    let (caller, gives_way) = places.come();
-    assert_eq!(gives_way, Some(mute[0]), "whoever has waited for longest");
-    places.left(caller);
-    assert_eq!(places.waiting(), 2);
-    let (_, gives_way) = places.come();
-    assert_eq!(gives_way, None);
-    places.left(mute[0]);
-    assert_eq!(places.waiting(), 3, "one that was sent away leaves nothing behind");
+fn a_new_connection_evicts_the_longest_waiting_one() {
+    let mut slots = ConnectionSlots::new(3);
+    let silent: Vec<_> = (0..3).map(|_| slots.come().0).collect();
+    let (caller, evicted) = slots.come();
+    assert_eq!(evicted, Some(silent[0]), "the longest-waiting connection is evicted");
+    slots.left(caller);
+    assert_eq!(slots.waiting(), 2);
+    let (_, evicted) = slots.come();
+    assert_eq!(evicted, None);
+    slots.left(silent[0]);
+    assert_eq!(slots.waiting(), 3, "releasing an evicted connection frees no further slot");
 }
 
 #[test]
-fn figures_stand_a_line_each_and_end_with_a_dot() {
-    let ledger = RequestMetrics::new(&names(&["read", "a\"b\\c\nd"]));
-    ledger.take(0).answered(RequestOutcome::Completed);
-    ledger.take(1).answered(RequestOutcome::Failed);
-    let _open = ledger.take(0);
-    ledger.attempts.one_more();
-    ledger.members.set(12);
-    ledger.unavailable.set(2);
-    ledger.retries.one_more(Cause::Miss);
-    ledger.retries.one_more(Cause::SecondCopy);
-    ledger.retries.one_more(Cause::Miss);
-    ledger.turned_away.one_more(TurnedAway::UnknownClass);
-    ledger.closes.one_more(CloseCause::Drain);
-    ledger.violations.one_more(Violation::ClosedUnanswered);
-    let text = figures(&ledger);
+fn metrics_are_rendered_one_per_line_and_end_with_a_dot() {
+    let metrics = RequestMetrics::new(&names(&["read", "a\"b\\c\nd"]));
+    metrics.take(0).answered(RequestOutcome::Completed);
+    metrics.take(1).answered(RequestOutcome::Failed);
+    let _open = metrics.take(0);
+    metrics.attempts.one_more();
+    metrics.members.set(12);
+    metrics.unavailable.set(2);
+    metrics.retries.one_more(Cause::Miss);
+    metrics.retries.one_more(Cause::SecondCopy);
+    metrics.retries.one_more(Cause::Miss);
+    metrics.turned_away.one_more(TurnedAway::UnknownClass);
+    metrics.closes.one_more(CloseCause::Drain);
+    metrics.violations.one_more(Violation::ClosedUnanswered);
+    let text = figures(&metrics);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(
         lines,
@@ -96,75 +96,75 @@
 }
 
 #[test]
-fn a_process_stands_as_it_said_last() {
-    let ledger = RequestMetrics::new(&[]);
-    assert_eq!(ledger.standing(), ServingState::Starting);
-    for standing in [ServingState::Serving, ServingState::Draining, ServingState::Starting] {
-        ledger.stand(standing);
-        assert_eq!(ledger.standing(), standing);
+fn the_serving_state_is_the_one_set_last() {
+    let metrics = RequestMetrics::new(&[]);
+    assert_eq!(metrics.standing(), ServingState::Starting);
+    for state in [ServingState::Serving, ServingState::Draining, ServingState::Starting] {
+        metrics.stand(state);
+        assert_eq!(metrics.standing(), state);
     }
 }
 
-/// What may befall a request in any order.
+/// An event in the life of a request.
 #[derive(Clone, Debug)]
-enum Step {
+enum Event {
     Take(usize),
     Answer(usize, RequestOutcome),
     Drop(usize),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     let end = prop_oneof![
         Just(RequestOutcome::Completed),
         Just(RequestOutcome::Rejected),
         Just(RequestOutcome::Failed)
     ];
     prop_oneof![
-        (0usize..4).prop_map(Step::Take),
-        (0usize..16, end).prop_map(|(n, end)| Step::Answer(n, end)),
-        (0usize..16).prop_map(Step::Drop),
+        (0usize..4).prop_map(Event::Take),
+        (0usize..16, end).prop_map(|(n, end)| Event::Answer(n, end)),
+        (0usize..16).prop_map(Event::Drop),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Danger: a request counted twice, or not at all, makes the figures untrue for good.
+    /// Danger: a request counted twice, or not at all, makes the metrics wrong for good.
     #[test]
-    fn what_was_taken_is_pending_or_ended_once(steps in prop::collection::vec(step(), 0..200)) {
-        let ledger = RequestMetrics::new(&names(&["a", "b", "c"]));
+    fn every_accepted_request_is_pending_or_counted_once(events in prop::collection::vec(event(), 0..200)) {
+        let metrics = RequestMetrics::new(&names(&["a", "b", "c"]));
         let mut open: Vec<(Entry, usize, Option<RequestOutcome>)> = Vec::new();
-        // By class and end, as a second book; class 3 is none that the ledger knows.
+        // Expected counts by class and outcome, kept independently; class 3 is unknown to the metrics.
         let mut ended = [[0u64; 3]; 3];
         let (mut taken, mut gone) = (0, 0);
-        for step in steps {
-            match step {
-                Step::Take(class) => {
+        for event in events {
+            match event {
+                Event::Take(class) => {
                     taken += 1;
-                    open.push((ledger.take(class), class, None));
+                    open.push((metrics.take(class), class, None));
                 }
-                Step::Answer(n, end) => {
-                    if let Some((entry, _, said)) = open.get_mut(n) {
+                Event::Answer(n, end) => {
+                    if let Some((entry, _, recorded)) = open.get_mut(n) {
                         entry.answered(end);
-                        *said = Some(end);
+                        *recorded = Some(end);
                     }
                 }
-                Step::Drop(n) if n < open.len() => {
-                    let (entry, class, said) = open.swap_remove(n);
+                Event::Drop(n) if n < open.len() => {
+                    let (entry, class, recorded) = open.swap_remove(n);
                     drop(entry);
-                    match said {
+                    match recorded {
                         Some(end) if class < 3 => ended[class][end as usize] += 1,
                         _ => gone += 1,
                     }
                 }
-                Step::Drop(_) => {}
+                Event::Drop(_) => {}
             }
             let all: u64 = ended.iter().flatten().sum();
-            prop_assert_eq!(ledger.taken(), all + gone + ledger.pending());
-            prop_assert_eq!((ledger.taken(), ledger.pending(), ledger.gone()), (taken, open.len() as u64, gone));
+            prop_assert_eq!(metrics.taken(), all + gone + metrics.pending());
+            prop_assert_eq!((metrics.taken(), metrics.pending(), metrics.gone()), (taken, open.len() as u64, gone));
             for (class, ends) in ended.iter().enumerate() {
                 for end in [RequestOutcome::Completed, RequestOutcome::Rejected, RequestOutcome::Failed] {
-                    prop_assert_eq!(ledger.ended(class, end), ends[end as usize]);
+                    prop_assert_eq!(metrics.ended(class, end), ends[end as usize]);
                 }
             }
         }
