--- a/crates/core/invariants/src/close.rs
+++ b/crates/core/invariants/src/close.rs
@@ -1,66 +1,66 @@
-//! May a client's connection be closed now?
+//! Decides whether a client connection may be closed now.
 
 use crate::{labels, Violation};
 
 labels! {
-    /// Why a client's connection ends.
+    /// Why a client connection is closed.
     pub enum CloseCause {
         /// The client closed or reset it.
         PeerEnded = "peer_ended",
-        /// Its last answer said so: the client asked for that, or the request could not be used.
+        /// The last response announced it: the client requested that, or its request was malformed.
         AnswerSaidSo = "answer_said_so",
-        /// It has been idle for long.
+        /// It exceeded the idle timeout.
         Idle = "idle",
-        /// The process drains.
+        /// The process is draining.
         Drain = "drain",
-        /// Its place is needed for another.
+        /// Its slot is needed for another connection.
         MadeRoom = "made_room",
-        /// It never asked, or stopped in the middle of a head.
+        /// The client never sent a request, or stopped in the middle of a request head.
         NoRequest = "no_request",
-        /// The client does not take its answer.
+        /// The client does not read its response.
         NotRead = "not_read",
-        /// The answer's source broke in the midst of its body.
+        /// The source of the response failed in the middle of the body.
         BrokenAnswer = "broken_answer",
-        /// The process ends.
+        /// The process exits.
         ProcessEnd = "process_end",
     }
 }
 
-/// What is known of a connection that is to be closed.
+/// What is known about a connection that is to be closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionFacts {
-    /// A request that was read has no answer yet.
+    /// A request that was read has no response yet.
     pub answering: bool,
-    /// Whole requests, or a part of one, were read behind that.
+    /// Pipelined bytes were read after that request: whole requests or a part of one.
     pub read_behind: bool,
-    /// A part of a head was read, and no more.
+    /// Only a part of a request head was read.
     pub head_begun: bool,
-    /// A part of an answer waits for the client to read.
+    /// A part of a response is not written yet, as the client has not read what precedes it.
     pub unwritten: bool,
     /// The client has gone.
     pub peer_gone: bool,
 }
 
-/// What stands against closing a connection.
+/// What the proxy still owes the client and must deliver before it closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owed {
-    /// An answer to a request that was read.
+    /// A response to a request that was read.
     Answer,
-    /// The rest of an answer.
+    /// The rest of a response.
     RestOfAnswer,
-    /// Time for the rest of a head.
+    /// Time to send the rest of a request head.
     RestOfHead,
 }
 
-/// The guard of every close.
+/// Decides whether a connection may be closed for `cause`; called before every close.
 ///
 /// # Errors
-/// What is still owed to the client.
+/// Returns what is still owed to the client.
 pub fn may_close(facts: &ConnectionFacts, cause: CloseCause) -> Result<(), Owed> {
     if facts.peer_gone {
         return Ok(());
     }
-    // Who does not read its answer keeps nobody from closing: all that comes behind would wait for that.
+    // A client that does not read its response cannot prevent the close: everything queued behind it waits for that read.
     if cause == CloseCause::NotRead {
         return Ok(());
     }
@@ -70,20 +70,22 @@
     if facts.unwritten {
         return Err(Owed::RestOfAnswer);
     }
-    // A head that has begun has its own time limit, and gives way where its place is needed.
-    let keeps_time = !matches!(cause, CloseCause::NoRequest | CloseCause::MadeRoom | CloseCause::ProcessEnd);
-    if facts.head_begun && keeps_time {
+    // A partial head is bounded by a timeout of its own, and is given up where its slot is needed.
+    let head_may_finish =
+        !matches!(cause, CloseCause::NoRequest | CloseCause::MadeRoom | CloseCause::ProcessEnd);
+    if facts.head_begun && head_may_finish {
         return Err(Owed::RestOfHead);
     }
     Ok(())
 }
 
-/// Checks a connection that has just ended for a reason of this side.
+/// Checks a connection that has just been closed by this side.
 pub fn check_closed(facts: &ConnectionFacts, cause: CloseCause) -> Option<Violation> {
-    let client_ended_it = matches!(cause, CloseCause::PeerEnded | CloseCause::NotRead);
-    // Behind an answer that says close nothing is read, and what a request without a usable frame has behind it is none.
-    let unusable_rest = cause == CloseCause::AnswerSaidSo;
-    if facts.peer_gone || client_ended_it || !facts.answering && (unusable_rest || !facts.read_behind) {
+    let client_caused_it = matches!(cause, CloseCause::PeerEnded | CloseCause::NotRead);
+    // After a response that announces the close nothing more is read, and bytes after a request with unusable framing are not
+    // a request.
+    let rest_is_unusable = cause == CloseCause::AnswerSaidSo;
+    if facts.peer_gone || client_caused_it || !facts.answering && (rest_is_unusable || !facts.read_behind) {
         return None;
     }
     Some(match cause {
--- a/crates/core/invariants/src/label.rs
+++ b/crates/core/invariants/src/label.rs
@@ -1,18 +1,18 @@
-//! Enumerations whose values are labels of metrics.
+//! Enumerations whose values are metric labels.
 
-/// A value that figures are counted by.
+/// A value by which metrics are broken down.
 pub trait Label: Copy + 'static {
-    /// All values, in the order in which they are shown.
+    /// All values, in the order in which they are rendered.
     const ALL: &'static [Self];
 
-    /// The text of the label in figures and logs.
+    /// The label's text in metrics and logs.
     fn name(self) -> &'static str;
 
-    /// Its place in [`Label::ALL`].
+    /// Position in [`Label::ALL`].
     fn index(self) -> usize;
 }
 
-/// Declares an enumeration without fields whose values are labels.
+/// Declares a field-less enumeration whose values are metric labels.
 #[macro_export]
 macro_rules! labels {
     (
--- a/crates/core/invariants/src/lib.rs
+++ b/crates/core/invariants/src/lib.rs
@@ -1,8 +1,10 @@
-//! The rules that a proxy must keep whenever it sends, repeats, closes or starts serving, each decided in one place: callers
-//! state what they know at that moment and ask. The same rules are checked again on what was in fact done, with the slack that
-//! they allow; what breaks one there is a [`Violation`], which is counted while the proxy runs.
+//! Invariants that the proxy upholds whenever it sends, retries, closes a connection or reports that it serves.
 //!
-//! No I/O and no clock: times are nanoseconds of any monotonic clock that the caller goes by.
+//! Each rule is decided in one place: callers pass the facts known at that moment to a `may_*` function. The `check_*`
+//! functions apply the same rules, with the slack that they allow, to what was actually done; a breach is a [`Violation`],
+//! which is counted at run time.
+//!
+//! The crate does no I/O and reads no clock: times are nanoseconds of any monotonic clock that the caller uses.
 #![forbid(unsafe_code)]
 
 mod close;
@@ -17,7 +19,7 @@
 pub use serve::{check_said_serving, may_serve, NotReady, ServeFacts};
 pub use violation::Violation;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Nanoseconds in a millisecond.
--- a/crates/core/invariants/src/send.rs
+++ b/crates/core/invariants/src/send.rs
@@ -1,65 +1,65 @@
-//! May the first byte of an attempt, first or repeated, be written now?
+//! Decides whether the first byte of an attempt, initial or retried, may be written now.
 
 use crate::{labels, Nanos, Violation, MILLISECOND};
 
-/// How the request stands that an attempt is made for.
+/// State of the request that an attempt is made for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestState {
-    /// Its final answer is still due.
+    /// The final response is still due.
     #[default]
     Open,
-    /// It has had its final answer, since this time.
+    /// The final response was given at this time.
     Answered(Nanos),
-    /// Its client closed the connection or cancelled, as was noticed at this time.
+    /// The client closed the connection or cancelled, noticed at this time.
     Abandoned(Nanos),
 }
 
-/// How the node stands that an attempt goes to, by the list as it was last told.
+/// State of the endpoint that an attempt goes to, by the latest endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeStanding {
-    /// It takes new work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// It drains, was removed, or is no longer the process that was chosen.
+    /// Draining, removed, or no longer the incarnation that was chosen.
     Left,
 }
 
-/// What is known at the moment in which the first byte would be written.
+/// What is known when the first byte is about to be written.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendFacts {
-    /// The time.
+    /// The current time.
     pub now: Nanos,
-    /// The request.
+    /// State of the request.
     pub request: RequestState,
-    /// The node.
+    /// State of the endpoint.
     pub node: NodeStanding,
     /// When the client stops waiting.
     pub deadline: Nanos,
-    /// By when a repeat has to begin, so that it meets nodes which remember the attempts before it; `None`: the attempt is no
-    /// repeat, or needs nobody's memory.
+    /// Time before which a retry has to begin, so that endpoints still remember the attempts before it and can deduplicate;
+    /// `None`: the attempt is not a retry, or does not rely on deduplication.
     pub repeat_by: Option<Nanos>,
 }
 
 labels! {
     /// Why an attempt must not be written.
     pub enum SendDenied {
-        /// The request has had its final answer.
+        /// The request has had its final response.
         Answered = "answered",
-        /// The client has gone.
+        /// The client is gone.
         Abandoned = "abandoned",
-        /// The node drains, was removed or was replaced.
+        /// The endpoint is draining, was removed or was replaced.
         NodeLeft = "node_left",
-        /// The client no longer waits.
+        /// The client's deadline has passed.
         Late = "late",
-        /// The nodes may have forgotten the attempts before it.
+        /// The endpoints may no longer remember the attempts before it.
         RepeatWindow = "repeat_window",
     }
 }
 
-/// The guard of every attempt.
+/// Decides whether an attempt may be written; called before every attempt.
 ///
 /// # Errors
-/// Why it must not be written.
+/// Returns why it must not be written.
 pub fn may_send(facts: &SendFacts) -> Result<(), SendDenied> {
     match facts.request {
         RequestState::Answered(_) => return Err(SendDenied::Answered),
@@ -72,35 +72,35 @@
     if facts.now >= facts.deadline {
         return Err(SendDenied::Late);
     }
-    if facts.repeat_by.is_some_and(|by| facts.now >= by) {
+    if facts.repeat_by.is_some_and(|repeat_by| facts.now >= repeat_by) {
         return Err(SendDenied::RepeatWindow);
     }
     Ok(())
 }
 
-/// An attempt may begin so long after its client has gone.
+/// Longest time after the client was gone at which an attempt may still begin.
 const ABANDONED_SLACK: Nanos = 100 * MILLISECOND;
-/// What is told of the time left may exceed it by so much.
+/// Amount by which the time left announced to the endpoint may exceed the actual one.
 const TIME_LEFT_SLACK: Nanos = 150 * MILLISECOND;
-/// A repeat's window was bounded with this left for the way to the node.
+/// Time for the way to the endpoint that was set aside when a retry's window was computed.
 const WINDOW_SLACK: Nanos = 50 * MILLISECOND;
 
-/// What was in fact written of an attempt.
+/// An attempt as it was actually written.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
-    /// What was known when the first byte was written; its `now` is that moment.
+    /// The facts when the first byte was written; their `now` is that moment.
     pub facts: SendFacts,
-    /// The time left that the node was told.
+    /// The time left as announced to the endpoint.
     pub told_left: Nanos,
 }
 
-/// Checks an attempt whose first byte has just been written against the rules, with the slack that they allow. Between the guard
-/// and the write the process may have been held up.
+/// Checks an attempt whose first byte has just been written. The rules are those of [`may_send`] with some slack, as the
+/// process may have been paused between that decision and the write.
 pub fn check_sent(sent: &Sent) -> Option<Violation> {
     let SendFacts { now, request, node, deadline, repeat_by } = sent.facts;
     match request {
         RequestState::Answered(_) => return Some(Violation::SentAfterAnswer),
-        RequestState::Abandoned(since) if now.saturating_sub(since) > ABANDONED_SLACK => {
+        RequestState::Abandoned(noticed_at) if now.saturating_sub(noticed_at) > ABANDONED_SLACK => {
             return Some(Violation::SentForGoneClient);
         }
         _ => {}
@@ -108,9 +108,9 @@
     if node == NodeStanding::Left {
         return Some(Violation::SentToLeavingNode);
     }
-    if repeat_by.is_some_and(|by| now > by.saturating_add(WINDOW_SLACK)) {
+    if repeat_by.is_some_and(|repeat_by| now > repeat_by.saturating_add(WINDOW_SLACK)) {
         return Some(Violation::RepeatedPastWindow);
     }
-    let left = deadline.saturating_sub(now);
-    (sent.told_left > left.saturating_add(TIME_LEFT_SLACK)).then_some(Violation::DeadlineOverstated)
+    let time_left = deadline.saturating_sub(now);
+    (sent.told_left > time_left.saturating_add(TIME_LEFT_SLACK)).then_some(Violation::DeadlineOverstated)
 }
--- a/crates/core/invariants/src/serve.rs
+++ b/crates/core/invariants/src/serve.rs
@@ -1,35 +1,36 @@
-//! May the process take requests now?
+//! Decides whether the process may report that it serves.
 
 use crate::{labels, Violation};
 
-/// What is known of a process that is to serve.
+/// What is known about a process that is about to report that it serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServeFacts {
-    /// A node that takes work is known.
+    /// At least one endpoint that accepts work is known.
     pub node_known: bool,
-    /// The policy that it acts by, or that policy's floor, lets it serve.
+    /// The active policy, or its fallback policy, permits serving.
     pub policy_permits: bool,
-    /// It was told to end.
+    /// The process is shutting down.
     pub draining: bool,
 }
 
 labels! {
-    /// Why a process must not say that it serves.
+    /// Why a process must not report that it serves.
     pub enum NotReady {
-        /// It was told to end.
+        /// The process is shutting down.
         Draining = "draining",
-        /// It knows no node that takes work.
+        /// No endpoint that accepts work is known.
         NoNode = "no_node",
-        /// Neither a policy nor its floor lets it serve.
+        /// Neither the policy nor its fallback permits serving.
         Policy = "policy",
     }
 }
 
-/// The guard of the words that say "this process serves": health, STATUS and the yes of a hand-over. Signs of life to
-/// a host say less: that connections are accepted, which beside another process stands behind the same guard.
+/// Decides whether the process may report that it serves: on health checks, on STATUS, and when it agrees to a hand-over.
+/// Heartbeats to a supervisor claim less, namely that connections are accepted; while another process runs beside this one,
+/// that claim depends on the same rule.
 ///
 /// # Errors
-/// Why it must not be said.
+/// Returns why it must not.
 pub fn may_serve(facts: &ServeFacts) -> Result<(), NotReady> {
     if facts.draining {
         return Err(NotReady::Draining);
@@ -43,7 +44,7 @@
     Ok(())
 }
 
-/// Checks the word that this process serves at the moment in which it is given to whoever then ends the process before it.
+/// Checks the report that this process serves, at the moment when it is sent to whoever then stops the incumbent.
 pub fn check_said_serving(facts: &ServeFacts) -> Option<Violation> {
     may_serve(facts).is_err().then_some(Violation::SaidServingUnready)
 }
--- a/crates/core/invariants/src/violation.rs
+++ b/crates/core/invariants/src/violation.rs
@@ -1,27 +1,27 @@
-//! Rules that were broken.
+//! Violations of the invariants.
 
 use crate::labels;
 
 labels! {
-    /// A rule that was broken, found out at the moment in which it was.
+    /// A violated invariant, detected at the moment of the violation.
     pub enum Violation {
-        /// An attempt was written after the request's final answer.
+        /// An attempt was written after the request's final response.
         SentAfterAnswer = "sent_after_answer",
-        /// An attempt was begun more than 0.1 s after its client had gone.
+        /// An attempt began more than 100 ms after its client was gone.
         SentForGoneClient = "sent_for_gone_client",
-        /// An attempt was begun at a node that had left.
+        /// An attempt began at an endpoint that was draining, removed or replaced.
         SentToLeavingNode = "sent_to_leaving_node",
-        /// A repeat was begun when the nodes may have forgotten the attempts before it.
+        /// A retry began when the endpoints may no longer have remembered the attempts before it.
         RepeatedPastWindow = "repeated_past_window",
-        /// A node was told of more time than the client has left.
+        /// An endpoint was given more time than the client has left.
         DeadlineOverstated = "deadline_overstated",
-        /// A connection was closed under a request that was read and not answered.
+        /// A connection was closed while a request that was read had no response.
         ClosedUnanswered = "closed_unanswered",
-        /// The process ended with a request that was read and not answered.
+        /// The process exited while a request that was read had no response.
         EndedUnanswered = "ended_unanswered",
-        /// A request was answered later than its client waits, by half a second or more.
+        /// A response was given half a second or more after its client's deadline.
         AnsweredLate = "answered_late",
-        /// A process said that it serves in place of another and could not.
+        /// A process reported that it can take over serving, and could not.
         SaidServingUnready = "said_serving_unready",
     }
 }
--- a/crates/core/invariants/tests/rules.rs
+++ b/crates/core/invariants/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The guards, walked through all that callers can state.
+//! Each invariant over the facts that callers can pass.
 
 use rushquay_invariants::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_attempt_is_denied_for_each_rule_by_itself() {
+fn each_send_rule_denies_an_attempt_on_its_own() {
     assert_eq!(may_send(&facts()), Ok(()));
     let cases = [
         (SendFacts { request: RequestState::Answered(NOW), ..facts() }, SendDenied::Answered),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_the_guard_lets_pass_is_no_violation_and_slack_is_given_once() {
+fn a_sent_attempt_is_a_violation_only_beyond_the_slack() {
     let sent = |facts, told_left| check_sent(&Sent { facts, told_left });
     let left = 300 * MILLISECOND;
     assert_eq!(sent(facts(), left), None);
@@ -43,8 +43,8 @@
     assert_eq!(sent(repeat(NOW - 51 * MILLISECOND), left), Some(Violation::RepeatedPastWindow));
 }
 
-/// All connections that can be.
-fn connections() -> impl Iterator<Item = ConnectionFacts> {
+/// Every combination of connection facts.
+fn all_connection_facts() -> impl Iterator<Item = ConnectionFacts> {
     (0..32u8).map(|bits| ConnectionFacts {
         answering: bits & 1 > 0,
         read_behind: bits & 2 > 0,
@@ -54,10 +54,9 @@
     })
 }
 
-/// Whatever the cause: a close that the guard lets pass leaves no request that was read unanswered.
 #[test]
-fn no_close_that_is_let_pass_is_a_violation() {
-    for facts in connections() {
+fn a_permitted_close_is_never_a_violation() {
+    for facts in all_connection_facts() {
         for cause in CloseCause::ALL.iter().copied() {
             match may_close(&facts, cause) {
                 Ok(()) => assert_eq!(check_closed(&facts, cause), None, "{facts:?} {cause:?}"),
@@ -70,45 +69,45 @@
 }
 
 #[test]
-fn a_request_that_is_dropped_is_a_violation_whatever_closes_its_connection() {
+fn closing_on_an_unanswered_request_is_a_violation_for_every_own_cause() {
     let dropped = ConnectionFacts { answering: true, ..ConnectionFacts::default() };
     for cause in [CloseCause::Idle, CloseCause::Drain, CloseCause::MadeRoom, CloseCause::NoRequest] {
         assert_eq!(check_closed(&dropped, cause), Some(Violation::ClosedUnanswered));
     }
     assert_eq!(check_closed(&dropped, CloseCause::ProcessEnd), Some(Violation::EndedUnanswered));
-    let behind = ConnectionFacts { read_behind: true, ..ConnectionFacts::default() };
-    assert_eq!(check_closed(&behind, CloseCause::Drain), Some(Violation::ClosedUnanswered));
-    assert_eq!(check_closed(&behind, CloseCause::PeerEnded), None);
+    let pipelined = ConnectionFacts { read_behind: true, ..ConnectionFacts::default() };
+    assert_eq!(check_closed(&pipelined, CloseCause::Drain), Some(Violation::ClosedUnanswered));
+    assert_eq!(check_closed(&pipelined, CloseCause::PeerEnded), None);
 }
 
-/// A head that has begun has its time, except where its place is needed or that time is over.
+/// A partial head may be finished, except where its slot is needed or its timeout has passed.
 #[test]
-fn a_head_that_has_begun_is_waited_for() {
-    let begun = ConnectionFacts { head_begun: true, ..ConnectionFacts::default() };
-    for (cause, closes) in [
+fn a_partial_request_head_delays_the_close() {
+    let partial_head = ConnectionFacts { head_begun: true, ..ConnectionFacts::default() };
+    for (cause, permitted) in [
         (CloseCause::Drain, false),
         (CloseCause::Idle, false),
         (CloseCause::MadeRoom, true),
         (CloseCause::NoRequest, true),
     ] {
-        assert_eq!(may_close(&begun, cause).is_ok(), closes, "{cause:?}");
+        assert_eq!(may_close(&partial_head, cause).is_ok(), permitted, "{cause:?}");
     }
 }
 
 #[test]
-fn a_process_says_that_it_serves_only_when_all_is_there() {
+fn serving_is_reported_only_when_every_precondition_holds() {
     for bits in 0..8u8 {
         let facts =
             ServeFacts { node_known: bits & 1 > 0, policy_permits: bits & 2 > 0, draining: bits & 4 > 0 };
-        let all = facts.node_known && facts.policy_permits && !facts.draining;
-        assert_eq!(may_serve(&facts).is_ok(), all, "{facts:?}");
-        let violation = (!all).then_some(Violation::SaidServingUnready);
+        let ready = facts.node_known && facts.policy_permits && !facts.draining;
+        assert_eq!(may_serve(&facts).is_ok(), ready, "{facts:?}");
+        let violation = (!ready).then_some(Violation::SaidServingUnready);
         assert_eq!(check_said_serving(&facts), violation, "{facts:?}");
     }
 }
 
 #[test]
-fn labels_stand_in_their_order() {
+fn label_indexes_match_their_position() {
     for (index, violation) in Violation::ALL.iter().enumerate() {
         assert_eq!(violation.index(), index, "{}", violation.name());
     }
