--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -1,5 +1,7 @@
-//! What is decided of bodies and heads that come and go slowly: when a peer has made too little progress ([`Pace`]), and
-//! whether what was passed on can be sent again ([`Replay`]). No I/O and no clock: time is passed in.
+//! Decisions about message heads and bodies that are transferred slowly.
+//!
+//! [`Pace`] tells when a peer makes too little progress; [`Replay`] tells whether a body that was forwarded can be sent again.
+//! The crate does no I/O and reads no clock: time is passed in.
 #![forbid(unsafe_code)]
 
 mod pace;
@@ -8,7 +10,7 @@
 pub use pace::{Pace, Patience};
 pub use replay::Replay;
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Nanoseconds in a second.
--- a/crates/core/stream-progress/src/replay.rs
+++ b/crates/core/stream-progress/src/replay.rs
@@ -1,18 +1,18 @@
-//! A body is sent again only from what is still held whole.
+//! Decides whether a request body can be sent again: only while all that was sent of it is still buffered.
 
-/// What is held of a request's body.
+/// How much of a request body is buffered for further attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Replay {
-    /// All of it: as often as one likes.
+    /// All of it: it can be sent any number of times.
     Whole,
-    /// Its beginning, and nothing behind that has been asked for yet.
+    /// Its beginning, and no attempt has read beyond it yet.
     Beginning,
-    /// Its beginning, and more has gone out: that attempt is the only one.
+    /// Its beginning, and an attempt has read beyond it: no other attempt is possible.
     Spent,
 }
 
 impl Replay {
-    /// Of a body of which the beginning is held; `whole`: that is all there is.
+    /// The state of a body whose beginning is buffered; `whole` says that the beginning is the entire body.
     pub fn of(whole: bool) -> Self {
         if whole {
             Replay::Whole
@@ -21,17 +21,19 @@
         }
     }
 
-    /// Whether an attempt may begin. Danger: a second one would send a body with a hole in it.
+    /// Whether an attempt may begin. Danger: after an attempt has read beyond the buffered beginning, another one would send a
+    /// body with a hole in it.
     pub fn may_send(self) -> bool {
         self != Replay::Spent
     }
 
-    /// An attempt asks for what is behind the beginning; whether it gets it. Of two attempts at once only the first does.
+    /// Claims the part beyond the buffered beginning for an attempt; returns whether it is granted. Of two concurrent attempts
+    /// only the first one gets it.
     pub fn past(&mut self) -> bool {
-        let got = *self == Replay::Beginning;
-        if got {
+        let is_granted = *self == Replay::Beginning;
+        if is_granted {
             *self = Replay::Spent;
         }
-        got
+        is_granted
     }
 }
