--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -2,9 +2,9 @@
 //! by what it is told (how many there are) and by what it meets (how often there was no room).
 #![forbid(unsafe_code)]
 
-mod keep;
+mod idle_timeout;
 
-pub use keep::Jitter;
+pub use idle_timeout::Jitter;
 
 /// A span in nanoseconds.
 pub type Nanos = u64;
