--- a/crates/core/fleet-budget/src/idle_timeout.rs
+++ b/crates/core/fleet-budget/src/idle_timeout.rs
@@ -1,71 +1,76 @@
-//! For how long a connection that nobody uses is kept.
+//! Adapts the idle timeout of upstream connections to the room that endpoints have.
 //!
-//! A node holds so many connections and turns away whoever brings one more. A proxy that keeps what it opened spares
-//! itself the next handshake and takes the place of another's. With few proxies nobody is short; with a hundred the idle
-//! connections of all fill every node, and the requests of whoever has none there are turned away before they are seen.
-//! How many a node holds is not told. So the span is steered by the part of the new connections that are turned away: it
-//! shrinks at each of these and grows by a little at each that is taken, and rests where that part is [`TURNED_AWAY`].
+//! An endpoint holds a limited number of connections and rejects any further one. A proxy that keeps a connection open saves
+//! the next handshake, but occupies a slot that another proxy may need. With few proxies there are slots for all; with a
+//! hundred, their idle connections fill every endpoint, and requests of proxies that have no connection there are rejected
+//! before the endpoint reads them. The limit of an endpoint is not known. The idle timeout is therefore controlled by the
+//! share of new connections that are rejected: it shrinks at each rejected one, grows a little at each accepted one, and is
+//! in equilibrium where that share is [`TARGET_REJECTED_SHARE`].
 
 use super::Nanos;
 
-/// The part of new connections that are turned away at which the span rests.
-const TURNED_AWAY: f64 = 0.1;
-/// What is left of the span after one is turned away.
-const SHRINK: f64 = 0.8;
-/// So many proxies keep connections for as long as their nodes do, until one of them is turned away.
-const FEW: f64 = 32.0;
-/// A connection to a node short of room carries so many requests, then it is given up.
-const USES: u32 = 16;
-/// The span never falls below this part of the longest.
-const LEAST: f64 = 1.0 / 128.0;
+/// Share of new connections that are rejected at which the idle timeout is in equilibrium.
+const TARGET_REJECTED_SHARE: f64 = 0.1;
+/// Factor applied to the idle timeout after a rejected connection.
+const SHRINK_FACTOR: f64 = 0.8;
+/// Up to this many proxies start with the longest idle timeout, and shorten it only once one of their connections is
+/// rejected.
+const SMALL_FLEET: f64 = 32.0;
+/// Number of requests that a connection carries before it is closed while the idle timeout is below its longest.
+const SCARCE_USES: u32 = 16;
+/// The idle timeout never falls below this share of the longest.
+const MIN_SHARE: f64 = 1.0 / 128.0;
 
-/// Steers the span by what new connections meet.
+/// Controls the idle timeout by the outcomes of new connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Jitter {
-    longest: f64,
-    span: f64,
+    longest_ns: f64,
+    timeout_ns: f64,
 }
 
 impl Jitter {
-    /// `longest`: what nodes allow. `proxies`: how many share the nodes; with many the first span is their even part of
-    /// what a few would keep. Danger: a hundred that start in one second fill every node before the first of them has
-    /// been turned away.
+    /// `longest` is the idle timeout that endpoints allow, `proxies` the number of proxies that share the endpoints. In a large
+    /// fleet the initial timeout is reduced in proportion. Danger: a hundred proxies that start within one second would
+    /// otherwise fill every endpoint before the first of them has a connection rejected.
     pub fn new(longest: Nanos, proxies: u32) -> Self {
-        let longest = longest as f64;
-        Jitter { longest, span: longest * (FEW / f64::from(proxies.max(1))).clamp(LEAST, 1.0) }
+        let longest_ns = longest as f64;
+        Jitter {
+            longest_ns,
+            timeout_ns: longest_ns * (SMALL_FLEET / f64::from(proxies.max(1))).clamp(MIN_SHARE, 1.0),
+        }
     }
 
-    /// Another longest span.
+    /// Changes the longest idle timeout; the current one is scaled in proportion.
     pub fn limit(&mut self, longest: Nanos) {
-        let part = self.span / self.longest.max(1.0);
-        self.longest = longest as f64;
-        self.span = self.longest * part;
+        let share = self.timeout_ns / self.longest_ns.max(1.0);
+        self.longest_ns = longest as f64;
+        self.timeout_ns = self.longest_ns * share;
     }
 
-    /// A node took a new connection.
+    /// Records that an endpoint accepted a new connection.
     pub fn taken(&mut self) {
-        let grow = SHRINK.powf(-TURNED_AWAY / (1.0 - TURNED_AWAY));
-        self.span = (self.span * grow).min(self.longest);
+        let growth_factor = SHRINK_FACTOR.powf(-TARGET_REJECTED_SHARE / (1.0 - TARGET_REJECTED_SHARE));
+        self.timeout_ns = (self.timeout_ns * growth_factor).min(self.longest_ns);
     }
 
-    /// A node had no room for a new connection.
+    /// Records that an endpoint rejected a new connection for lack of room.
     pub fn turned_away(&mut self) {
-        self.span = (self.span * SHRINK).max(self.longest * LEAST);
+        self.timeout_ns = (self.timeout_ns * SHRINK_FACTOR).max(self.longest_ns * MIN_SHARE);
     }
 
-    /// How many requests a connection carries before it is given up, in use or not. Danger: at a node that all ask often
-    /// those who hold a connection never open one, so they never learn that there is no room, and the others get none
-    /// for as long as the node stands.
+    /// Number of requests that a connection carries before it is closed, whether in use or not. Danger: at an endpoint that
+    /// all proxies use often, those that hold a connection never open another one. They would never learn that there is no
+    /// room, and the other proxies would get no connection for as long as the endpoint lives.
     pub fn uses(&self) -> u32 {
-        if self.span < self.longest {
-            USES
+        if self.timeout_ns < self.longest_ns {
+            SCARCE_USES
         } else {
             u32::MAX
         }
     }
 
-    /// For how long an idle connection is kept now.
+    /// The current idle timeout.
     pub fn span(&self) -> Nanos {
-        self.span as Nanos
+        self.timeout_ns as Nanos
     }
 }
--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -1,10 +1,12 @@
-//! What each of many proxies must do for the sake of all. Proxies share nothing, so each takes its part of what is scarce
-//! by what it is told (how many there are) and by what it meets (how often there was no room).
+//! Keeps each of many proxies to its share of the connections that the endpoints can hold.
+//!
+//! Proxies do not coordinate. Each one derives its share from the number of proxies, which it is configured with, and from how
+//! often endpoints reject its new connections. The crate does no I/O and reads no clock; see [`Jitter`].
 #![forbid(unsafe_code)]
 
 mod idle_timeout;
 
 pub use idle_timeout::Jitter;
 
-/// A span in nanoseconds.
+/// A duration in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/fleet-budget/tests/idle_timeout.rs
+++ b/crates/core/fleet-budget/tests/idle_timeout.rs
@@ -1,125 +1,143 @@
-//! A hundred proxies and sixty nodes with scarce room for connections, in steps of virtual time.
+//! Simulates proxies that share endpoints with scarce room for connections, in steps of virtual time.
 
 use proptest::prelude::*;
 use rushquay_fleet_budget::{Jitter, Nanos};
 
-const MS: Nanos = 1_000_000;
-const LONGEST: Nanos = 11_000 * MS;
+const MILLISECOND: Nanos = 1_000_000;
+const LONGEST: Nanos = 11_000 * MILLISECOND;
 
-struct World {
-    keeps: Vec<Jitter>,
-    /// When each proxy last used its connection to each node; 0: it has none.
-    used: Vec<Vec<Nanos>>,
-    /// How many requests it has carried.
+struct Simulation {
+    timeouts: Vec<Jitter>,
+    /// When each proxy last used its connection to each endpoint; 0 where it has none.
+    last_used: Vec<Vec<Nanos>>,
+    /// How many requests that connection has carried.
     uses: Vec<Vec<u32>>,
+    /// Open connections at each endpoint.
     open: Vec<usize>,
-    room: usize,
+    /// Connections that an endpoint can hold.
+    capacity: usize,
     now: Nanos,
     random: fastrand::Rng,
 }
 
-impl World {
-    fn new(proxies: usize, nodes: usize, room: usize, seed: u64) -> Self {
-        let keeps = vec![Jitter::new(LONGEST, proxies as u32); proxies];
-        let (used, open) = (vec![vec![0; nodes]; proxies], vec![0; nodes]);
+impl Simulation {
+    fn new(proxies: usize, nodes: usize, capacity: usize, seed: u64) -> Self {
+        let timeouts = vec![Jitter::new(LONGEST, proxies as u32); proxies];
+        let (last_used, open) = (vec![vec![0; nodes]; proxies], vec![0; nodes]);
         let uses = vec![vec![0; nodes]; proxies];
-        World { keeps, used, uses, open, room, now: MS, random: fastrand::Rng::with_seed(seed) }
+        Simulation {
+            timeouts,
+            last_used,
+            uses,
+            open,
+            capacity,
+            now: MILLISECOND,
+            random: fastrand::Rng::with_seed(seed),
+        }
     }
 
-    /// Plays so long, `each` requests a second by every proxy; returns (requests, handshakes, turned away).
-    fn play(&mut self, span: Nanos, each: u64, steered: bool) -> (u64, u64, u64) {
-        let (mut requests, mut handshakes, mut away) = (0, 0, 0);
-        let end = self.now + span;
-        let step = 1_000 * MS / each / self.keeps.len() as u64;
+    /// Runs for `duration`, with `rate` requests per second by every proxy; returns the numbers of requests, handshakes and
+    /// rejected connections. Without `adaptive` idle connections are kept for the longest time.
+    fn run(&mut self, duration: Nanos, rate: u64, adaptive: bool) -> (u64, u64, u64) {
+        let (mut requests, mut handshakes, mut rejected) = (0, 0, 0);
+        let end = self.now + duration;
+        let step = 1_000 * MILLISECOND / rate / self.timeouts.len() as u64;
         while self.now < end {
             self.now += step;
-            let (proxy, node) = (self.random.usize(..self.keeps.len()), self.random.usize(..self.open.len()));
+            let (proxy, node) =
+                (self.random.usize(..self.timeouts.len()), self.random.usize(..self.open.len()));
             requests += 1;
-            // What has been idle for too long is closed, wherever it is.
-            for p in 0..self.keeps.len() {
-                let idle = self.now - self.used[p][node];
-                if self.used[p][node] > 0 && idle > if steered { self.keeps[p].span() } else { LONGEST } {
-                    self.used[p][node] = 0;
+            // Close the connections to this endpoint that have been idle for too long.
+            for other in 0..self.timeouts.len() {
+                let idle = self.now - self.last_used[other][node];
+                if self.last_used[other][node] > 0
+                    && idle > if adaptive { self.timeouts[other].span() } else { LONGEST }
+                {
+                    self.last_used[other][node] = 0;
                     self.open[node] -= 1;
                 }
             }
-            if self.used[proxy][node] == 0 {
+            if self.last_used[proxy][node] == 0 {
                 handshakes += 1;
-                if self.open[node] >= self.room {
-                    away += 1;
-                    self.keeps[proxy].turned_away();
+                if self.open[node] >= self.capacity {
+                    rejected += 1;
+                    self.timeouts[proxy].turned_away();
                     continue;
                 }
-                self.keeps[proxy].taken();
+                self.timeouts[proxy].taken();
                 self.open[node] += 1;
                 self.uses[proxy][node] = 0;
             }
-            self.used[proxy][node] = self.now;
+            self.last_used[proxy][node] = self.now;
             self.uses[proxy][node] += 1;
-            if steered && self.uses[proxy][node] >= self.keeps[proxy].uses() {
-                self.used[proxy][node] = 0;
+            if adaptive && self.uses[proxy][node] >= self.timeouts[proxy].uses() {
+                self.last_used[proxy][node] = 0;
                 self.open[node] -= 1;
             }
         }
-        (requests, handshakes, away)
+        (requests, handshakes, rejected)
     }
 }
 
 #[test]
-fn a_hundred_proxies_leave_one_another_room() {
-    // Danger: kept for as long as nodes allow, idle connections fill every node, and whoever has none is turned away.
-    let (requests, _, away) = World::new(100, 60, 50, 1).play(20_000 * MS, 16, false);
+fn a_hundred_proxies_leave_each_other_room() {
+    // Danger: if kept for as long as endpoints allow, idle connections fill every endpoint, and proxies without one are rejected.
+    let (requests, _, rejected) = Simulation::new(100, 60, 50, 1).run(20_000 * MILLISECOND, 16, false);
     assert!(
-        away * 5 > requests,
-        "{away} of {requests} turned away without it: the world is not short of room"
+        rejected * 5 > requests,
+        "{rejected} of {requests} rejected with a fixed timeout: the simulation has no shortage"
     );
-    let (requests, handshakes, away) = World::new(100, 60, 50, 1).play(20_000 * MS, 16, true);
-    assert!(away * 10 < requests, "{away} of {requests} turned away");
+    let (requests, handshakes, rejected) =
+        Simulation::new(100, 60, 50, 1).run(20_000 * MILLISECOND, 16, true);
+    assert!(rejected * 10 < requests, "{rejected} of {requests} rejected");
     assert!(handshakes * 4 < requests * 3, "{handshakes} handshakes for {requests} requests");
 }
 
 #[test]
-fn a_node_that_all_ask_often_has_room_for_all() {
-    // Danger: at the origin those who hold a connection never learn that others find none.
-    let (mut world, mut turned) = (World::new(100, 1, 60, 4), Vec::new());
-    world.play(20_000 * MS, 5, true);
+fn an_endpoint_used_often_by_all_proxies_has_room_for_all() {
+    // Danger: at the origin, proxies that hold a connection never learn that others get none.
+    let (mut simulation, mut rejected_shares) = (Simulation::new(100, 1, 60, 4), Vec::new());
+    simulation.run(20_000 * MILLISECOND, 5, true);
     for _ in 0..10 {
-        let (requests, _, away) = world.play(4_000 * MS, 5, true);
-        turned.push(away as f64 / requests as f64);
+        let (requests, _, rejected) = simulation.run(4_000 * MILLISECOND, 5, true);
+        rejected_shares.push(rejected as f64 / requests as f64);
     }
-    let mean = turned.iter().sum::<f64>() / 10.0;
-    assert!(mean < 0.12, "{turned:?} of the requests turned away");
+    let mean = rejected_shares.iter().sum::<f64>() / 10.0;
+    assert!(mean < 0.12, "shares of requests rejected: {rejected_shares:?}");
 }
 
 #[test]
-fn few_proxies_keep_theirs_for_as_long_as_they_may() {
-    let mut world = World::new(7, 45, 100, 2);
-    let (_, _, away) = world.play(20_000 * MS, 250, true);
-    assert_eq!(away, 0);
-    assert!(world.keeps.iter().all(|k| k.span() == LONGEST));
+fn a_small_fleet_keeps_the_longest_idle_timeout() {
+    let mut simulation = Simulation::new(7, 45, 100, 2);
+    let (_, _, rejected) = simulation.run(20_000 * MILLISECOND, 250, true);
+    assert_eq!(rejected, 0);
+    assert!(simulation.timeouts.iter().all(|timeout| timeout.span() == LONGEST));
 }
 
 #[test]
-fn the_span_comes_back_when_there_is_room_again() {
-    let mut world = World::new(100, 60, 20, 3);
-    world.play(20_000 * MS, 16, true);
-    let short = world.keeps.iter().map(Jitter::span).max();
-    world.room = 100;
-    world.play(60_000 * MS, 16, true);
-    let long = world.keeps.iter().map(Jitter::span).min();
-    assert!(long > short, "{short:?} with room for 20, {long:?} with room for 100");
+fn the_idle_timeout_recovers_when_there_is_room_again() {
+    let mut simulation = Simulation::new(100, 60, 20, 3);
+    simulation.run(20_000 * MILLISECOND, 16, true);
+    let longest_before = simulation.timeouts.iter().map(Jitter::span).max();
+    simulation.capacity = 100;
+    simulation.run(60_000 * MILLISECOND, 16, true);
+    let shortest_after = simulation.timeouts.iter().map(Jitter::span).min();
+    assert!(
+        shortest_after > longest_before,
+        "{longest_before:?} with capacity 20, {shortest_after:?} with capacity 100"
+    );
 }
 
 proptest! {
     #[test]
-    fn the_span_stays_between_its_bounds(proxies in 0u32..10_000, met in prop::collection::vec(any::<bool>(), 0..400)) {
-        let mut keep = Jitter::new(LONGEST, proxies);
-        for taken in met {
-            let before = keep.span();
-            if taken { keep.taken() } else { keep.turned_away() }
-            let ordered = if taken { keep.span() >= before } else { keep.span() <= before };
-            prop_assert!(ordered);
-            prop_assert!((LONGEST / 200..=LONGEST).contains(&keep.span()));
+    fn the_idle_timeout_stays_within_its_bounds(proxies in 0u32..10_000, outcomes in prop::collection::vec(any::<bool>(), 0..400)) {
+        let mut timeout = Jitter::new(LONGEST, proxies);
+        for accepted in outcomes {
+            let before = timeout.span();
+            if accepted { timeout.taken() } else { timeout.turned_away() }
+            let is_ordered = if accepted { timeout.span() >= before } else { timeout.span() <= before };
+            prop_assert!(is_ordered);
+            prop_assert!((LONGEST / 200..=LONGEST).contains(&timeout.span()));
         }
     }
 }
