--- a/crates/core/fleet-stats/src/kind.rs
+++ b/crates/core/fleet-stats/src/kind.rs
@@ -1,18 +1,18 @@
-//! What is counted.
+//! The kinds of events that are counted.
 
 macro_rules! kinds {
     ($($(#[doc = $doc:literal])+ $kind:ident = $name:literal,)+) => {
-        /// What a proxy does, by cause.
+        /// An event at a proxy, by cause.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Kind {
             $($(#[doc = $doc])+ $kind,)+
         }
 
         impl Kind {
-            /// All kinds, in the order in which they are shown.
+            /// All kinds, in the order in which they are rendered.
             pub const ALL: [Kind; [$($name),+].len()] = [$(Kind::$kind),+];
 
-            /// Its name in lines and tables.
+            /// The name used in account lines and tables.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Kind::$kind => $name,)+
@@ -23,70 +23,70 @@
 }
 
 kinds! {
-    /// A client's request.
+    /// A client's request arrived.
     Arrival = "arrival",
     /// A request was served.
     Served = "served",
-    /// A request was failed.
+    /// A request failed.
     Failed = "failed",
-    /// Refused with nothing sent for it.
+    /// Rejected without any attempt.
     RefusedUnsent = "refused.unsent",
-    /// Refused after a node lacked the key and the origin was not asked.
+    /// Rejected after a cache miss without a request to the origin.
     RefusedMiss = "refused.miss",
-    /// Refused after a full node.
+    /// Rejected after an endpoint was at capacity.
     RefusedFull = "refused.full",
-    /// Refused after a connection that never came up.
+    /// Rejected after a connection could not be established.
     RefusedUnreached = "refused.unreached",
-    /// Refused after silence.
+    /// Rejected after a timeout.
     RefusedSilent = "refused.silent",
-    /// Refused after an error, a reset or what was never written.
+    /// Rejected after an error, a reset, or an attempt that was never written.
     RefusedOther = "refused.other",
     /// A first attempt at a cache node.
     First = "attempt.first",
     /// A first attempt at the origin: a write.
     Write = "attempt.write",
-    /// A fetch after a miss.
+    /// A fetch from the origin after a cache miss.
     Fetch = "attempt.fetch",
-    /// A fetch after silence.
+    /// A fetch from the origin after a timeout.
     FetchSilent = "attempt.fetch_silent",
-    /// A retry after a connection that never came up.
+    /// A retry after a connection could not be established.
     AgainUnreached = "attempt.again_unreached",
     /// A retry after anything else.
     Again = "attempt.again",
-    /// A second copy beside one that is out.
+    /// A hedged attempt beside one in flight.
     Copy = "attempt.copy",
-    /// Of all attempts, those at a node within its cold time.
+    /// Of all attempts, those at an endpoint in slow start.
     Cold = "attempt.cold",
-    /// An attempt was answered.
+    /// An attempt got a response.
     Answered = "outcome.ok",
-    /// A node lacked the key.
+    /// An endpoint did not have the key.
     Missed = "outcome.miss",
-    /// A node had no room.
+    /// An endpoint was at capacity.
     Full = "outcome.full",
-    /// A connection did not come up.
+    /// A connection could not be established.
     Unreached = "outcome.unreached",
-    /// No answer in time.
+    /// No response arrived in time.
     Silent = "outcome.silent",
-    /// Error, reset, or called off.
+    /// Error, reset, or cancellation.
     Broken = "outcome.broken",
-    /// A connection was opened to a node that had none.
+    /// A connection was opened to an endpoint that had none from this proxy.
     HandshakeNew = "handshake.new",
-    /// A connection was opened beside others to that node that were all busy.
+    /// A connection was opened to an endpoint whose other connections were all busy.
     HandshakeBusy = "handshake.busy",
-    /// A node turned a new connection away.
+    /// An endpoint rejected a new connection.
     TurnedAway = "handshake.turned_away",
-    /// Connections closed idle, by the limit in time.
+    /// Connections closed by the idle timeout.
     ClosedIdle = "closed.idle",
-    /// Discovery was asked for the whole list.
+    /// Discovery was queried for the whole endpoint list.
     ListWhole = "list.whole",
-    /// Discovery was asked for changes.
+    /// Discovery was queried for changes (a watch).
     ListWatch = "list.watch",
     /// Entries that discovery sent.
     ListLines = "list.lines",
-    /// Discovery turned a call away.
+    /// Discovery rejected a call.
     ListRefused = "list.refused",
-    /// Discovery said nothing in time.
+    /// Discovery did not respond in time.
     ListSilent = "list.silent",
-    /// Discovery's answer broke, or could not be read.
+    /// Discovery's response broke off, or could not be parsed.
     ListBroken = "list.broken",
 }
--- a/crates/core/fleet-stats/src/lib.rs
+++ b/crates/core/fleet-stats/src/lib.rs
@@ -1,5 +1,8 @@
-//! An account of what proxies do to a fleet: each proxy counts by cause and writes a line a second, and the lines of all
-//! proxies are summed. What is harmless at one proxy and harmful at a hundred shows only in the sum.
+//! Statistics of the load that a fleet of proxies causes.
+//!
+//! Each proxy counts events by cause in an [`Account`] and logs one line per second; [`Sum`] parses the lines of all proxies and
+//! adds them up. Load that is harmless from one proxy and harmful from a hundred shows only in the sum. The crate does no I/O
+//! and reads no clock.
 #![forbid(unsafe_code)]
 
 mod kind;
@@ -10,10 +13,10 @@
 
 use std::fmt;
 
-/// What marks a line of an account among others.
-const MARK: &str = "account";
+/// First token of an account line; tells it from other log lines.
+const LINE_MARKER: &str = "account";
 
-/// What one proxy counted since its last line.
+/// Counts of one proxy since its last line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
     counts: [u64; Kind::ALL.len()],
@@ -26,29 +29,29 @@
 }
 
 impl Account {
-    /// Counts so many of a kind.
+    /// Adds `many` events of a kind; the count saturates.
     pub fn add(&mut self, kind: Kind, many: u64) {
         let count = &mut self.counts[kind as usize];
         *count = count.saturating_add(many);
     }
 
-    /// How many of a kind were counted.
+    /// Count of a kind.
     pub fn count(&self, kind: Kind) -> u64 {
         self.counts[kind as usize]
     }
 
-    /// Whether nothing was counted.
+    /// Whether all counts are zero.
     pub fn is_empty(&self) -> bool {
-        self.counts.iter().all(|n| *n == 0)
+        self.counts.iter().all(|count| *count == 0)
     }
 
-    /// The line for a second (whole seconds of a clock that all proxies share), with what was counted alone.
+    /// The log line for `second`, in whole seconds of a clock that all proxies share. It contains the non-zero counts only.
     pub fn line(&self, second: u64) -> Line<'_> {
         Line { account: self, second }
     }
 }
 
-/// A line of an account: `account at=SECOND kind=count ...`.
+/// Displays an account line: `account at=SECOND kind=count ...`.
 pub struct Line<'a> {
     account: &'a Account,
     second: u64,
@@ -56,8 +59,8 @@
 
 impl fmt::Display for Line<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{MARK} at={}", self.second)?;
-        let counted = Kind::ALL.iter().filter(|k| self.account.count(**k) > 0);
-        counted.into_iter().try_for_each(|k| write!(f, " {}={}", k.name(), self.account.count(*k)))
+        write!(f, "{LINE_MARKER} at={}", self.second)?;
+        let counted = Kind::ALL.iter().filter(|kind| self.account.count(**kind) > 0);
+        counted.into_iter().try_for_each(|kind| write!(f, " {}={}", kind.name(), self.account.count(*kind)))
     }
 }
--- a/crates/core/fleet-stats/tests/sum.rs
+++ b/crates/core/fleet-stats/tests/sum.rs
@@ -1,4 +1,4 @@
-//! What proxies write comes back in the sum, whatever else stands in their logs.
+//! Account lines are summed correctly among other log lines, and invalid ones are rejected.
 
 use proptest::prelude::*;
 use rushquay_fleet_stats::{Account, Kind, Sum};
@@ -10,19 +10,20 @@
 
 proptest! {
     #[test]
-    fn the_sum_is_what_was_counted(written in accounts()) {
+    fn sums_equal_the_counts_written_by_all_proxies(written in accounts()) {
         let mut sum = Sum::default();
-        let mut plain = vec![[0u64; 20]; Kind::ALL.len()];
+        let mut expected = vec![[0u64; 20]; Kind::ALL.len()];
         for (second, counts) in &written {
             let mut account = Account::default();
             for (kind, many) in counts {
                 account.add(Kind::ALL[*kind], *many);
-                plain[*kind][*second as usize] += many;
+                expected[*kind][*second as usize] += many;
             }
-            sum.take(&format!("12.345 rushquay: {}", account.line(*second))).expect("its own line");
-            sum.take("12.345 rushquay: discovery at 127.0.0.1:1: answered 503 (failure 1)").expect("another's");
+            sum.take(&format!("12.345 rushquay: {}", account.line(*second))).expect("an account line");
+            sum.take("12.345 rushquay: discovery at 127.0.0.1:1: answered 503 (failure 1)")
+                .expect("a line of another component");
         }
-        for (kind, seconds) in Kind::ALL.iter().zip(&plain) {
+        for (kind, seconds) in Kind::ALL.iter().zip(&expected) {
             prop_assert_eq!(sum.total(*kind), seconds.iter().sum::<u64>());
             prop_assert_eq!(sum.peak(*kind), seconds.iter().copied().max().unwrap_or(0));
         }
@@ -30,23 +31,23 @@
 }
 
 #[test]
-fn a_line_that_is_spoilt_is_named_and_taken_in_no_part() {
+fn an_invalid_line_is_rejected_as_a_whole() {
     let mut sum = Sum::default();
-    for bad in
+    for invalid in
         ["account at=1 arrival=x", "account arrival=3", "account at=1 nonsense=3", "account at=1 arrival"]
     {
-        assert!(sum.take(bad).is_err(), "{bad}");
+        assert!(sum.take(invalid).is_err(), "{invalid}");
     }
     assert_eq!(sum.total(Kind::Arrival), 0);
     assert_eq!(sum.table(5), "");
 }
 
 #[test]
-fn the_table_has_spans_and_only_what_was_counted() {
+fn the_table_has_intervals_and_only_non_zero_kinds() {
     let mut sum = Sum::default();
     for line in ["account at=100 list.whole=2", "account at=104 list.whole=1", "account at=106 list.whole=4"]
     {
-        sum.take(line).expect("a line");
+        sum.take(line).expect("an account line");
     }
     let table = sum.table(5);
     assert_eq!(table.lines().count(), 3, "{table}");
