--- a/crates/testing/history/src/check.rs
+++ b/crates/testing/history/src/check.rs
@@ -1,82 +1,91 @@
-//! The four rules against the books.
+//! Checks a history against the four delivery rules.
 
 use crate::{Answer, Effect, History, Nanos, Request, Tolerance, Violation};
 
 impl History {
-    /// What was broken, sorted; nothing where all rules were kept.
+    /// Returns all violations, sorted; empty if all rules were upheld.
     pub fn audit(&self, tolerance: Tolerance) -> Vec<Violation> {
-        let mut breaches = Vec::new();
+        let mut violations = Vec::new();
         for (id, request) in &self.requests {
-            answers(id, request, tolerance, &mut breaches);
-            effects(id, request, &mut breaches);
+            check_responses(id, request, tolerance, &mut violations);
+            check_executions(id, request, &mut violations);
             for (at, node) in &request.sent {
                 if request.asked.is_none() {
-                    breaches.push(Violation::Unasked(id.clone(), node.clone()));
+                    violations.push(Violation::Unasked(id.clone(), node.clone()));
                 }
-                if let Some(told) = self.drained_at(node, *at) {
-                    let by = at - told;
+                if let Some(notified_at) = self.drained_at(node, *at) {
+                    let by = at - notified_at;
                     if by > tolerance.drain {
-                        breaches.push(Violation::SentToDrained { id: id.clone(), node: node.clone(), by });
+                        violations.push(Violation::SentToDrained { id: id.clone(), node: node.clone(), by });
                     }
                 }
             }
         }
-        breaches.sort();
-        breaches
+        violations.sort();
+        violations
     }
 
-    /// Since when a node was drained at this time, if it was.
+    /// Since when `node` was draining at the time `at`, if it was.
     fn drained_at(&self, node: &str, at: Nanos) -> Option<Nanos> {
-        let mut told: Vec<_> = self.told.get(node)?.iter().filter(|(when, _)| *when <= at).collect();
-        told.sort();
+        let mut notifications: Vec<_> = self
+            .drain_notifications
+            .get(node)?
+            .iter()
+            .filter(|(notified_at, _)| *notified_at <= at)
+            .collect();
+        notifications.sort();
         let mut since = None;
-        for (when, drained) in told {
-            since = if *drained { since.or(Some(*when)) } else { None };
+        for (notified_at, is_draining) in notifications {
+            since = if *is_draining { since.or(Some(*notified_at)) } else { None };
         }
         since
     }
 }
 
-fn answers(id: &str, request: &Request, tolerance: Tolerance, breaches: &mut Vec<Violation>) {
-    let first = request.finals.iter().map(|(at, ..)| *at).min();
-    if request.finals.len() > 1 {
-        breaches.push(Violation::Answers(id.to_owned(), request.finals.len()));
+fn check_responses(id: &str, request: &Request, tolerance: Tolerance, violations: &mut Vec<Violation>) {
+    let first_response_at = request.final_responses.iter().map(|(at, ..)| *at).min();
+    if request.final_responses.len() > 1 {
+        violations.push(Violation::Answers(id.to_owned(), request.final_responses.len()));
     }
-    if let Some((asked, _, within)) = request.asked.filter(|_| !request.excused) {
-        match first {
-            None => breaches.push(Violation::Unanswered(id.to_owned())),
+    if let Some((asked, _, within)) = request.asked.filter(|_| !request.is_excused) {
+        match first_response_at {
+            None => violations.push(Violation::Unanswered(id.to_owned())),
             Some(at) if at > asked + within + tolerance.late => {
-                breaches.push(Violation::Late { id: id.to_owned(), by: at - asked - within });
+                violations.push(Violation::Late { id: id.to_owned(), by: at - asked - within });
             }
             Some(_) => {}
         }
     }
-    // What a client that has gone still got says nothing of when its request was over.
-    for (at, node) in request.sent.iter().filter(|_| !request.excused) {
-        if let Some(over) = first.filter(|over| *at > over + tolerance.crossing) {
-            breaches.push(Violation::SentAfterFinal { id: id.to_owned(), node: node.clone(), by: at - over });
+    // A response that a client still got after it was gone does not tell when its request had ended.
+    for (at, node) in request.sent.iter().filter(|_| !request.is_excused) {
+        if let Some(ended_at) = first_response_at.filter(|ended_at| *at > ended_at + tolerance.crossing) {
+            violations.push(Violation::SentAfterFinal {
+                id: id.to_owned(),
+                node: node.clone(),
+                by: at - ended_at,
+            });
         }
     }
-    for (_, answer, by) in &request.finals {
-        let made = |by: &String| request.ran.iter().any(|(_, node)| node == by);
+    for (_, answer, by) in &request.final_responses {
+        let ran_at_node = |by: &String| request.executions.iter().any(|(_, node)| node == by);
         match (answer, by) {
-            (Answer::Served, Some(by)) if !made(by) => {
-                breaches.push(Violation::Forged(id.to_owned(), by.clone()));
+            (Answer::Served, Some(by)) if !ran_at_node(by) => {
+                violations.push(Violation::Forged(id.to_owned(), by.clone()));
             }
-            (Answer::Served, None) => breaches.push(Violation::Forged(id.to_owned(), "nobody".into())),
+            (Answer::Served, None) => violations.push(Violation::Forged(id.to_owned(), "nobody".into())),
             _ => {}
         }
     }
 }
 
-fn effects(id: &str, request: &Request, breaches: &mut Vec<Violation>) {
+fn check_executions(id: &str, request: &Request, violations: &mut Vec<Violation>) {
     let Some((_, effect, _)) = request.asked else { return };
-    if effect != Effect::Safe && request.ran.len() > 1 {
-        breaches.push(Violation::Doubled(id.to_owned(), request.ran.len()));
+    if effect != Effect::Safe && request.executions.len() > 1 {
+        violations.push(Violation::Doubled(id.to_owned(), request.executions.len()));
     }
-    let refused = request.finals.iter().any(|(_, a, _)| *a == Answer::Refused);
-    // A keyed one that ran may be refused: the repeat is dropped.
-    if let (Effect::Unsafe, true, Some((_, node))) = (effect, refused, request.ran.first()) {
-        breaches.push(Violation::RefusedAfterRun(id.to_owned(), node.clone()));
+    let is_refused = request.final_responses.iter().any(|(_, answer, _)| *answer == Answer::Refused);
+    // A keyed request that was executed may be refused: a repeat of it is dropped.
+    if let (Effect::Unsafe, true, Some((_, node))) = (effect, is_refused, request.executions.first()) {
+        violations.push(Violation::RefusedAfterRun(id.to_owned(), node.clone()));
     }
 }
