--- a/crates/core/admin/tests/operate.rs
+++ b/crates/core/admin/tests/operate.rs
@@ -161,7 +161,8 @@
             }
             let all: u64 = ended.iter().flatten().sum();
             prop_assert_eq!(metrics.taken(), all + gone + metrics.pending());
-            prop_assert_eq!((metrics.taken(), metrics.pending(), metrics.gone()), (taken, open.len() as u64, gone));
+            let counted = (metrics.taken(), metrics.pending(), metrics.gone());
+            prop_assert_eq!(counted, (taken, open.len() as u64, gone));
             for (class, ends) in ended.iter().enumerate() {
                 for end in [RequestOutcome::Completed, RequestOutcome::Rejected, RequestOutcome::Failed] {
                     prop_assert_eq!(metrics.ended(class, end), ends[end as usize]);
--- a/crates/core/admission/tests/admission.rs
+++ b/crates/core/admission/tests/admission.rs
@@ -143,13 +143,19 @@
         let evictable = giving_way(&all, NOW, places, SlotRequest::Place);
         let order_now = order(&all, NOW, places, SlotRequest::Place);
         prop_assert_eq!(&evictable[..], &order_now[..evictable.len()]);
-        prop_assert!(evictable.iter().all(|n| !(all[*n].doing(NOW) == ConnectionActivity::Fresh && NOW - all[*n].since < JUST_CAME)));
+        let is_just_accepted = |evidence: &Evidence| {
+            evidence.doing(NOW) == ConnectionActivity::Fresh && NOW - evidence.since < JUST_CAME
+        };
+        prop_assert!(evictable.iter().all(|n| !is_just_accepted(&all[*n])));
         prop_assert!(!giving_way(&all, NOW + JUST_CAME, places, SlotRequest::Place).is_empty());
     }
 
     /// Danger: a full table from which no connection may be evicted locks out every new client.
     #[test]
-    fn every_connection_is_a_candidate_exactly_once(all in prop::collection::vec(evidence(), 1..80), places in 1usize..100) {
+    fn every_connection_is_a_candidate_exactly_once(
+        all in prop::collection::vec(evidence(), 1..80),
+        places in 1usize..100,
+    ) {
         let mut out = order(&all, NOW, places, SlotRequest::Place);
         prop_assert_eq!(out.len(), all.len());
         let first = all[out[0]].doing(NOW);
--- a/crates/core/fleet-budget/tests/idle_timeout.rs
+++ b/crates/core/fleet-budget/tests/idle_timeout.rs
@@ -130,7 +130,10 @@
 
 proptest! {
     #[test]
-    fn the_idle_timeout_stays_within_its_bounds(proxies in 0u32..10_000, outcomes in prop::collection::vec(any::<bool>(), 0..400)) {
+    fn the_idle_timeout_stays_within_its_bounds(
+        proxies in 0u32..10_000,
+        outcomes in prop::collection::vec(any::<bool>(), 0..400),
+    ) {
         let mut timeout = Jitter::new(LONGEST, proxies);
         for accepted in outcomes {
             let before = timeout.span();
--- a/crates/testing/history/src/lib.rs
+++ b/crates/testing/history/src/lib.rs
@@ -186,10 +186,10 @@
         let requests = &mut self.requests;
         match entry {
             Entry::Asked { id, effect, within } => {
-                request_mut(requests, id).asked = Some((at, effect, within))
+                request_mut(requests, id).asked = Some((at, effect, within));
             }
             Entry::Final { id, answer, by } => {
-                request_mut(requests, id).final_responses.push((at, answer, by))
+                request_mut(requests, id).final_responses.push((at, answer, by));
             }
             Entry::Excused { id } => request_mut(requests, id).is_excused = true,
             Entry::Sent { id, node } => request_mut(requests, id).sent.push((at, node)),
