--- a/crates/testing/history/src/check.rs
+++ b/crates/testing/history/src/check.rs
@@ -10,7 +10,7 @@
             check_responses(id, request, tolerance, &mut violations);
             check_executions(id, request, &mut violations);
             for (at, node) in &request.sent {
-                if request.asked.is_none() {
+                if request.requested.is_none() {
                     violations.push(Violation::Unasked(id.clone(), node.clone()));
                 }
                 if let Some(notified_at) = self.drained_at(node, *at) {
@@ -47,11 +47,11 @@
     if request.final_responses.len() > 1 {
         violations.push(Violation::Answers(id.to_owned(), request.final_responses.len()));
     }
-    if let Some((asked, _, within)) = request.asked.filter(|_| !request.is_excused) {
+    if let Some((requested_at, _, within)) = request.requested.filter(|_| !request.is_excused) {
         match first_response_at {
             None => violations.push(Violation::Unanswered(id.to_owned())),
-            Some(at) if at > asked + within + tolerance.late => {
-                violations.push(Violation::Late { id: id.to_owned(), by: at - asked - within });
+            Some(at) if at > requested_at + within + tolerance.late => {
+                violations.push(Violation::Late { id: id.to_owned(), by: at - requested_at - within });
             }
             Some(_) => {}
         }
@@ -79,7 +79,7 @@
 }
 
 fn check_executions(id: &str, request: &Request, violations: &mut Vec<Violation>) {
-    let Some((_, effect, _)) = request.asked else { return };
+    let Some((_, effect, _)) = request.requested else { return };
     if effect != Effect::Safe && request.executions.len() > 1 {
         violations.push(Violation::Doubled(id.to_owned(), request.executions.len()));
     }
--- a/crates/testing/history/src/lib.rs
+++ b/crates/testing/history/src/lib.rs
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, Default)]
 struct Request {
     /// When it was written, whether it may be executed again, and how long the client waits.
-    asked: Option<(Nanos, Effect, Nanos)>,
+    requested: Option<(Nanos, Effect, Nanos)>,
     /// When each final response came, its kind, and the node that made it.
     final_responses: Vec<(Nanos, Answer, Option<String>)>,
     is_excused: bool,
@@ -186,7 +186,7 @@
         let requests = &mut self.requests;
         match entry {
             Entry::Asked { id, effect, within } => {
-                request_mut(requests, id).asked = Some((at, effect, within));
+                request_mut(requests, id).requested = Some((at, effect, within));
             }
             Entry::Final { id, answer, by } => {
                 request_mut(requests, id).final_responses.push((at, answer, by));
@@ -208,7 +208,8 @@
     /// refused, failed.
     pub fn counts(&self) -> (usize, [usize; 3]) {
         let mut answers = [0; 3];
-        let owed = self.requests.values().filter(|request| request.asked.is_some() && !request.is_excused);
+        let owed =
+            self.requests.values().filter(|request| request.requested.is_some() && !request.is_excused);
         let owed = owed.inspect(|request| {
             request.final_responses.iter().for_each(|(_, answer, _)| answers[*answer as usize] += 1);
         });
@@ -218,9 +219,9 @@
     /// The longest time after a client's deadline at which its final response came, in nanoseconds; 0 if none was late.
     pub fn latest(&self) -> Nanos {
         let lateness = |request: &Request| {
-            let (asked, _, within) = request.asked.filter(|_| !request.is_excused)?;
+            let (requested_at, _, within) = request.requested.filter(|_| !request.is_excused)?;
             let at = request.final_responses.iter().map(|(at, ..)| *at).min()?;
-            Some(at.saturating_sub(asked + within))
+            Some(at.saturating_sub(requested_at + within))
         };
         self.requests.values().filter_map(lateness).max().unwrap_or(0)
     }
