--- a/crates/adapters/sockets/src/start.rs
+++ b/crates/adapters/sockets/src/start.rs
@@ -25,7 +25,7 @@
         match classify(&error) {
             ErrorClass::Repeat => {}
             ErrorClass::Shortage if !is_permanent && start.elapsed() < MAX_WAIT => {
-                std::thread::sleep(RETRY_INTERVAL)
+                std::thread::sleep(RETRY_INTERVAL);
             }
             _ => return Err(error),
         }
--- a/crates/core/load-assignment/src/assignment.rs
+++ b/crates/core/load-assignment/src/assignment.rs
@@ -68,7 +68,7 @@
 pub struct Locality {
     /// Name of the locality.
     pub name: LocalityName,
-    /// Priority from 0, the highest, to [`PRIORITY_MOST`].
+    /// Priority from 0, the highest, to `PRIORITY_MOST`.
     pub priority: u8,
     /// Weight among the localities of its priority; `None`: takes no load where locality weights apply.
     pub weight: Option<NonZeroU32>,
@@ -88,7 +88,7 @@
 /// The policy of an assignment (`ClusterLoadAssignment.Policy`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Overprovisioning factor in percent; [`OVERPROVISIONING`] by default.
+    /// Overprovisioning factor in percent; `OVERPROVISIONING` by default.
     pub overprovisioning: u32,
     /// Time after receipt at which the assignment becomes stale and its endpoints unhealthy (`endpoint_stale_after`).
     pub stale_after: Option<Nanos>,
--- a/crates/core/policy/tests/state_exploration.rs
+++ b/crates/core/policy/tests/state_exploration.rs
@@ -265,6 +265,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each step of the explored model")]
     fn take(&mut self, step: Step, removed: Removed) {
         let fault = matches!(
             step,
--- a/crates/core/rollout/examples/sim/mod.rs
+++ b/crates/core/rollout/examples/sim/mod.rs
@@ -101,6 +101,7 @@
 const BEFORE: u64 = 70;
 
 /// Plays one rollout, for so many seconds at most. `watch` gets the registry after each second.
+#[expect(clippy::too_many_lines, reason = "the steps of one simulated second, in their order")]
 pub fn play(world: &World, most: u64, mut watch: impl FnMut(&RolloutRegistry, &[FleetView<'_>])) -> End {
     let mut random = Pcg64Mcg::seed_from_u64(world.seed);
     let terms = MembershipTimeouts { most: world.proxies * 2, ..MembershipTimeouts::default() };
