--- a/tests/rollout/main.rs
+++ b/tests/rollout/main.rs
@@ -7,6 +7,7 @@
 mod cuts;
 mod good;
 mod leaders;
+mod previous_version;
 mod storm;
 mod upgrade;
 
