--- a/crates/core/policy/examples/policy_figures.rs
+++ b/crates/core/policy/examples/policy_figures.rs
@@ -1,5 +1,5 @@
-//! Measures how long a change of policy takes, in virtual time over the coordinator and members themselves: from the proposal to the
-//! decision and until the last proxy applies the new policy, with the messages and writes that it costs.
+//! Measures in virtual time, with the real coordinator and members, how long a change of policy takes from the proposal to the decision
+//! and until the last proxy applies the new policy, and how many messages and writes it needs.
 //!
 //! `cargo run --release -p rushquay-policy --example policy_figures`
 
@@ -14,10 +14,10 @@
 
 const MILLI: u64 = 1_000_000;
 const SECOND: u64 = 1000 * MILLI;
-/// The program's default.
+/// The default interval between a proxy's lease requests.
 const REQUEST_INTERVAL: u64 = SECOND;
 const STEP_INTERVAL: u64 = 100 * MILLI;
-/// Mean one-way latency; drawn evenly up to twice this.
+/// Mean one-way latency; each latency is drawn uniformly from zero to twice this.
 const MEAN_LATENCY: u64 = 5 * MILLI;
 /// Latency of a write to the store.
 const WRITE_LATENCY: u64 = 5 * MILLI;
@@ -29,21 +29,21 @@
     /// One proxy is dead.
     OneDead,
     /// A quarter of the proxies are partitioned.
-    QuarterCut,
-    /// The leader dies after the proposal is persisted; another takes over after so long.
+    QuarterPartitioned,
+    /// The leader crashes after the proposal is persisted; another leader takes over after this time.
     Takeover(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A member sends its periodic request, or one after a broadcast.
+    /// A member sends its periodic request.
     SendRequest(usize),
     /// A request reaches the leader.
-    Request(usize, u64),
+    ReceiveRequest(usize, u64),
     /// The leader's periodic step.
     Step,
     /// A grant reaches a member.
-    Granted(usize, u64),
+    ReceiveGrant(usize, u64),
     /// A broadcast reaches a member, which sends a request at once.
     Broadcast(usize),
     /// Another leader takes over.
@@ -56,12 +56,13 @@
     order: u64,
     random: Pcg64Mcg,
     members: Vec<Member>,
-    /// Partitioned or dead from the proposal on.
-    away: Vec<bool>,
+    /// Whether a member is partitioned or dead, from the proposal on.
+    unreachable: Vec<bool>,
     coordinator: Option<Coordinator>,
-    /// Requests in flight and at the leader, and grants in flight.
+    /// All requests and grants sent; events refer to them by index.
     requests: Vec<rushquay_policy::LeaseRequest>,
     grants: Vec<LeaseGrant>,
+    /// Requests at the leader that are answered in its next step.
     waiting: Vec<(usize, u64)>,
     messages: u64,
     writes: u64,
@@ -79,7 +80,7 @@
 
     fn broadcast(&mut self) {
         for m in 0..self.members.len() {
-            if !self.away[m] {
+            if !self.unreachable[m] {
                 self.messages += 1;
                 let when = self.now + self.latency();
                 self.at(when, Event::Broadcast(m));
@@ -88,14 +89,14 @@
     }
 
     fn ask(&mut self, m: usize) {
-        let ask = self.members[m].ask(self.now);
-        if self.away[m] {
+        let request = self.members[m].ask(self.now);
+        if self.unreachable[m] {
             return;
         }
         self.messages += 1;
-        self.requests.push(ask);
+        self.requests.push(request);
         let (number, when) = (self.requests.len() as u64 - 1, self.now + self.latency());
-        self.at(when, Event::Request(m, number));
+        self.at(when, Event::ReceiveRequest(m, number));
     }
 
     fn step(&mut self) {
@@ -107,12 +108,12 @@
                 self.at(when + REQUEST_INTERVAL, Event::SendRequest(m));
             }
             Event::Broadcast(m) => self.ask(m),
-            Event::Request(m, number) if self.coordinator.is_some() => self.waiting.push((m, number)),
-            Event::Request(..) => {}
+            Event::ReceiveRequest(m, number) if self.coordinator.is_some() => self.waiting.push((m, number)),
+            Event::ReceiveRequest(..) => {}
             Event::Leads => {}
-            Event::Granted(m, number) => {
+            Event::ReceiveGrant(m, number) => {
                 let grant = self.grants[number as usize];
-                if !self.away[m] && self.members[m].granted(&grant, |_| Ok(())) {
+                if !self.unreachable[m] && self.members[m].granted(&grant, |_| Ok(())) {
                     // The member reports what it applies at once.
                     self.ask(m);
                 }
@@ -127,17 +128,17 @@
                     self.broadcast();
                 }
                 let Some(coordinator) = &mut self.coordinator else { return };
-                let asked = std::mem::take(&mut self.waiting);
-                let names = asked.iter().map(|(m, number)| {
-                    let ask = &self.requests[*number as usize];
-                    (*m, coordinator.hear(&format!("p{m}"), ask, self.now).expect("a leave"))
+                let waiting = std::mem::take(&mut self.waiting);
+                let grants = waiting.iter().map(|(m, number)| {
+                    let request = &self.requests[*number as usize];
+                    (*m, coordinator.hear(&format!("p{m}"), request, self.now).expect("a lease"))
                 });
-                let granted: Vec<(usize, LeaseGrant)> = names.collect();
+                let granted: Vec<(usize, LeaseGrant)> = grants.collect();
                 for (m, grant) in granted {
                     self.messages += 1;
                     self.grants.push(grant);
                     let (number, when) = (self.grants.len() as u64 - 1, self.now + self.latency());
-                    self.at(when, Event::Granted(m, number));
+                    self.at(when, Event::ReceiveGrant(m, number));
                 }
             }
         }
@@ -145,7 +146,7 @@
 }
 
 /// Seconds to the decision, seconds until the last proxy applies the new policy, and the messages and writes meanwhile.
-fn change(proxies: usize, fault: Fault, seed: u64) -> (f64, f64, u64, u64) {
+fn measure_change(proxies: usize, fault: Fault, seed: u64) -> (f64, f64, u64, u64) {
     let terms =
         LeaseTerms { span: 10 * SECOND, drift_ppm: 10_000, limit: 120 * SECOND, floor: 3600 * SECOND };
     let members =
@@ -156,7 +157,7 @@
         order: 0,
         random: Pcg64Mcg::seed_from_u64(seed),
         members,
-        away: vec![false; proxies],
+        unreachable: vec![false; proxies],
         coordinator: Some(Coordinator::lead(terms, PolicyRecord::default(), 0)),
         requests: Vec::new(),
         grants: Vec::new(),
@@ -169,18 +170,18 @@
         simulation.at(first, Event::SendRequest(m));
     }
     simulation.at(0, Event::Step);
-    // The leader has led for longer than its predecessors' leases last.
-    let begin = 20 * SECOND + simulation.random.random_range(0..SECOND);
-    while simulation.now < begin {
+    // By then the leases of previous leaders have expired.
+    let proposed_at = 20 * SECOND + simulation.random.random_range(0..SECOND);
+    while simulation.now < proposed_at {
         simulation.step();
     }
-    let (words, writes) = (simulation.messages, simulation.writes);
+    let (messages_before, writes_before) = (simulation.messages, simulation.writes);
     match fault {
         Fault::None | Fault::Takeover(_) => {}
-        Fault::OneDead => simulation.away[0] = true,
-        Fault::QuarterCut => simulation.away[..proxies / 4].fill(true),
+        Fault::OneDead => simulation.unreachable[0] = true,
+        Fault::QuarterPartitioned => simulation.unreachable[..proxies / 4].fill(true),
     }
-    let record = simulation.coordinator.as_ref().expect("it leads").record();
+    let record = simulation.coordinator.as_ref().expect("a leader is in office").record();
     let proposed = record.propose(("a", "b"), None).expect("proposed");
     simulation.writes += 1;
     simulation.now += WRITE_LATENCY;
@@ -194,47 +195,48 @@
             }
             simulation.coordinator = Some(Coordinator::lead(terms, proposed, simulation.now));
         }
-        _ => simulation.coordinator.as_mut().expect("it leads").kept(proposed, from),
+        _ => simulation.coordinator.as_mut().expect("a leader is in office").kept(proposed, from),
     }
     simulation.broadcast();
     let mut decided = None;
     loop {
         simulation.step();
-        let record = simulation.coordinator.as_ref().expect("it leads").record();
+        let record = simulation.coordinator.as_ref().expect("a leader is in office").record();
         if decided.is_none() && matches!(record.last, Some((_, ChangeOutcome::Committed))) {
             decided = Some(simulation.now);
         }
         let new = ActivePolicy::Leased(PolicySet::Pure(record.holds));
-        let all =
-            (0..proxies).all(|m| simulation.away[m] || simulation.members[m].acting(simulation.now) == new);
-        if let (Some(decided), true) = (decided, all) {
+        let all_apply_new = (0..proxies)
+            .all(|m| simulation.unreachable[m] || simulation.members[m].acting(simulation.now) == new);
+        if let (Some(decided), true) = (decided, all_apply_new) {
             let seconds = |at: u64| (at - from) as f64 / SECOND as f64;
             return (
                 seconds(decided),
                 seconds(simulation.now),
-                simulation.messages - words,
-                simulation.writes - writes,
+                simulation.messages - messages_before,
+                simulation.writes - writes_before,
             );
         }
-        assert!(simulation.now < from + 200 * SECOND, "it never ended");
+        assert!(simulation.now < from + 200 * SECOND, "the change did not end");
     }
 }
 
 fn main() {
-    println!("| proxies | fault | decided after, s | last proxy's new after, s | words a proxy | writes |");
+    println!("| proxies | fault | decided after, s | last proxy applies it after, s | messages per proxy | writes |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    let faults = [Fault::None, Fault::OneDead, Fault::QuarterCut, Fault::Takeover(5 * SECOND)];
+    let faults = [Fault::None, Fault::OneDead, Fault::QuarterPartitioned, Fault::Takeover(5 * SECOND)];
     for proxies in [10, 40, 300, 10_000] {
         for fault in faults {
             let seeds = if proxies > 1000 { 3 } else { 30 };
-            let simulations: Vec<_> = (1..=seeds).map(|seed| change(proxies, fault, seed)).collect();
-            let most = |of: fn(&(f64, f64, u64, u64)) -> f64| simulations.iter().map(of).fold(0.0, f64::max);
-            let words = most(|p| p.2 as f64) / proxies as f64;
+            let simulations: Vec<_> = (1..=seeds).map(|seed| measure_change(proxies, fault, seed)).collect();
+            let maximum =
+                |of: fn(&(f64, f64, u64, u64)) -> f64| simulations.iter().map(of).fold(0.0, f64::max);
+            let messages_per_proxy = maximum(|p| p.2 as f64) / proxies as f64;
             println!(
-                "| {proxies} | {fault:?} | {:.2} | {:.2} | {words:.1} | {} |",
-                most(|p| p.0),
-                most(|p| p.1),
-                most(|p| p.3 as f64)
+                "| {proxies} | {fault:?} | {:.2} | {:.2} | {messages_per_proxy:.1} | {} |",
+                maximum(|p| p.0),
+                maximum(|p| p.1),
+                maximum(|p| p.3 as f64)
             );
         }
     }
--- a/crates/core/policy/src/archive.rs
+++ b/crates/core/policy/src/archive.rs
@@ -1,4 +1,4 @@
-//! The archive of policies: those still of use, and those whose fallback policies may still be applied.
+//! The archive of policies: the policies that are retained, and the fallback policies that proxies may still apply.
 
 use crate::coordinator::LeaseTerms;
 use crate::document::{FallbackPolicy, Policy, PolicyError};
@@ -9,12 +9,12 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Former policies that are retained for operators to inspect and propose again.
+/// Minimum number of policies to retain, so that operators can inspect former policies and propose them again.
 const RETAINED_POLICIES: usize = 8;
 /// Maximum number of proxies named in an error text.
 const MAX_NAMED_PROXIES: usize = 5;
 
-/// A lease that a process was granted and may have lost since: it then applies the fallback policy of this policy.
+/// A lease that was granted to a process. If it has expired since, the process applies the fallback policy of `policy`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct GrantedLease {
     policy: PolicyNumber,
@@ -25,13 +25,14 @@
 #[derive(Clone, Debug)]
 pub struct PolicyArchive {
     policies: BTreeMap<PolicyNumber, Policy>,
-    /// The policies that have been in force: their fallback policies may be applied. That of a policy only ever proposed is not.
+    /// The policies that have been in force. Only their fallback policies can be applied, not those of policies that were merely
+    /// proposed.
     ever_in_force: BTreeSet<PolicyNumber>,
-    /// The policy in force before any was proposed.
+    /// The policy with number 0, in force until the first proposed policy is committed.
     initial: Policy,
-    /// The leases whose fallback policy may still be applied, by process and revision.
+    /// The leases granted by this leader whose fallback policy may still be applied, by process and revision.
     leases: BTreeMap<(String, Incarnation), BTreeMap<Revision, GrantedLease>>,
-    /// Start of this leadership. Danger: the leases that previous leaders granted are not known.
+    /// Start of this leadership. Danger: the leases that previous leaders granted are unknown, and may have been granted until then.
     leading_since: Nanos,
 }
 
@@ -41,32 +42,32 @@
     /// It is not a valid policy.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// Proxies without a lease would go on more loosely than all others.
+    /// The policy is stricter than a fallback policy in use: proxies without a lease would apply looser settings than all others.
     #[error(
-        "it is stricter than the floor of policy {of} in {}, by which {} may act for {for_s} s more: hold a policy first whose floor is \
-         stricter, and then this one",
+        "the policy is stricter than the floor of policy {policy} (in {}), and {} may apply that floor for another {remaining_s} s; commit \
+         a policy with a stricter floor first, then propose this one",
         .paths.join(", "),
-        join_names(.who)
+        join_names(.proxies)
     )]
-    BelowFloor {
+    StricterThanFallback {
         /// Number of the policy with that fallback policy.
-        of: u64,
+        policy: u64,
         /// The paths in which the proposed policy is stricter.
         paths: Vec<String>,
-        /// The proxies concerned, where they are known.
-        who: Vec<String>,
-        /// For how long at most, in seconds.
-        for_s: u64,
+        /// The proxies that may apply the fallback policy; empty if they are unknown.
+        proxies: Vec<String>,
+        /// How much longer they may apply it, in seconds.
+        remaining_s: u64,
     },
 }
 
-fn join_names(who: &[String]) -> String {
-    match who.len() {
-        0 => "proxies that are cut off".into(),
+fn join_names(names: &[String]) -> String {
+    match names.len() {
+        0 => "unreachable proxies".into(),
         n if n > MAX_NAMED_PROXIES => {
-            format!("{} and {} more", who[..MAX_NAMED_PROXIES].join(", "), n - MAX_NAMED_PROXIES)
+            format!("{} and {} more", names[..MAX_NAMED_PROXIES].join(", "), n - MAX_NAMED_PROXIES)
         }
-        _ => who.join(", "),
+        _ => names.join(", "),
     }
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl PolicyArchive {
-    /// The archive of persisted policies at the start of a leadership.
+    /// The archive at the start of a leadership, with the persisted policies. `initial` is the fallback policy of policy 0.
     pub fn lead(
         persisted: BTreeMap<PolicyNumber, Policy>,
         initial: FallbackPolicy,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// A policy, if it is retained.
+    /// Returns a policy if it is retained.
     pub fn get(&self, number: PolicyNumber) -> Option<&Policy> {
         self.policies.get(&number).or((number == PolicyNumber(0)).then_some(&self.initial))
     }
@@ -107,41 +108,42 @@
         self.policies.insert(number, policy);
     }
 
-    /// Notes a new record.
+    /// Updates the archive after a change of the record.
     pub fn moved(&mut self, record: &PolicyRecord) {
         self.ever_in_force.insert(record.holds);
     }
 
-    /// Notes that a process was granted a lease for the policy set of the record.
+    /// Registers that a process was granted a lease for the policy set of the record.
     pub fn granted(&mut self, name: &str, request: &LeaseRequest, record: &PolicyRecord, now: Nanos) {
         let leases = self.leases.entry((name.to_owned(), request.boot)).or_default();
-        // A process never goes back behind what it applies, nor to the fallback policies before that.
+        // A process never returns to a revision before the one it applies, nor to the fallback policy of an earlier lease.
         leases.retain(|revision, _| *revision >= request.acting);
         leases.insert(record.revision, GrantedLease { policy: record.holds, granted_at: now });
     }
 
-    /// Removes leases whose fallback policy nobody can apply any more, and returns the policies that can be dropped: those of no use to
-    /// anybody and not among the last.
+    /// Removes the leases whose fallback policy can no longer be applied. Returns the policies that can be removed: those that are
+    /// neither in the current policy set nor applied by any proxy as a fallback. The oldest are removed first, and a minimum number of
+    /// policies always remains.
     pub fn useless(&mut self, record: &PolicyRecord, terms: &LeaseTerms, now: Nanos) -> Vec<PolicyNumber> {
         let expiry = terms.fallback_expiry();
         self.leases.retain(|_, leases| {
             leases.retain(|_, lease| now.saturating_sub(lease.granted_at) <= expiry);
             !leases.is_empty()
         });
-        let most = self.policies.len().saturating_sub(RETAINED_POLICIES);
-        let is_useless = |n: &PolicyNumber| {
-            !record.policy_set().numbers().any(|named| named == *n)
+        let removable_count = self.policies.len().saturating_sub(RETAINED_POLICIES);
+        let is_unused = |n: &PolicyNumber| {
+            !record.policy_set().numbers().any(|current| current == *n)
                 && self.users(*n, record, terms, now).is_none()
         };
-        self.policies.keys().copied().filter(is_useless).take(most).collect()
+        self.policies.keys().copied().filter(is_unused).take(removable_count).collect()
     }
 
-    /// Removes policies.
+    /// Removes these policies.
     pub fn forget(&mut self, numbers: &[PolicyNumber]) {
         numbers.iter().for_each(|number| drop(self.policies.remove(number)));
     }
 
-    /// The proxies that may apply the fallback policy of a policy; `None`: none.
+    /// The proxies that may apply the fallback policy of a policy; `None` if no proxy may.
     fn users(
         &self,
         number: PolicyNumber,
@@ -155,16 +157,18 @@
         let expiry = terms.fallback_expiry();
         let mut users = FallbackUsers { names: BTreeSet::new(), until: 0 };
         for ((name, _), leases) in &self.leases {
-            let last =
+            let last_granted_at =
                 leases.values().filter(|lease| lease.policy == number).map(|lease| lease.granted_at).max();
-            if let Some(until) =
-                last.map(|granted_at| granted_at.saturating_add(expiry)).filter(|until| now <= *until)
+            if let Some(until) = last_granted_at
+                .map(|granted_at| granted_at.saturating_add(expiry))
+                .filter(|until| now <= *until)
             {
                 users.names.insert(name.clone());
                 users.until = users.until.max(until);
             }
         }
-        // Leases of previous leaders, and proxies that hold a lease and lose it now.
+        // Any proxy that holds a lease may lose it now and apply the fallback policy in force. For former policies, the leases granted
+        // by previous leaders count until they are certain to have expired.
         let predecessors_expired_at = self.leading_since.saturating_add(expiry);
         if number == record.holds {
             users.until = now.saturating_add(expiry);
@@ -174,7 +178,7 @@
         (users.until > 0).then_some(users)
     }
 
-    /// Validates a policy that is to be proposed now. Without a fallback policy of its own it gets that of the policy in force.
+    /// Validates a policy that is to be proposed now. If `floor` is absent, the policy gets the fallback policy of the policy in force.
     ///
     /// # Errors
     /// See [`UnfitPolicy`].
@@ -191,18 +195,23 @@
         };
         let policy = Policy::of(settings, floor)?;
         for number in &self.ever_in_force {
-            let Some(other) = self.get(*number) else { continue };
-            let paths = other.floor.looser(&policy.settings);
+            let Some(former) = self.get(*number) else { continue };
+            let paths = former.floor.looser(&policy.settings);
             if paths.is_empty() {
                 continue;
             }
             if let Some(users) = self.users(*number, record, terms, now) {
-                let who = match *number == record.holds {
-                    true => vec!["whoever loses its leave".into()],
+                let proxies = match *number == record.holds {
+                    true => vec!["any proxy that loses its lease".into()],
                     false => users.names.into_iter().collect(),
                 };
-                let for_s = users.until.saturating_sub(now).div_ceil(1_000_000_000);
-                return Err(UnfitPolicy::BelowFloor { of: number.0, paths, who, for_s });
+                let remaining_s = users.until.saturating_sub(now).div_ceil(1_000_000_000);
+                return Err(UnfitPolicy::StricterThanFallback {
+                    policy: number.0,
+                    paths,
+                    proxies,
+                    remaining_s,
+                });
             }
         }
         Ok(policy)
--- a/crates/core/policy/src/coordinator.rs
+++ b/crates/core/policy/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator of policy leases: it runs at the leader, grants leases to members and decides when a change ends.
+//! The coordinator of policy leases. It runs at the leader, grants leases to members and decides when a change ends.
 
 use crate::messages::{LeaseGrant, LeaseRequest};
 use crate::policy_set::{Incarnation, Revision};
@@ -13,50 +13,52 @@
     pub span: Nanos,
     /// Maximum drift of a clock in either direction, in parts per million; below 500,000.
     pub drift_ppm: u64,
-    /// A change that is undecided for so long is aborted, counted from when this leader learned of it.
+    /// A pending change is aborted after this time, counted from when this leader learned of the change.
     pub limit: Nanos,
-    /// For how long after its lease expires a member may apply the fallback policy, by its own clock.
+    /// How long a member may apply the fallback policy after its lease expires, by the member's clock.
     pub floor: Nanos,
 }
 
 impl LeaseTerms {
-    /// The time, by this leader's clock, after which a granted lease has surely expired by the member's clock. The member's clock may be
-    /// slow and this one fast: a lease of S lasts S/(1-d) of true time, during which this clock shows (1+d) times as much.
+    /// The time by this leader's clock after which a granted lease is certain to have expired by the member's clock. In the worst case
+    /// the member's clock is slow and this one fast, both by the drift d: a lease of duration S lasts S/(1-d) of true time, during which
+    /// this clock advances by S*(1+d)/(1-d).
     pub fn lease_expiry(&self) -> Nanos {
-        self.worst_case(self.span)
+        self.worst_case_duration(self.span)
     }
 
-    /// The time, by this leader's clock, after which no process applies the fallback policy of a granted lease any more.
+    /// The time by this leader's clock after which no process still applies the fallback policy of a granted lease.
     pub fn fallback_expiry(&self) -> Nanos {
-        self.worst_case(self.span.saturating_add(self.floor))
+        self.worst_case_duration(self.span.saturating_add(self.floor))
     }
 
-    fn worst_case(&self, span: Nanos) -> Nanos {
+    fn worst_case_duration(&self, span: Nanos) -> Nanos {
         const PPM: u128 = 1_000_000;
         let drift = u128::from(self.drift_ppm.min(500_000));
-        let worst_case = (u128::from(span) * (PPM + drift)).div_ceil(PPM - drift);
-        Nanos::try_from(worst_case).unwrap_or(Nanos::MAX)
+        let worst_case_duration = (u128::from(span) * (PPM + drift)).div_ceil(PPM - drift);
+        Nanos::try_from(worst_case_duration).unwrap_or(Nanos::MAX)
     }
 }
 
-/// What this leader knows of one process of a member.
+/// What this leader knows about one process of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Process {
     /// When the last lease for each revision was granted; expired leases are removed.
     leases: BTreeMap<Revision, Nanos>,
     /// The newest revision that the process reported as applied.
-    acting: Revision,
-    refused: Option<(Revision, String)>,
+    applied: Revision,
+    /// The newest revision that the process rejected, and its reason.
+    rejected: Option<(Revision, String)>,
 }
 
 /// A member that a pending change waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct BlockedReason {
-    /// Name of the member; empty: this leader itself, which has only just taken over.
+pub struct BlockingMember {
+    /// Name of the member. It is empty for the unknown members that may hold leases of previous leaders.
     pub name: String,
     /// The member's process.
     pub boot: Incarnation,
-    /// When the member is fenced and no longer waited for, by this leader's clock.
+    /// When the member is fenced, by this leader's clock: its leases have expired and the change no longer waits for it.
     pub fenced_at: Nanos,
 }
 
@@ -67,15 +69,15 @@
     record: PolicyRecord,
     /// Start of the leadership.
     leading_since: Nanos,
-    /// When this leader learned of the present record.
+    /// When this leader learned of the current record.
     change_since: Nanos,
     processes: BTreeMap<(String, Incarnation), Process>,
-    /// A member that has seen a revision which the store does not know, and that revision.
+    /// The member that reported the newest revision which the store does not have, and that revision.
     ahead_of_store: Option<(String, Revision)>,
 }
 
 impl Coordinator {
-    /// Begins a leadership on the stored record.
+    /// Starts a leadership epoch from the stored record.
     pub fn lead(terms: LeaseTerms, record: PolicyRecord, now: Nanos) -> Self {
         Coordinator {
             terms,
@@ -87,35 +89,36 @@
         }
     }
 
-    /// The stored record, as far as it is known here.
+    /// The last record that this leader knows to be stored.
     pub fn record(&self) -> &PolicyRecord {
         &self.record
     }
 
-    /// Adopts a record that has been persisted. Danger: if a record were adopted before it is persisted, members would know of a decision
-    /// that no successor knows.
+    /// Adopts a record that has been persisted. Danger: if a record were adopted before it is persisted, members could learn of a
+    /// decision that the next leader does not find in the store.
     pub fn kept(&mut self, record: PolicyRecord, now: Nanos) {
         self.record = record;
         self.change_since = now;
     }
 
-    /// The member that has seen a revision which the store does not know: the store was lost, or is an older copy. What other members
-    /// apply is not known here then, so no lease is granted and nothing is decided.
+    /// The member that has seen a revision which the store does not have, and that revision: the store was lost or replaced by an older
+    /// copy. The leader cannot know then what other members apply, so it grants no lease and decides nothing.
     pub fn behind(&self) -> Option<(&str, Revision)> {
         let ahead_of_store =
             self.ahead_of_store.as_ref().filter(|(_, revision)| *revision > self.record.revision);
         ahead_of_store.map(|(name, revision)| (name.as_str(), *revision))
     }
 
-    /// When all leases granted by previous leaders have expired, by this leader's clock.
+    /// The time by this leader's clock at which all leases granted by previous leaders have expired.
     pub fn alone_from(&self) -> Nanos {
         self.leading_since.saturating_add(self.terms.lease_expiry())
     }
 
-    /// Answers a request of a member; `None`: no lease is granted. The caller must be the leader, by its own clock, when it calls this.
+    /// Answers the request of a member; returns `None` if no lease is granted. The caller must hold the leader lease, by its own clock,
+    /// when it calls this.
     pub fn hear(&mut self, name: &str, request: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
-        // Danger: with a lease for the content of such a store, a proxy that has just started would apply it beside proxies that apply
-        // what is no longer stored.
+        // Danger: if leases were granted from a store that is behind, a proxy that has just started would apply the stored policy while
+        // other proxies still apply one that the store has lost.
         if request.heard
             > self.ahead_of_store.as_ref().map_or(self.record.revision, |(_, revision)| *revision)
         {
@@ -126,10 +129,10 @@
         }
         let lease_expiry = self.terms.lease_expiry();
         let process = self.processes.entry((name.to_owned(), request.boot)).or_default();
-        // A delayed request reports less than is known; a process never goes back to an earlier revision.
-        process.acting = process.acting.max(request.acting);
-        if request.refused.as_ref().map(|r| r.0) > process.refused.as_ref().map(|r| r.0) {
-            process.refused.clone_from(&request.refused);
+        // A delayed request may report an older revision than is already known; a process never returns to an earlier revision.
+        process.applied = process.applied.max(request.acting);
+        if request.refused.as_ref().map(|r| r.0) > process.rejected.as_ref().map(|r| r.0) {
+            process.rejected.clone_from(&request.refused);
         }
         process.leases.retain(|_, granted| now.saturating_sub(*granted) <= lease_expiry);
         process.leases.insert(self.record.revision, now);
@@ -138,36 +141,36 @@
         Some(LeaseGrant { boot: request.boot, seq: request.seq, revision, told, span, floor })
     }
 
-    /// The members that may still apply something older than the present revision.
-    pub fn holdups(&self, now: Nanos) -> Vec<BlockedReason> {
+    /// The members that may still apply a revision older than the current one.
+    pub fn holdups(&self, now: Nanos) -> Vec<BlockingMember> {
         let lease_expiry = self.terms.lease_expiry();
         let mut blocked = Vec::new();
-        // Danger: previous leaders may have granted leases to members unknown to this one, up to the end of their leadership.
+        // Danger: until the end of their leadership, previous leaders may have granted leases to members that this one does not know.
         let predecessors_expired_at = self.alone_from();
         if now <= predecessors_expired_at {
-            blocked.push(BlockedReason {
+            blocked.push(BlockingMember {
                 name: String::new(),
                 boot: Incarnation(0),
                 fenced_at: predecessors_expired_at,
             });
         }
         for ((name, boot), process) in &self.processes {
-            // A process that applies the present revision never goes back to an earlier one.
-            if process.acting >= self.record.revision {
+            // A process that applies the current revision never returns to an earlier one.
+            if process.applied >= self.record.revision {
                 continue;
             }
-            let granted_for_older = process
+            let older_leases_expire_at = process
                 .leases
                 .range(..self.record.revision)
                 .map(|(_, granted_at)| granted_at.saturating_add(lease_expiry));
-            if let Some(fenced_at) = granted_for_older.max().filter(|fenced_at| now <= *fenced_at) {
-                blocked.push(BlockedReason { name: name.clone(), boot: *boot, fenced_at });
+            if let Some(fenced_at) = older_leases_expire_at.max().filter(|fenced_at| now <= *fenced_at) {
+                blocked.push(BlockingMember { name: name.clone(), boot: *boot, fenced_at });
             }
         }
         blocked
     }
 
-    /// The record with the pending change ended, if it ends now. It takes effect only once it is persisted.
+    /// Returns the record in which the pending change has ended, if it ends now. The record takes effect only once it is persisted.
     pub fn step(&mut self, now: Nanos) -> Option<PolicyRecord> {
         let lease_expiry = self.terms.lease_expiry();
         self.processes.retain(|_, process| {
@@ -180,7 +183,7 @@
         let revision = self.record.revision;
         let refused = self.processes.iter().find_map(|((name, _), process)| {
             let (_, why) =
-                process.refused.as_ref().filter(|(rejected_revision, _)| *rejected_revision == revision)?;
+                process.rejected.as_ref().filter(|(rejected_revision, _)| *rejected_revision == revision)?;
             Some(ChangeOutcome::Refused { name: name.clone(), why: why.clone() })
         });
         let blocked = self.holdups(now);
@@ -188,11 +191,11 @@
             (Some(refused), _) => refused,
             (None, true) => ChangeOutcome::Committed,
             (None, false) if now.saturating_sub(self.change_since) > self.terms.limit => {
-                let name = |reason: &BlockedReason| {
-                    if reason.name.is_empty() {
+                let name = |member: &BlockingMember| {
+                    if member.name.is_empty() {
                         "a leader that has only just begun".into()
                     } else {
-                        reason.name.clone()
+                        member.name.clone()
                     }
                 };
                 ChangeOutcome::OverTime { held_up_by: blocked.iter().map(name).collect() }
@@ -202,9 +205,9 @@
         self.record.conclude(outcome)
     }
 
-    /// The processes that hold a lease as far as this leader knows: name, process, and the newest revision reported as applied.
+    /// The processes that may hold a lease granted by this leader: member name, incarnation, and the newest revision reported as applied.
     pub fn members(&self) -> impl Iterator<Item = (&str, Incarnation, Revision)> {
-        self.processes.iter().map(|((name, boot), process)| (name.as_str(), *boot, process.acting))
+        self.processes.iter().map(|((name, boot), process)| (name.as_str(), *boot, process.applied))
     }
 
     /// The durations of the protocol.
@@ -212,7 +215,7 @@
         self.terms
     }
 
-    /// When the pending change is aborted at the latest, by this leader's clock.
+    /// The latest time, by this leader's clock, at which the pending change is aborted.
     pub fn gives_up(&self) -> Nanos {
         self.change_since.saturating_add(self.terms.limit)
     }
--- a/crates/core/policy/src/document.rs
+++ b/crates/core/policy/src/document.rs
@@ -1,4 +1,4 @@
-//! The content of a policy: settings applied over each proxy's own, and the fallback policy of proxies without a lease.
+//! The content of a policy: the settings that are applied over each proxy's own, and the fallback policy of proxies without a lease.
 
 use rushquay_config_version::{ConfigVersion, FieldError};
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 pub enum FallbackPolicy {
     /// Serve nobody.
     Nobody,
-    /// Apply these settings over the proxy's own. They are never looser than the policy they belong to.
+    /// Apply these settings over the proxy's own. They are never looser than the settings of the same policy.
     Settings(ConfigVersion),
 }
 
@@ -26,19 +26,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
     /// A field is invalid.
-    #[error("{part}: {fault}")]
+    #[error("{part}: {error}")]
     Field {
-        /// `policy` or `floor`.
+        /// The part of the policy with the field: `policy` or `floor`.
         part: &'static str,
         /// The field, and what was expected there.
-        fault: FieldError,
+        error: FieldError,
     },
     /// The document is not a policy.
-    #[error("not a policy: {0}; expected settings, and floor: settings or \"nobody\"")]
-    Form(String),
-    /// The fallback policy permits what the policy does not.
-    #[error("floor: looser than the policy in {}: name each field that the policy names, at least as strictly", .0.join(", "))]
-    Looser(Vec<String>),
+    #[error("not a policy: {0}; expected `settings`, and `floor` with settings or \"nobody\"")]
+    NotAPolicy(String),
+    /// The fallback policy is looser than the policy in the fields with these paths.
+    #[error("floor: looser than the policy in {}; set each field that the policy sets, at least as strictly", .0.join(", "))]
+    LooserFallback(Vec<String>),
 }
 
 #[derive(Serialize, Deserialize)]
@@ -48,7 +48,7 @@
     floor: Value,
 }
 
-/// The fallback policy that serves nobody, in documents.
+/// The value of `floor` in documents for a fallback policy that serves nobody.
 const NOBODY: &str = "nobody";
 
 impl FallbackPolicy {
@@ -60,11 +60,12 @@
         match value {
             Value::String(text) if text == NOBODY => Ok(FallbackPolicy::Nobody),
             Value::Object(_) => {
-                let read = ConfigVersion::read(value);
-                read.map(FallbackPolicy::Settings)
-                    .map_err(|fault| PolicyError::Field { part: "floor", fault })
+                let settings = ConfigVersion::read(value);
+                settings
+                    .map(FallbackPolicy::Settings)
+                    .map_err(|error| PolicyError::Field { part: "floor", error })
             }
-            other => Err(PolicyError::Form(format!("floor is {other}"))),
+            other => Err(PolicyError::NotAPolicy(format!("floor is {other}"))),
         }
     }
 
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The paths in which this fallback policy is looser than `than`, or incomparable with it.
+    /// The paths of the fields in which this fallback policy is looser than the settings `than`, or incomparable with them.
     pub fn looser(&self, than: &ConfigVersion) -> Vec<String> {
         match self {
             FallbackPolicy::Nobody => Vec::new(),
@@ -86,7 +87,7 @@
 }
 
 impl Policy {
-    /// The empty policy: each proxy applies its own settings.
+    /// The empty policy, under which each proxy applies its own settings, with this fallback policy.
     pub fn base(floor: FallbackPolicy) -> Self {
         Policy { settings: ConfigVersion::base(), floor }
     }
@@ -96,34 +97,35 @@
     /// # Errors
     /// See [`PolicyError`].
     pub fn of(settings: &Value, floor: FallbackPolicy) -> Result<Self, PolicyError> {
-        let field = |fault| PolicyError::Field { part: "policy", fault };
+        let field = |error| PolicyError::Field { part: "policy", error };
         let settings = ConfigVersion::read(settings).map_err(field)?;
         if settings.program().is_some() {
-            let expected = "settings alone; programs change in stages, with rushquay rollout".into();
+            let expected = "no program; programs change in stages, with rushquay rollout".into();
             return Err(field(FieldError { path: "program".into(), expected }));
         }
-        let shares = settings.document()["customers"]
+        let total_share = settings.document()["customers"]
             .as_array()
-            .map_or(0.0, |all| all.iter().filter_map(|one| one["fraction"].as_f64()).sum());
-        if shares > 1.0 + 1e-9 {
-            let expected = format!("fractions that add up to 1 at most, not {shares}");
+            .map_or(0.0, |tenants| tenants.iter().filter_map(|tenant| tenant["fraction"].as_f64()).sum());
+        if total_share > 1.0 + 1e-9 {
+            let expected = format!("fractions that add up to 1 at most, not {total_share}");
             return Err(field(FieldError { path: "customers".into(), expected }));
         }
         let looser = floor.looser(&settings);
         if !looser.is_empty() {
-            return Err(PolicyError::Looser(looser));
+            return Err(PolicyError::LooserFallback(looser));
         }
         Ok(Policy { settings, floor })
     }
 
-    /// Reads a policy as [`Policy::document`] writes it. It was validated when it was proposed; what this program cannot read is rejected.
+    /// Reads a policy as [`Policy::document`] writes it. The combination of settings and fallback policy was validated when the policy
+    /// was proposed and is not validated again; each field is, so that settings unknown to this program are rejected.
     ///
     /// # Errors
     /// See [`PolicyError`].
     pub fn read(value: &Value) -> Result<Self, PolicyError> {
         let document =
-            PolicyDocument::deserialize(value).map_err(|error| PolicyError::Form(error.to_string()))?;
-        let field = |fault| PolicyError::Field { part: "policy", fault };
+            PolicyDocument::deserialize(value).map_err(|error| PolicyError::NotAPolicy(error.to_string()))?;
+        let field = |error| PolicyError::Field { part: "policy", error };
         let settings = ConfigVersion::read(&document.settings).map_err(field)?;
         Ok(Policy { settings, floor: FallbackPolicy::read(&document.floor)? })
     }
--- a/crates/core/policy/src/intersection.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -1,13 +1,13 @@
-//! The intersection of two policies: field by field, the settings that comply with both.
+//! The intersection of two policies: settings that comply with both, field by field.
 
-use crate::strictness::{compare_strictness, Strictness};
+use crate::strictness::{strictness_of_field, Strictness};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A field in which two policies have nothing in common: the requests it concerns are rejected until the change is decided.
+/// The requests that are rejected until the pending change ends, because the two policies have nothing in common in a field.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RejectedClass {
-    /// The request class that is rejected; `None`: every request.
+    /// The request class that is rejected; `None` if every request is.
     pub class: Option<String>,
     /// Path of the field.
     pub path: String,
@@ -23,20 +23,20 @@
 /// The intersection of two policies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Intersection {
-    /// Settings of a proxy; tenants in the order of their names.
+    /// The settings to apply, with the tenants in the order of their names.
     pub settings: Value,
     /// The request classes that the proxy rejects.
     pub stops: BTreeSet<RejectedClass>,
 }
 
-/// The stricter of two values, or what they have in common; `None`: nothing.
+/// The stricter of two values or, for sets, their intersection; `None` if they have nothing in common.
 fn stricter(order: Strictness, a: &Value, b: &Value) -> Option<Value> {
     if a == b {
         return Some(a.clone());
     }
     if let (Strictness::Subset, Some(one), Some(two)) = (order, a.as_array(), b.as_array()) {
-        let both: Vec<Value> = one.iter().filter(|v| two.contains(v)).cloned().collect();
-        return (!both.is_empty()).then(|| Value::Array(canonical_set(both)));
+        let common: Vec<Value> = one.iter().filter(|v| two.contains(v)).cloned().collect();
+        return (!common.is_empty()).then(|| Value::Array(canonical_set(common)));
     }
     match (order.is_at_least_as_strict(a, b), order.is_at_least_as_strict(b, a)) {
         (Some(true), _) => Some(a.clone()),
@@ -45,7 +45,7 @@
     }
 }
 
-/// One of two values; the choice does not depend on their order.
+/// One of two values, chosen independently of the order of the arguments.
 fn either_value(one: Value, two: Value) -> Value {
     let texts = [one.to_string(), two.to_string()];
     if texts[0] <= texts[1] {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The members of a set without duplicates, in a canonical order.
+/// The elements of a set without duplicates, in a canonical order.
 fn canonical_set(mut set: Vec<Value>) -> Vec<Value> {
     set.sort_by_key(Value::to_string);
     set.dedup();
@@ -75,7 +75,8 @@
 }
 
 impl IntersectionBuilder {
-    /// Intersects two objects field by field, recursively. `path`: where the objects are, without indices.
+    /// Intersects two objects field by field, recursively. `path` is the path of both objects, without indices; `class` is the name of the
+    /// class that they belong to, empty for tenants.
     fn objects(&mut self, path: &str, class: Option<&str>, a: &Value, b: &Value) -> Value {
         let empty = Map::new();
         let (a, b) = (a.as_object().unwrap_or(&empty), b.as_object().unwrap_or(&empty));
@@ -90,11 +91,11 @@
             let value = if one.is_object() && two.is_object() {
                 self.objects(&path, class, one, two)
             } else {
-                let order = compare_strictness(&path);
+                let order = strictness_of_field(&path);
                 let (one, two) = (canonical(order, one), canonical(order, two));
                 stricter(order, &one, &two).unwrap_or_else(|| {
                     self.stops.insert(RejectedClass { class: class.map(str::to_owned), path });
-                    // No request uses the value meanwhile, but the choice must not depend on the order of the two.
+                    // The requests that would use the value are rejected, but the result must not depend on the order of the policies.
                     either_value(one, two)
                 })
             };
@@ -105,7 +106,7 @@
         Value::Object(merged)
     }
 
-    /// Intersects the lists of request classes, in the order of the proxies' settings.
+    /// Intersects the lists of request classes. Both must have the same classes in the same order; otherwise every request is rejected.
     fn classes(&mut self, a: &Value, b: &Value) -> Value {
         let name = |c: &Value| c["name"].as_str().unwrap_or("").to_owned();
         let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
@@ -127,16 +128,16 @@
         };
         let (a, b) = (by_name(a), by_name(b));
         let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
-        let one = |name: &String| match (a.get(name), b.get(name)) {
+        let tenant = |name: &String| match (a.get(name), b.get(name)) {
             (Some(a), Some(b)) => self.objects("customers", Some(""), a, b),
             (one, two) => one.or(two).cloned().unwrap_or_default(),
         };
-        Value::Array(names.into_iter().map(one).collect())
+        Value::Array(names.into_iter().map(tenant).collect())
     }
 }
 
-/// Intersects two policies, each given as a proxy's whole settings. The result does not depend on the order of the two, equals the
-/// argument for two equal policies, and is nowhere looser than either.
+/// Intersects two policies, each given as the complete settings of a proxy. The operation is commutative and idempotent, and except for
+/// the fields of rejected requests the result is nowhere looser than either policy.
 pub fn intersect(a: &Value, b: &Value) -> Intersection {
     let mut builder = IntersectionBuilder { stops: BTreeSet::new() };
     let mut settings = builder.objects("", None, a, b);
@@ -146,7 +147,7 @@
     if !(a["customers"].is_null() && b["customers"].is_null()) {
         settings["customers"] = builder.tenants(&a["customers"], &b["customers"]);
     }
-    // A tenant belongs to no class: where its two limits have nothing in common, every request is rejected.
+    // A tenant belongs to no class: if its limits in the two policies have nothing in common, every request is rejected.
     let without_empty_class = |rejected: RejectedClass| RejectedClass {
         class: rejected.class.filter(|c| !c.is_empty()),
         ..rejected
@@ -157,11 +158,11 @@
 /// The paths of fields in which `one` is looser than `than`, or incomparable with it.
 pub fn looser_paths(one: &Value, than: &Value) -> Vec<String> {
     let mut looser = Vec::new();
-    compare("", one, than, &mut looser);
+    collect_looser_paths("", one, than, &mut looser);
     looser
 }
 
-fn compare(path: &str, one: &Value, than: &Value, looser: &mut Vec<String>) {
+fn collect_looser_paths(path: &str, one: &Value, than: &Value, looser: &mut Vec<String>) {
     let (Some(a), Some(b)) = (one.as_object(), than.as_object()) else { return };
     let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     for name in names {
@@ -172,16 +173,20 @@
                 let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
                 for than in list(than) {
                     match list(one).iter().find(|o| o["name"] == than["name"]) {
-                        Some(one) => compare(&path, one, &than, looser),
+                        Some(one) => collect_looser_paths(&path, one, &than, looser),
                         None => looser.push(format!("{path}[{}]", than["name"])),
                     }
                 }
             }
-            (_, Value::Object(_), Value::Object(_)) => compare(&path, one, than, looser),
-            // An absent object has no fields.
-            (_, Value::Object(_), Value::Null) => compare(&path, one, &Map::new().into(), looser),
-            (_, Value::Null, Value::Object(_)) => compare(&path, &Map::new().into(), than, looser),
-            (_, one, than) if compare_strictness(&path).is_at_least_as_strict(one, than) != Some(true) => {
+            (_, Value::Object(_), Value::Object(_)) => collect_looser_paths(&path, one, than, looser),
+            // An absent object is treated as an object without fields.
+            (_, Value::Object(_), Value::Null) => {
+                collect_looser_paths(&path, one, &Map::new().into(), looser)
+            }
+            (_, Value::Null, Value::Object(_)) => {
+                collect_looser_paths(&path, &Map::new().into(), than, looser)
+            }
+            (_, one, than) if strictness_of_field(&path).is_at_least_as_strict(one, than) != Some(true) => {
                 looser.push(path);
             }
             _ => {}
--- a/crates/core/policy/src/member.rs
+++ b/crates/core/policy/src/member.rs
@@ -1,6 +1,7 @@
-//! A proxy's side of the lease protocol: which policy set it applies now.
+//! The proxy's side of the lease protocol: which policy set the proxy applies now.
 //!
-//! A member decides nothing. Without a new lease it changes to the fallback policy when its lease expires, and then serves nobody.
+//! A member decides nothing. If its lease expires without renewal, it applies the fallback policy for a limited time and then serves
+//! nobody.
 
 use crate::messages::{LeaseGrant, LeaseRequest};
 use crate::policy_set::{Incarnation, PolicySet, Revision};
@@ -8,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Pending requests that are remembered. Danger: a grant that answers a forgotten request grants nothing; at one request a second,
-/// half a minute is longer than any lease.
+/// Maximum number of pending requests that are remembered. Danger: a grant that answers a forgotten request is ignored. At one request
+/// per second the limit covers half a minute, which is longer than any lease.
 const MAX_PENDING_REQUESTS: usize = 32;
 
 /// What a proxy applies.
@@ -17,31 +18,31 @@
 pub enum ActivePolicy {
     /// The policy set it holds a lease for.
     Leased(PolicySet),
-    /// Its lease has expired: the fallback policy.
+    /// The fallback policy, since its lease has expired.
     Fallback,
-    /// Nothing: it never received a policy set, or the time of the fallback policy is over as well. It serves nobody.
+    /// Nothing: it has never received a policy set, or the time limit of the fallback policy has passed as well. It serves nobody.
     Denied,
 }
 
-/// What a proxy does after its start until it gets its first lease.
+/// What a proxy does between its start and its first lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StartupPolicy {
     /// It serves nobody.
     Waits,
-    /// After this time it applies the fallback policy of its own settings file.
+    /// It serves nobody for this time, then applies the fallback policy of its own settings file.
     FloorAfter(Nanos),
 }
 
-/// What a process passes to its successor, on the same machine and therefore by the same clock.
+/// The state that a process passes to its successor. Both run on the same machine, so times refer to the same clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSnapshot {
     /// The newest revision that it has received.
     pub heard: Revision,
     /// The revision and policy set that it applies.
     pub told: Option<(Revision, PolicySet)>,
-    /// When its lease for that expires.
+    /// When its lease for that policy set expires.
     pub until: Nanos,
-    /// For how long after that it may apply the fallback policy.
+    /// How long it may apply the fallback policy after the lease expires.
     pub floor: Nanos,
 }
 
@@ -49,25 +50,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     incarnation: Incarnation,
-    /// When the process started, and what it does until its first lease.
     started_at: Nanos,
+    /// What the process does until its first lease.
     startup: StartupPolicy,
-    /// For how long after its lease expires it may apply the fallback policy, by the last grant.
+    /// How long it may apply the fallback policy after its lease expires, according to the last grant.
     fallback_span: Nanos,
-    /// Incremented by each request.
+    /// Sequence number of the last request.
     seq: u64,
-    /// Pending requests, the oldest first, with when each was sent.
+    /// Pending requests, oldest first: sequence number and when each was sent.
     pending: VecDeque<(u64, Nanos)>,
-    /// The newest revision ever received. Older grants are ignored, whatever becomes of this revision.
+    /// The newest revision ever received. Grants of older revisions are ignored, even if this revision could not be applied.
     newest_seen: Revision,
-    /// What it applies, and when the lease for that expires.
+    /// The revision and policy set that it applied last.
     received: Option<(Revision, PolicySet)>,
+    /// When the lease for `received` expires.
     lease_expires_at: Nanos,
-    refused: Option<(Revision, String)>,
+    /// The newest revision, if it could not be applied, and the reason.
+    rejected: Option<(Revision, String)>,
 }
 
 impl Member {
-    /// A process that starts now and knows nothing.
+    /// A process that starts now, without state from an earlier process.
     pub fn new(boot: Incarnation, startup: StartupPolicy, now: Nanos) -> Self {
         Member {
             incarnation: boot,
@@ -79,11 +82,11 @@
             newest_seen: Revision(0),
             received: None,
             lease_expires_at: 0,
-            refused: None,
+            rejected: None,
         }
     }
 
-    /// What the successor of this process has to know.
+    /// The state to pass to the successor of this process.
     pub fn snapshot(&self) -> MemberSnapshot {
         MemberSnapshot {
             heard: self.newest_seen,
@@ -93,9 +96,10 @@
         }
     }
 
-    /// A successor that takes over now. It has received what the incumbent has, so that it never goes back to an earlier revision. Danger:
-    /// it holds no lease. The coordinator knows of the incumbent's alone; if the successor used that, it would still apply it after the
-    /// incumbent has reported that it applies something newer. Until its own first lease it applies the fallback policy.
+    /// A successor that takes over now. It starts from the revision that the incumbent has received, so that it never returns to an
+    /// earlier one, and applies the fallback policy until its own first lease. Danger: it must not use the incumbent's lease. The
+    /// coordinator attributes that lease to the incumbent alone and stops waiting for it once the incumbent reports a newer revision,
+    /// while the successor would still apply the older one.
     pub fn take_over(
         boot: Incarnation,
         startup: StartupPolicy,
@@ -112,12 +116,12 @@
         }
     }
 
-    /// What it applies now. A request reads this once, and completes by what it read.
+    /// What it applies now. A caller that handles a request reads this once, and completes the request by that result.
     pub fn acting(&self, now: Nanos) -> ActivePolicy {
         self.standing(now).0
     }
 
-    /// What it applies now, and until when if no grant arrives.
+    /// What it applies now, and until when if no further grant arrives.
     pub fn standing(&self, now: Nanos) -> (ActivePolicy, Nanos) {
         match self.received {
             Some((_, set)) if now < self.lease_expires_at => {
@@ -137,7 +141,7 @@
         }
     }
 
-    /// The revision that it applies; 0: none.
+    /// The revision that it applied last; 0 if it has not applied any.
     pub fn revision(&self) -> Revision {
         self.received.map_or(Revision(0), |(revision, _)| revision)
     }
@@ -147,7 +151,7 @@
         self.lease_expires_at
     }
 
-    /// The last policy set it received, whether or not it still holds a lease for it.
+    /// The policy set that it applied last, whether or not it still holds a lease for it.
     pub fn told(&self) -> Option<PolicySet> {
         self.received.map(|(_, set)| set)
     }
@@ -157,7 +161,7 @@
         self.incarnation
     }
 
-    /// The request to send now.
+    /// Returns the next request, to be sent now.
     pub fn ask(&mut self, now: Nanos) -> LeaseRequest {
         self.seq += 1;
         self.pending.push_back((self.seq, now));
@@ -170,11 +174,12 @@
             seq: self.seq,
             acting,
             heard: self.newest_seen,
-            refused: self.refused.clone(),
+            refused: self.rejected.clone(),
         }
     }
 
-    /// Processes a grant. `apply`: applies a policy set, or returns why this proxy cannot. Returns whether what it applies has changed.
+    /// Processes a grant. `apply` applies a policy set, or returns the reason why this proxy cannot. Returns whether the applied policy set
+    /// has changed.
     pub fn granted(
         &mut self,
         grant: &LeaseGrant,
@@ -185,23 +190,23 @@
         }
         let Some(index) = self.pending.iter().position(|(seq, _)| *seq == grant.seq) else { return false };
         let (_, sent) = self.pending[index];
-        // Danger: a lease counted from when the grant arrived would last past the moment at which the coordinator takes it to be
-        // expired, if the grant was delayed or its sender paused meanwhile.
+        // Danger: the lease counts from when the request was sent. If it counted from when the grant arrives, a grant that was delayed, or
+        // whose sender paused, would make it last past the time at which the coordinator considers it expired.
         let until = sent.saturating_add(grant.span);
         self.fallback_span = grant.floor;
         if grant.revision > self.newest_seen {
             self.newest_seen = grant.revision;
             if let Err(reason) = apply(grant.told) {
-                // The member goes on with what it had, for as long as its lease for that lasts.
-                self.refused = Some((grant.revision, reason));
+                // The member keeps applying the previous policy set until its lease for that expires.
+                self.rejected = Some((grant.revision, reason));
                 return false;
             }
-            self.refused = None;
+            self.rejected = None;
             self.received = Some((grant.revision, grant.told));
             self.lease_expires_at = until;
             return true;
         }
-        // A lease for what it cannot apply does not extend the lease for what it does apply.
+        // A grant for a revision that it cannot apply does not extend the lease for the policy set that it does apply.
         if self.revision() == grant.revision {
             self.lease_expires_at = self.lease_expires_at.max(until);
         }
--- a/crates/core/policy/src/messages.rs
+++ b/crates/core/policy/src/messages.rs
@@ -9,14 +9,14 @@
 pub struct LeaseRequest {
     /// The process that sends the request.
     pub boot: Incarnation,
-    /// Incremented by each request of the process.
+    /// Sequence number; incremented with each request of the process.
     pub seq: u64,
-    /// The revision that the process applies; 0: none.
+    /// The revision that the process applies; 0 if it applies none.
     pub acting: Revision,
-    /// The newest revision that the process has ever received. Programs older than this field send 0.
+    /// The newest revision that the process has ever received. Absent (0) in requests of programs older than this field.
     #[serde(default)]
     pub heard: Revision,
-    /// A revision that the process cannot apply, and why.
+    /// The newest revision, if the process cannot apply it, and the reason.
     pub refused: Option<(Revision, String)>,
 }
 
@@ -25,21 +25,20 @@
 pub struct LeaseGrant {
     /// The process that sent the request.
     pub boot: Incarnation,
-    /// The request that is answered. Danger: the lease counts from the moment that request was sent; a grant that answers no
-    /// known request grants nothing.
+    /// Sequence number of the request that is answered. Danger: the lease counts from when that request was sent, so a grant that
+    /// matches no pending request must be ignored.
     pub seq: u64,
     /// Revision of the stored record.
     pub revision: Revision,
     /// The policy set of that revision.
     pub told: PolicySet,
-    /// Duration of the lease from when the request was sent, by the member's clock.
+    /// Duration of the lease, by the member's clock, counted from when the request was sent.
     pub span: Nanos,
-    /// For how long after the lease expires the member may apply the fallback policy.
+    /// How long the member may apply the fallback policy after the lease expires.
     pub floor: Nanos,
 }
 
-/// Format version of requests and grants. A later program may add fields without incrementing it; a change to the meaning of an
-/// existing field increments it.
+/// Format version of requests and grants. It is incremented when the meaning of an existing field changes, not when fields are added.
 pub const FORMAT_VERSION: u32 = 1;
 
 /// Why a message could not be decoded.
@@ -49,27 +48,30 @@
     #[error("not a policy lease message: {0}")]
     Malformed(String),
     /// The message has another format version.
-    #[error("form {0}; this program reads form {FORMAT_VERSION}: upgrade it first")]
-    Form(u64),
+    #[error("unsupported format version {0}; this program reads version {FORMAT_VERSION}: upgrade it first")]
+    UnsupportedFormat(u64),
 }
 
 #[derive(Serialize, Deserialize)]
 struct Versioned<T> {
-    form: u32,
+    #[serde(rename = "form")]
+    format_version: u32,
     #[serde(flatten)]
     message: T,
 }
 
 fn encode<T: Serialize>(message: &T) -> String {
     // Serialising plain fields to JSON cannot fail.
-    serde_json::to_string(&Versioned { form: FORMAT_VERSION, message }).unwrap_or_default()
+    serde_json::to_string(&Versioned { format_version: FORMAT_VERSION, message }).unwrap_or_default()
 }
 
 fn decode<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, MessageError> {
     let malformed = |error: serde_json::Error| MessageError::Malformed(error.to_string());
     let value: serde_json::Value = serde_json::from_str(text).map_err(malformed)?;
     match value["form"].as_u64() {
-        Some(form) if form != u64::from(FORMAT_VERSION) => Err(MessageError::Form(form)),
+        Some(version) if version != u64::from(FORMAT_VERSION) => {
+            Err(MessageError::UnsupportedFormat(version))
+        }
         _ => serde_json::from_value::<Versioned<T>>(value).map(|v| v.message).map_err(malformed),
     }
 }
--- a/crates/core/policy/src/overlay.rs
+++ b/crates/core/policy/src/overlay.rs
@@ -11,29 +11,30 @@
 /// The outcome of applying policies to a proxy's own settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Overlay {
-    /// Serve by these settings, and reject the listed classes.
+    /// Serve with these settings and reject the listed classes.
     By(Intersection),
     /// Serve nobody.
     Nobody,
 }
 
-/// The settings that a proxy with the settings `own` applies. `last`: the last policy set it received, whether or not it still holds
-/// a lease for that; `begin_by`: the fallback policy it starts with if it never received any.
+/// The settings that a proxy with the settings `own` applies. `last` is the last policy set that it received, whether or not it still
+/// holds a lease for it; `startup_fallback` is the fallback policy of a proxy that has not received any policy set.
 ///
 /// # Errors
-/// The path of what this proxy cannot apply. Danger: a policy that is unknown here cannot be applied.
+/// The path of the field that this proxy cannot apply. Danger: a policy whose content the proxy has not received cannot be
+/// applied; it must be an error.
 pub fn apply_overlay(
     own: &Value,
     acting: ActivePolicy,
     last: Option<PolicySet>,
     policies: &BTreeMap<PolicyNumber, Policy>,
-    begin_by: &FallbackPolicy,
+    startup_fallback: &FallbackPolicy,
 ) -> Result<Overlay, FieldError> {
     let settings_of = |number: PolicyNumber| match policies.get(&number) {
         Some(policy) => policy.settings.over(own),
         None => Err(FieldError {
             path: format!("policy {}", number.0),
-            expected: "one that was told here".into(),
+            expected: "a policy that this proxy has received".into(),
         }),
     };
     let settings_of_set = |set: PolicySet| {
@@ -45,19 +46,20 @@
     Ok(match (acting, last) {
         (ActivePolicy::Denied, _) => Overlay::Nobody,
         (ActivePolicy::Leased(leased), _) => Overlay::By(settings_of_set(leased)?),
-        (ActivePolicy::Fallback, None) => match begin_by {
+        (ActivePolicy::Fallback, None) => match startup_fallback {
             FallbackPolicy::Nobody => Overlay::Nobody,
             FallbackPolicy::Settings(fallback) => {
                 Overlay::By(Intersection { settings: fallback.over(own)?, stops: BTreeSet::new() })
             }
         },
         (ActivePolicy::Fallback, Some(last)) => {
-            // The fallback of the old policy: it was checked against all that may be in force when the new one was proposed.
+            // During a change, the fallback policy of the old policy applies: a policy can be proposed only if no fallback policy in use
+            // is looser than it.
             let fallback = last.numbers().next().and_then(|n| policies.get(&n)).map(|p| &p.floor);
             match fallback {
                 None | Some(FallbackPolicy::Nobody) => Overlay::Nobody,
                 Some(FallbackPolicy::Settings(fallback)) => {
-                    // Fields that the fallback policy does not name stay as strict as in the last policy set.
+                    // Fields that the fallback policy does not set stay as strict as in the last policy set.
                     let last = settings_of_set(last)?;
                     let mut overlay = intersect(&fallback.over(own)?, &last.settings);
                     overlay.stops.extend(last.stops);
--- a/crates/core/policy/src/policy_set.rs
+++ b/crates/core/policy/src/policy_set.rs
@@ -2,25 +2,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a policy. It is never reused: the same content proposed twice makes two policies.
+/// The number of a policy. It is never reused: proposing the same content again creates another policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PolicyNumber(pub u64);
 
-/// Incremented by each change of the record. 0 precedes all revisions.
+/// The revision of the record, incremented with each change. 0 precedes all revisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
-/// One start of a member's process. It differs between processes, also between those of one member name.
+/// Identifies one process of a member. Each process has a different incarnation, including those that run under the same member name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// The policies that a member applies.
+/// The policies that a member applies at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicySet {
     /// One policy alone.
     Pure(PolicyNumber),
-    /// The old and the new policy at once: their intersection applies.
+    /// The old and the new policy: their intersection applies.
     Joint(PolicyNumber, PolicyNumber),
 }
 
--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -1,10 +1,10 @@
-//! The policy record: the part of the store in which changes of policy are decided, and nowhere else.
+//! The policy record. Changes of policy are decided in the stored record, and nowhere else.
 
 use crate::policy_set::{PolicyNumber, PolicySet, Revision};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Events that a record retains; the oldest are dropped first.
+/// Maximum number of events in a record; the oldest are removed first.
 const MAX_EVENTS: usize = 500;
 /// Maximum length of an author, reason or operator name, in bytes.
 const MAX_TEXT_BYTES: usize = 1000;
@@ -14,9 +14,9 @@
 pub struct PendingChange {
     /// The proposed policy.
     pub to: PolicyNumber,
-    /// Who proposed it.
+    /// The author of the proposal.
     pub author: String,
-    /// Why.
+    /// The reason that the author gave.
     pub reason: String,
 }
 
@@ -26,7 +26,7 @@
 pub enum Phase {
     /// One policy is in force.
     Settled,
-    /// The old and the new policy are both in force, until all members are known to comply with both.
+    /// The old and the new policy are both in force, until every member applies both or is fenced.
     Joint(PendingChange),
 }
 
@@ -38,14 +38,14 @@
     Committed,
     /// An operator withdrew the change.
     Withdrawn {
-        /// Who.
+        /// Name of the operator.
         by: String,
     },
     /// A proxy cannot apply the new policy.
     Refused {
         /// Name of the proxy.
         name: String,
-        /// Why.
+        /// The reason that the proxy gave.
         why: String,
     },
     /// The change exceeded its time limit.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// The record has changed since the caller read it.
-    #[error("the record is at revision {now}, not {expected}: look again, and ask again if it still is what you want")]
+    #[error("the record is at revision {now}, not {expected}: read it again, and repeat the request if it still applies")]
     Changed {
         /// The revision that the caller expected.
         expected: u64,
@@ -91,10 +91,10 @@
         now: u64,
     },
     /// Another change is pending; there is at most one at a time.
-    #[error("policy {0} is proposed and not decided yet; wait for its end, or withdraw it")]
+    #[error("the change to policy {0} is still pending; wait until it ends, or withdraw it")]
     Undecided(u64),
     /// There is no pending change to withdraw.
-    #[error("no change is under way")]
+    #[error("no change is pending")]
     Settled,
     /// A field is missing or too long.
     #[error("{0}: expected {1}")]
@@ -104,17 +104,17 @@
 /// The stored record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PolicyRecord {
-    /// Incremented by each change of the record.
+    /// Incremented with each change of the record.
     pub revision: Revision,
     /// The number that the next proposed policy will get.
     pub next: PolicyNumber,
     /// The policy in force; while a change is pending, the old one.
     pub holds: PolicyNumber,
-    /// Whether a change is pending.
+    /// The phase: whether a change is pending, and which.
     pub phase: Phase,
-    /// The last change that ended, and how.
+    /// The last change that ended, and its outcome.
     pub last: Option<(PolicyNumber, ChangeOutcome)>,
-    /// Event log, the oldest entry first.
+    /// The event log, oldest entry first.
     pub events: VecDeque<PolicyEvent>,
 }
 
@@ -132,7 +132,7 @@
 }
 
 impl PolicyRecord {
-    /// The policy set that members apply.
+    /// The policy set that members are to apply.
     pub fn policy_set(&self) -> PolicySet {
         match &self.phase {
             Phase::Settled => PolicySet::Pure(self.holds),
@@ -149,7 +149,8 @@
         }
     }
 
-    /// The record with a new policy proposed; the policy's number is [`PolicyRecord::next`] of `self`.
+    /// Returns the record with a new policy proposed, whose number is [`PolicyRecord::next`] of `self`. If `expected` is given, it must be
+    /// the revision of `self`.
     ///
     /// # Errors
     /// See [`RecordError`].
@@ -164,10 +165,10 @@
         }
         let is_valid = |text: &str| !text.trim().is_empty() && text.len() <= MAX_TEXT_BYTES;
         if !is_valid(author) {
-            return Err(RecordError::Field("author", "who asks, in 1000 bytes at most"));
+            return Err(RecordError::Field("author", "who proposes the policy, at most 1000 bytes"));
         }
         if !is_valid(reason) {
-            return Err(RecordError::Field("reason", "why, in 1000 bytes at most"));
+            return Err(RecordError::Field("reason", "why the policy is proposed, at most 1000 bytes"));
         }
         let (author, reason) = (author.to_owned(), reason.to_owned());
         let what = format!("{author} proposes: {reason}");
@@ -178,14 +179,15 @@
         Ok(next)
     }
 
-    /// The record after a store was lost or restored from an older copy, where members have seen revisions up to `newest_seen`. The next
-    /// revision is later than all of those, and so are the numbers of new policies, since each revision names at most one new policy.
+    /// Returns the record to continue from after the store was lost or restored from an older copy, while members have seen revisions up
+    /// to `newest_seen`. The next revision is later than all of those. The number of the next policy has not been used before either,
+    /// since each revision proposes at most one policy.
     pub fn resumed_after(&self, newest_seen: Revision) -> PolicyRecord {
         let revision = self.revision.max(newest_seen);
         PolicyRecord { revision, next: PolicyNumber(self.next.0.max(revision.0)), ..self.clone() }
     }
 
-    /// The record with the pending change ended; `None` if no change is pending.
+    /// Returns the record with the pending change ended by this outcome; `None` if no change is pending.
     pub fn conclude(&self, outcome: ChangeOutcome) -> Option<PolicyRecord> {
         let Phase::Joint(change) = &self.phase else { return None };
         let mut next = self.clone();
@@ -198,14 +200,14 @@
         Some(next)
     }
 
-    /// The record with the pending change withdrawn by an operator.
+    /// Returns the record with the pending change withdrawn by the operator `by`.
     ///
     /// # Errors
     /// See [`RecordError`].
     pub fn withdraw(&self, by: &str, expected: Option<Revision>) -> Result<PolicyRecord, RecordError> {
         self.check_revision(expected)?;
         if by.trim().is_empty() || by.len() > MAX_TEXT_BYTES {
-            return Err(RecordError::Field("by", "who asks, in 1000 bytes at most"));
+            return Err(RecordError::Field("by", "who withdraws the change, at most 1000 bytes"));
         }
         self.conclude(ChangeOutcome::Withdrawn { by: by.to_owned() }).ok_or(RecordError::Settled)
     }
--- a/crates/core/policy/src/strictness.rs
+++ b/crates/core/policy/src/strictness.rs
@@ -9,25 +9,25 @@
     LargerIsStricter,
     /// `false` is stricter.
     FalseIsStricter,
-    /// A set: a subset is stricter; an absent field stands for the full set.
+    /// A set: a subset is stricter; an absent field means the full set.
     Subset,
-    /// One of these values; a later one is stricter.
+    /// One of these values, in ascending order of strictness.
     Rank(&'static [&'static str]),
-    /// No order: two different values have nothing in common. Such a field can change only by rejecting requests meanwhile.
+    /// No order: two different values have nothing in common. While such a field changes, the requests it concerns are rejected.
     Incomparable,
 }
 
 /// Fields of a request class, of `categories[]` in a proxy's settings.
 const CLASS_FIELDS: [(&str, Strictness); 9] = [
-    // Time limits of an answer: a proxy with shorter ones gives up sooner.
+    // Time limits of a response: with shorter limits a proxy gives up sooner.
     ("promise_ns", Strictness::SmallerIsStricter),
     ("deadline_ns", Strictness::SmallerIsStricter),
-    // Effect of a retry: a request that counts as unsafe is never sent twice.
+    // Whether a request may be sent again: an unsafe one is never sent twice.
     ("effect", Strictness::Rank(&["safe", "keyed", "unsafe"])),
-    // Which nodes deduplicate a keyed request: the fewer they are, the fewer retries are permitted.
+    // The nodes that deduplicate a keyed request: the fewer these are, the fewer retries are permitted.
     ("group", Strictness::Rank(&["all", "zone", "cell"])),
     ("dedup_window_ns", Strictness::SmallerIsStricter),
-    // Requests of less value are rejected sooner.
+    // Requests of lower value are rejected sooner.
     ("late_value", Strictness::SmallerIsStricter),
     ("value", Strictness::SmallerIsStricter),
     ("allowed_in", Strictness::Subset),
@@ -42,18 +42,18 @@
 const OTHER_FIELDS: [(&str, Strictness); 7] = [
     ("caps.attempts_cap", Strictness::SmallerIsStricter),
     ("caps.second_copies", Strictness::FalseIsStricter),
-    // Advice to clients to wait for longer.
+    // A longer wait that clients are advised to keep is stricter.
     ("caps.max_retry_after_ns", Strictness::LargerIsStricter),
     ("deductions.handshake", Strictness::LargerIsStricter),
     ("deductions.cross_zone", Strictness::LargerIsStricter),
     ("over_share_worth", Strictness::SmallerIsStricter),
-    // Value per request or per unit of time: more value by one measure is less by the other.
+    // Whether value counts per request or per unit of work: a higher value by one measure may be a lower one by the other.
     ("worth_by", Strictness::Incomparable),
 ];
 
-/// The order of a field, by its path in a proxy's settings without indices: `categories.allowed_in`, `customers.quota_rps`,
-/// `caps.attempts_cap`. Unlisted fields have no order.
-pub fn compare_strictness(path: &str) -> Strictness {
+/// The strictness order of a field. `path` is the field's path in a proxy's settings without indices, for example
+/// `categories.allowed_in`, `customers.quota_rps` or `caps.attempts_cap`. Unlisted fields are incomparable.
+pub fn strictness_of_field(path: &str) -> Strictness {
     let lookup = |table: &[(&str, Strictness)], field: &str| {
         table.iter().find(|(name, _)| *name == field).map_or(Strictness::Incomparable, |(_, order)| *order)
     };
@@ -65,8 +65,8 @@
 }
 
 impl Strictness {
-    /// Whether `one` is at least as strict as `than`; `None` if they are incomparable or not values of such a field.
-    /// `Value::Null` stands for an absent field.
+    /// Whether `one` is at least as strict as `than`; `None` if they are incomparable or not valid values of the field.
+    /// `Value::Null` means that the field is absent.
     pub fn is_at_least_as_strict(self, one: &serde_json::Value, than: &serde_json::Value) -> Option<bool> {
         use serde_json::Value::Null;
         if one == than {
@@ -74,7 +74,7 @@
         }
         match self {
             Strictness::SmallerIsStricter | Strictness::LargerIsStricter => {
-                // An absent field sets no bound.
+                // An absent field means that there is no bound.
                 let (a, b) = match (one, than) {
                     (Null, _) => return Some(false),
                     (_, Null) => return Some(true),
--- a/crates/core/policy/tests/archive.rs
+++ b/crates/core/policy/tests/archive.rs
@@ -1,4 +1,4 @@
-//! Which policies may be proposed beside the fallback policies still in use, and which policies are retained.
+//! Which policies may be proposed while fallback policies are in use, and which policies are retained.
 
 use rushquay_policy::{
     ChangeOutcome, FallbackPolicy, Incarnation, LeaseRequest, LeaseTerms, Policy, PolicyArchive,
@@ -46,7 +46,7 @@
     ) -> PolicyNumber {
         let policy = self.fit(settings, Some(floor), now).expect("the policy is accepted");
         self.record = self.record.propose(("a", "b"), None).expect("proposed");
-        let number = self.record.policy_set().numbers().nth(1).expect("two");
+        let number = self.record.policy_set().numbers().nth(1).expect("a joint policy set");
         self.archive.put(number, policy);
         self.archive.moved(&self.record);
         for revision in [self.record.revision, Revision(self.record.revision.0 + 1)] {
@@ -65,27 +65,30 @@
 #[test]
 fn a_policy_stricter_than_a_fallback_in_use_is_rejected() {
     let mut fixture = Fixture::new();
-    // So late that no lease of an earlier leader counts any more.
+    // All leases of earlier leaders have expired by then.
     let late = 200 * SECOND;
     fixture.commit_policy(&attempts(4), &attempts(3), late, &[1, 2]);
-    let below = |fixture: &Fixture, settings: &Value, now: u64| match fixture.fit(
+    let stricter_than_fallback = |fixture: &Fixture, settings: &Value, now: u64| match fixture.fit(
         settings,
         Some(&json!("nobody")),
         now,
     ) {
-        Err(UnfitPolicy::BelowFloor { of, who, for_s, .. }) => Some((of, who, for_s)),
+        Err(UnfitPolicy::StricterThanFallback { policy, proxies, remaining_s, .. }) => {
+            Some((policy, proxies, remaining_s))
+        }
         Err(other) => panic!("{other}"),
         Ok(_) => None,
     };
-    let (of, who, _) =
-        below(&fixture, &attempts(2), late).expect("the fallback of the policy in force is in use");
-    assert_eq!((of, who), (1, vec!["whoever loses its leave".to_owned()]));
-    assert_eq!(below(&fixture, &attempts(3), late), None);
-    // Only one of the two gets a lease for the policy with the stricter fallback; the other is away.
+    let (policy, proxies, _) = stricter_than_fallback(&fixture, &attempts(2), late)
+        .expect("the fallback of the policy in force is in use");
+    assert_eq!((policy, proxies), (1, vec!["any proxy that loses its lease".to_owned()]));
+    assert_eq!(stricter_than_fallback(&fixture, &attempts(3), late), None);
+    // Only one of the two processes gets a lease for the policy with the stricter fallback; the other is unreachable.
     fixture.commit_policy(&attempts(4), &attempts(1), late, &[1]);
-    let (of, who, for_s) = below(&fixture, &attempts(2), late + SECOND).expect("the other may be alive");
-    assert_eq!((of, who, for_s), (1, vec!["p2".to_owned()], 99));
-    // The other requests a lease as the same process, or its time on the fallback policy is over.
+    let (policy, proxies, remaining_s) = stricter_than_fallback(&fixture, &attempts(2), late + SECOND)
+        .expect("the other process may still apply the old fallback");
+    assert_eq!((policy, proxies, remaining_s), (1, vec!["p2".to_owned()], 99));
+    // The old fallback is no longer in use once the other process has requested a lease, or its time on the fallback policy is over.
     let mut rejoined = Fixture { archive: fixture.archive.clone(), record: fixture.record.clone() };
     rejoined.archive.granted(
         "p2",
@@ -93,27 +96,28 @@
         &rejoined.record,
         late + SECOND,
     );
-    assert_eq!(below(&rejoined, &attempts(2), late + SECOND), None);
-    assert!(below(&fixture, &attempts(2), late + 100 * SECOND).is_some());
-    assert_eq!(below(&fixture, &attempts(2), late + 100 * SECOND + 1), None);
+    assert_eq!(stricter_than_fallback(&rejoined, &attempts(2), late + SECOND), None);
+    assert!(stricter_than_fallback(&fixture, &attempts(2), late + 100 * SECOND).is_some());
+    assert_eq!(stricter_than_fallback(&fixture, &attempts(2), late + 100 * SECOND + 1), None);
 }
 
-/// The leases of an earlier leader are not known: each of its fallback policies counts for as long as anybody could apply it.
+/// The leases of an earlier leader are unknown: each of its fallback policies counts as in use for as long as any proxy could apply it.
 #[test]
 fn a_new_leader_counts_every_former_fallback_as_in_use() {
     let mut fixture = Fixture::new();
     fixture.commit_policy(&attempts(4), &attempts(3), 0, &[1]);
     fixture.commit_policy(&attempts(4), &attempts(1), 0, &[1]);
     assert!(fixture.fit(&attempts(2), None, 101 * SECOND).is_ok());
-    let kept = [1, 2].map(|n| (PolicyNumber(n), fixture.archive.get(PolicyNumber(n)).expect("kept").clone()));
+    let persisted =
+        [1, 2].map(|n| (PolicyNumber(n), fixture.archive.get(PolicyNumber(n)).expect("persisted").clone()));
     let successor =
-        PolicyArchive::lead(BTreeMap::from(kept), FallbackPolicy::Nobody, &fixture.record, 200 * SECOND);
+        PolicyArchive::lead(BTreeMap::from(persisted), FallbackPolicy::Nobody, &fixture.record, 200 * SECOND);
     let fits = |now: u64| successor.fit(&attempts(2), None, (&fixture.record, &terms()), now);
-    assert!(matches!(fits(300 * SECOND), Err(UnfitPolicy::BelowFloor { of: 1, .. })));
+    assert!(matches!(fits(300 * SECOND), Err(UnfitPolicy::StricterThanFallback { policy: 1, .. })));
     assert!(fits(300 * SECOND + 1).is_ok());
 }
 
-/// A policy that was proposed and withdrawn gave nobody its fallback policy.
+/// No proxy applies the fallback policy of a policy that was proposed and withdrawn.
 #[test]
 fn a_withdrawn_policy_sets_no_bound() {
     let mut fixture = Fixture::new();
@@ -150,12 +154,12 @@
     for n in 0..12u64 {
         fixture.commit_policy(&attempts(9), &attempts(1), n, &[1]);
     }
-    let useless = |fixture: &mut Fixture, now: u64| fixture.archive.useless(&fixture.record, &terms(), now);
-    assert_eq!(useless(&mut fixture, 50 * SECOND), [], "the leadership has only just begun");
-    let gone = useless(&mut fixture, 300 * SECOND);
-    assert_eq!(gone, [1, 2, 3, 4].map(PolicyNumber));
-    fixture.archive.forget(&gone);
-    assert_eq!(useless(&mut fixture, 300 * SECOND), []);
+    let unused = |fixture: &mut Fixture, now: u64| fixture.archive.useless(&fixture.record, &terms(), now);
+    assert_eq!(unused(&mut fixture, 50 * SECOND), [], "the leadership has only just begun");
+    let removed = unused(&mut fixture, 300 * SECOND);
+    assert_eq!(removed, [1, 2, 3, 4].map(PolicyNumber));
+    fixture.archive.forget(&removed);
+    assert_eq!(unused(&mut fixture, 300 * SECOND), []);
     assert!(
         fixture.archive.get(PolicyNumber(1)).is_none() && fixture.archive.get(PolicyNumber(12)).is_some()
     );
--- a/crates/core/policy/tests/intersection.rs
+++ b/crates/core/policy/tests/intersection.rs
@@ -1,4 +1,4 @@
-//! The laws of the intersection of two policies, and which request classes are rejected.
+//! Algebraic properties of the intersection of two policies, and which request classes are rejected.
 
 use proptest::prelude::*;
 use rushquay_policy::{intersect, looser_paths, RejectedClass};
@@ -47,7 +47,7 @@
     })
 }
 
-/// Paths at which the two have nothing in common, as [`looser_paths`] names them.
+/// The paths in which two policies have nothing in common, in the notation of [`looser_paths`].
 fn rejected_paths(stops: &std::collections::BTreeSet<RejectedClass>) -> Vec<&str> {
     stops.iter().map(|s| s.path.as_str()).collect()
 }
@@ -59,16 +59,16 @@
     fn intersection_is_commutative_idempotent_and_never_looser(a in policy(), b in policy(), c in policy()) {
         let (one, two) = (intersect(&a, &b), intersect(&b, &a));
         prop_assert_eq!(&one, &two);
-        let again = intersect(&one.settings, &one.settings);
-        prop_assert_eq!(&again.settings, &one.settings);
-        prop_assert!(again.stops.is_empty());
-        // A rejected field cannot be too loose.
+        let repeated = intersect(&one.settings, &one.settings);
+        prop_assert_eq!(&repeated.settings, &one.settings);
+        prop_assert!(repeated.stops.is_empty());
+        // Only rejected fields may be looser than either policy.
         for policy in [&a, &b] {
             let loose = looser_paths(&one.settings, policy);
             let rejected = rejected_paths(&one.stops);
             prop_assert!(loose.iter().all(|path| rejected.contains(&path.as_str())), "{:?} of {} and {}: {}", loose, a, b, one.settings);
         }
-        // The operation is associative where nothing is rejected.
+        // The operation is associative if nothing is rejected.
         let (left, right) = (intersect(&one.settings, &c), intersect(&a, &intersect(&b, &c).settings));
         if one.stops.is_empty() && left.stops.is_empty() && right.stops.is_empty() && intersect(&b, &c).stops.is_empty() {
             prop_assert_eq!(left.settings, right.settings);
@@ -93,7 +93,7 @@
     );
     let caps = json!({"attempts_cap": 2, "second_copies": false, "max_retry_after_ns": 7});
     assert_eq!(intersection.settings["caps"], caps);
-    // A tenant that one of them limits is limited.
+    // A tenant that only one policy limits is limited.
     let tenants = json!([{"name": "clinics", "quota_rps": 9.0}, {"name": "hostels", "quota_rps": 50.0}]);
     assert_eq!(intersection.settings["customers"], tenants);
 }
@@ -108,13 +108,13 @@
         messages,
         ["plan is refused until it is decided: the two have nothing in common in categories.allowed_in"]
     );
-    // A field without an order rejects everything that it concerns.
+    // A conflict in a field without an order rejects every request that the field concerns.
     let intersection = intersect(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
     assert_eq!(
         intersection.stops.into_iter().collect::<Vec<_>>(),
         [RejectedClass { class: None, path: "worth_by".into() }]
     );
-    // So does an unknown field.
+    // So does a conflict in an unknown field.
     let intersection = intersect(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
     assert_eq!(intersection.stops.into_iter().next().map(|s| s.path).as_deref(), Some("rules.new"));
     let intersection =
--- a/crates/core/policy/tests/messages.rs
+++ b/crates/core/policy/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between program versions: what an older or a newer program makes of them.
+//! Encoding and decoding of messages, also between program versions.
 
 use rushquay_config_version::ConfigVersion;
 use rushquay_policy::{
@@ -11,7 +11,7 @@
 fn broadcast() -> PolicyBroadcast {
     let settings = json!({"caps": {"attempts_cap": 3}});
     let floor = FallbackPolicy::Settings(
-        ConfigVersion::read(&json!({"caps": {"attempts_cap": 1}})).expect("a floor"),
+        ConfigVersion::read(&json!({"caps": {"attempts_cap": 1}})).expect("a fallback policy"),
     );
     let second = Policy::of(&settings, floor).expect("a policy");
     let policies =
@@ -46,7 +46,7 @@
     assert_eq!(LeaseGrant::read(&grant.text()), Ok(grant));
 }
 
-/// Added fields are ignored, another format version is rejected, and a field missing in an older message has its default.
+/// Unknown fields are ignored, another format version is rejected, and a field that is absent in an older message gets its default.
 #[test]
 fn messages_of_adjacent_versions_are_decoded() {
     let request =
@@ -56,14 +56,14 @@
         change(&mut message);
         LeaseRequest::read(&message.to_string())
     };
-    assert_eq!(decode_edited(|t| t["color"] = json!("blue")), Ok(request.clone()));
-    assert_eq!(decode_edited(|t| t["form"] = json!(2)), Err(MessageError::Form(2)));
-    let earlier = decode_edited(|t| drop(t.as_object_mut().expect("fields").remove("heard")));
+    assert_eq!(decode_edited(|m| m["color"] = json!("blue")), Ok(request.clone()));
+    assert_eq!(decode_edited(|m| m["form"] = json!(2)), Err(MessageError::UnsupportedFormat(2)));
+    let earlier = decode_edited(|m| drop(m.as_object_mut().expect("fields").remove("heard")));
     assert_eq!(earlier, Ok(LeaseRequest { heard: Revision(0), ..request.clone() }));
     assert!(matches!(LeaseRequest::read("GET /"), Err(MessageError::Malformed(_))));
 }
 
-/// A program can reject by its revision a broadcast that it cannot read.
+/// The revision of a broadcast is decoded even if the rest is not, so that a program can reject that revision.
 #[test]
 fn an_unreadable_broadcast_is_rejected_by_its_revision() {
     let decode_edited = |change: &dyn Fn(&mut Value)| {
@@ -71,16 +71,16 @@
         change(&mut message);
         PolicyBroadcast::read(&message.to_string())
     };
-    let unusable = |read: Result<PolicyBroadcast, BroadcastError>| match read {
+    let unsupported = |read: Result<PolicyBroadcast, BroadcastError>| match read {
         Err(BroadcastError::Beyond { revision: Revision(4), why }) => why,
         other => panic!("{other:?}"),
     };
-    assert!(unusable(decode_edited(&|t| t["form"] = json!(2))).contains("upgrade it first"));
-    let why = unusable(decode_edited(&|t| t["policies"]["2"]["settings"]["caps"]["hedge"] = json!(1)));
+    assert!(unsupported(decode_edited(&|m| m["form"] = json!(2))).contains("upgrade it first"));
+    let why = unsupported(decode_edited(&|m| m["policies"]["2"]["settings"]["caps"]["hedge"] = json!(1)));
     assert!(why.contains("caps.hedge"), "{why}");
-    assert!(unusable(decode_edited(&|t| t["policies"]["2"]["mood"] = json!(1))).contains("mood"));
+    assert!(unsupported(decode_edited(&|m| m["policies"]["2"]["mood"] = json!(1))).contains("mood"));
     let missing =
-        unusable(decode_edited(&|t| drop(t["policies"].as_object_mut().expect("them").remove("2"))));
-    assert!(missing.contains("policy 2 is named and not told"), "{missing}");
-    assert!(matches!(decode_edited(&|t| t["revision"] = json!("x")), Err(BroadcastError::Malformed(_))));
+        unsupported(decode_edited(&|m| drop(m["policies"].as_object_mut().expect("policies").remove("2"))));
+    assert!(missing.contains("policy 2 is in the policy set and missing from the broadcast"), "{missing}");
+    assert!(matches!(decode_edited(&|m| m["revision"] = json!("x")), Err(BroadcastError::Malformed(_))));
 }
--- a/crates/core/policy/tests/protocol.rs
+++ b/crates/core/policy/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! Cases of the lease protocol beyond the state exploration: clock drift, fallback policies, rejections and blocking members.
+//! Cases of the lease protocol that the state exploration does not cover: clock drift, fallback policies, rejections and blocking
+//! members.
 
 use rushquay_policy::{
     ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseTerms, Member, Phase, PolicyNumber,
@@ -15,21 +16,21 @@
     Member::new(Incarnation(boot), StartupPolicy::Waits, 0)
 }
 
-/// One request and its grant, at these times of the coordinator's clock and the member's.
-fn exchange(c: &mut Coordinator, m: &mut Member, name: &str, (at, own): (u64, u64)) {
-    let request = m.ask(own);
-    if let Some(grant) = c.hear(name, &request, at) {
+/// Exchanges one request and its grant, at these times by the coordinator's clock and the member's.
+fn exchange(c: &mut Coordinator, m: &mut Member, name: &str, (leader_time, member_time): (u64, u64)) {
+    let request = m.ask(member_time);
+    if let Some(grant) = c.hear(name, &request, leader_time) {
         m.granted(&grant, |_| Ok(()));
     }
 }
 
-/// The reading of a clock that runs fast by `ppm`.
+/// The reading of a clock that is fast by `ppm` parts per million.
 fn clock(time: u64, ppm: i64) -> u64 {
     (i128::from(time) * i128::from(1_000_000 + ppm) / 1_000_000) as u64
 }
 
-/// For every pair of clocks within their bound, a member whose lease was granted at any moment applies nothing any more by the time
-/// at which the coordinator takes it to be fenced. Beyond the bound this fails, which is why the bound is documented.
+/// For every pair of clocks within the drift bound, a lease has expired at the member by the time at which the coordinator considers the
+/// member fenced. With a clock beyond the bound this fails, which is why the bound is documented.
 #[test]
 fn a_lease_expires_before_its_fence_within_the_drift_bound() {
     let applies_past_its_fence = |member: i64, leader: i64| {
@@ -40,10 +41,13 @@
             exchange(&mut c, &mut m, "p0", (clock(granted, leader), clock(granted, member)));
             let proposed = c.record().propose(("a", "b"), None).expect("proposed");
             c.kept(proposed, clock(granted, leader));
-            // In steps of a millisecond: the first moment at which no member blocks.
-            let free = (0..10_000u64).map(|ms| granted + ms * 1_000_000);
-            let free = free.into_iter().find(|t| c.holdups(clock(*t, leader)).is_empty()).expect("it ends");
-            matches!(m.acting(clock(free, member)), ActivePolicy::Leased(_))
+            // The first time, in steps of a millisecond, at which no member blocks the change.
+            let unblocked_at = (0..10_000u64).map(|ms| granted + ms * 1_000_000);
+            let unblocked_at = unblocked_at
+                .into_iter()
+                .find(|t| c.holdups(clock(*t, leader)).is_empty())
+                .expect("the change is unblocked");
+            matches!(m.acting(clock(unblocked_at, member)), ActivePolicy::Leased(_))
         })
     };
     for member in [-10_000, 0, 10_000] {
@@ -64,7 +68,7 @@
     assert_eq!(m.acting(5 * SECOND), ActivePolicy::Fallback);
     assert_eq!(m.acting(105 * SECOND - 1), ActivePolicy::Fallback);
     assert_eq!(m.acting(105 * SECOND), ActivePolicy::Denied);
-    // A process that may start with its own fallback policy does so after its wait.
+    // A process that is configured to start with its own fallback policy applies it after its wait.
     let started = Member::new(Incarnation(2), StartupPolicy::FloorAfter(3 * SECOND), 0);
     assert_eq!(
         (started.acting(3 * SECOND - 1), started.acting(3 * SECOND)),
@@ -84,19 +88,19 @@
     exchange(&mut c, &mut able, "able", (SECOND, SECOND));
     assert_eq!(able.acting(SECOND), ActivePolicy::Leased(PolicySet::Joint(PolicyNumber(0), PolicyNumber(1))));
     let request = older.ask(SECOND);
-    let grant = c.hear("older", &request, SECOND).expect("a leave");
+    let grant = c.hear("older", &request, SECOND).expect("a lease");
     older.granted(&grant, |_| Err("caps.attempts_cap: not known here".into()));
     assert_eq!(
         older.acting(SECOND),
         ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
-        "it keeps what it applied"
+        "it keeps applying the previous policy set"
     );
-    // A lease for what it cannot apply does not extend the lease it has.
+    // A grant for a revision that it cannot apply does not extend its lease.
     let request = older.ask(2 * SECOND);
-    let grant = c.hear("older", &request, 2 * SECOND).expect("a leave");
+    let grant = c.hear("older", &request, 2 * SECOND).expect("a lease");
     older.granted(&grant, |_| Ok(()));
     assert_eq!(older.until(), 5 * SECOND);
-    let record = c.step(2 * SECOND).expect("it ends");
+    let record = c.step(2 * SECOND).expect("the change ends");
     let why = "caps.attempts_cap: not known here".to_owned();
     assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Refused { name: "older".into(), why })));
     assert_eq!((record.holds, &record.phase), (PolicyNumber(0), &Phase::Settled));
@@ -109,23 +113,23 @@
     );
 }
 
-/// A member that is down cannot block the fleet: it is fenced. Neither can one that sends requests and never receives the grant.
+/// A member that is down cannot block a change, since it is fenced. Neither can one that sends requests and never receives a grant.
 #[test]
 fn an_unreachable_member_is_fenced_and_named_as_blocking() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
-    let (mut well, mut down, mut deaf) = (new_member(1), new_member(2), new_member(3));
-    for (name, m) in [("well", &mut well), ("down", &mut down), ("deaf", &mut deaf)] {
+    let (mut healthy, mut down, mut deaf) = (new_member(1), new_member(2), new_member(3));
+    for (name, m) in [("healthy", &mut healthy), ("down", &mut down), ("deaf", &mut deaf)] {
         exchange(&mut c, m, name, (0, 0));
     }
     let now = 3 * SECOND;
     let proposed = c.record().propose(("ravi", "b"), None).expect("proposed");
     c.kept(proposed, now);
-    exchange(&mut c, &mut well, "well", (now, now));
+    exchange(&mut c, &mut healthy, "healthy", (now, now));
     let mut committed = None;
     for tenth in 30..200u64 {
         let now = tenth * SECOND / 10;
         c.hear("deaf", &deaf.ask(now), now);
-        exchange(&mut c, &mut well, "well", (now, now));
+        exchange(&mut c, &mut healthy, "healthy", (now, now));
         if let Some(record) = c.step(now) {
             assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Committed)));
             committed = Some(now);
@@ -155,17 +159,17 @@
     assert_eq!(record.withdraw("a", None), Err(RecordError::Settled));
     let withdrawn = proposed.withdraw("ravi", Some(Revision(2))).expect("withdrawn");
     assert_eq!(withdrawn.policy_set(), PolicySet::Pure(PolicyNumber(0)));
-    // The same content proposed once more is another policy.
-    let again = withdrawn.propose(("ravi", "b"), None).expect("proposed");
-    assert_eq!(again.policy_set(), PolicySet::Joint(PolicyNumber(0), PolicyNumber(2)));
-    let committed = again.conclude(ChangeOutcome::Committed).expect("it was under way");
+    // The same content proposed again is another policy.
+    let proposed_again = withdrawn.propose(("ravi", "b"), None).expect("proposed");
+    assert_eq!(proposed_again.policy_set(), PolicySet::Joint(PolicyNumber(0), PolicyNumber(2)));
+    let committed = proposed_again.conclude(ChangeOutcome::Committed).expect("a change was pending");
     assert_eq!((committed.policy_set(), committed.revision), (PolicySet::Pure(PolicyNumber(2)), Revision(5)));
     let text = serde_json::to_string(&committed).expect("JSON");
     assert_eq!(serde_json::from_str::<PolicyRecord>(&text).expect("read"), committed);
 }
 
-/// A store that was lost, or restored from an older copy, shows by members that have seen a later revision. It grants nobody a lease,
-/// and a policy that is proposed anew follows all revisions that members have seen.
+/// That a store was lost or restored from an older copy is detected when a member reports a later revision. The leader then grants no
+/// lease, and the next proposed policy gets a revision after all those that members have seen.
 #[test]
 fn a_store_behind_its_members_grants_no_lease() {
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), 0);
@@ -176,12 +180,12 @@
             .propose(("a", "b"), None)
             .expect("proposed")
             .conclude(ChangeOutcome::Committed)
-            .expect("under way");
+            .expect("a change was pending");
     }
     c.kept(record.clone(), 0);
     exchange(&mut c, &mut old, "old", (0, 0));
     assert_eq!(old.acting(0), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(3))));
-    // The store is empty now.
+    // The next leader finds an empty store.
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), SECOND);
     exchange(&mut c, &mut old, "old", (SECOND, SECOND));
     assert_eq!(c.behind(), Some(("old", Revision(7))));
@@ -192,16 +196,16 @@
         "applying the stored policy would conflict with the other member"
     );
     assert_eq!(c.step(100 * SECOND), None);
-    let begun = c
+    let resumed = c
         .record()
         .resumed_after(Revision(7))
         .propose(("ravi", "the store was lost"), None)
         .expect("proposed");
     assert_eq!(
-        (begun.revision, begun.policy_set()),
+        (resumed.revision, resumed.policy_set()),
         (Revision(8), PolicySet::Joint(PolicyNumber(0), PolicyNumber(7)))
     );
-    c.kept(begun, 10 * SECOND);
+    c.kept(resumed, 10 * SECOND);
     assert_eq!(c.behind(), None);
     for (name, m) in [("old", &mut old), ("young", &mut young)] {
         exchange(&mut c, m, name, (10 * SECOND, 10 * SECOND));
--- a/crates/core/policy/tests/state_exploration.rs
+++ b/crates/core/policy/tests/state_exploration.rs
@@ -1,6 +1,6 @@
-//! Exhaustive and random exploration of the lease protocol at a small size: three proxies and two leaders on one store, with message
-//! loss, crashes, takeovers and expiring leases. In no state are two policies applied alone at once, nor one that was not decided;
-//! from each state, once faults are over, the change ends alike everywhere.
+//! Bounded breadth-first and random exploration of the lease protocol for three proxies and two leaders on one store, with message loss,
+//! crashes, takeovers and expiring leases. Safety: in every state one policy is applied by all processes, and no policy is applied alone
+//! before it was committed. Liveness: from each state, once there are no more faults, the change ends and all members apply its outcome.
 
 use rushquay_policy::{
     ActivePolicy, ChangeOutcome, Coordinator, Incarnation, LeaseGrant, LeaseRequest, LeaseTerms, Member,
@@ -9,17 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Ticks.
-const SPAN: u64 = 2;
-const LEASE: u64 = 2;
-const FLOOR: u64 = 1;
-const LIMIT: u64 = 5;
-const LAST: u64 = 14;
-/// Maximum faults on a path.
-const FAULTS: u8 = 3;
+/// Duration of a policy lease, in ticks; the other durations are in ticks as well.
+const LEASE_TICKS: u64 = 2;
+const LEADER_LEASE_TICKS: u64 = 2;
+const FALLBACK_TICKS: u64 = 1;
+const CHANGE_TIMEOUT_TICKS: u64 = 5;
+const LAST_TICK: u64 = 14;
+/// Maximum number of faults on a path.
+const MAX_FAULTS: u8 = 3;
 const NAMES: [&str; 3] = ["p0", "p1", "p2"];
 
-/// The safeguard that is removed, to show that its absence is detected.
+/// The safeguard that is removed, to verify that the checks detect its absence.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Removed {
     Nothing,
@@ -27,23 +27,23 @@
     LeaseStartAtRequest,
     /// Leases expire.
     LeaseExpiry,
-    /// Members ignore earlier revisions.
+    /// Members ignore grants of earlier revisions.
     RevisionOrder,
     /// Members ignore grants for requests of an earlier process.
     RequestMatching,
     /// A successor does not use the lease of the incumbent.
     SeparateSuccessorLease,
-    /// A change is committed only when all members have joined or are fenced.
+    /// A change is committed only when all members apply the joint set or are fenced.
     WaitForAllMembers,
     /// A new leader waits for the leases of its predecessor.
     WaitAfterTakeover,
-    /// A decision is persisted before members are told.
-    PersistBeforeTelling,
-    /// The store rejects writes of an expired epoch.
+    /// A decision is persisted before leases are granted for it.
+    PersistBeforeGranting,
+    /// The store rejects writes of a former leader's epoch.
     StoreFencing,
-    /// A leader grants leases only while it holds its own.
+    /// A leader grants leases only while it holds the leader lease.
     LeaderLease,
-    /// A joint phase lies between old and new.
+    /// A joint phase precedes the change from the old to the new policy.
     JointPhase,
 }
 
@@ -55,7 +55,7 @@
     Removed::SeparateSuccessorLease,
     Removed::WaitForAllMembers,
     Removed::WaitAfterTakeover,
-    Removed::PersistBeforeTelling,
+    Removed::PersistBeforeGranting,
     Removed::StoreFencing,
     Removed::LeaderLease,
     Removed::JointPhase,
@@ -78,20 +78,21 @@
     lease: u64,
     leaders: [Option<Leader>; 2],
     members: [Member; 3],
-    /// An incumbent that has handed over and still serves.
+    /// A process that has handed over to its successor and still serves.
     incumbent: Option<Member>,
-    boots: u64,
-    /// A write in flight of a leader that has crashed since, and its epoch.
-    writing: Option<(u64, PolicyRecord)>,
-    /// Grants in flight, and when their requests were sent.
+    incarnations: u64,
+    /// A write in flight by a leader that has crashed since, with its epoch.
+    pending_write: Option<(u64, PolicyRecord)>,
+    /// Grants in flight: the receiving member, the grant, and when its request was sent.
     in_flight: Vec<(usize, LeaseGrant, u64)>,
-    /// The last request of each member, for duplication.
-    requested: [Option<(LeaseRequest, u64)>; 3],
-    /// The policies that were ever decided in the store.
-    decided: BTreeSet<PolicyNumber>,
-    /// How each change ended in the store: committed or not; and a change that ended both ways.
+    /// The last request of each member and when it was sent, for duplication.
+    last_requests: [Option<(LeaseRequest, u64)>; 3],
+    /// The policies that were ever in force alone in the store.
+    ever_in_force: BTreeSet<PolicyNumber>,
+    /// Whether each ended change was committed, according to the store.
     outcomes: BTreeMap<PolicyNumber, bool>,
-    both: Option<PolicyNumber>,
+    /// A change that was committed and ended otherwise as well.
+    contradictory: Option<PolicyNumber>,
     faults: u8,
     proposals: u8,
     withdrawals: u8,
@@ -100,13 +101,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Tick,
-    /// A member sends a request to a leader, whose grant is in flight then.
+    /// A member sends a request to a leader, which sends a grant.
     Exchange(usize, usize),
-    /// A grant arrives; it may be duplicated.
+    /// A grant in flight arrives; if the flag is set, it is duplicated and stays in flight.
     Deliver(usize, bool),
     /// The last request of a member arrives again.
     Duplicate(usize, usize),
-    /// A leader checks whether a change has ended; it may crash with its write in flight.
+    /// A leader checks whether the change ends; if the flag is set, it crashes with its write in flight.
     Decide(usize, bool),
     /// The write in flight arrives.
     Arrive,
@@ -121,31 +122,31 @@
 }
 
 fn terms() -> LeaseTerms {
-    LeaseTerms { span: SPAN, drift_ppm: 0, limit: LIMIT, floor: FLOOR }
+    LeaseTerms { span: LEASE_TICKS, drift_ppm: 0, limit: CHANGE_TIMEOUT_TICKS, floor: FALLBACK_TICKS }
 }
 
 fn member(boot: u64, now: u64) -> Member {
     Member::new(Incarnation(boot), StartupPolicy::Waits, now)
 }
 
-fn first() -> World {
+fn initial_world() -> World {
     let record = PolicyRecord::default();
     let coordinator = Coordinator::lead(terms(), record.clone(), 0);
     World {
         now: 0,
         store: record,
         epoch: 1,
-        lease: LEASE,
-        leaders: [Some(Leader { epoch: 1, lease: LEASE, paused: false, coordinator }), None],
+        lease: LEADER_LEASE_TICKS,
+        leaders: [Some(Leader { epoch: 1, lease: LEADER_LEASE_TICKS, paused: false, coordinator }), None],
         members: [member(1, 0), member(2, 0), member(3, 0)],
         incumbent: None,
-        boots: 3,
-        writing: None,
+        incarnations: 3,
+        pending_write: None,
         in_flight: Vec::new(),
-        requested: [None, None, None],
-        decided: BTreeSet::from([PolicyNumber(0)]),
+        last_requests: [None, None, None],
+        ever_in_force: BTreeSet::from([PolicyNumber(0)]),
         outcomes: BTreeMap::new(),
-        both: None,
+        contradictory: None,
         faults: 0,
         proposals: 0,
         withdrawals: 0,
@@ -161,7 +162,7 @@
 
     fn steps(&self, removed: Removed) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.now < LAST {
+        if self.now < LAST_TICK {
             steps.push(Step::Tick);
         }
         for l in 0..2 {
@@ -187,28 +188,28 @@
                 if joint && self.withdrawals < 1 {
                     steps.push(Step::Withdraw(l));
                 }
-                if self.faults < FAULTS {
+                if self.faults < MAX_FAULTS {
                     steps.push(Step::Crash(l));
                     steps.push(Step::Pause(l));
                     if joint {
                         steps.push(Step::Decide(l, true));
                     }
                     steps.extend(
-                        (0..3).filter(|m| self.requested[*m].is_some()).map(|m| Step::Duplicate(m, l)),
+                        (0..3).filter(|m| self.last_requests[*m].is_some()).map(|m| Step::Duplicate(m, l)),
                     );
                 }
             }
         }
         for n in 0..self.in_flight.len() {
             steps.push(Step::Deliver(n, false));
-            if self.faults < FAULTS {
+            if self.faults < MAX_FAULTS {
                 steps.push(Step::Deliver(n, true));
             }
         }
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             steps.push(Step::Arrive);
         }
-        if self.faults < FAULTS {
+        if self.faults < MAX_FAULTS {
             steps.push(Step::Restart(1));
             if self.incumbent.is_none() {
                 steps.push(Step::HandOver);
@@ -217,45 +218,45 @@
         steps
     }
 
-    fn send(&mut self, m: usize, grant: LeaseGrant, requested: u64) {
-        // At most two grants to one member are in flight: the older one is lost.
-        let of =
+    fn send_grant(&mut self, m: usize, grant: LeaseGrant, requested_at: u64) {
+        // At most two grants to one member are in flight; the oldest is lost.
+        let count =
             |in_flight: &[(usize, LeaseGrant, u64)]| in_flight.iter().filter(|(to, ..)| *to == m).count();
-        if of(&self.in_flight) >= 2 {
-            let at = self.in_flight.iter().position(|(to, ..)| *to == m).expect("two");
-            self.in_flight.remove(at);
+        if count(&self.in_flight) >= 2 {
+            let oldest = self.in_flight.iter().position(|(to, ..)| *to == m).expect("two grants");
+            self.in_flight.remove(oldest);
         }
-        self.in_flight.push((m, grant, requested));
+        self.in_flight.push((m, grant, requested_at));
     }
 
-    /// Stores a record, unless the epoch has expired.
+    /// Stores a record, unless another epoch has begun. Returns whether it was stored.
     fn store(&mut self, epoch: u64, record: PolicyRecord, removed: Removed) -> bool {
         if epoch != self.epoch && removed != Removed::StoreFencing {
             return false;
         }
         self.store = record;
-        if let Some((number, how)) = &self.store.last {
-            let committed = *how == ChangeOutcome::Committed;
-            if self.outcomes.insert(*number, committed).is_some_and(|incumbent| incumbent != committed) {
-                self.both = Some(*number);
+        if let Some((number, outcome)) = &self.store.last {
+            let committed = *outcome == ChangeOutcome::Committed;
+            if self.outcomes.insert(*number, committed).is_some_and(|previous| previous != committed) {
+                self.contradictory = Some(*number);
             }
         }
         if self.store.phase == Phase::Settled {
-            self.decided.insert(self.store.holds);
+            self.ever_in_force.insert(self.store.holds);
         }
         true
     }
 
-    /// A leader persists a record; `crashes`: it crashes with the write in flight.
-    fn keep(&mut self, l: usize, record: PolicyRecord, crashes: bool, removed: Removed) {
+    /// A leader persists a record. If `crashes` is set, it crashes with the write in flight.
+    fn persist(&mut self, l: usize, record: PolicyRecord, crashes: bool, removed: Removed) {
         let Some(leader) = &mut self.leaders[l] else { return };
         let epoch = leader.epoch;
-        if removed == Removed::PersistBeforeTelling && crashes {
-            // Members are told, and the record never reaches the store.
+        if removed == Removed::PersistBeforeGranting && crashes {
+            // Leases are granted for the record, which never reaches the store.
             return leader.coordinator.kept(record, self.now);
         }
         if crashes {
-            self.writing = Some((epoch, record));
+            self.pending_write = Some((epoch, record));
             self.leaders[l] = None;
         } else if self.store(epoch, record.clone(), removed) {
             let now = self.now;
@@ -266,7 +267,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each step of the explored model")]
-    fn take(&mut self, step: Step, removed: Removed) {
+    fn apply(&mut self, step: Step, removed: Removed) {
         let fault = matches!(
             step,
             Step::Crash(_)
@@ -284,39 +285,39 @@
                 self.now += 1;
                 let (now, epoch) = (self.now, self.epoch);
                 for leader in self.leaders.iter_mut().flatten() {
-                    // A leader renews its lease in time, unless it is paused or another one leads.
+                    // A leader renews its lease in time, unless it is paused or another leader has taken over.
                     if !leader.paused && leader.epoch == epoch && now <= leader.lease {
-                        leader.lease = now + LEASE;
-                        self.lease = now + LEASE;
+                        leader.lease = now + LEADER_LEASE_TICKS;
+                        self.lease = now + LEADER_LEASE_TICKS;
                     }
                 }
             }
             Step::Exchange(m, l) => {
                 let request = self.members[m].ask(now);
-                self.requested[m] = Some((request.clone(), now));
+                self.last_requests[m] = Some((request.clone(), now));
                 let Some(leader) = &mut self.leaders[l] else { return };
                 if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
-                    self.send(m, grant, now);
+                    self.send_grant(m, grant, now);
                 }
             }
             Step::Duplicate(m, l) => {
-                let Some((request, requested)) = self.requested[m].clone() else { return };
+                let Some((request, requested_at)) = self.last_requests[m].clone() else { return };
                 let Some(leader) = &mut self.leaders[l] else { return };
                 if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
-                    self.send(m, grant, requested);
+                    self.send_grant(m, grant, requested_at);
                 }
             }
-            Step::Deliver(n, again) => {
-                let (m, mut grant, requested) = self.in_flight[n];
-                if !again {
+            Step::Deliver(n, duplicated) => {
+                let (m, mut grant, requested_at) = self.in_flight[n];
+                if !duplicated {
                     self.in_flight.remove(n);
                 }
                 let member = &mut self.members[m];
                 if removed == Removed::LeaseStartAtRequest {
-                    grant.span += now - requested;
+                    grant.span += now - requested_at;
                 }
                 if removed == Removed::RequestMatching {
-                    // As if it answered the latest request of this process.
+                    // The grant is accepted as if it answered a request that this process sends now.
                     let request = member.ask(now);
                     (grant.boot, grant.seq) = (request.boot, request.seq);
                 }
@@ -325,17 +326,17 @@
                 }
                 member.granted(&grant, |_| Ok(()));
             }
-            Step::Decide(l, lost) => {
+            Step::Decide(l, crashes) => {
                 let Some(leader) = &mut self.leaders[l] else { return };
                 let decided = match removed {
                     Removed::WaitForAllMembers => {
                         leader.coordinator.record().conclude(ChangeOutcome::Committed)
                     }
                     Removed::WaitAfterTakeover => {
-                        // As if it had led for longer than any lease lasts.
-                        let holdups = leader.coordinator.holdups(now);
-                        let only = holdups.iter().all(|h| h.name.is_empty());
-                        if only {
+                        // The leader ignores that leases of previous leaders may not have expired.
+                        let blocking = leader.coordinator.holdups(now);
+                        let only_predecessors = blocking.iter().all(|member| member.name.is_empty());
+                        if only_predecessors {
                             leader.coordinator.record().conclude(ChangeOutcome::Committed)
                         } else {
                             leader.coordinator.step(now)
@@ -344,11 +345,11 @@
                     _ => leader.coordinator.step(now),
                 };
                 if let Some(record) = decided {
-                    self.keep(l, record, lost, removed);
+                    self.persist(l, record, crashes, removed);
                 }
             }
             Step::Arrive => {
-                if let Some((epoch, record)) = self.writing.take() {
+                if let Some((epoch, record)) = self.pending_write.take() {
                     self.store(epoch, record, removed);
                 }
             }
@@ -360,14 +361,14 @@
                     if removed == Removed::JointPhase {
                         record = record.conclude(ChangeOutcome::Committed).expect("it was proposed");
                     }
-                    self.keep(l, record, false, removed);
+                    self.persist(l, record, false, removed);
                 }
             }
             Step::Withdraw(l) => {
                 let Some(leader) = &self.leaders[l] else { return };
                 if let Ok(record) = leader.coordinator.record().withdraw("a", None) {
                     self.withdrawals += 1;
-                    self.keep(l, record, false, removed);
+                    self.persist(l, record, false, removed);
                 }
             }
             Step::Crash(l) => self.leaders[l] = None,
@@ -385,61 +386,70 @@
             }
             Step::TakeOver(l) => {
                 self.epoch += 1;
-                self.lease = now + LEASE;
+                self.lease = now + LEADER_LEASE_TICKS;
                 let coordinator = Coordinator::lead(terms(), self.store.clone(), now);
-                self.leaders[l] =
-                    Some(Leader { epoch: self.epoch, lease: now + LEASE, paused: false, coordinator });
+                self.leaders[l] = Some(Leader {
+                    epoch: self.epoch,
+                    lease: now + LEADER_LEASE_TICKS,
+                    paused: false,
+                    coordinator,
+                });
             }
             Step::Restart(m) => {
-                self.boots += 1;
-                self.members[m] = member(self.boots, now);
+                self.incarnations += 1;
+                self.members[m] = member(self.incarnations, now);
             }
             Step::HandOver => {
-                self.boots += 1;
+                self.incarnations += 1;
                 let old = self.members[0].clone();
-                // With the incumbent's lease it is the same process to the leader, while the incumbent uses that lease too.
+                // A successor that uses the incumbent's lease is the same process to the leader, while the incumbent uses that lease too.
                 if removed != Removed::SeparateSuccessorLease {
-                    self.members[0] =
-                        Member::take_over(Incarnation(self.boots), StartupPolicy::Waits, old.snapshot(), now);
+                    self.members[0] = Member::take_over(
+                        Incarnation(self.incarnations),
+                        StartupPolicy::Waits,
+                        old.snapshot(),
+                        now,
+                    );
                 }
                 self.incumbent = Some(old);
             }
         }
     }
 
-    /// What each process applies.
+    /// The policy sets that processes apply under a lease.
     fn acting(&self, removed: Removed) -> Vec<PolicySet> {
         let now = if removed == Removed::LeaseExpiry { 0 } else { self.now };
-        let acts = |m: &Member| match m.acting(now) {
-            ActivePolicy::Leased(told) => Some(told),
+        let leased = |m: &Member| match m.acting(now) {
+            ActivePolicy::Leased(set) => Some(set),
             ActivePolicy::Fallback | ActivePolicy::Denied => None,
         };
-        self.members.iter().chain(&self.incumbent).filter_map(acts).collect()
+        self.members.iter().chain(&self.incumbent).filter_map(leased).collect()
     }
 
+    /// The safety property that this state violates, if any.
     fn violation(&self, removed: Removed) -> Option<String> {
         let acting = self.acting(removed);
         let numbers: BTreeSet<PolicyNumber> = acting
             .iter()
-            .flat_map(|told| match *told {
+            .flat_map(|set| match *set {
                 PolicySet::Pure(one) => vec![one],
                 PolicySet::Joint(one, two) => vec![one, two],
             })
             .collect();
-        if !acting.is_empty() && !numbers.iter().any(|n| acting.iter().all(|told| told.includes(*n))) {
-            return Some(format!("no policy is obeyed by all: {acting:?}"));
+        if !acting.is_empty() && !numbers.iter().any(|n| acting.iter().all(|set| set.includes(*n))) {
+            return Some(format!("no policy is applied by all processes: {acting:?}"));
         }
-        if let Some(number) = self.both {
-            return Some(format!("{number:?} was decided in two ways"));
+        if let Some(number) = self.contradictory {
+            return Some(format!("{number:?} was committed and also ended otherwise"));
         }
-        let undecided = acting.iter().find_map(|told| match told {
-            PolicySet::Pure(n) if !self.decided.contains(n) => Some(*n),
+        let undecided = acting.iter().find_map(|set| match set {
+            PolicySet::Pure(n) if !self.ever_in_force.contains(n) => Some(*n),
             _ => None,
         });
-        undecided.map(|n| format!("{n:?} holds alone somewhere and was never decided"))
+        undecided.map(|n| format!("{n:?} is applied alone by a process and was never committed"))
     }
 
-    /// Plays on without faults: a leader is elected, all requests are answered and all decisions taken.
+    /// Checks liveness: continues without faults, with a leader that answers all requests, until all members apply the outcome.
     fn terminates(&self) -> Result<(), String> {
         let mut world = self.clone();
         world.leaders.iter_mut().for_each(|l| {
@@ -447,7 +457,7 @@
                 *l = None;
             }
         });
-        (world.incumbent, world.writing) = (None, None);
+        (world.incumbent, world.pending_write) = (None, None);
         for _ in 0..24 {
             world.now += 1;
             let now = world.now;
@@ -455,27 +465,27 @@
                 if now < world.lease {
                     continue;
                 }
-                world.take(Step::TakeOver(0), Removed::Nothing);
+                world.apply(Step::TakeOver(0), Removed::Nothing);
             }
-            let l = world.leaders.iter().position(Option::is_some).expect("one leads");
+            let l = world.leaders.iter().position(Option::is_some).expect("a leader");
             for leader in world.leaders.iter_mut().flatten() {
-                leader.lease = now + LEASE;
+                leader.lease = now + LEADER_LEASE_TICKS;
             }
-            world.lease = now + LEASE;
+            world.lease = now + LEADER_LEASE_TICKS;
             for m in 0..3 {
                 world.in_flight.clear();
-                world.take(Step::Exchange(m, l), Removed::Nothing);
-                world.take(Step::Deliver(0, false), Removed::Nothing);
+                world.apply(Step::Exchange(m, l), Removed::Nothing);
+                world.apply(Step::Deliver(0, false), Removed::Nothing);
             }
-            world.take(Step::Decide(l, false), Removed::Nothing);
+            world.apply(Step::Decide(l, false), Removed::Nothing);
             if let Some(violation) = world.violation(Removed::Nothing) {
-                return Err(format!("on the path to the end: {violation}"));
+                return Err(format!("while the change ends: {violation}"));
             }
         }
-        let all: Vec<ActivePolicy> = world.members.iter().map(|m| m.acting(world.now)).collect();
-        let holds = ActivePolicy::Leased(PolicySet::Pure(world.store.holds));
-        if world.store.phase != Phase::Settled || all.iter().any(|a| *a != holds) {
-            return Err(format!("it does not end: {:?} and {all:?}", world.store.phase));
+        let active: Vec<ActivePolicy> = world.members.iter().map(|m| m.acting(world.now)).collect();
+        let expected = ActivePolicy::Leased(PolicySet::Pure(world.store.holds));
+        if world.store.phase != Phase::Settled || active.iter().any(|a| *a != expected) {
+            return Err(format!("the change does not end: {:?} and {active:?}", world.store.phase));
         }
         Ok(())
     }
@@ -487,61 +497,62 @@
     hasher.finish()
 }
 
-fn states(most: usize) -> usize {
-    std::env::var("RUSHQUAY_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(most)
+fn state_limit(default: usize) -> usize {
+    std::env::var("RUSHQUAY_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 #[test]
 fn no_interleaving_within_the_state_bound_violates_safety() {
-    let most = states(25_000);
-    let mut known = HashSet::from([digest(&first())]);
-    let mut open = VecDeque::from([first()]);
-    let (mut taken, mut ended) = (0usize, 0usize);
-    while let Some(world) = open.pop_front() {
-        taken += 1;
-        // Liveness is checked from a part of the states only, since it takes longer than a step.
-        if taken.is_multiple_of(8) {
-            ended += 1;
+    let max_states = state_limit(25_000);
+    let mut seen = HashSet::from([digest(&initial_world())]);
+    let mut queue = VecDeque::from([initial_world()]);
+    let (mut explored, mut liveness_checks) = (0usize, 0usize);
+    while let Some(world) = queue.pop_front() {
+        explored += 1;
+        // Liveness is checked from every eighth state only, since a check takes longer than a step.
+        if explored.is_multiple_of(8) {
+            liveness_checks += 1;
             world.terminates().unwrap_or_else(|why| panic!("{why}\n{world:#?}"));
         }
         for step in world.steps(Removed::Nothing) {
             let mut next = world.clone();
-            next.take(step, Removed::Nothing);
+            next.apply(step, Removed::Nothing);
             if let Some(violation) = next.violation(Removed::Nothing) {
                 panic!("{violation} after {step:?}\n{next:#?}");
             }
-            if known.len() < most && known.insert(digest(&next)) {
-                open.push_back(next);
+            if seen.len() < max_states && seen.insert(digest(&next)) {
+                queue.push_back(next);
             }
         }
     }
-    println!("{} states, {taken} taken up, {ended} played to their end", known.len());
+    println!("{} states, {explored} explored, liveness checked from {liveness_checks}", seen.len());
 }
 
-/// A self-contained random generator: a seed gives the same path on every machine.
-struct Draw(u64);
+/// A self-contained linear congruential generator: a seed gives the same path on every machine.
+struct SeededRng(u64);
 
-impl Draw {
+impl SeededRng {
     fn below(&mut self, n: usize) -> usize {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         ((self.0 >> 33) as usize) % n.max(1)
     }
 }
 
-/// A random path of at most `most` steps: its steps, how changes ended on it, and the violation found.
+/// Takes a random path of at most `max_steps` steps. Returns its steps, whether each ended change was committed, and the violation
+/// found.
 fn random_path(
     seed: u64,
-    most: usize,
+    max_steps: usize,
     removed: Removed,
 ) -> (Vec<Step>, BTreeMap<PolicyNumber, bool>, Option<String>) {
-    let (mut draw, mut world, mut path) = (Draw(seed), first(), Vec::new());
-    for _ in 0..most {
+    let (mut rng, mut world, mut path) = (SeededRng(seed), initial_world(), Vec::new());
+    for _ in 0..max_steps {
         let steps = world.steps(removed);
         if steps.is_empty() {
             break;
         }
-        let step = steps[draw.below(steps.len())];
-        world.take(step, removed);
+        let step = steps[rng.below(steps.len())];
+        world.apply(step, removed);
         path.push(step);
         if let Some(violation) = world.violation(removed) {
             return (path, world.outcomes, Some(violation));
@@ -557,7 +568,7 @@
 
 #[test]
 fn long_random_paths_stay_safe_and_terminate() {
-    let paths = states(25_000) as u64 / 5;
+    let paths = state_limit(25_000) as u64 / 5;
     let (mut committed, mut aborted) = (0, 0);
     for seed in 1..=paths {
         let (path, outcomes, violation) = random_path(seed, 70, Removed::Nothing);
