--- a/crates/core/config-version/src/check.rs
+++ b/crates/core/config-version/src/check.rs
@@ -1,6 +1,6 @@
 //! Validation of the settings of a config version.
 //!
-//! Unknown fields are rejected with their path: if they were ignored, an operator would take them for being in force.
+//! Unknown fields are rejected with their path. If they were ignored, an operator would believe that they are in force.
 
 use crate::Digest;
 use serde_json::{Map, Value};
@@ -44,10 +44,10 @@
     Digest,
 }
 
-/// One hour in nanoseconds: longer than any request stays open.
+/// One hour in nanoseconds, the upper bound of durations: no request stays open for longer.
 const HOUR_NS: u64 = 3_600_000_000_000;
 
-/// The settings that may change while requests are open.
+/// The settings that may change while requests are in progress.
 const SETTINGS: &[(&str, FieldType)] = &[
     (
         "categories",
@@ -73,7 +73,7 @@
         ]),
     ),
     ("over_share_worth", FieldType::Number(0.0, 1.0)),
-    // The program that a supervisor runs; a proxy by itself cannot change that.
+    // The program that the supervisor runs; a proxy cannot replace its own program.
     ("program", FieldType::Digest),
     ("worth_by", FieldType::OneOf(&["request", "work"])),
     (
@@ -93,8 +93,9 @@
     ),
 ];
 
+/// Validates the fields of a config version.
 pub fn check(settings: &Map<String, Value>) -> Result<(), FieldError> {
-    fields("", settings, SETTINGS)
+    check_fields("", settings, SETTINGS)
 }
 
 fn join_path(path: &str, name: &str) -> String {
@@ -105,22 +106,26 @@
     }
 }
 
-fn fields(path: &str, object: &Map<String, Value>, known: &[(&str, FieldType)]) -> Result<(), FieldError> {
+fn check_fields(
+    path: &str,
+    object: &Map<String, Value>,
+    known: &[(&str, FieldType)],
+) -> Result<(), FieldError> {
     for (name, value) in object {
         let path = join_path(path, name);
         let Some((_, field_type)) = known.iter().find(|(n, _)| n == name) else {
-            let all: Vec<&str> = known.iter().map(|(n, _)| *n).collect();
+            let known_names: Vec<&str> = known.iter().map(|(n, _)| *n).collect();
             return Err(FieldError::at(
                 path,
-                format!("one of {}; nothing else changes while it runs", all.join(", ")),
+                format!("one of {}; other settings change only with a restart", known_names.join(", ")),
             ));
         };
-        field(&path, value, field_type)?;
+        check_field(&path, value, field_type)?;
     }
     Ok(())
 }
 
-fn field(path: &str, value: &Value, field_type: &FieldType) -> Result<(), FieldError> {
+fn check_field(path: &str, value: &Value, field_type: &FieldType) -> Result<(), FieldError> {
     let ensure = |is_valid: bool, expected: String| {
         if is_valid {
             Ok(())
@@ -129,13 +134,13 @@
         }
     };
     match field_type {
-        FieldType::Integer(from, to) => {
-            let is_within = value.as_u64().is_some_and(|n| (*from..=*to).contains(&n));
-            ensure(is_within, format!("a whole number from {from} to {to}"))
+        FieldType::Integer(min, max) => {
+            let is_within = value.as_u64().is_some_and(|n| (*min..=*max).contains(&n));
+            ensure(is_within, format!("a whole number from {min} to {max}"))
         }
-        FieldType::Number(from, to) => {
-            let is_within = value.as_f64().is_some_and(|n| (*from..=*to).contains(&n));
-            ensure(is_within, format!("a number from {from} to {to}"))
+        FieldType::Number(min, max) => {
+            let is_within = value.as_f64().is_some_and(|n| (*min..=*max).contains(&n));
+            ensure(is_within, format!("a number from {min} to {max}"))
         }
         FieldType::Boolean => ensure(value.is_boolean(), "true or false".into()),
         FieldType::OneOf(words) => {
@@ -143,7 +148,7 @@
         }
         FieldType::Digest => ensure(
             value.as_str().is_some_and(|d| d.parse::<Digest>().is_ok_and(|read| read.to_string() == d)),
-            "32 hex digits, in small letters".into(),
+            "32 hex digits in lower case".into(),
         ),
         FieldType::Name => {
             let is_name = value.as_str().is_some_and(|n| !n.trim().is_empty() && n.len() <= 200);
@@ -156,35 +161,36 @@
             let are_small = numbers.iter().all(|n| *n < 1 << 20);
             ensure(
                 !numbers.is_empty() && are_distinct && are_small,
-                "a list of whole numbers, one at least, each once".into(),
+                "a non-empty list of distinct whole numbers".into(),
             )
         }
         FieldType::Object(known) => match value.as_object() {
-            Some(object) => fields(path, object, known),
+            Some(object) => check_fields(path, object, known),
             None => ensure(false, "an object".into()),
         },
-        FieldType::NamedObjects(known) => named_objects(path, value, known),
+        FieldType::NamedObjects(known) => check_named_objects(path, value, known),
     }
 }
 
-fn named_objects(path: &str, value: &Value, known: &[(&str, FieldType)]) -> Result<(), FieldError> {
+fn check_named_objects(path: &str, value: &Value, known: &[(&str, FieldType)]) -> Result<(), FieldError> {
     let Some(list) = value.as_array() else { return Err(FieldError::at(path, "a list of objects")) };
     let mut seen = BTreeSet::new();
-    for (i, one) in list.iter().enumerate() {
+    for (i, element) in list.iter().enumerate() {
         let path = format!("{path}[{i}]");
-        let object = one.as_object().ok_or_else(|| FieldError::at(&path, "an object"))?;
-        fields(&path, object, known)?;
-        let name = one["name"].as_str().ok_or_else(|| FieldError::at(join_path(&path, "name"), "a name"))?;
+        let object = element.as_object().ok_or_else(|| FieldError::at(&path, "an object"))?;
+        check_fields(&path, object, known)?;
+        let name =
+            element["name"].as_str().ok_or_else(|| FieldError::at(join_path(&path, "name"), "a name"))?;
         if !seen.insert(name) {
             return Err(FieldError::at(
                 join_path(&path, "name"),
-                format!("each name once, not {name:?} again"),
+                format!("unique names; {name:?} occurs twice"),
             ));
         }
-        let duration = |name: &str| one[name].as_u64();
-        if let (Some(promise), Some(deadline)) = (duration("promise_ns"), duration("deadline_ns")) {
-            if promise > deadline {
-                return Err(FieldError::at(join_path(&path, "promise_ns"), "deadline_ns at most"));
+        let duration = |name: &str| element[name].as_u64();
+        if let (Some(promise_ns), Some(deadline_ns)) = (duration("promise_ns"), duration("deadline_ns")) {
+            if promise_ns > deadline_ns {
+                return Err(FieldError::at(join_path(&path, "promise_ns"), "at most deadline_ns"));
             }
         }
     }
--- a/crates/core/config-version/src/digest.rs
+++ b/crates/core/config-version/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest that names a content.
+//! The content digest that identifies a config version or a program.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -6,15 +6,15 @@
 use std::hash::Hasher;
 use std::str::FromStr;
 
-/// A digest of 128 bits, written as 32 hex digits. It distinguishes contents made in good faith; it does not protect against somebody
-/// who searches for a collision.
+/// A 128-bit content digest, written as 32 hex digits. It is not cryptographic: it tells different contents apart, but does not protect
+/// against somebody who constructs a collision.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest(u128);
 
-/// The text is not a digest.
+/// The text is not a digest; contains its first 64 characters.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no digest: expected 32 hex digits")]
+#[error("invalid digest {0:?}: expected 32 hex digits")]
 pub struct ParseDigestError(String);
 
 impl Digest {
@@ -25,12 +25,12 @@
         Digest(hasher.finish128().as_u128())
     }
 
-    /// A digest that was computed elsewhere.
+    /// A digest from its bytes, in big-endian order.
     pub fn from_bytes(bytes: [u8; 16]) -> Self {
         Digest(u128::from_be_bytes(bytes))
     }
 
-    /// The first digits, for operators.
+    /// The first eight digits, for display to operators.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
--- a/crates/core/config-version/src/lib.rs
+++ b/crates/core/config-version/src/lib.rs
@@ -1,14 +1,14 @@
-//! Config versions: settings that are rolled out over a fleet. No I/O.
+//! Config versions: settings that are rolled out over a fleet. The crate does no I/O.
 //!
-//! A [`ConfigVersion`] is a validated document, named by the digest of its content, that a proxy applies over the settings of its own
-//! file. A [`ConfigAssignment`] gives one proxy the version that it is to apply.
+//! A [`ConfigVersion`] is a validated document that a proxy applies over the settings of its own file. It is identified by the digest of
+//! its content. A [`ConfigAssignment`] tells one proxy which version to apply.
 //!
-//! A version may also name the program to run, by the digest of its file; that is for the supervisor, and not among the settings that a
-//! proxy applies.
+//! A version may also name the program to run, by the digest of the program's file. The supervisor reads that field; it is not among the
+//! settings that a proxy applies.
 //!
-//! Otherwise a version contains only what can be changed at one moment while requests are open (`docs/design-rollout.md`): the terms of
-//! request classes, tenants and their shares, advised waits, attempts, prices. Which classes, data centres and machine kinds there are,
-//! and the identity of a proxy, stay as in its file.
+//! All other fields can be changed at once while requests are in progress (`docs/design-rollout.md`): the terms of request classes,
+//! tenants and their shares, the retry delay advised to clients, the number of attempts, and cost deductions. Which classes, data centres
+//! and machine kinds exist, and the identity of a proxy, are set in the proxy's own file alone.
 #![forbid(unsafe_code)]
 
 mod assignment;
@@ -22,7 +22,7 @@
 use serde_json::{Map, Value};
 
 /// Maximum length of a document, in bytes of JSON.
-pub const MOST: usize = 48 << 10;
+pub const MAX_DOCUMENT_BYTES: usize = 48 << 10;
 
 /// The field that names a program.
 const PROGRAM: &str = "program";
@@ -35,7 +35,7 @@
 }
 
 impl ConfigVersion {
-    /// The empty version: each proxy applies its own file.
+    /// The empty version, with which each proxy applies its own file unchanged.
     pub fn base() -> Self {
         Self::of(Map::new())
     }
@@ -51,15 +51,15 @@
     /// The path of the first invalid field, and what was expected there.
     pub fn read(document: &Value) -> Result<Self, FieldError> {
         let length = document.to_string().len();
-        if length > MOST {
-            return Err(FieldError::at("", format!("{MOST} bytes at most, not {length}")));
+        if length > MAX_DOCUMENT_BYTES {
+            return Err(FieldError::at("", format!("{MAX_DOCUMENT_BYTES} bytes at most, not {length}")));
         }
         let object = document.as_object().ok_or_else(|| FieldError::at("", "an object of settings"))?;
         check::check(object)?;
         Ok(Self::of(object.clone()))
     }
 
-    /// The digest of its content: the same for the same settings, in whatever order they are written.
+    /// The digest of the content. It does not depend on the order of fields.
     pub fn digest(&self) -> Digest {
         self.digest
     }
@@ -69,7 +69,7 @@
         Value::Object(self.document.clone())
     }
 
-    /// The program to run; `None`: the one in each supervisor's own settings.
+    /// The program to run; `None` for the one in each supervisor's own settings.
     pub fn program(&self) -> Option<Digest> {
         self.document.get(PROGRAM)?.as_str()?.parse().ok()
     }
@@ -81,10 +81,11 @@
         Self::of(document)
     }
 
-    /// A proxy's own settings with this version applied: classes by name, field by field; tenants whole; everything else by name.
+    /// Applies this version over a proxy's own settings. Classes are matched by name and merged field by field, objects are merged field by
+    /// field, and every other value, among them the list of tenants, is replaced.
     ///
     /// # Errors
-    /// The path of what this proxy cannot apply: a class that it does not have.
+    /// The path of the name of a class that this proxy does not have.
     pub fn over(&self, own: &Value) -> Result<Value, FieldError> {
         let mut result = own.clone();
         for (name, value) in &self.document {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Applies objects field by field, and any other value whole.
+/// Merges objects field by field and replaces any other value.
 fn apply(own: &mut Value, value: &Value) {
     match (own, value) {
         (Value::Object(own), Value::Object(value)) => {
@@ -116,7 +117,7 @@
             let path = format!("categories[{i}].name");
             FieldError::at(
                 path,
-                format!("a class that this proxy has, not {name}; classes come with a restart alone"),
+                format!("a class that this proxy has, not {name}; classes can be added only with a restart"),
             )
         })?;
         apply(found, class);
@@ -124,7 +125,7 @@
     Ok(())
 }
 
-/// A canonical text of the content, independent of the order of fields.
+/// The content as canonical JSON text, with the fields of objects in the order of their names.
 fn canonical(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
@@ -137,6 +138,6 @@
             format!("{{{}}}", fields.join(","))
         }
         Value::Array(list) => format!("[{}]", list.iter().map(canonical).collect::<Vec<_>>().join(",")),
-        plain => plain.to_string(),
+        scalar => scalar.to_string(),
     }
 }
--- a/crates/core/config-version/tests/config_version.rs
+++ b/crates/core/config-version/tests/config_version.rs
@@ -1,10 +1,10 @@
-//! Validation of config versions, their digests, and the result of applying them over a proxy's own settings.
+//! Validation of config versions, their digests, and how they are applied over a proxy's own settings.
 
 use rushquay_config_version::{AssignmentError, ConfigAssignment, ConfigVersion};
 use serde_json::{json, Value};
 
-fn read_error(document: Value) -> (String, String) {
-    let error = ConfigVersion::read(&document).expect_err("refused");
+fn validation_error(document: Value) -> (String, String) {
+    let error = ConfigVersion::read(&document).expect_err("rejected");
     (error.path, error.expected)
 }
 
@@ -16,7 +16,8 @@
     let other: Value =
         serde_json::from_str(r#"{"caps":{"second_copies":false,"attempts_cap":2},"over_share_worth":0.5}"#)
             .expect("JSON");
-    let (one, other) = (ConfigVersion::read(&one).expect("good"), ConfigVersion::read(&other).expect("good"));
+    let (one, other) =
+        (ConfigVersion::read(&one).expect("valid"), ConfigVersion::read(&other).expect("valid"));
     assert_eq!(one.digest(), other.digest());
     assert_ne!(one.digest(), ConfigVersion::base().digest());
     assert_eq!(one.digest().to_string().parse(), Ok(one.digest()));
@@ -46,11 +47,11 @@
         (json!({"categories": [{"name": "r", "stream": true}]}), "categories[0].stream"),
     ];
     for (document, path) in cases {
-        let (at, expected) = read_error(document.clone());
+        let (at, expected) = validation_error(document.clone());
         assert_eq!(at, path, "{document}: {expected}");
     }
     let long = json!({"customers": (0..2000).map(|n| json!({"name": format!("tenant-number-{n}")})).collect::<Vec<_>>()});
-    assert!(read_error(long).1.contains("bytes at most"));
+    assert!(validation_error(long).1.contains("bytes at most"));
 }
 
 #[test]
@@ -61,36 +62,36 @@
     });
     let version = json!({"categories": [{"name": "set", "deadline_ns": 8}], "customers": [{"name": "c", "quota_rps": 4}],
                       "caps": {"attempts_cap": 2}});
-    let over = ConfigVersion::read(&version).expect("good").over(&own).expect("obeyed");
+    let applied = ConfigVersion::read(&version).expect("valid").over(&own).expect("applicable");
     assert_eq!(
-        over,
+        applied,
         json!({
             "zone": 3, "categories": [{"name": "read", "deadline_ns": 9, "effect": "safe"}, {"name": "set", "deadline_ns": 8}],
             "customers": [{"name": "c", "quota_rps": 4}], "caps": {"attempts_cap": 2, "cancelling": true},
         })
     );
     assert_eq!(ConfigVersion::base().over(&own), Ok(own.clone()));
-    let unknown = ConfigVersion::read(&json!({"categories": [{"name": "sett"}]})).expect("good by itself");
-    assert_eq!(unknown.over(&own).expect_err("refused").path, "categories[0].name");
+    let unknown = ConfigVersion::read(&json!({"categories": [{"name": "sett"}]})).expect("valid by itself");
+    assert_eq!(unknown.over(&own).expect_err("rejected").path, "categories[0].name");
 }
 
 #[test]
 fn an_assignment_is_decoded_whole_or_rejected() {
-    let generation = ConfigVersion::read(&json!({"over_share_worth": 0.25})).expect("good");
+    let generation = ConfigVersion::read(&json!({"over_share_worth": 0.25})).expect("valid");
     let sent = ConfigAssignment { change: 7, generation };
     assert_eq!(ConfigAssignment::read(&sent.text()), Ok(sent.clone()));
     // A later program may add fields.
-    let more = sent.text().replacen('{', "{\"by\":\"later\",", 1);
-    assert_eq!(ConfigAssignment::read(&more), Ok(sent.clone()));
+    let with_added_field = sent.text().replacen('{', "{\"by\":\"later\",", 1);
+    assert_eq!(ConfigAssignment::read(&with_added_field), Ok(sent.clone()));
     assert!(matches!(
         ConfigAssignment::read(&sent.text().replace("0.25", "0.5")),
-        Err(AssignmentError::Spoilt { .. })
+        Err(AssignmentError::DigestMismatch { .. })
     ));
     assert_eq!(
         ConfigAssignment::read(&sent.text().replace("\"form\":1", "\"form\":2")),
-        Err(AssignmentError::Form(2))
+        Err(AssignmentError::UnsupportedFormat(2))
     );
     assert!(matches!(ConfigAssignment::read("{\"form\":1}"), Err(AssignmentError::Malformed(_))));
-    let field = sent.text().replace("over_share_worth", "zone");
-    assert!(matches!(ConfigAssignment::read(&field), Err(AssignmentError::Field(_))));
+    let unknown_setting = sent.text().replace("over_share_worth", "zone");
+    assert!(matches!(ConfigAssignment::read(&unknown_setting), Err(AssignmentError::Field(_))));
 }
