--- a/crates/core/control-state/src/config.rs
+++ b/crates/core/control-state/src/config.rs
@@ -13,21 +13,21 @@
     pub expected: String,
 }
 
-/// The settings of the control state; those of sockets are in other tables of the same file.
+/// The `control` table of the settings file. Sockets are configured in other tables.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlConfig {
     /// Name of the cluster of cache nodes.
     pub cluster: String,
-    /// Name of the origin's cluster.
+    /// Name of the cluster of the origin.
     pub origin_cluster: String,
-    /// The machine kind of the origin in the endpoint list.
+    /// Machine kind of the origin's endpoints in the endpoint list.
     pub origin_kind: String,
-    /// For how long, in seconds, a drain is kept against a list that is older than it, 1 to 604800.
+    /// How long a drain is kept although an older endpoint list contradicts it, in seconds, 1 to 604800.
     pub hold_s: u64,
-    /// Maximum number of removals remembered for subscribers that are behind, 16 to 1000000.
+    /// Maximum number of removed endpoints that are remembered for subscribers that are behind, 16 to 1000000.
     pub removals: usize,
-    /// Factors on the weights of machine kinds, above 0 and at most 100.
+    /// Factor on the weight of each endpoint of a machine kind, above 0 and at most 100.
     pub weights: BTreeMap<String, f64>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl ControlConfig {
-    /// Validates what the types do not.
+    /// Validates the constraints that the types do not express.
     ///
     /// # Errors
     /// The first invalid field.
@@ -59,7 +59,7 @@
         ensure(
             self.cluster != self.origin_cluster,
             "control.origin_cluster",
-            "another name than control.cluster",
+            "a name other than control.cluster",
         )?;
         ensure((1..=604_800).contains(&self.hold_s), "control.hold_s", "seconds from 1 to 604800")?;
         ensure((16..=1_000_000).contains(&self.removals), "control.removals", "a number from 16 to 1000000")?;
--- a/crates/core/control-state/src/lib.rs
+++ b/crates/core/control-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! The state that the control service declares: which endpoint list it follows, the endpoints of each cluster, their weights, and what
-//! changes. No I/O; the time is passed in.
+//! The state that the control service declares to proxies: the endpoints of each cluster with their weights and overrides, derived from
+//! the endpoint list that the control service follows. The crate does no I/O; callers pass in the time.
 #![forbid(unsafe_code)]
 
 mod config;
--- a/crates/core/control-state/src/state.rs
+++ b/crates/core/control-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The declared state: from the endpoint list and the overrides to clusters of endpoints.
+//! Computes the declared state, clusters of endpoints, from the endpoint list and the overrides.
 
 use crate::ControlConfig;
 use rushquay_endpoints::{
@@ -11,18 +11,18 @@
 /// The source of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Discovery: its versions mean the same to all its followers.
+    /// Discovery, whose versions mean the same to all instances that follow it.
     Discovery,
-    /// A file, whose versions are meaningful only here.
+    /// A file, whose versions are meaningful only to this instance.
     File,
 }
 
-/// The changes that have to be declared.
+/// The changes of the declared state that have to be published.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointChange {
     /// New or changed endpoints, by cluster: cache nodes, origin.
     pub changed: [Vec<SourcedEndpoint>; 2],
-    /// Removed endpoints in their last state, by cluster.
+    /// Removed endpoints in their last state, by cluster as in `changed`.
     pub gone: [Vec<SourcedEndpoint>; 2],
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// The outcome of an endpoint list.
+/// The outcome of processing an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListOutcome {
-    /// The first list: everything has to be declared, and can be served from now on.
+    /// The first list: all endpoints have to be published, and can be served from now on.
     First,
     /// The changes, if any.
     Changed(EndpointChange),
-    /// A full list without endpoints, where there were some. It is ignored.
+    /// A full list without live endpoints, although endpoints were declared. It is ignored.
     EmptyRefused,
 }
 
@@ -51,29 +51,33 @@
     pub cluster: String,
     /// The endpoint, with the declared weight.
     pub stated: SourcedEndpoint,
-    /// When its state or start time last changed, by the caller's clock.
+    /// When its state or process start time last changed, by the caller's clock.
     pub since: Nanos,
 }
 
-/// The state of the control service.
+/// The endpoints that the control service declares, and what they are derived from.
 pub struct ControlState {
     config: ControlConfig,
     origin: Origin,
     merger: EndpointMerger,
+    /// The declared endpoints by cluster (cache nodes, origin) and endpoint ID.
     clusters: [BTreeMap<String, SourcedEndpoint>; 2],
-    since: BTreeMap<String, Nanos>,
+    /// When the state or process start time of each endpoint last changed, by endpoint ID.
+    changed_at: BTreeMap<String, Nanos>,
+    /// Version of the last list processed.
     version: Option<u64>,
     overrides: Vec<Override>,
     /// Unix time of the last call of [`ControlState::impose`].
     unix_now: Nanos,
+    /// The outage after which an endpoint returns with a cold cache.
     cold_after: Nanos,
 }
 
-/// How long an endpoint is declared with an override that has ended, so that proxies that connect later know of its cold cache as well.
+/// How long an endpoint is still declared with an override that has ended, so that proxies that connect later learn of its cold cache.
 const ENDED_OVERRIDE_RETENTION: Nanos = 600 * SECOND;
 
 impl ControlState {
-    /// A state without a list; it declares nothing until the first list arrives.
+    /// A state without an endpoint list. It declares nothing until the first list arrives.
     pub fn new(config: ControlConfig, origin: Origin) -> Self {
         let hold = config.hold_s.saturating_mul(1_000_000_000);
         let merger = EndpointMerger::new(MergeLimits { hold, remembered: config.removals });
@@ -82,7 +86,7 @@
             origin,
             merger,
             clusters: Default::default(),
-            since: BTreeMap::new(),
+            changed_at: BTreeMap::new(),
             version: None,
             overrides: Vec::new(),
             unix_now: 0,
@@ -105,7 +109,7 @@
         [&self.clusters[0], &self.clusters[1]]
     }
 
-    /// The names of the clusters in the same order.
+    /// The names of the clusters: cache nodes, origin.
     pub fn names(&self) -> [&str; 2] {
         [&self.config.cluster, &self.config.origin_cluster]
     }
@@ -113,7 +117,7 @@
     /// All endpoints for the admin page.
     pub fn nodes(&self) -> Vec<NodeView> {
         let view = |(cluster, nodes): (&str, &BTreeMap<String, SourcedEndpoint>)| {
-            let since = |s: &SourcedEndpoint| self.since.get(&s.member.id).copied().unwrap_or(0);
+            let since = |s: &SourcedEndpoint| self.changed_at.get(&s.member.id).copied().unwrap_or(0);
             let view = |s: &SourcedEndpoint| NodeView {
                 cluster: cluster.into(),
                 stated: s.clone(),
@@ -128,14 +132,14 @@
     pub fn list(&mut self, list: &EndpointList, now: Nanos) -> ListOutcome {
         let is_live = |m: &&Endpoint| m.state != EndpointState::Gone;
         let endpoints_before = self.clusters.iter().map(BTreeMap::len).sum::<usize>();
-        // Danger: a discovery that has just started may respond before it knows any endpoints, and would remove every endpoint from
-        // every proxy at once.
+        // Danger: a discovery process that has just started may respond before it knows any endpoints. Its list would remove every
+        // endpoint from every proxy at once.
         if list.full && endpoints_before > 0 && list.servers.iter().filter(is_live).count() == 0 {
             return ListOutcome::EmptyRefused;
         }
         let is_first = self.version.is_none();
         if is_first && !list.full {
-            // An incremental list means nothing without a full one before.
+            // An incremental list cannot be interpreted without an earlier full one.
             return ListOutcome::Changed(EndpointChange::default());
         }
         let changes = self.merger.list(Source::Discovery, list, MergeTime::without_overrides(now));
@@ -147,28 +151,32 @@
         }
     }
 
-    /// Applies all overrides live at this Unix time. `cold_after`: the outage after which an endpoint returns with a cold cache.
+    /// Replaces the overrides by those that are live at this Unix time. `cold_after` is the outage after which an endpoint returns with a
+    /// cold cache.
     pub fn impose(&mut self, overrides: Vec<Override>, unix_now: Nanos, cold_after: Nanos) -> EndpointChange {
         (self.overrides, self.unix_now, self.cold_after) = (overrides, unix_now, cold_after);
         let mut change = EndpointChange::default();
         for cluster in 0..self.clusters.len() {
             let updated: Vec<SourcedEndpoint> = self.clusters[cluster]
                 .values()
-                .map(|s| SourcedEndpoint { imposed: self.imposed(&s.member, Some(&s.imposed)), ..s.clone() })
+                .map(|s| SourcedEndpoint {
+                    imposed: self.effect_on(&s.member, Some(&s.imposed)),
+                    ..s.clone()
+                })
                 .collect();
-            for stated in updated {
-                let id = stated.member.id.clone();
-                if self.clusters[cluster].get(&id) != Some(&stated) {
-                    self.clusters[cluster].insert(id, stated.clone());
-                    change.changed[cluster].push(stated);
+            for endpoint in updated {
+                let id = endpoint.member.id.clone();
+                if self.clusters[cluster].get(&id) != Some(&endpoint) {
+                    self.clusters[cluster].insert(id, endpoint.clone());
+                    change.changed[cluster].push(endpoint);
                 }
             }
         }
         change
     }
 
-    /// The combined effect of the overrides on an endpoint; `before` is the effect so far.
-    fn imposed(&self, member: &Endpoint, before: Option<&Imposed>) -> Imposed {
+    /// The combined effect of the overrides on an endpoint; `before` is the effect declared so far.
+    fn effect_on(&self, member: &Endpoint, before: Option<&Imposed>) -> Imposed {
         let node = Node { id: &member.id, kind: &member.kind, zone: &member.zone };
         let (mut imposed, _) = effective_overrides(self.overrides.iter(), &node, self.unix_now);
         if imposed.out == (0, 0) {
@@ -188,7 +196,7 @@
         imposed
     }
 
-    /// The cache nodes for the capacity guard of overrides.
+    /// The cache nodes with their capacities, for the check that overrides leave enough capacity.
     pub fn fleet(&self) -> Vec<FleetCapacity> {
         let capacity = |s: &SourcedEndpoint| FleetCapacity {
             id: s.member.id.clone(),
@@ -200,8 +208,8 @@
         self.clusters[0].values().map(capacity).collect()
     }
 
-    /// Restores the state stored before a restart. Danger: if it were declared anew by the newest list, every entry would count as
-    /// changed and be sent to every subscriber again; and a drain that discovery has forgotten as well would end.
+    /// Restores the state stored before a restart. Danger: if the state were rebuilt from the newest list instead, every entry would count
+    /// as changed and be sent to every subscriber again, and a drain that discovery has forgotten would end.
     pub fn restore(&mut self, version: u64, nodes: Vec<SourcedEndpoint>, now: Nanos) {
         let listed: BTreeMap<String, (u64, bool)> =
             nodes.iter().map(|s| (s.member.id.clone(), (s.listed, s.shared))).collect();
@@ -209,32 +217,33 @@
             self.merger.restore(Source::Discovery, version, nodes, MergeTime::without_overrides(now));
         self.version = Some(version);
         self.apply(changes, version, now);
-        for stated in self.clusters.iter_mut().flat_map(BTreeMap::values_mut) {
-            if let Some((listed, shared)) = listed.get(&stated.member.id) {
-                (stated.listed, stated.shared) = (*listed, *shared);
+        for endpoint in self.clusters.iter_mut().flat_map(BTreeMap::values_mut) {
+            if let Some((listed, shared)) = listed.get(&endpoint.member.id) {
+                (endpoint.listed, endpoint.shared) = (*listed, *shared);
             }
         }
     }
 
-    /// The endpoints as a restart needs them: with the weights of the endpoint list.
+    /// The endpoints to store for a restart, with the weights of the endpoint list instead of the declared ones.
     pub fn kept(&self) -> Vec<SourcedEndpoint> {
-        let stated = |member: &Endpoint| {
+        let with_listed_weight = |member: &Endpoint| {
             let cluster = usize::from(member.kind == self.config.origin_kind);
-            let now = self.clusters[cluster].get(&member.id)?;
-            Some(SourcedEndpoint { member: member.clone(), ..now.clone() })
+            let declared = self.clusters[cluster].get(&member.id)?;
+            Some(SourcedEndpoint { member: member.clone(), ..declared.clone() })
         };
-        let mut all: Vec<SourcedEndpoint> = self.merger.nodes().filter_map(|v| stated(v.member)).collect();
-        all.sort_by(|a, b| a.member.id.cmp(&b.member.id));
-        all
+        let mut endpoints: Vec<SourcedEndpoint> =
+            self.merger.nodes().filter_map(|v| with_listed_weight(v.member)).collect();
+        endpoints.sort_by(|a, b| a.member.id.cmp(&b.member.id));
+        endpoints
     }
 
-    /// The current list, for another instance that continues from it; `None`: there is none.
+    /// The current endpoint list, for another instance to continue from; `None` before the first list.
     pub fn followed(&self) -> Option<EndpointList> {
         let servers = self.kept().into_iter().map(|s| s.member).collect();
         Some(EndpointList { version: self.version?, full: true, servers })
     }
 
-    /// Releases what has been held for long enough.
+    /// Applies the changes that were held back and whose hold time (`hold_s`) has passed.
     pub fn tick(&mut self, now: Nanos) -> EndpointChange {
         let changes = self.merger.tick(MergeTime::without_overrides(now));
         let version = self.version.unwrap_or(0);
@@ -247,7 +256,7 @@
             for (nodes, gone_here) in self.clusters.iter_mut().zip(&mut change.gone) {
                 gone_here.extend(nodes.remove(&gone.id));
             }
-            self.since.remove(&gone.id);
+            self.changed_at.remove(&gone.id);
         }
         for member in changes.upserts {
             self.upsert(member, version, now, &mut change);
@@ -257,28 +266,28 @@
 
     fn upsert(&mut self, member: Endpoint, version: u64, now: Nanos, change: &mut EndpointChange) {
         let factor = self.config.weights.get(&member.kind).copied().unwrap_or(1.0);
-        // Danger: a weight that is not a number, or zero, would corrupt every sum over the cluster.
+        // Danger: a NaN, infinite or zero weight would corrupt every sum over the cluster.
         let weight =
             if member.weight.is_finite() { (member.weight * factor).clamp(1e-6, 1e6) } else { factor };
         let cluster = usize::from(member.kind == self.config.origin_kind);
         let before = self.clusters.iter().find_map(|nodes| nodes.get(&member.id)).map(|s| &s.imposed);
-        let imposed = self.imposed(&member, before);
-        let stated = SourcedEndpoint {
+        let imposed = self.effect_on(&member, before);
+        let declared = SourcedEndpoint {
             member: Endpoint { weight, ..member },
             listed: version,
             shared: self.origin == Origin::Discovery,
             imposed,
         };
-        let id = stated.member.id.clone();
-        let moved = self.clusters[1 - cluster].remove(&id);
-        change.gone[1 - cluster].extend(moved);
-        let state = |s: &SourcedEndpoint| (s.member.state, s.member.started);
-        let before = self.clusters[cluster].insert(id.clone(), stated.clone());
-        if before.as_ref().map(state) != Some(state(&stated)) {
-            self.since.insert(id, now);
+        let id = declared.member.id.clone();
+        let moved_from = self.clusters[1 - cluster].remove(&id);
+        change.gone[1 - cluster].extend(moved_from);
+        let state_and_start = |s: &SourcedEndpoint| (s.member.state, s.member.started);
+        let before = self.clusters[cluster].insert(id.clone(), declared.clone());
+        if before.as_ref().map(state_and_start) != Some(state_and_start(&declared)) {
+            self.changed_at.insert(id, now);
         }
-        // An endpoint that moved to another zone is declared there under another name.
-        change.gone[cluster].extend(before.filter(|b| b.member.zone != stated.member.zone));
-        change.changed[cluster].push(stated);
+        // An endpoint that moved to another zone is declared under another resource name, so the former one is removed.
+        change.gone[cluster].extend(before.filter(|b| b.member.zone != declared.member.zone));
+        change.changed[cluster].push(declared);
     }
 }
--- a/crates/core/control-state/tests/control_state.rs
+++ b/crates/core/control-state/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! How the control state follows the endpoint list.
+//! How endpoint lists change the control state, and how the state is restored.
 
 use rushquay_control_state::{ControlConfig, ControlState, EndpointChange, ListOutcome, Origin};
 use rushquay_endpoints::{EndpointList, EndpointState};
@@ -57,9 +57,14 @@
     after.restore(before.version().expect("a version"), before.kept(), 9);
     assert_eq!(after.clusters(), before.clusters());
     assert_eq!(after.kept(), before.kept());
-    // The same list again changes nothing, an older one does not end the drain, a newer one does.
-    let all = |b: &str| {
-        format!("{},{},{}", node("a", "ready", ""), node("b", b, ""), node("c", "ready", r#","weight":2"#))
+    // Repeating the list changes nothing; an older list does not end the drain, a newer one does.
+    let all = |b_state: &str| {
+        format!(
+            "{},{},{}",
+            node("a", "ready", ""),
+            node("b", b_state, ""),
+            node("c", "ready", r#","weight":2"#)
+        )
     };
     assert_eq!(
         after.list(&list(7, true, &all("draining")), 10),
@@ -80,8 +85,8 @@
     assert_eq!(control.clusters()[0]["s"].member.weight, 1.0);
     assert_eq!(control.clusters()[1].keys().collect::<Vec<_>>(), ["o"]);
     // An endpoint whose kind changes leaves its former cluster.
-    let now = slow.replace("slow", "origin");
-    let ListOutcome::Changed(change) = control.list(&list(6, false, &now), 1) else {
+    let changed = slow.replace("slow", "origin");
+    let ListOutcome::Changed(change) = control.list(&list(6, false, &changed), 1) else {
         panic!("not the first")
     };
     assert_eq!((change.gone[0].len(), change.changed[1].len(), control.clusters()[0].len()), (1, 1, 0));
--- a/crates/core/control-state/tests/overrides_on_changing_list.rs
+++ b/crates/core/control-state/tests/overrides_on_changing_list.rs
@@ -1,4 +1,4 @@
-//! Overrides during random changes of the endpoint list, against a plain model of what is declared and what is listed.
+//! Checks overrides during random changes of the endpoint list against a simple model of the live overrides and the declared endpoints.
 
 use proptest::prelude::*;
 use rushquay_control_state::{ControlConfig, ControlState, Origin};
@@ -12,15 +12,15 @@
 enum Step {
     /// An endpoint is added, changes its state or restarts.
     List(usize, bool, u64),
-    /// It is removed.
+    /// An endpoint is removed.
     Gone(usize),
     /// The full list is sent again.
     Full,
-    /// An override for so many seconds on an endpoint, a zone or all; out of service or a factor.
+    /// An override is set on an endpoint, a zone or all: out of service or a weight factor in tenths, for a number of seconds.
     Set(usize, u64, u64),
     /// The oldest live override is lifted.
     Lift,
-    /// So many seconds pass.
+    /// This number of seconds passes.
     Pass(u64),
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The effect on an endpoint by the plainest reading of the table of precedence.
+/// The effect on an endpoint by a direct implementation of the precedence of scopes: out of service, and the weight factor.
 fn expected_effect(live: &[Override], n: usize, now: u64) -> (bool, f64) {
     let rank = |o: &Override| match &o.scope {
         Scope::Node(name) => (*name == id(n)).then_some(3),
@@ -101,7 +101,7 @@
             match step {
                 Step::List(n, ready, start) => {
                     version += 1;
-                    // A process does not become an earlier one.
+                    // The start time of a listed endpoint never decreases.
                     let start = list.get(&n).map_or(start, |(_, s)| start.max(*s));
                     list.insert(n, (ready, start));
                     control.list(&members(version, false, vec![member(n, ready, start)]), now);
@@ -117,9 +117,9 @@
                     let all = list.iter().map(|(n, (ready, start))| member(*n, *ready, *start)).collect();
                     control.list(&members(version, true, all), now);
                 }
-                Step::Set(of, tenths, span) => {
+                Step::Set(scope_index, tenths, span) => {
                     let effect = if tenths == 0 { Effect::Out } else { Effect::Weight(tenths as f64 / 10.0) };
-                    let request = OverrideRequest { scope: scope(of), effect, until: now + span * SECOND, author: "a".into(),
+                    let request = OverrideRequest { scope: scope(scope_index), effect, until: now + span * SECOND, author: "a".into(),
                                     reason: "r".into(), force: true };
                     model.push(overrides.set(request, &control.fleet(), now, None).expect("set"));
                 }
@@ -137,12 +137,12 @@
                 }
             }
             control.impose(overrides.live().cloned().collect(), now, 60 * SECOND);
-            // Listed: exactly the overrides that were set and neither lifted nor expired.
+            // The live overrides are those that were set and neither lifted nor expired.
             prop_assert_eq!(overrides.live().cloned().collect::<Vec<_>>(), model.clone());
-            // Declared: the effect on each endpoint of the list, and on no other.
+            // Each endpoint of the list is declared with the effect of the overrides, and no other endpoint is declared.
             let [declared, _] = control.clusters();
-            let named: Vec<String> = list.keys().map(|n| id(*n)).collect();
-            prop_assert_eq!(declared.keys().cloned().collect::<Vec<_>>(), named);
+            let listed: Vec<String> = list.keys().map(|n| id(*n)).collect();
+            prop_assert_eq!(declared.keys().cloned().collect::<Vec<_>>(), listed);
             for (n, (ready, _)) in &list {
                 let endpoint = &declared[&id(*n)];
                 let (out, factor) = expected_effect(&model, *n, now);
