--- a/crates/core/policy/src/intersection.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -158,11 +158,12 @@
 /// The paths of fields in which `one` is looser than `than`, or incomparable with it.
 pub fn looser_paths(one: &Value, than: &Value) -> Vec<String> {
     let mut looser = Vec::new();
-    collect_looser_paths("", one, than, &mut looser);
+    compare_fields("", one, than, &mut looser);
     looser
 }
 
-fn collect_looser_paths(path: &str, one: &Value, than: &Value, looser: &mut Vec<String>) {
+/// Appends the paths of the fields in which `one` is looser than `than` to `looser`, recursively.
+fn compare_fields(path: &str, one: &Value, than: &Value, looser: &mut Vec<String>) {
     let (Some(a), Some(b)) = (one.as_object(), than.as_object()) else { return };
     let names: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     for name in names {
@@ -173,19 +174,15 @@
                 let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
                 for than in list(than) {
                     match list(one).iter().find(|o| o["name"] == than["name"]) {
-                        Some(one) => collect_looser_paths(&path, one, &than, looser),
+                        Some(one) => compare_fields(&path, one, &than, looser),
                         None => looser.push(format!("{path}[{}]", than["name"])),
                     }
                 }
             }
-            (_, Value::Object(_), Value::Object(_)) => collect_looser_paths(&path, one, than, looser),
+            (_, Value::Object(_), Value::Object(_)) => compare_fields(&path, one, than, looser),
             // An absent object is treated as an object without fields.
-            (_, Value::Object(_), Value::Null) => {
-                collect_looser_paths(&path, one, &Map::new().into(), looser)
-            }
-            (_, Value::Null, Value::Object(_)) => {
-                collect_looser_paths(&path, &Map::new().into(), than, looser)
-            }
+            (_, Value::Object(_), Value::Null) => compare_fields(&path, one, &Map::new().into(), looser),
+            (_, Value::Null, Value::Object(_)) => compare_fields(&path, &Map::new().into(), than, looser),
             (_, one, than) if strictness_of_field(&path).is_at_least_as_strict(one, than) != Some(true) => {
                 looser.push(path);
             }
--- a/crates/core/policy/src/member.rs
+++ b/crates/core/policy/src/member.rs
@@ -37,12 +37,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSnapshot {
     /// The newest revision that it has received.
+    #[serde(rename = "heard")]
     pub heard: Revision,
     /// The revision and policy set that it applies.
+    #[serde(rename = "told")]
     pub told: Option<(Revision, PolicySet)>,
     /// When its lease for that policy set expires.
+    #[serde(rename = "until")]
     pub until: Nanos,
     /// How long it may apply the fallback policy after the lease expires.
+    #[serde(rename = "floor")]
     pub floor: Nanos,
 }
 
--- a/crates/core/policy/src/messages.rs
+++ b/crates/core/policy/src/messages.rs
@@ -8,6 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The process that sends the request.
+    #[serde(rename = "boot")]
     pub boot: Incarnation,
     /// Sequence number; incremented with each request of the process.
     pub seq: u64,
@@ -15,6 +16,7 @@
     pub acting: Revision,
     /// The newest revision that the process has ever received. Absent (0) in requests of programs older than this field.
     #[serde(default)]
+    #[serde(rename = "heard")]
     pub heard: Revision,
     /// The newest revision, if the process cannot apply it, and the reason.
     pub refused: Option<(Revision, String)>,
@@ -24,6 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The process that sent the request.
+    #[serde(rename = "boot")]
     pub boot: Incarnation,
     /// Sequence number of the request that is answered. Danger: the lease counts from when that request was sent, so a grant that
     /// matches no pending request must be ignored.
@@ -31,10 +34,13 @@
     /// Revision of the stored record.
     pub revision: Revision,
     /// The policy set of that revision.
+    #[serde(rename = "told")]
     pub told: PolicySet,
     /// Duration of the lease, by the member's clock, counted from when the request was sent.
+    #[serde(rename = "span")]
     pub span: Nanos,
     /// How long the member may apply the fallback policy after the lease expires.
+    #[serde(rename = "floor")]
     pub floor: Nanos,
 }
 
--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -109,6 +109,7 @@
     /// The number that the next proposed policy will get.
     pub next: PolicyNumber,
     /// The policy in force; while a change is pending, the old one.
+    #[serde(rename = "holds")]
     pub holds: PolicyNumber,
     /// The phase: whether a change is pending, and which.
     pub phase: Phase,
--- a/crates/core/policy/tests/state_exploration.rs
+++ b/crates/core/policy/tests/state_exploration.rs
@@ -64,7 +64,8 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Leader {
     epoch: u64,
-    lease: u64,
+    /// When this leader believes that its leader lease expires.
+    lease_expires_at: u64,
     paused: bool,
     coordinator: Coordinator,
 }
@@ -73,13 +74,15 @@
 struct World {
     now: u64,
     store: PolicyRecord,
+    /// The epoch of the newest leader.
     epoch: u64,
-    /// When the leader's lease expires.
-    lease: u64,
+    /// When the leader lease in the store expires.
+    lease_expires_at: u64,
     leaders: [Option<Leader>; 2],
     members: [Member; 3],
     /// A process that has handed over to its successor and still serves.
     incumbent: Option<Member>,
+    /// Number of processes started so far; the last one has this incarnation.
     incarnations: u64,
     /// A write in flight by a leader that has crashed since, with its epoch.
     pending_write: Option<(u64, PolicyRecord)>,
@@ -109,8 +112,8 @@
     Duplicate(usize, usize),
     /// A leader checks whether the change ends; if the flag is set, it crashes with its write in flight.
     Decide(usize, bool),
-    /// The write in flight arrives.
-    Arrive,
+    /// The write in flight reaches the store.
+    CompleteWrite,
     Propose(usize),
     Withdraw(usize),
     Crash(usize),
@@ -136,8 +139,11 @@
         now: 0,
         store: record,
         epoch: 1,
-        lease: LEADER_LEASE_TICKS,
-        leaders: [Some(Leader { epoch: 1, lease: LEADER_LEASE_TICKS, paused: false, coordinator }), None],
+        lease_expires_at: LEADER_LEASE_TICKS,
+        leaders: [
+            Some(Leader { epoch: 1, lease_expires_at: LEADER_LEASE_TICKS, paused: false, coordinator }),
+            None,
+        ],
         members: [member(1, 0), member(2, 0), member(3, 0)],
         incumbent: None,
         incarnations: 3,
@@ -154,12 +160,15 @@
 }
 
 impl World {
+    /// Whether a leader acts as such: it is not paused and believes that it holds the leader lease.
     fn leads(&self, l: usize, removed: Removed) -> bool {
-        let leads =
-            |leader: &Leader| !leader.paused && (self.now < leader.lease || removed == Removed::LeaderLease);
+        let leads = |leader: &Leader| {
+            !leader.paused && (self.now < leader.lease_expires_at || removed == Removed::LeaderLease)
+        };
         self.leaders[l].as_ref().is_some_and(leads)
     }
 
+    /// The steps that are possible in this state.
     fn steps(&self, removed: Removed) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.now < LAST_TICK {
@@ -167,7 +176,7 @@
         }
         for l in 0..2 {
             let Some(leader) = &self.leaders[l] else {
-                if self.now >= self.lease {
+                if self.now >= self.lease_expires_at {
                     steps.push(Step::TakeOver(l));
                 }
                 continue;
@@ -207,7 +216,7 @@
             }
         }
         if self.pending_write.is_some() {
-            steps.push(Step::Arrive);
+            steps.push(Step::CompleteWrite);
         }
         if self.faults < MAX_FAULTS {
             steps.push(Step::Restart(1));
@@ -286,9 +295,9 @@
                 let (now, epoch) = (self.now, self.epoch);
                 for leader in self.leaders.iter_mut().flatten() {
                     // A leader renews its lease in time, unless it is paused or another leader has taken over.
-                    if !leader.paused && leader.epoch == epoch && now <= leader.lease {
-                        leader.lease = now + LEADER_LEASE_TICKS;
-                        self.lease = now + LEADER_LEASE_TICKS;
+                    if !leader.paused && leader.epoch == epoch && now <= leader.lease_expires_at {
+                        leader.lease_expires_at = now + LEADER_LEASE_TICKS;
+                        self.lease_expires_at = now + LEADER_LEASE_TICKS;
                     }
                 }
             }
@@ -348,7 +357,7 @@
                     self.persist(l, record, crashes, removed);
                 }
             }
-            Step::Arrive => {
+            Step::CompleteWrite => {
                 if let Some((epoch, record)) = self.pending_write.take() {
                     self.store(epoch, record, removed);
                 }
@@ -376,7 +385,7 @@
             Step::Resume(l) => {
                 if let Some(leader) = &mut self.leaders[l] {
                     leader.paused = false;
-                    if now >= leader.lease
+                    if now >= leader.lease_expires_at
                         && removed != Removed::LeaderLease
                         && removed != Removed::StoreFencing
                     {
@@ -386,11 +395,11 @@
             }
             Step::TakeOver(l) => {
                 self.epoch += 1;
-                self.lease = now + LEADER_LEASE_TICKS;
+                self.lease_expires_at = now + LEADER_LEASE_TICKS;
                 let coordinator = Coordinator::lead(terms(), self.store.clone(), now);
                 self.leaders[l] = Some(Leader {
                     epoch: self.epoch,
-                    lease: now + LEADER_LEASE_TICKS,
+                    lease_expires_at: now + LEADER_LEASE_TICKS,
                     paused: false,
                     coordinator,
                 });
@@ -453,7 +462,8 @@
     fn terminates(&self) -> Result<(), String> {
         let mut world = self.clone();
         world.leaders.iter_mut().for_each(|l| {
-            if l.as_ref().is_some_and(|l| l.paused || l.epoch != self.epoch || self.now >= l.lease) {
+            if l.as_ref().is_some_and(|l| l.paused || l.epoch != self.epoch || self.now >= l.lease_expires_at)
+            {
                 *l = None;
             }
         });
@@ -462,16 +472,16 @@
             world.now += 1;
             let now = world.now;
             if world.leaders.iter().all(Option::is_none) {
-                if now < world.lease {
+                if now < world.lease_expires_at {
                     continue;
                 }
                 world.apply(Step::TakeOver(0), Removed::Nothing);
             }
             let l = world.leaders.iter().position(Option::is_some).expect("a leader");
             for leader in world.leaders.iter_mut().flatten() {
-                leader.lease = now + LEADER_LEASE_TICKS;
+                leader.lease_expires_at = now + LEADER_LEASE_TICKS;
             }
-            world.lease = now + LEADER_LEASE_TICKS;
+            world.lease_expires_at = now + LEADER_LEASE_TICKS;
             for m in 0..3 {
                 world.in_flight.clear();
                 world.apply(Step::Exchange(m, l), Removed::Nothing);
