--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! The proxies that report to a control service, with the status of each.
+//! Tracks the proxies that report to a control service.
 //!
-//! Each process is a member with a name, and an incarnation that distinguishes it from earlier processes of that name. [`Membership`]
-//! takes the reports and the ends of their streams, and derives the status of each member from these and the time. No I/O; the time is
-//! passed in.
+//! Each proxy is a member, identified by its name. Its incarnation distinguishes the present process from earlier ones of that name.
+//! [`Membership`] processes the members' reports and the ends of the streams on which they arrive, and derives the status of each member
+//! from these and the time. The crate does no I/O and reads no clock: the time is passed in.
 #![forbid(unsafe_code)]
 
 mod membership;
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The members and their status.
+//! The members, and how their status follows from reports, streams and time.
 
 use crate::{Nanos, ProxyStats, RejectedConfig, Report, SECOND};
 use rushquay_config_version::Digest;
@@ -11,20 +11,20 @@
 pub enum MemberStatus {
     /// Its last report is recent.
     Serving,
-    /// It is known from stored records, and this control service has not received a report of it yet.
+    /// It is known from stored records only; this control service has not received a report from it yet.
     Unheard,
-    /// Its stream has ended or it reported that it shuts down, and the time for its next process to start is not over.
+    /// Its stream has ended or it reported that it is shutting down, and [`MembershipTimeouts::restart`] has not passed since.
     Restarting,
-    /// Its reports are missing, and its stream has not ended: a failed machine or link does not end a stream.
+    /// Its reports have stopped but its stream has not ended, as when a machine or a link fails.
     CutOff,
-    /// Its stream has ended and no process has followed.
+    /// Its stream has ended, and no new process has reported in time.
     Down,
-    /// It has been gone for so long that it is no longer expected.
+    /// It has not reported for [`MembershipTimeouts::retire`] and is not expected to return.
     Retired,
 }
 
 impl MemberStatus {
-    /// All statuses.
+    /// All values, in the order of declaration.
     pub const ALL: [MemberStatus; 6] = [
         MemberStatus::Serving,
         MemberStatus::Unheard,
@@ -34,7 +34,7 @@
         MemberStatus::Retired,
     ];
 
-    /// Its name in documents and metrics.
+    /// The status as written in JSON documents and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberStatus::Serving => "serving",
@@ -47,14 +47,14 @@
     }
 }
 
-/// The timeouts that determine the status.
+/// The timeouts that determine a member's status, and the bound on the number of members.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipTimeouts {
-    /// A member whose last report is younger than this is serving.
+    /// Maximum age of the last report of a member that counts as serving.
     pub late: Nanos,
-    /// The next process is expected within this time.
+    /// Time after the end of a process within which the next one is expected.
     pub restart: Nanos,
-    /// A member that has been gone for this time is retired.
+    /// Time without a report after which a member is retired.
     pub retire: Nanos,
     /// Maximum number of members.
     pub most: usize,
@@ -76,35 +76,35 @@
 pub struct PreviousIncarnation {
     /// Its incarnation.
     pub boot: u64,
-    /// Its program version.
+    /// The version of its program.
     pub version: String,
     /// The config version that it applied.
     pub acting: Digest,
 }
 
-/// The stored record of a member: all that a standby needs to know it.
+/// The stored record of a member, from which a standby restores it when it takes over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Its name.
     pub name: String,
-    /// The incarnation of its process.
+    /// The incarnation of its present process.
     pub boot: u64,
     /// Its data centre.
     pub zone: String,
-    /// The program's version.
+    /// The version of its program.
     pub version: String,
-    /// The digest of the program file, where a supervisor runs it.
+    /// The digest of the program file if a supervisor runs the process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<Digest>,
     /// The config version that it applies.
     pub acting: Digest,
-    /// The rollout of its last assignment.
+    /// The number of the rollout that made its last config assignment; 0: none.
     pub change: u64,
-    /// The config version that it cannot apply.
+    /// The config version that it was last assigned and cannot apply.
     pub refused: Option<RejectedConfig>,
-    /// How often a process of this name was followed by another.
+    /// How often a new process has replaced the previous one of this name.
     pub restarts: u64,
-    /// Its previous process.
+    /// Its previous process; `None`: no restart was seen.
     pub before: Option<PreviousIncarnation>,
 }
 
@@ -113,128 +113,129 @@
 pub struct Member {
     /// Its stored record.
     pub told: MemberRecord,
-    /// Its statistics since the start of the process.
+    /// The statistics of its present process since that started.
     pub figures: ProxyStats,
-    /// When this control service received its last report; `None`: not yet.
+    /// When this control service received its last report; `None`: it has received none yet.
     pub heard: Option<Nanos>,
-    seq: u64,
-    /// When this control service learned of it.
+    /// Sequence number of its last report.
+    last_seq: u64,
+    /// When this control service learned of it, from a report or a stored record.
     known_since: Nanos,
-    /// Since when its reports have arrived without a gap.
-    since: Nanos,
-    /// When its stream ended, or it reported that it shuts down.
+    /// See [`Member::since`].
+    uninterrupted_since: Nanos,
+    /// When its stream ended, or it reported that it is shutting down.
     ended_at: Option<Nanos>,
-    /// The stream of its last report.
-    stream: u64,
-    /// Reports of an earlier incarnation while this one is silent.
-    rival: Rival,
+    /// The number of the stream of its last report.
+    last_stream: u64,
+    /// Reports from a lower incarnation while the present one is silent.
+    lower_incarnation: LowerIncarnation,
 }
 
-/// Reports of a process with an earlier incarnation while the present one is silent.
+/// Reports from a process with a lower incarnation while the present one is silent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rival {
+struct LowerIncarnation {
     boot: u64,
-    /// Its last sequence number.
-    seq: u64,
-    /// How many of its reports had increasing sequence numbers.
+    /// Sequence number of its last counted report.
+    last_seq: u64,
+    /// Number of its reports so far, counting only those with increasing sequence numbers.
     reports: u32,
 }
 
-/// The outcome of a report.
+/// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// The member was not known.
     New,
-    /// Another process of a known member.
+    /// A new process of a known member.
     Restarted,
     /// Its stored record has changed.
     Changed,
     /// Its stored record is unchanged.
     Same,
-    /// The report is late, duplicated, or of an earlier process: it is ignored.
+    /// The report was late, a duplicate, or from an earlier process, and was ignored.
     Stale,
-    /// The maximum number of members is reached.
+    /// The member is unknown, and the maximum number of members is reached.
     Full,
 }
 
-/// Number of increasing reports after which a process with a lower incarnation is accepted while the present one is silent: after its
-/// clock was set back, a new process gets a lower incarnation than the old one.
-const REPORTS_TO_ACCEPT: u32 = 3;
+/// Number of reports with increasing sequence numbers after which a process with a lower incarnation replaces a silent one. A new process
+/// gets a lower incarnation than the old one if the machine's clock was set back.
+const MIN_REPORTS_TO_REPLACE: u32 = 3;
 
 /// All members, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     timeouts: MembershipTimeouts,
-    instances: BTreeMap<String, Member>,
+    members: BTreeMap<String, Member>,
 }
 
 impl Membership {
-    /// A membership without members.
+    /// An empty membership.
     pub fn new(timeouts: MembershipTimeouts) -> Self {
-        Membership { timeouts, instances: BTreeMap::new() }
+        Membership { timeouts, members: BTreeMap::new() }
     }
 
-    /// Restores stored records; no report has been received yet.
+    /// Restores members from stored records. Each is [`MemberStatus::Unheard`] until its first report.
     pub fn restore(
         timeouts: MembershipTimeouts,
         records: impl IntoIterator<Item = MemberRecord>,
         now: Nanos,
     ) -> Self {
-        let instance = |record: MemberRecord| (record.name.clone(), Member::known(record, now));
-        Membership { timeouts, instances: records.into_iter().map(instance).collect() }
+        let named_member = |record: MemberRecord| (record.name.clone(), Member::from_record(record, now));
+        Membership { timeouts, members: records.into_iter().map(named_member).collect() }
     }
 
     /// The members, by name.
     pub fn instances(&self) -> impl Iterator<Item = &Member> {
-        self.instances.values()
+        self.members.values()
     }
 
-    /// A member, if it is known.
+    /// The member of this name, if it is known.
     pub fn get(&self, name: &str) -> Option<&Member> {
-        self.instances.get(name)
+        self.members.get(name)
     }
 
     /// The number of members.
     pub fn len(&self) -> usize {
-        self.instances.len()
+        self.members.len()
     }
 
     /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
-        self.instances.is_empty()
+        self.members.is_empty()
     }
 
     /// Processes a report that arrived on a stream. Streams are numbered in the order in which they were opened.
     pub fn hear(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> ReportOutcome {
-        let Some(known) = self.instances.get_mut(name) else {
-            if !self.has_room(now) {
+        let Some(member) = self.members.get_mut(name) else {
+            if !self.has_capacity(now) {
                 return ReportOutcome::Full;
             }
-            let mut instance = Member::known(report.record(name, None), now);
-            instance.accept(report, stream, now, self.timeouts.late);
-            self.instances.insert(name.to_owned(), instance);
+            let mut member = Member::from_record(report.record(name, None), now);
+            member.accept(report, stream, now, self.timeouts.late);
+            self.members.insert(name.to_owned(), member);
             return ReportOutcome::New;
         };
         let late = self.timeouts.late;
-        if report.boot != known.told.boot {
-            if report.boot < known.told.boot && !known.yields_to(&report, now, late) {
+        if report.boot != member.told.boot {
+            if report.boot < member.told.boot && !member.is_replaced_by(&report, now, late) {
                 return ReportOutcome::Stale;
             }
-            known.told = report.record(name, Some(&known.told));
-            known.accept(report, stream, now, 0);
+            member.told = report.record(name, Some(&member.told));
+            member.accept(report, stream, now, 0);
             return ReportOutcome::Restarted;
         }
-        if known.heard.is_some() && report.seq <= known.seq {
+        if member.heard.is_some() && report.seq <= member.last_seq {
             return ReportOutcome::Stale;
         }
         let record = MemberRecord {
-            restarts: known.told.restarts,
-            before: known.told.before.clone(),
+            restarts: member.told.restarts,
+            before: member.told.before.clone(),
             ..report.record(name, None)
         };
-        let has_changed = record != known.told;
-        known.told = record;
-        known.accept(report, stream, now, late);
+        let has_changed = record != member.told;
+        member.told = record;
+        member.accept(report, stream, now, late);
         if has_changed {
             ReportOutcome::Changed
         } else {
@@ -242,25 +243,26 @@
         }
     }
 
-    /// Notes that a stream of a member has ended. The end of a stream other than its last is ignored.
+    /// Records that a stream of a member has ended. Only the end of the stream that carried its last report counts.
     pub fn ended(&mut self, name: &str, stream: u64, now: Nanos) {
-        if let Some(known) = self.instances.get_mut(name).filter(|i| i.stream == stream && i.heard.is_some())
+        if let Some(member) =
+            self.members.get_mut(name).filter(|m| m.last_stream == stream && m.heard.is_some())
         {
-            known.ended_at.get_or_insert(now);
+            member.ended_at.get_or_insert(now);
         }
     }
 
-    /// The status of a member.
-    pub fn standing(&self, instance: &Member, now: Nanos) -> MemberStatus {
+    /// The status of a member at `now`.
+    pub fn standing(&self, member: &Member, now: Nanos) -> MemberStatus {
         let since = |then: Nanos| now.saturating_sub(then);
-        let Some(heard) = instance.heard else {
-            return if since(instance.known_since) < self.timeouts.retire {
+        let Some(heard) = member.heard else {
+            return if since(member.known_since) < self.timeouts.retire {
                 MemberStatus::Unheard
             } else {
                 MemberStatus::Retired
             };
         };
-        match instance.ended_at {
+        match member.ended_at {
             _ if since(heard) >= self.timeouts.retire => MemberStatus::Retired,
             Some(ended) if since(ended) < self.timeouts.restart => MemberStatus::Restarting,
             Some(_) => MemberStatus::Down,
@@ -271,71 +273,75 @@
 
     /// Removes retired members; returns their names.
     pub fn forget(&mut self, now: Nanos) -> Vec<String> {
-        let is_retired = |i: &&Member| self.standing(i, now) == MemberStatus::Retired;
-        let names: Vec<String> = self.instances().filter(is_retired).map(|i| i.told.name.clone()).collect();
-        names.iter().for_each(|n| drop(self.instances.remove(n)));
+        let is_retired = |m: &&Member| self.standing(m, now) == MemberStatus::Retired;
+        let names: Vec<String> = self.instances().filter(is_retired).map(|m| m.told.name.clone()).collect();
+        names.iter().for_each(|n| drop(self.members.remove(n)));
         names
     }
 
-    /// Whether one more member can be added. Danger: a proxy with a new name at each start would fill the store.
-    fn has_room(&mut self, now: Nanos) -> bool {
-        if self.instances.len() >= self.timeouts.most {
+    /// Whether another member can be added, after retired ones were removed if necessary. Danger: without the bound, a proxy with a new
+    /// name at each start would fill the store.
+    fn has_capacity(&mut self, now: Nanos) -> bool {
+        if self.members.len() >= self.timeouts.most {
             self.forget(now);
         }
-        self.instances.len() < self.timeouts.most
+        self.members.len() < self.timeouts.most
     }
 }
 
 impl Member {
-    fn known(record: MemberRecord, now: Nanos) -> Self {
-        let (figures, heard, seq, ended_at, stream) = (ProxyStats::default(), None, 0, None, 0);
+    /// A member that has not reported yet.
+    fn from_record(record: MemberRecord, now: Nanos) -> Self {
+        let (figures, heard, last_seq, ended_at, last_stream) = (ProxyStats::default(), None, 0, None, 0);
         Member {
             told: record,
             figures,
             heard,
-            seq,
+            last_seq,
             known_since: now,
-            since: now,
+            uninterrupted_since: now,
             ended_at,
-            stream,
-            rival: Rival::default(),
+            last_stream,
+            lower_incarnation: LowerIncarnation::default(),
         }
     }
 
-    /// Since when its reports have arrived without a gap, from its present process and on its present stream.
+    /// Since when its reports have arrived without a gap, from the same process and on the same stream.
     pub fn since(&self) -> Nanos {
-        self.since
+        self.uninterrupted_since
     }
 
+    /// Takes over the state of an accepted report. `late` is the interval between reports that counts as a gap.
     fn accept(&mut self, report: Report, stream: u64, now: Nanos, late: Nanos) {
         let has_gap = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
-        if has_gap || stream != self.stream {
-            self.since = now;
+        if has_gap || stream != self.last_stream {
+            self.uninterrupted_since = now;
         }
-        self.seq = report.seq;
+        self.last_seq = report.seq;
         self.figures = report.figures;
         self.heard = Some(now);
-        self.stream = stream;
-        self.rival = Rival::default();
+        self.last_stream = stream;
+        self.lower_incarnation = LowerIncarnation::default();
         self.ended_at = if report.leaving { self.ended_at.or(Some(now)) } else { None };
     }
 
-    /// Whether a process with a lower incarnation is accepted as the newer one.
-    fn yields_to(&mut self, report: &Report, now: Nanos, late: Nanos) -> bool {
+    /// Records a report from a process with a lower incarnation; returns whether that process replaces the present one.
+    fn is_replaced_by(&mut self, report: &Report, now: Nanos, late: Nanos) -> bool {
         let is_silent = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
-        let Rival { boot, seq, reports } = self.rival;
-        let has_advanced = boot == report.boot && report.seq > seq;
-        self.rival = match (is_silent, has_advanced) {
-            (false, _) => Rival::default(),
-            (true, true) => Rival { boot, seq: report.seq, reports: reports + 1 },
-            (true, false) if boot == report.boot => self.rival,
-            (true, false) => Rival { boot: report.boot, seq: report.seq, reports: 1 },
+        let LowerIncarnation { boot, last_seq, reports } = self.lower_incarnation;
+        let has_advanced = boot == report.boot && report.seq > last_seq;
+        self.lower_incarnation = match (is_silent, has_advanced) {
+            (false, _) => LowerIncarnation::default(),
+            (true, true) => LowerIncarnation { boot, last_seq: report.seq, reports: reports + 1 },
+            (true, false) if boot == report.boot => self.lower_incarnation,
+            (true, false) => LowerIncarnation { boot: report.boot, last_seq: report.seq, reports: 1 },
         };
-        self.rival.reports >= REPORTS_TO_ACCEPT
+        self.lower_incarnation.reports >= MIN_REPORTS_TO_REPLACE
     }
 }
 
 impl Report {
+    /// The record to store for this report, whose process replaces the one in `before`.
     fn record(&self, name: &str, before: Option<&MemberRecord>) -> MemberRecord {
         MemberRecord {
             name: name.to_owned(),
--- a/crates/core/membership/src/stats.rs
+++ b/crates/core/membership/src/stats.rs
@@ -1,62 +1,62 @@
-//! The statistics of a proxy: cumulative since its start, so that a report that is lost, late or duplicated changes no total.
+//! The statistics of a proxy. They are cumulative since its start, so a lost, late or duplicate report does not falsify the totals.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Buckets of a histogram of response times: four per doubling, from half a millisecond to about half a minute.
+/// Number of buckets of a histogram of response times: four per doubling, from 0.5 ms to about 28 s.
 pub const BUCKETS: usize = 64;
 /// The upper edge of the first bucket, in nanoseconds.
 const FIRST_BUCKET_EDGE_NS: f64 = 500_000.0;
 
-/// The bucket of a time.
+/// The index of the bucket that counts a response time.
 pub fn bucket(time: Nanos) -> usize {
     let steps = ((time as f64).max(1.0) / FIRST_BUCKET_EDGE_NS).log2() * 4.0;
     (steps.ceil().max(0.0) as usize).min(BUCKETS - 1)
 }
 
-/// The upper edge of a bucket.
+/// The upper edge of the bucket with this index; times up to and including it belong to the bucket.
 pub fn upper(bucket: usize) -> Nanos {
     (FIRST_BUCKET_EDGE_NS * (bucket as f64 / 4.0).exp2()) as Nanos
 }
 
-/// Requests of one class by outcome, since the start of the process.
+/// Numbers of completed requests of one class by outcome, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClassStats {
     /// Served within the latency objective.
     pub served: u64,
-    /// Served later than that.
+    /// Served, but not within the latency objective.
     pub late: u64,
     /// Rejected.
     pub refused: u64,
     /// Failed, or past their deadline.
     pub failed: u64,
-    /// Histogram of the response times of served requests, by [`bucket`]; missing buckets at the end are 0.
+    /// Histogram of the response times of served requests, indexed by [`bucket`]; trailing zeros may be omitted.
     pub times: Vec<u64>,
 }
 
 impl ClassStats {
-    /// All completed requests.
+    /// The number of completed requests.
     pub fn all(&self) -> u64 {
         self.served.saturating_add(self.late).saturating_add(self.refused).saturating_add(self.failed)
     }
 
-    /// Counts the response time of a served request.
+    /// Adds the response time of a served request to the histogram.
     pub fn took(&mut self, time: Nanos) {
-        let at = bucket(time);
-        if self.times.len() <= at {
-            self.times.resize(at + 1, 0);
+        let index = bucket(time);
+        if self.times.len() <= index {
+            self.times.resize(index + 1, 0);
         }
-        self.times[at] += 1;
+        self.times[index] += 1;
     }
 
-    /// How many served requests took longer than the upper edge of this bucket.
-    pub fn slower(&self, than: usize) -> u64 {
-        self.times.iter().skip(than + 1).sum()
+    /// The number of served requests that took longer than the upper edge of the bucket with this index.
+    pub fn slower(&self, bucket_index: usize) -> u64 {
+        self.times.iter().skip(bucket_index + 1).sum()
     }
 
-    /// The difference to an earlier state of the same process.
+    /// The difference from an earlier state of the same process.
     pub fn since(&self, before: &Self) -> Self {
         let difference = |a: u64, b: u64| a.saturating_sub(b);
         let times = self.times.iter().enumerate();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds the statistics of another.
+    /// Adds the statistics of another process.
     pub fn add(&mut self, other: &Self) {
         self.served += other.served;
         self.late += other.late;
@@ -82,27 +82,27 @@
     }
 }
 
-/// The statistics of one process since its start, and the resources it uses now.
+/// The statistics of one process since its start, and the resources that it uses at present.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ProxyStats {
     /// Requests by class.
     pub classes: BTreeMap<String, ClassStats>,
-    /// Attempts written completely to cache nodes.
+    /// Number of attempts written completely to cache nodes.
     pub attempts: u64,
-    /// Resident memory, in bytes; 0: not known.
+    /// Resident memory, in bytes; 0: unknown.
     pub memory: u64,
-    /// Open file descriptors; 0: not known.
+    /// Number of open file descriptors; 0: unknown.
     pub descriptors: u64,
-    /// Checks of the process's own clock, and how many of them came late because the process was paused. Response times are measured from
-    /// when a request is read: a process that is paused between reads makes clients wait and measures nothing of that.
+    /// Number of periodic checks of the process's own clock. Together with `late_beats` they reveal pauses of the process, which response
+    /// times do not: these are measured from when a request is read, so a pause between reads delays clients but is not measured.
     pub beats: u64,
-    /// See [`ProxyStats::beats`].
+    /// Number of those checks that were late because the process was paused.
     pub late_beats: u64,
 }
 
 impl ProxyStats {
-    /// The difference to an earlier state of the same process; memory and descriptors as they are now.
+    /// The difference from an earlier state of the same process; memory and descriptors keep their present values.
     pub fn since(&self, before: &Self) -> Self {
         let none = ClassStats::default();
         let class = |(name, now): (&String, &ClassStats)| {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Adds the statistics of another; memory and descriptors are summed.
+    /// Adds the statistics of another process; memory and descriptors are summed too.
     pub fn add(&mut self, other: &Self) {
         for (name, class) in &other.classes {
             self.classes.entry(name.clone()).or_default().add(class);
@@ -129,7 +129,7 @@
         self.late_beats += other.late_beats;
     }
 
-    /// All completed requests.
+    /// The number of completed requests of all classes.
     pub fn all(&self) -> u64 {
         self.classes.values().map(ClassStats::all).sum()
     }
--- a/crates/core/membership/tests/membership.rs
+++ b/crates/core/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How members are identified, and how their status follows from reports, streams and time.
+//! How members are identified, how their status follows from reports, streams and time, and the limits on reports.
 
 use proptest::prelude::*;
 use rushquay_config_version::{Digest, FORM};
@@ -23,31 +23,31 @@
     }
 }
 
-fn standing(membership: &Membership, now: u64) -> MemberStatus {
-    membership.standing(membership.get("p").expect("known"), now * SECOND)
+fn status_at(membership: &Membership, now_s: u64) -> MemberStatus {
+    membership.standing(membership.get("p").expect("known"), now_s * SECOND)
 }
 
 #[test]
 fn restarting_down_cut_off_and_retired_are_distinguished() {
     let mut membership = Membership::new(MembershipTimeouts::default());
     assert_eq!(membership.hear("p", report(100, 1), 1, 0), ReportOutcome::New);
-    assert_eq!(standing(&membership, 1), MemberStatus::Serving);
-    // Silent, with its stream open: a failed link or machine.
-    assert_eq!(standing(&membership, 9), MemberStatus::CutOff);
+    assert_eq!(status_at(&membership, 1), MemberStatus::Serving);
+    // No reports while its stream is open: the link or the machine has failed.
+    assert_eq!(status_at(&membership, 9), MemberStatus::CutOff);
     assert_eq!(membership.hear("p", report(100, 2), 1, 10 * SECOND), ReportOutcome::Same);
-    assert_eq!(standing(&membership, 10), MemberStatus::Serving);
-    // Its stream ends: the next process has some time to start.
+    assert_eq!(status_at(&membership, 10), MemberStatus::Serving);
+    // Its stream ends: the next process is expected within the restart timeout.
     membership.ended("p", 1, 11 * SECOND);
-    assert_eq!(standing(&membership, 12), MemberStatus::Restarting);
-    assert_eq!(standing(&membership, 27), MemberStatus::Down);
+    assert_eq!(status_at(&membership, 12), MemberStatus::Restarting);
+    assert_eq!(status_at(&membership, 27), MemberStatus::Down);
     assert_eq!(membership.hear("p", report(200, 1), 2, 28 * SECOND), ReportOutcome::Restarted);
-    let known = membership.get("p").expect("known");
-    assert_eq!((known.told.restarts, known.told.before.as_ref().map(|b| b.boot)), (1, Some(100)));
-    assert_eq!(standing(&membership, 28), MemberStatus::Serving);
-    // The end of the previous stream arrives late.
+    let member = membership.get("p").expect("known");
+    assert_eq!((member.told.restarts, member.told.before.as_ref().map(|b| b.boot)), (1, Some(100)));
+    assert_eq!(status_at(&membership, 28), MemberStatus::Serving);
+    // The end of the previous process's stream is noticed late.
     membership.ended("p", 1, 29 * SECOND);
-    assert_eq!(standing(&membership, 29), MemberStatus::Serving);
-    assert_eq!(standing(&membership, 28 + 24 * 3600), MemberStatus::Retired);
+    assert_eq!(status_at(&membership, 29), MemberStatus::Serving);
+    assert_eq!(status_at(&membership, 28 + 24 * 3600), MemberStatus::Retired);
     assert_eq!(membership.forget((28 + 24 * 3600) * SECOND), ["p"]);
 }
 
@@ -56,8 +56,8 @@
     let mut membership = Membership::new(MembershipTimeouts::default());
     membership.hear("p", report(100, 1), 1, 0);
     membership.hear("p", Report { leaving: true, ..report(100, 2) }, 1, SECOND);
-    assert_eq!(standing(&membership, 2), MemberStatus::Restarting);
-    assert_eq!(standing(&membership, 17), MemberStatus::Down);
+    assert_eq!(status_at(&membership, 2), MemberStatus::Restarting);
+    assert_eq!(status_at(&membership, 17), MemberStatus::Down);
 }
 
 #[test]
@@ -76,24 +76,24 @@
     );
 }
 
-/// A machine whose clock was set back starts a process with a lower incarnation. It is accepted once the other is silent and its own
-/// reports continue; a replay of one old report never is.
+/// A process started after the machine's clock was set back has a lower incarnation than its predecessor. It is accepted once the
+/// predecessor is silent and its own reports advance; a replay of a single old report is never accepted.
 #[test]
-fn a_process_after_a_clock_set_back_is_accepted_in_the_end() {
+fn a_process_started_after_the_clock_was_set_back_is_eventually_accepted() {
     let mut membership = Membership::new(MembershipTimeouts::default());
     membership.hear("p", report(1000, 1), 1, 0);
     for seq in 1..4 {
         assert_eq!(
             membership.hear("p", report(500, seq), 2, seq * SECOND),
             ReportOutcome::Stale,
-            "the other has reported recently"
+            "its predecessor has reported recently"
         );
     }
     for _ in 0..9 {
         assert_eq!(
             membership.hear("p", report(400, 7), 2, 6 * SECOND),
             ReportOutcome::Stale,
-            "a replay of one report"
+            "a replayed report"
         );
     }
     assert_eq!(membership.hear("p", report(500, 5), 2, 7 * SECOND), ReportOutcome::Stale);
@@ -112,37 +112,40 @@
         serde_json::from_str::<Vec<_>>(&text).expect("read"),
         0,
     );
-    assert_eq!(standing(&membership, 100), MemberStatus::Unheard);
-    // Its sequence continues from wherever it is.
+    assert_eq!(status_at(&membership, 100), MemberStatus::Unheard);
+    // The first report is accepted with any sequence number.
     assert_eq!(membership.hear("p", report(100, 3), 1, 100 * SECOND), ReportOutcome::Same);
-    assert_eq!(standing(&membership, 100), MemberStatus::Serving);
+    assert_eq!(status_at(&membership, 100), MemberStatus::Serving);
 }
 
 #[test]
-fn the_number_of_members_is_bounded() {
+fn the_number_of_members_is_limited() {
     let mut membership = Membership::new(MembershipTimeouts { most: 3, ..MembershipTimeouts::default() });
     for n in 0..3 {
         assert_eq!(membership.hear(&format!("p{n}"), report(1, 1), 1, 0), ReportOutcome::New);
     }
     assert_eq!(membership.hear("p9", report(1, 1), 1, SECOND), ReportOutcome::Full);
-    // Retired members make room.
+    // Retired members are removed to admit new ones.
     let later = 25 * 3600 * SECOND;
     assert_eq!(membership.hear("p9", report(1, 1), 1, later), ReportOutcome::New);
     assert_eq!(membership.len(), 1);
 }
 
 #[test]
-fn another_format_or_excessive_size_is_rejected_and_unknown_fields_are_ignored() {
+fn other_format_versions_and_excessive_sizes_are_rejected_and_unknown_fields_are_ignored() {
     let text = report(1, 1).text();
     assert_eq!(Report::read(&text), Ok(report(1, 1)));
     assert_eq!(Report::read(&text.replacen('{', "{\"mood\":\"fine\",", 1)), Ok(report(1, 1)));
-    assert_eq!(Report::read(&text.replace("\"form\":1", "\"form\":9")), Err(ReportError::Form(9)));
-    assert!(matches!(Report::read(&text.replace("rajkot", &"x".repeat(300))), Err(ReportError::Large(_))));
-    assert!(matches!(Report::read(&"x".repeat(1 << 20)), Err(ReportError::Large(_))));
+    assert_eq!(
+        Report::read(&text.replace("\"form\":1", "\"form\":9")),
+        Err(ReportError::UnsupportedFormat(9))
+    );
+    assert!(matches!(Report::read(&text.replace("rajkot", &"x".repeat(300))), Err(ReportError::TooLarge(_))));
+    assert!(matches!(Report::read(&"x".repeat(1 << 20)), Err(ReportError::TooLarge(_))));
 }
 
 #[test]
-fn times_fall_into_the_bucket_whose_edge_they_do_not_exceed() {
+fn a_time_belongs_to_the_first_bucket_whose_upper_edge_it_does_not_exceed() {
     for n in 0..BUCKETS - 1 {
         assert_eq!(bucket(upper(n)), n, "{n}");
         assert_eq!(bucket(upper(n) + upper(n) / 100 + 1), n + 1, "{n}");
@@ -151,18 +154,18 @@
 }
 
 proptest! {
-    /// Whatever the order, duplication and delay of the reports of three incarnations: what counts is a report that was sent, the counters
-    /// of an incarnation never go back, and with a monotonic clock neither does the incarnation.
+    /// However the reports of three incarnations are reordered, duplicated and delayed: the state of the member is that of a report that
+    /// was sent, the counters of an incarnation never decrease, and the incarnation decreases only by an accepted restart.
     #[test]
-    fn no_order_of_reports_moves_a_member_back(sent in proptest::collection::vec((1u64..4, 1u64..20, 0u64..3), 1..80)) {
+    fn reordered_reports_never_move_a_member_back(sent in proptest::collection::vec((1u64..4, 1u64..20, 0u64..3), 1..80)) {
         let mut membership = Membership::new(MembershipTimeouts::default());
         let (mut now, mut last) = (0, (0, 0));
         for (boot, seq, wait) in sent {
             now += wait * SECOND;
             let before = last;
             let outcome = membership.hear("p", report(boot, seq), 1, now);
-            let known = membership.get("p").expect("known");
-            last = (known.told.boot, known.figures.attempts);
+            let member = membership.get("p").expect("known");
+            last = (member.told.boot, member.figures.attempts);
             match outcome {
                 ReportOutcome::Stale => prop_assert_eq!(last, before),
                 _ => prop_assert_eq!(last, (boot, seq)),
