--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decisions about message heads and bodies that are transferred slowly.
+//! Tracks the transfer of message heads and bodies.
 //!
-//! [`Pace`] tells when a peer makes too little progress; [`Replay`] tells whether a body that was forwarded can be sent again.
+//! [`Pace`] detects a peer that makes too little progress; [`Replay`] decides whether a request body can be sent to another
+//! endpoint after a part of it was forwarded.
 //! The crate does no I/O and reads no clock: time is passed in.
 #![forbid(unsafe_code)]
 
--- a/crates/core/stream-progress/src/pace.rs
+++ b/crates/core/stream-progress/src/pace.rs
@@ -1,19 +1,19 @@
-//! Tells a slow peer from a stalled one by its progress.
+//! Distinguishes slow peers from stalled ones by their progress.
 
 use crate::{Nanos, SECOND};
 
-/// Limits on how slow a peer may be.
+/// The minimum progress required of a peer.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
-    /// Longest time without a byte.
+    /// Maximum time without any bytes.
     pub silent: Nanos,
-    /// Grace period after the beginning, in which the mean rate is not required: a slow start costs nothing.
+    /// Grace period at the beginning of a message, which does not count towards the mean rate.
     pub start: Nanos,
-    /// Minimum mean rate, in bytes per second; 0 means no minimum.
+    /// Minimum mean rate, in bytes per second; 0: no minimum.
     pub rate: u64,
 }
 
-/// The progress of one message in one direction.
+/// The progress of one message, received or sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     began_at: Nanos,
@@ -33,22 +33,22 @@
         self.bytes = self.bytes.saturating_add(bytes as u64);
     }
 
-    /// Number of bytes so far.
+    /// The number of bytes transferred so far.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Time at which the peer counts as stalled unless further bytes are transferred.
+    /// The time at which the peer counts as stalled unless further bytes are transferred.
     pub fn due(&self, patience: &Patience) -> Nanos {
-        let silent_until = self.last_progress_at.saturating_add(patience.silent);
-        let Some(earned_time) = self.bytes.saturating_mul(SECOND).checked_div(patience.rate) else {
-            return silent_until;
+        let silence_limit = self.last_progress_at.saturating_add(patience.silent);
+        let Some(time_at_min_rate) = self.bytes.saturating_mul(SECOND).checked_div(patience.rate) else {
+            return silence_limit;
         };
-        silent_until.min(self.began_at.saturating_add(patience.start).saturating_add(earned_time))
+        silence_limit.min(self.began_at.saturating_add(patience.start).saturating_add(time_at_min_rate))
     }
 
-    /// Whether the peer is silent for too long, or slower than any healthy peer. Danger: without the minimum rate, a peer that
-    /// sends a byte now and then would hold its slot forever.
+    /// Whether the peer has been silent for too long, or its mean rate is below the minimum. Danger: without a minimum rate, a
+    /// peer that sends single bytes from time to time would occupy its slot forever.
     pub fn stopped(&self, now: Nanos, patience: &Patience) -> bool {
         now >= self.due(patience)
     }
--- a/crates/core/stream-progress/tests/transfer.rs
+++ b/crates/core/stream-progress/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Slow and stalled peers, and bodies that can and cannot be replayed.
+//! Slow and stalled peers, and whether a body can be sent again.
 
 use proptest::prelude::*;
 use rushquay_stream_progress::{Pace, Patience, Replay, SECOND};
@@ -14,7 +14,7 @@
         assert!(!pace.stopped(second * SECOND + SECOND, &BODY_LIMITS), "second {second}");
     }
     assert!(pace.stopped(202 * SECOND, &BODY_LIMITS), "silent for three seconds");
-    // One byte per second is enough in the grace period, and too little after it.
+    // One byte per second is enough during the grace period and too little afterwards.
     let mut trickling = Pace::new(0);
     let stalled_at = (1..100).find(|second| {
         trickling.moved(second * SECOND, 1);
@@ -39,7 +39,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Danger: a timer that is set too late, or never, keeps a dead peer; one that is set too early cuts off a live one.
+    /// Danger: a timer set too late keeps the connection of a dead peer; one set too early cuts off a live peer.
     #[test]
     fn a_peer_is_stalled_from_its_due_time_on_and_not_before(
         transfers in prop::collection::vec((0u64..2 * SECOND, 0usize..100_000), 0..30),
