--- a/crates/core/invariants/src/close.rs
+++ b/crates/core/invariants/src/close.rs
@@ -7,7 +7,7 @@
     pub enum CloseCause {
         /// The client closed or reset it.
         PeerEnded = "peer_ended",
-        /// The last response announced it: the client requested that, or its request was malformed.
+        /// The last response announced the close, as the client had requested it or its request was malformed.
         AnswerSaidSo = "answer_said_so",
         /// It exceeded the idle timeout.
         Idle = "idle",
@@ -19,29 +19,29 @@
         NoRequest = "no_request",
         /// The client does not read its response.
         NotRead = "not_read",
-        /// The source of the response failed in the middle of the body.
+        /// The source of the response failed in the middle of its body.
         BrokenAnswer = "broken_answer",
         /// The process exits.
         ProcessEnd = "process_end",
     }
 }
 
-/// What is known about a connection that is to be closed.
+/// The facts about a connection that is about to be closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionFacts {
     /// A request that was read has no response yet.
     pub answering: bool,
-    /// Pipelined bytes were read after that request: whole requests or a part of one.
+    /// Bytes were read after that request: pipelined requests, complete or in part.
     pub read_behind: bool,
     /// Only a part of a request head was read.
     pub head_begun: bool,
-    /// A part of a response is not written yet, as the client has not read what precedes it.
+    /// Part of a response could not be written yet, as the client has not read what precedes it.
     pub unwritten: bool,
-    /// The client has gone.
+    /// The client has closed or reset the connection.
     pub peer_gone: bool,
 }
 
-/// What the proxy still owes the client and must deliver before it closes the connection.
+/// What the proxy must still deliver to the client, or wait for, before it closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owed {
     /// A response to a request that was read.
@@ -55,12 +55,12 @@
 /// Decides whether a connection may be closed for `cause`; called before every close.
 ///
 /// # Errors
-/// Returns what is still owed to the client.
+/// The connection must not be closed yet; the error says what has to precede the close.
 pub fn may_close(facts: &ConnectionFacts, cause: CloseCause) -> Result<(), Owed> {
     if facts.peer_gone {
         return Ok(());
     }
-    // A client that does not read its response cannot prevent the close: everything queued behind it waits for that read.
+    // A client that does not read its response cannot prevent the close: nothing after that response can be delivered to it.
     if cause == CloseCause::NotRead {
         return Ok(());
     }
@@ -70,22 +70,22 @@
     if facts.unwritten {
         return Err(Owed::RestOfAnswer);
     }
-    // A partial head is bounded by a timeout of its own, and is given up where its slot is needed.
-    let head_may_finish =
+    // A partial head has a timeout of its own, and does not prevent the close if the slot is needed or the process exits.
+    let may_finish_head =
         !matches!(cause, CloseCause::NoRequest | CloseCause::MadeRoom | CloseCause::ProcessEnd);
-    if facts.head_begun && head_may_finish {
+    if facts.head_begun && may_finish_head {
         return Err(Owed::RestOfHead);
     }
     Ok(())
 }
 
-/// Checks a connection that has just been closed by this side.
+/// Checks the close of a connection that this process has just closed.
 pub fn check_closed(facts: &ConnectionFacts, cause: CloseCause) -> Option<Violation> {
-    let client_caused_it = matches!(cause, CloseCause::PeerEnded | CloseCause::NotRead);
-    // After a response that announces the close nothing more is read, and bytes after a request with unusable framing are not
-    // a request.
-    let rest_is_unusable = cause == CloseCause::AnswerSaidSo;
-    if facts.peer_gone || client_caused_it || !facts.answering && (rest_is_unusable || !facts.read_behind) {
+    let is_caused_by_client = matches!(cause, CloseCause::PeerEnded | CloseCause::NotRead);
+    // After a response that announces the close, further requests are not read; and after a request with invalid framing, the
+    // bytes that follow cannot be parsed as requests.
+    let is_rest_ignored = cause == CloseCause::AnswerSaidSo;
+    if facts.peer_gone || is_caused_by_client || !facts.answering && (is_rest_ignored || !facts.read_behind) {
         return None;
     }
     Some(match cause {
--- a/crates/core/invariants/src/label.rs
+++ b/crates/core/invariants/src/label.rs
@@ -1,18 +1,18 @@
-//! Enumerations whose values are metric labels.
+//! Enumerations whose values are used as metric labels.
 
-/// A value by which metrics are broken down.
+/// A value of a metric label.
 pub trait Label: Copy + 'static {
     /// All values, in the order in which they are rendered.
     const ALL: &'static [Self];
 
-    /// The label's text in metrics and logs.
+    /// The label value in metrics and logs.
     fn name(self) -> &'static str;
 
-    /// Position in [`Label::ALL`].
+    /// The position in [`Label::ALL`].
     fn index(self) -> usize;
 }
 
-/// Declares a field-less enumeration whose values are metric labels.
+/// Declares a field-less enumeration that implements [`Label`], with the label value of each variant.
 #[macro_export]
 macro_rules! labels {
     (
--- a/crates/core/invariants/src/lib.rs
+++ b/crates/core/invariants/src/lib.rs
@@ -1,8 +1,8 @@
-//! Invariants that the proxy upholds whenever it sends, retries, closes a connection or reports that it serves.
+//! Invariants that the proxy upholds whenever it sends or retries an attempt, closes a connection or reports that it serves.
 //!
-//! Each rule is decided in one place: callers pass the facts known at that moment to a `may_*` function. The `check_*`
-//! functions apply the same rules, with the slack that they allow, to what was actually done; a breach is a [`Violation`],
-//! which is counted at run time.
+//! Before an action, the caller passes the facts known at that moment to a `may_*` function, which decides whether the action
+//! is permitted. After the action, a `check_*` function applies the same rules, with some slack, to what was actually done; a
+//! breach is a [`Violation`], which is counted in metrics.
 //!
 //! The crate does no I/O and reads no clock: times are nanoseconds of any monotonic clock that the caller uses.
 #![forbid(unsafe_code)]
--- a/crates/core/invariants/src/send.rs
+++ b/crates/core/invariants/src/send.rs
@@ -1,30 +1,30 @@
-//! Decides whether the first byte of an attempt, initial or retried, may be written now.
+//! Decides whether an attempt, initial or retried, may be written to an endpoint now.
 
 use crate::{labels, Nanos, Violation, MILLISECOND};
 
-/// State of the request that an attempt is made for.
+/// State of the request for which an attempt is made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestState {
-    /// The final response is still due.
+    /// The final response has not been given yet.
     #[default]
     Open,
     /// The final response was given at this time.
     Answered(Nanos),
-    /// The client closed the connection or cancelled, noticed at this time.
+    /// The client closed the connection or cancelled the request, which was noticed at this time.
     Abandoned(Nanos),
 }
 
-/// State of the endpoint that an attempt goes to, by the latest endpoint list.
+/// State of the endpoint to which an attempt is sent, by the latest endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeStanding {
-    /// Accepts new work.
+    /// It accepts new requests.
     #[default]
     Ready,
-    /// Draining, removed, or no longer the incarnation that was chosen.
+    /// It is draining, was removed, or has restarted since it was chosen.
     Left,
 }
 
-/// What is known when the first byte is about to be written.
+/// The facts when the first byte of an attempt is about to be written.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendFacts {
     /// The current time.
@@ -33,9 +33,9 @@
     pub request: RequestState,
     /// State of the endpoint.
     pub node: NodeStanding,
-    /// When the client stops waiting.
+    /// The client's deadline for the response.
     pub deadline: Nanos,
-    /// Time before which a retry has to begin, so that endpoints still remember the attempts before it and can deduplicate;
+    /// Time before which a retry has to begin, so that the endpoints still remember the earlier attempts and deduplicate it;
     /// `None`: the attempt is not a retry, or does not rely on deduplication.
     pub repeat_by: Option<Nanos>,
 }
@@ -43,7 +43,7 @@
 labels! {
     /// Why an attempt must not be written.
     pub enum SendDenied {
-        /// The request has had its final response.
+        /// The request already has its final response.
         Answered = "answered",
         /// The client is gone.
         Abandoned = "abandoned",
@@ -51,7 +51,7 @@
         NodeLeft = "node_left",
         /// The client's deadline has passed.
         Late = "late",
-        /// The endpoints may no longer remember the attempts before it.
+        /// The endpoints may no longer remember the earlier attempts.
         RepeatWindow = "repeat_window",
     }
 }
@@ -59,7 +59,7 @@
 /// Decides whether an attempt may be written; called before every attempt.
 ///
 /// # Errors
-/// Returns why it must not be written.
+/// The attempt must not be written; the error says why.
 pub fn may_send(facts: &SendFacts) -> Result<(), SendDenied> {
     match facts.request {
         RequestState::Answered(_) => return Err(SendDenied::Answered),
@@ -78,24 +78,24 @@
     Ok(())
 }
 
-/// Longest time after the client was gone at which an attempt may still begin.
+/// Maximum time after the client was noticed to be gone at which an attempt may still begin.
 const ABANDONED_SLACK: Nanos = 100 * MILLISECOND;
 /// Amount by which the time left announced to the endpoint may exceed the actual one.
 const TIME_LEFT_SLACK: Nanos = 150 * MILLISECOND;
-/// Time for the way to the endpoint that was set aside when a retry's window was computed.
-const WINDOW_SLACK: Nanos = 50 * MILLISECOND;
+/// Amount by which a retry may begin after its `repeat_by`, which already leaves this time for the transfer to the endpoint.
+const REPEAT_WINDOW_SLACK: Nanos = 50 * MILLISECOND;
 
 /// An attempt as it was actually written.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
-    /// The facts when the first byte was written; their `now` is that moment.
+    /// The facts when the first byte was written; `now` is the time of that write.
     pub facts: SendFacts,
-    /// The time left as announced to the endpoint.
+    /// The time left until the deadline, as announced to the endpoint.
     pub told_left: Nanos,
 }
 
 /// Checks an attempt whose first byte has just been written. The rules are those of [`may_send`] with some slack, as the
-/// process may have been paused between that decision and the write.
+/// process may have been paused between the decision and the write.
 pub fn check_sent(sent: &Sent) -> Option<Violation> {
     let SendFacts { now, request, node, deadline, repeat_by } = sent.facts;
     match request {
@@ -108,7 +108,7 @@
     if node == NodeStanding::Left {
         return Some(Violation::SentToLeavingNode);
     }
-    if repeat_by.is_some_and(|repeat_by| now > repeat_by.saturating_add(WINDOW_SLACK)) {
+    if repeat_by.is_some_and(|repeat_by| now > repeat_by.saturating_add(REPEAT_WINDOW_SLACK)) {
         return Some(Violation::RepeatedPastWindow);
     }
     let time_left = deadline.saturating_sub(now);
--- a/crates/core/invariants/src/serve.rs
+++ b/crates/core/invariants/src/serve.rs
@@ -1,11 +1,11 @@
-//! Decides whether the process may report that it serves.
+//! Decides whether the process may report that it serves requests.
 
 use crate::{labels, Violation};
 
-/// What is known about a process that is about to report that it serves.
+/// The facts about a process that is about to report that it serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServeFacts {
-    /// At least one endpoint that accepts work is known.
+    /// At least one endpoint that accepts new requests is known.
     pub node_known: bool,
     /// The active policy, or its fallback policy, permits serving.
     pub policy_permits: bool,
@@ -18,19 +18,19 @@
     pub enum NotReady {
         /// The process is shutting down.
         Draining = "draining",
-        /// No endpoint that accepts work is known.
+        /// No endpoint that accepts new requests is known.
         NoNode = "no_node",
-        /// Neither the policy nor its fallback permits serving.
+        /// Neither the active policy nor its fallback policy permits serving.
         Policy = "policy",
     }
 }
 
-/// Decides whether the process may report that it serves: on health checks, on STATUS, and when it agrees to a hand-over.
-/// Heartbeats to a supervisor claim less, namely that connections are accepted; while another process runs beside this one,
-/// that claim depends on the same rule.
+/// Decides whether the process may report that it serves: in response to health checks and STATUS, and when it agrees to a
+/// hand-over. A heartbeat to the supervisor only reports that connections are accepted, but while another process of this proxy
+/// runs on the machine, heartbeats are subject to the same rule.
 ///
 /// # Errors
-/// Returns why it must not.
+/// The process must not report that it serves; the error says why.
 pub fn may_serve(facts: &ServeFacts) -> Result<(), NotReady> {
     if facts.draining {
         return Err(NotReady::Draining);
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Checks the report that this process serves, at the moment when it is sent to whoever then stops the incumbent.
+/// Checks a report that this process serves, when it is sent to the recipient that then stops the incumbent.
 pub fn check_said_serving(facts: &ServeFacts) -> Option<Violation> {
     may_serve(facts).is_err().then_some(Violation::SaidServingUnready)
 }
--- a/crates/core/invariants/src/violation.rs
+++ b/crates/core/invariants/src/violation.rs
@@ -3,7 +3,7 @@
 use crate::labels;
 
 labels! {
-    /// A violated invariant, detected at the moment of the violation.
+    /// A violation of an invariant, detected when it happens.
     pub enum Violation {
         /// An attempt was written after the request's final response.
         SentAfterAnswer = "sent_after_answer",
@@ -11,9 +11,9 @@
         SentForGoneClient = "sent_for_gone_client",
         /// An attempt began at an endpoint that was draining, removed or replaced.
         SentToLeavingNode = "sent_to_leaving_node",
-        /// A retry began when the endpoints may no longer have remembered the attempts before it.
+        /// A retry began when the endpoints might no longer remember the earlier attempts.
         RepeatedPastWindow = "repeated_past_window",
-        /// An endpoint was given more time than the client has left.
+        /// The time left announced to an endpoint exceeded the actual one.
         DeadlineOverstated = "deadline_overstated",
         /// A connection was closed while a request that was read had no response.
         ClosedUnanswered = "closed_unanswered",
@@ -21,7 +21,7 @@
         EndedUnanswered = "ended_unanswered",
         /// A response was given half a second or more after its client's deadline.
         AnsweredLate = "answered_late",
-        /// A process reported that it can take over serving, and could not.
+        /// A process reported that it can take over serving when it could not.
         SaidServingUnready = "said_serving_unready",
     }
 }
--- a/crates/core/invariants/tests/rules.rs
+++ b/crates/core/invariants/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each invariant over the facts that callers can pass.
+//! The invariants, over the combinations of facts that callers can pass.
 
 use rushquay_invariants::*;
 
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn closing_on_an_unanswered_request_is_a_violation_for_every_own_cause() {
-    let dropped = ConnectionFacts { answering: true, ..ConnectionFacts::default() };
+fn closing_with_an_unanswered_request_is_a_violation_unless_the_client_caused_it() {
+    let unanswered = ConnectionFacts { answering: true, ..ConnectionFacts::default() };
     for cause in [CloseCause::Idle, CloseCause::Drain, CloseCause::MadeRoom, CloseCause::NoRequest] {
-        assert_eq!(check_closed(&dropped, cause), Some(Violation::ClosedUnanswered));
+        assert_eq!(check_closed(&unanswered, cause), Some(Violation::ClosedUnanswered));
     }
-    assert_eq!(check_closed(&dropped, CloseCause::ProcessEnd), Some(Violation::EndedUnanswered));
+    assert_eq!(check_closed(&unanswered, CloseCause::ProcessEnd), Some(Violation::EndedUnanswered));
     let pipelined = ConnectionFacts { read_behind: true, ..ConnectionFacts::default() };
     assert_eq!(check_closed(&pipelined, CloseCause::Drain), Some(Violation::ClosedUnanswered));
     assert_eq!(check_closed(&pipelined, CloseCause::PeerEnded), None);
 }
 
-/// A partial head may be finished, except where its slot is needed or its timeout has passed.
+/// The client may finish a partial head unless the slot is needed or the head's timeout has passed.
 #[test]
 fn a_partial_request_head_delays_the_close() {
     let partial_head = ConnectionFacts { head_begun: true, ..ConnectionFacts::default() };
