--- a/crates/core/endpoints/src/endpoint.rs
+++ b/crates/core/endpoints/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint and the endpoint list, in discovery's wire format (PROTOCOL, "Discovery").
+//! Endpoints and endpoint lists in discovery's wire format (PROTOCOL, "Discovery").
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize, Serializer};
@@ -8,16 +8,16 @@
 /// The state of an endpoint, from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes its requests; nothing new may be sent to it.
+    /// It finishes its pending requests; new ones must not be sent to it.
     Draining,
     /// It was removed.
     Gone,
 }
 
 impl EndpointState {
-    /// The state as discovery writes it.
+    /// The state in discovery's wire format.
     pub fn as_str(self) -> &'static str {
         match self {
             EndpointState::Ready => "ready",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Parses discovery's text. A state that is unknown here must get no new requests, so it counts as draining.
+    /// Parses the wire format. An unknown state counts as draining, so that the endpoint gets no new requests.
     pub fn from_word(text: &str) -> Self {
         match text {
             "ready" => EndpointState::Ready,
@@ -46,37 +46,38 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "Wire")]
 pub struct Endpoint {
-    /// The id, the same at every proxy and after a restart.
+    /// The id. It is the same at every proxy, and does not change when the endpoint restarts.
     pub id: String,
     /// The address to connect to; `None`: the list has no valid address for it.
     pub addr: Option<SocketAddr>,
-    /// The data centre; empty where the list names none.
+    /// The data centre; empty if the list has none.
     pub zone: String,
-    /// The machine type; empty where the list names none.
+    /// The machine type; empty if the list has none.
     pub kind: String,
-    /// The cell.
+    /// The number of the cell; 0 if the list has none.
     pub cell: u32,
     /// The state.
     pub state: EndpointState,
-    /// The capacity relative to others.
+    /// The capacity relative to other endpoints.
     pub weight: f64,
-    /// When the process last started, Unix time in nanoseconds; 0: long ago, or unknown.
+    /// When its process last started, Unix time in nanoseconds; 0: long ago or unknown. It also identifies the
+    /// incarnation.
     pub started: Nanos,
 }
 
 /// A list of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// The version; it grows with each change until discovery itself starts over.
+    /// The version. It increases with each change, and may start again when discovery restarts.
     pub version: u64,
-    /// Whether this is the whole list; else it has only the entries that changed.
+    /// Whether this is the whole list; otherwise it contains only the entries that changed.
     pub full: bool,
     /// The entries.
     pub servers: Vec<Endpoint>,
 }
 
-/// The wire format. Parsing is lenient, as a watch requires: one odd field of one endpoint must not cost the rest of
-/// the fleet. [`crate::validate_list`] is the strict parser.
+/// The wire format of an endpoint. Parsing is lenient, so that an invalid field of one endpoint does not make a watch
+/// reject the whole list; [`crate::validate_list`] is strict.
 #[derive(Deserialize)]
 struct Wire {
     id: String,
--- a/crates/core/endpoints/src/lib.rs
+++ b/crates/core/endpoints/src/lib.rs
@@ -1,9 +1,8 @@
-//! The endpoint list: its wire format ([`EndpointList`]), strict validation ([`validate_list`]), the versions that a
-//! watch goes through ([`ListCursor`]), the schedule of its calls ([`WatchSchedule`]), and which of several sources
-//! wins ([`EndpointMerger`]).
+//! The endpoint list: its wire format ([`EndpointList`]), strict validation ([`validate_list`]), the position of a
+//! watch in discovery's list ([`ListCursor`]), the schedule of its calls ([`WatchSchedule`]), and the merging of lists
+//! from several sources ([`EndpointMerger`]).
 //!
-//! This crate does not fetch lists. It does no I/O and reads no clock: time comes in as an argument, and so do random
-//! numbers.
+//! The crate does no I/O and reads no clock: lists, times and random numbers are passed in.
 #![forbid(unsafe_code)]
 
 mod cursor;
--- a/crates/core/endpoints/src/list_assembler.rs
+++ b/crates/core/endpoints/src/list_assembler.rs
@@ -1,9 +1,9 @@
-//! Assembles the whole list from whole lists and incremental updates.
+//! Assembles the current whole list from discovery's responses.
 
 use crate::{Endpoint, EndpointList, EndpointState};
 use std::collections::BTreeMap;
 
-/// The whole list, up to date with every update applied so far.
+/// The list that results from all responses applied so far.
 #[derive(Clone, Debug, Default)]
 pub struct ListAssembler {
     version: u64,
@@ -11,7 +11,7 @@
 }
 
 impl ListAssembler {
-    /// Applies a whole list, or an incremental update.
+    /// Applies a whole list or an incremental update.
     pub fn take(&mut self, list: &EndpointList) {
         self.version = list.version;
         if list.full {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The whole list; `None`: no update was applied yet, or all endpoints are gone.
+    /// The whole list; `None` if it has no endpoints.
     pub fn whole(&self) -> Option<EndpointList> {
         let servers: Vec<Endpoint> = self.endpoints.values().cloned().collect();
         (!servers.is_empty()).then_some(EndpointList { version: self.version, full: true, servers })
--- a/crates/core/endpoints/src/merge.rs
+++ b/crates/core/endpoints/src/merge.rs
@@ -1,21 +1,20 @@
-//! Merges several sources of the endpoint list: the proxy's own discovery, the control service, and what the
-//! configuration had at startup.
+//! Merges the endpoint lists of several sources: the proxy's own discovery, the control service, and the list in the
+//! configuration at startup.
 //!
 //! The rules, in order, for each endpoint:
-//! 1. A statement about an older incarnation of an endpoint says nothing about a newer one.
-//! 2. Of statements about the same incarnation the most restrictive wins: gone, draining, ready.
-//! 3. An endpoint gets requests only while a source names it.
-//! 4. A source that withdraws a restriction is believed where its view is continuous (the process that made the
-//!    restriction is still the one that speaks), where the entry is newer by the list's version, or after
-//!    [`MergeLimits::hold`]. Danger: a control service that restarts, or an old one that resumes, hands out a list
-//!    from before the drain.
-//! 5. The statements of an unreachable source stay, but a newer statement of a reachable source about the same
-//!    incarnation replaces them, where both have it from discovery.
-//! 6. An endpoint that a source stops naming is gone where the view of the source is continuous; another process that
-//!    does not name it may just be older than the endpoint, and only withdraws its own statement.
-//! 7. Operators' overrides from the control service are applied on top, whatever incarnation they were set in, and
-//!    only restrict: out of service counts as draining, a factor multiplies the weight, and an endpoint that comes
-//!    back with a cold cache counts as started then. They end by the clock, whoever can be reached.
+//! 1. Statements about an older incarnation of the endpoint are ignored once a source knows a newer one.
+//! 2. Among statements about the same incarnation, the most restrictive state wins: gone, then draining, then ready.
+//! 3. The endpoint gets requests only while at least one source lists it.
+//! 4. A source can withdraw a restriction if its view is continuous (the statement comes from the same process that made
+//!    the restriction), if the new entry has a higher list version, or after [`MergeLimits::hold`]. Danger: a control
+//!    service that has restarted, or an old one that resumes, sends a list from before the drain.
+//! 5. The statements of an unreachable source remain in effect, except that a newer statement of a reachable source about
+//!    the same incarnation replaces them if both come from discovery's list.
+//! 6. If a source stops listing the endpoint, the endpoint is gone if the source's view is continuous. Otherwise only the
+//!    source's own statement is withdrawn, as the list of a different process may be older than the endpoint.
+//! 7. Operators' overrides from the control service are applied last. They apply to all incarnations and only restrict:
+//!    out of service counts as draining, a factor multiplies the weight, and an endpoint that returns with a cold cache
+//!    counts as started at that time. They expire by the clock, even while no source is reachable.
 
 use crate::{Endpoint, EndpointList, EndpointState, Imposed, MergeTime, Nanos, OverrideTime, Pin};
 use std::collections::{BTreeSet, HashMap};
@@ -24,67 +23,67 @@
 
 use source_table::{SourceTable, Statement};
 
-/// A source of endpoint statements. The order is the precedence for addresses.
+/// A source of statements about endpoints, in the order of precedence for addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Source {
-    /// The proxy's own discovery. An address may differ from one proxy to the next, so its own take precedence.
+    /// The proxy's own discovery. Addresses may differ between proxies, so those from here take precedence.
     Discovery,
-    /// What the configuration had at startup; valid until discovery's first whole list.
+    /// The list in the configuration at startup; discarded on discovery's first whole list.
     Known,
-    /// The control service. It decides on weights, so its own take precedence.
+    /// The control service. It decides weights, so its weights take precedence.
     Control,
 }
 
 const SOURCE_COUNT: usize = 3;
 /// One hour.
 const DEFAULT_HOLD: Nanos = 3_600_000_000_000;
-const DEFAULT_REMEMBERED: usize = 4096;
+const DEFAULT_MAX_REMEMBERED: usize = 4096;
 
-/// An endpoint with the version of discovery's list that it comes from.
+/// A source's statement about an endpoint, with the version of the list from which it comes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourcedEndpoint {
     /// The endpoint.
     pub member: Endpoint,
-    /// The version of the list that last had this entry; 0: unknown.
+    /// The version of the last list that contained this entry; 0: unknown.
     pub listed: u64,
-    /// Whether the list was discovery's, so that its versions can be compared between sources.
+    /// Whether that list came from discovery, so that its version can be compared between sources.
     pub shared: bool,
-    /// What operators' overrides impose.
+    /// The overrides in effect for it.
     pub imposed: Imposed,
 }
 
 /// An event from one source.
 #[derive(Clone, Debug)]
 pub enum WatchEvent {
-    /// The whole list: all endpoints that the source names.
+    /// The whole list: all endpoints that the source lists.
     Whole(Vec<SourcedEndpoint>),
-    /// An incremental update: changed endpoints, those in state gone included, and the ids that are no longer named.
+    /// An incremental update: the endpoints that changed, including those in state gone, and the ids no longer listed.
     Changed(Vec<SourcedEndpoint>, Vec<String>),
-    /// The source is unreachable; its statements stay.
+    /// The source is unreachable; its statements remain in effect.
     Lost,
 }
 
-/// Bounds on what is remembered.
+/// Limits on how long and how much is remembered.
 #[derive(Clone, Copy, Debug)]
 pub struct MergeLimits {
-    /// How long a restriction stays against a source whose view is not continuous, in nanoseconds.
+    /// How long a restriction is kept if its source withdraws it without a continuous view, in nanoseconds.
     pub hold: Nanos,
-    /// The most endpoints remembered as gone or withdrawn for each source; the oldest are evicted first.
+    /// Maximum number of endpoints remembered as gone or withdrawn for each source; the oldest are evicted first.
     pub remembered: usize,
 }
 
 impl Default for MergeLimits {
     fn default() -> Self {
-        MergeLimits { hold: DEFAULT_HOLD, remembered: DEFAULT_REMEMBERED }
+        MergeLimits { hold: DEFAULT_HOLD, remembered: DEFAULT_MAX_REMEMBERED }
     }
 }
 
-/// The changes of the merged list.
+/// Changes of the merged list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-    /// Endpoints that are new or changed, with their present values.
+    /// Endpoints that are new or have changed, with their new values.
     pub upserts: Vec<Endpoint>,
-    /// Endpoints that no list names any more, with their last values.
+    /// Endpoints that were removed from the merged list, with their last values.
     pub gone: Vec<Endpoint>,
 }
 
@@ -95,13 +94,13 @@
     }
 }
 
-/// An endpoint of the merged list with the origin of its state.
+/// An endpoint of the merged list, with the source of its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView<'a> {
     /// The merged endpoint.
     pub member: &'a Endpoint,
     /// The source that decided its state.
-    pub decided: Source,
+    pub decided_by: Source,
 }
 
 /// The merged list.
@@ -109,8 +108,8 @@
     limits: MergeLimits,
     tables: [SourceTable; SOURCE_COUNT],
     merged: HashMap<String, (Endpoint, Source)>,
-    /// The time of the last event or tick, for overrides: all merged endpoints are as overrides have them at this time. It goes back where
-    /// the control service's clock does.
+    /// The time of the last event or tick, at which the overrides of all merged endpoints were evaluated. It steps back when the control
+    /// service's clock does.
     override_now: OverrideTime,
 }
 
@@ -125,8 +124,8 @@
         }
     }
 
-    /// Applies a list in discovery's format, from discovery or from the configuration. A whole list of a lower
-    /// version than the last breaks the continuity of the view: it is an old one, or discovery started over.
+    /// Applies a list in discovery's format, from discovery or from the configuration. A list with a lower version than the
+    /// previous one breaks the continuity of the view: the list is outdated, or discovery has restarted its versions.
     pub fn list(&mut self, source: Source, list: &EndpointList, now: MergeTime) -> Changes {
         let table = &mut self.tables[source as usize];
         table.view_number += u64::from(list.version < table.version);
@@ -144,16 +143,15 @@
         {
             let ids: BTreeSet<String> =
                 self.tables[Source::Known as usize].statements.drain().map(|(id, _)| id).collect();
-            let more = self.recompute(ids);
-            changes.upserts.extend(more.upserts);
-            changes.gone.extend(more.gone);
+            let further_changes = self.recompute(ids);
+            changes.upserts.extend(further_changes.upserts);
+            changes.gone.extend(further_changes.gone);
         }
         changes
     }
 
-    /// Restores the statements of a source from before a restart: its version and its entries, each with the version
-    /// of the list that last had it. A list of a lower version that comes next counts as old, as it would have
-    /// without the restart.
+    /// Restores the statements of a source from before a restart of this process: the version of its list, and its entries.
+    /// As without the restart, a following list with a lower version breaks the continuity of the view.
     pub fn restore(
         &mut self,
         source: Source,
@@ -165,8 +163,8 @@
         self.apply_event(source, WatchEvent::Whole(all), now)
     }
 
-    /// Applies an event from the control service; `incarnation` names its process. The view is continuous while the
-    /// incarnation stays the same.
+    /// Applies an event from the control service, whose process is identified by `incarnation`. The view is continuous
+    /// while the incarnation is the same.
     pub fn control(&mut self, incarnation: &str, event: WatchEvent, now: MergeTime) -> Changes {
         let table = &mut self.tables[Source::Control as usize];
         if table.incarnation != incarnation {
@@ -176,8 +174,8 @@
         self.apply_event(Source::Control, event, now)
     }
 
-    /// Confirms all statements of the control service on behalf of its present process, which has sent its whole
-    /// state and left them unchanged. What is unconfirmed stays so.
+    /// Marks the statements of the control service as confirmed by its present process, which has sent its whole state
+    /// without changing them. Unconfirmed statements stay unconfirmed.
     pub fn confirm(&mut self) {
         let table = &mut self.tables[Source::Control as usize];
         table
@@ -192,11 +190,11 @@
         self.tables[source as usize].is_lost = true;
     }
 
-    /// Accepts statements that have been unconfirmed for [`MergeLimits::hold`], and forgets withdrawn endpoints
-    /// remembered for as long.
+    /// Evaluates the overrides for `now`, accepts unconfirmed statements once the statement that they would replace is
+    /// [`MergeLimits::hold`] old, and forgets withdrawn endpoints after the same time.
     pub fn tick(&mut self, now: MergeTime) -> Changes {
         let hold = self.limits.hold;
-        let mut touched = self.advance_overrides(now.overrides);
+        let mut affected = self.advance_overrides(now.overrides);
         for table in &mut self.tables {
             table.statements.retain(|id, statement| {
                 if now.monotonic.since(statement.stated_at) < hold {
@@ -204,31 +202,32 @@
                 }
                 if let Some(unconfirmed) = statement.unconfirmed.take() {
                     *statement = Statement::new(*unconfirmed, now.monotonic, table.view_number);
-                    touched.insert(id.clone());
+                    affected.insert(id.clone());
                 } else if !statement.is_named {
-                    touched.insert(id.clone());
+                    affected.insert(id.clone());
                     return false;
                 }
                 true
             });
         }
-        // While a source is unreachable, a newer statement of another may replace its own.
+        // While a source is unreachable, newer statements of other sources may replace its own.
         if self.tables.iter().any(|t| t.is_lost) {
-            touched.extend(self.merged.keys().cloned());
+            affected.extend(self.merged.keys().cloned());
         }
-        self.recompute(touched)
+        self.recompute(affected)
     }
 
-    /// The merged list, in no order.
+    /// The merged list, in no particular order.
     pub fn nodes(&self) -> impl Iterator<Item = EndpointView<'_>> {
-        self.merged.values().map(|(member, decided)| EndpointView { member, decided: *decided })
+        self.merged.values().map(|(member, decided_by)| EndpointView { member, decided_by: *decided_by })
     }
 
-    /// The pins with their endpoints. An endpoint that no list names has no pins.
+    /// The pins with the ids of their endpoints, without those of endpoints that are not in the merged list.
     pub fn pins(&self) -> impl Iterator<Item = (&str, &Pin)> {
         let statements = self.tables[Source::Control as usize].statements.iter();
-        let named = statements.filter(|(id, _)| self.merged.contains_key(*id));
-        named.flat_map(|(id, statement)| statement.imposed.pins.iter().map(move |pin| (id.as_str(), pin)))
+        let merged_statements = statements.filter(|(id, _)| self.merged.contains_key(*id));
+        merged_statements
+            .flat_map(|(id, statement)| statement.imposed.pins.iter().map(move |pin| (id.as_str(), pin)))
     }
 
     /// Whether a source is unreachable.
@@ -237,12 +236,12 @@
     }
 
     fn apply_event(&mut self, source: Source, event: WatchEvent, now: MergeTime) -> Changes {
-        let mut touched = self.advance_overrides(now.overrides);
+        let mut affected = self.advance_overrides(now.overrides);
         let (limits, table) = (self.limits, &mut self.tables[source as usize]);
         let (updated, removed) = match event {
             WatchEvent::Lost => {
                 table.is_lost = true;
-                return self.recompute(touched);
+                return self.recompute(affected);
             }
             WatchEvent::Whole(all) => {
                 let named: BTreeSet<&str> = all.iter().map(|s| s.member.id.as_str()).collect();
@@ -258,27 +257,28 @@
         table.is_lost = false;
         for id in removed {
             table.withdraw(&id, now.monotonic);
-            touched.insert(id);
+            affected.insert(id);
         }
         for endpoint in updated {
-            touched.insert(endpoint.member.id.clone());
+            affected.insert(endpoint.member.id.clone());
             table.record(endpoint, now.monotonic, limits.hold);
         }
-        table.evict_oldest(limits.remembered, &mut touched);
-        self.recompute(touched)
+        table.evict_oldest(limits.remembered, &mut affected);
+        self.recompute(affected)
     }
 
-    /// Sets the time that overrides go by, and returns the endpoints on which they amount to something else then. Danger: the clock may step
-    /// either way. Were only the latest time kept, each override that ends before it would be void once a clock was ahead.
+    /// Sets the time at which overrides are evaluated, and returns the endpoints for which their effect differs from before. Danger: the
+    /// clock may step either way. If the highest time seen were kept, a clock that was ahead once would end every override that ends before
+    /// that time.
     fn advance_overrides(&mut self, now: OverrideTime) -> BTreeSet<String> {
         let before = std::mem::replace(&mut self.override_now, now);
         let statements = self.tables[Source::Control as usize].statements.iter();
-        let differs =
+        let has_changed =
             |statement: &Statement| statement.imposed.effect(before) != statement.imposed.effect(now);
-        statements.filter(|(_, statement)| differs(statement)).map(|(id, _)| id.clone()).collect()
+        statements.filter(|(_, statement)| has_changed(statement)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Recomputes the merged state of some endpoints, and returns what changed by it.
+    /// Recomputes these endpoints of the merged list, and returns the resulting changes.
     fn recompute(&mut self, ids: BTreeSet<String>) -> Changes {
         let mut changes = Changes::default();
         for id in ids {
@@ -298,6 +298,7 @@
         changes
     }
 
+    /// Applies the rules to the statements about an endpoint; `None`: it is not in the merged list.
     fn resolve(&self, id: &str) -> Option<(Endpoint, Source)> {
         let order = [Source::Discovery, Source::Known, Source::Control];
         let statements: Vec<(Source, &Statement)> =
@@ -307,17 +308,17 @@
         let mut statements: Vec<(Source, &Statement)> =
             statements.into_iter().filter(|(_, s)| s.member.started == newest).collect();
         // Rule 5.
-        let live =
+        let live_versions =
             statements.iter().filter(|(source, s)| !self.is_lost(*source) && s.shared).map(|(_, s)| s.listed);
-        let live = live.max().unwrap_or(0);
-        statements.retain(|(source, s)| !(self.is_lost(*source) && s.shared && s.listed < live));
-        // Rule 2; among equals the first source decides.
-        let (decided, worst) = statements
+        let newest_live = live_versions.max().unwrap_or(0);
+        statements.retain(|(source, s)| !(self.is_lost(*source) && s.shared && s.listed < newest_live));
+        // Rule 2; among equally restrictive statements, that of the first source counts.
+        let (decided_by, merged_state) = statements
             .iter()
             .map(|(source, statement)| (*source, statement.member.state))
-            .reduce(|worst, other| if other.1 > worst.1 { other } else { worst })?;
+            .reduce(|strictest, other| if other.1 > strictest.1 { other } else { strictest })?;
         // Rule 3.
-        if worst == EndpointState::Gone || !statements.iter().any(|(_, s)| s.is_named) {
+        if merged_state == EndpointState::Gone || !statements.iter().any(|(_, s)| s.is_named) {
             return None;
         }
         let named = || statements.iter().filter(|(_, s)| s.is_named);
@@ -325,15 +326,15 @@
         let control = named().find(|(s, _)| *s == Source::Control).map(|(_, s)| &s.member);
         let mut member = Endpoint {
             addr: named().find_map(|(_, s)| s.member.addr),
-            state: worst,
+            state: merged_state,
             weight: control.unwrap_or(first).weight,
             ..first.clone()
         };
         self.apply_overrides(id, &mut member);
-        Some((member, decided))
+        Some((member, decided_by))
     }
 
-    /// Rule 7.
+    /// Applies rule 7.
     fn apply_overrides(&self, id: &str, member: &mut Endpoint) {
         let statement = self.tables[Source::Control as usize].statements.get(id);
         let Some(imposed) = statement.map(|s| &s.imposed) else { return };
@@ -342,6 +343,6 @@
             member.state = member.state.max(EndpointState::Draining);
         }
         member.weight *= effect.factor;
-        member.started = member.started.max(effect.returned);
+        member.started = member.started.max(effect.cold_return_at);
     }
 }
--- a/crates/core/endpoints/src/merge/source_table.rs
+++ b/crates/core/endpoints/src/merge/source_table.rs
@@ -1,34 +1,37 @@
-//! What one source states about each endpoint, and when a statement is believed.
+//! The statements of one source about the endpoints, and when a new statement replaces an old one.
 
 use super::SourcedEndpoint;
 use crate::{Endpoint, EndpointState, Imposed, MonotonicTime, Nanos};
 use std::collections::{BTreeSet, HashMap};
 
-/// What one source states about one endpoint.
+/// The statement of one source about one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Statement {
     pub(super) member: Endpoint,
     pub(super) listed: u64,
     pub(super) shared: bool,
     pub(super) imposed: Imposed,
-    /// When the state was first stated.
+    /// When the source first stated this incarnation and state.
     pub(super) stated_at: MonotonicTime,
-    /// The number of the source's view in which it was stated.
+    /// The view number of the source when it was stated or last confirmed.
     pub(super) view_number: u64,
-    /// Whether the source still names the endpoint; else this is a remembered restriction.
+    /// Whether the source still lists the endpoint; otherwise this is a remembered restriction.
     pub(super) is_named: bool,
-    /// The present statement of the source, where it is not believed yet.
+    /// A newer statement of the source that has not been accepted yet.
     pub(super) unconfirmed: Option<Box<SourcedEndpoint>>,
 }
 
+/// The statements of one source.
 #[derive(Default)]
 pub(super) struct SourceTable {
     pub(super) statements: HashMap<String, Statement>,
+    /// The incarnation of the source's process, if it is the control service.
     pub(super) incarnation: String,
-    /// The version of the last list, where lists have one.
+    /// The version of the last list, if the source's lists have versions.
     pub(super) version: u64,
-    /// Counts breaks in the continuity of the source's view: another process, or a list older than the last.
+    /// Counts breaks in the continuity of the source's view: a new process, or a list older than the previous one.
     pub(super) view_number: u64,
+    /// Whether the source is unreachable.
     pub(super) is_lost: bool,
 }
 
@@ -41,6 +44,7 @@
 }
 
 impl SourceTable {
+    /// Records a new statement, which either replaces the old one or stays unconfirmed.
     pub(super) fn record(&mut self, new: SourcedEndpoint, now: MonotonicTime, hold: Nanos) {
         let view_number = self.view_number;
         let Some(old) = self.statements.get_mut(&new.member.id) else {
@@ -49,23 +53,24 @@
         };
         let is_continuous = old.view_number == view_number;
         let is_newer = new.listed > old.listed && old.listed > 0;
-        let is_believed = if new.member.started == old.member.started {
+        let is_accepted = if new.member.started == old.member.started {
             new.member.state >= old.member.state || is_newer || is_continuous
         } else {
             new.member.started > old.member.started || is_newer && is_continuous
         };
-        if is_believed || now.since(old.stated_at) >= hold {
+        if is_accepted || now.since(old.stated_at) >= hold {
             let is_same_state =
                 (new.member.started, new.member.state) == (old.member.started, old.member.state);
             let stated_at = if is_same_state { old.stated_at } else { now };
             *old = Statement::new(new, stated_at, view_number);
         } else {
-            // Overrides are independent of the list's age.
+            // Overrides apply even if the statement about the endpoint is outdated.
             old.imposed = new.imposed.clone();
             old.unconfirmed = Some(Box::new(new));
         }
     }
 
+    /// Records that the source no longer lists the endpoint.
     pub(super) fn withdraw(&mut self, id: &str, now: MonotonicTime) {
         let Some(statement) = self.statements.get_mut(id) else { return };
         statement.is_named = false;
@@ -78,8 +83,9 @@
         }
     }
 
-    /// Danger: endpoints that come and go under ever new ids would otherwise be remembered without bound.
-    pub(super) fn evict_oldest(&mut self, max: usize, touched: &mut BTreeSet<String>) {
+    /// Forgets the oldest endpoints that are no longer listed, beyond `max`. Danger: endpoints that keep appearing under new
+    /// ids would otherwise be remembered without bound.
+    pub(super) fn evict_oldest(&mut self, max: usize, affected: &mut BTreeSet<String>) {
         let remembered = self.statements.values().filter(|s| !s.is_named).count();
         if remembered <= max {
             return;
@@ -93,7 +99,7 @@
         old.sort();
         for (_, id) in old.into_iter().take(remembered - max) {
             self.statements.remove(&id);
-            touched.insert(id);
+            affected.insert(id);
         }
     }
 }
--- a/crates/core/endpoints/src/time.rs
+++ b/crates/core/endpoints/src/time.rs
@@ -1,33 +1,33 @@
-//! The two kinds of time that a merged list needs, as types that don't mix.
+//! The two kinds of time that the merger needs, as separate types so that they cannot be confused.
 //!
-//! A span (how long a restriction stays, how long a removal is remembered) is measured on this process's own clock, which never steps. The
-//! end of an operator's override is a moment on the control service's clock, which steps with each correction of that clock and each
-//! change of leader.
+//! Durations (how long a restriction is kept, how long a removal is remembered) are measured on this process's monotonic clock, which
+//! never steps. Overrides end at times on the control service's clock, which steps with each correction of that clock and each change of
+//! leader.
 
 use crate::Nanos;
 
-/// A moment on this process's monotonic clock.
+/// A time on this process's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MonotonicTime(Nanos);
 
 impl MonotonicTime {
-    /// The moment so many nanoseconds after the clock's origin, whatever that is.
+    /// The time `nanos` nanoseconds after the clock's origin, which is arbitrary.
     pub const fn from_nanos(nanos: Nanos) -> Self {
         MonotonicTime(nanos)
     }
 
-    /// The span since an earlier moment, in nanoseconds; 0 where that is later.
+    /// The duration since `earlier`, in nanoseconds; 0 if `earlier` is later than this time.
     pub fn since(self, earlier: MonotonicTime) -> Nanos {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// A moment on the control service's clock.
+/// A time on the control service's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OverrideTime(Nanos);
 
 impl OverrideTime {
-    /// The moment of this Unix time, in nanoseconds.
+    /// The time with this Unix time, in nanoseconds.
     pub const fn from_unix_nanos(nanos: Nanos) -> Self {
         OverrideTime(nanos)
     }
@@ -38,17 +38,17 @@
     }
 }
 
-/// The present moment on both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MergeTime {
-    /// For spans.
+    /// For measuring durations.
     pub monotonic: MonotonicTime,
     /// For the start and end of overrides.
     pub overrides: OverrideTime,
 }
 
 impl MergeTime {
-    /// The present moment of a merger that hears of no overrides.
+    /// The current time for a merger that receives no overrides.
     pub const fn without_overrides(monotonic: Nanos) -> Self {
         MergeTime {
             monotonic: MonotonicTime::from_nanos(monotonic),
--- a/crates/core/endpoints/src/validation.rs
+++ b/crates/core/endpoints/src/validation.rs
@@ -1,15 +1,15 @@
-//! Strict validation of an endpoint list: each error names its field and what was expected there.
+//! Strict validation of endpoint lists: each error names the field and what was expected there.
 
 use crate::{Endpoint, EndpointList};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// An error in an endpoint list. Correct the named field and validate the list again.
+/// An invalid field of an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}, found {found}")]
 pub struct ListError {
-    /// The path of the field, such as `servers[2].addr`; `(file)` for the whole.
+    /// The path of the field, such as `servers[2].addr`; `(file)` for the whole text.
     pub field: String,
     /// What was expected there.
     pub expected: &'static str,
@@ -17,9 +17,9 @@
     pub found: String,
 }
 
-/// Longer texts are truncated in an error.
+/// Maximum length of `found` in an error; longer texts are truncated.
 const MAX_FOUND_BYTES: usize = 80;
-/// With the ellipsis as long as the longest text that is not truncated.
+/// Length of a truncated text without its ellipsis.
 const TRUNCATED_FOUND_CHARS: usize = 77;
 
 fn field_error(field: impl Into<String>, expected: &'static str, found: impl ToString) -> ListError {
@@ -37,8 +37,8 @@
 /// Parses a whole endpoint list in discovery's format, strictly.
 ///
 /// # Errors
-/// The first error: invalid JSON, a missing field or one of another type, a list that is not whole, an id that is
-/// empty or not unique, an address that is not `IP:PORT`, a weight that is not positive.
+/// The first error found: invalid JSON, a missing field or one of the wrong type, a list that is not whole, an id that
+/// is empty or not unique, an address that is not `IP:PORT`, or a number out of range.
 pub fn validate_list(text: &str) -> Result<EndpointList, ListError> {
     let root: Value = serde_json::from_str(text).map_err(|e| field_error("(file)", "JSON", e))?;
     let Value::Object(fields) = &root else {
@@ -49,7 +49,9 @@
         .ok_or_else(|| field_error("version", "a whole number from 0", describe(fields.get("version"))))?;
     match fields.get("full") {
         Some(Value::Bool(true)) | None => {}
-        other => return Err(field_error("full", "true (the file holds the whole list)", describe(other))),
+        other => {
+            return Err(field_error("full", "true (the file must contain the whole list)", describe(other)))
+        }
     }
     let servers = fields.get("servers").and_then(Value::as_array);
     let servers = servers.ok_or_else(|| field_error("servers", "a list", describe(fields.get("servers"))))?;
@@ -59,11 +61,7 @@
         let endpoint = parse_endpoint(&format!("servers[{i}]"), server)?;
         if let Some(first) = ids.insert(endpoint.id.clone(), i) {
             let field = format!("servers[{i}].id");
-            return Err(field_error(
-                field,
-                "an id of its own",
-                format!("{:?}, as servers[{first}]", endpoint.id),
-            ));
+            return Err(field_error(field, "a unique id", format!("{:?}, as servers[{first}]", endpoint.id)));
         }
         endpoints.push(endpoint);
     }
@@ -79,8 +77,8 @@
         let found = value.get(name).and_then(Value::as_str);
         found.ok_or_else(|| field_error(path(name), expected, describe(value.get(name))))
     };
-    if text("id", "a text that names the node")?.is_empty() {
-        return Err(field_error(path("id"), "a text that names the node", "\"\""));
+    if text("id", "a non-empty string")?.is_empty() {
+        return Err(field_error(path("id"), "a non-empty string", "\"\""));
     }
     let addr = text("addr", "an address, IP:PORT")?;
     if addr.parse::<SocketAddr>().is_err() {
@@ -92,7 +90,7 @@
     }
     for name in ["zone", "kind"] {
         if value.get(name).is_some_and(|t| !t.is_string()) {
-            return Err(field_error(path(name), "a text", describe(value.get(name))));
+            return Err(field_error(path(name), "a string", describe(value.get(name))));
         }
     }
     type IsValid = fn(f64) -> bool;
--- a/crates/core/endpoints/tests/endpoint_merger.rs
+++ b/crates/core/endpoints/tests/endpoint_merger.rs
@@ -1,16 +1,16 @@
-//! Which of several sources wins for each endpoint, through restarts, outdated lists and outages.
+//! Merging the lists of several sources, with restarts, outdated lists and outages.
 
 use proptest::prelude::*;
 use rushquay_endpoints::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// This moment on both clocks.
+/// The same time on both clocks.
 fn at(nanos: Nanos) -> MergeTime {
     at_both(nanos, nanos)
 }
 
-/// So many nanoseconds by this process's clock, and by the control service's.
+/// Times in nanoseconds on this process's clock and on the control service's.
 fn at_both(monotonic: Nanos, overrides: Nanos) -> MergeTime {
     MergeTime {
         monotonic: MonotonicTime::from_nanos(monotonic),
@@ -35,7 +35,7 @@
     EndpointList { version, full, servers: servers.to_vec() }
 }
 
-fn stated(member: Endpoint, listed: u64) -> SourcedEndpoint {
+fn sourced(member: Endpoint, listed: u64) -> SourcedEndpoint {
     SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
 }
 
@@ -45,82 +45,86 @@
 
 use EndpointState::{Draining, Gone, Ready};
 
-fn merge() -> EndpointMerger {
+fn merger() -> EndpointMerger {
     EndpointMerger::new(MergeLimits { hold: 60 * SECOND, remembered: 8 })
 }
 
-/// Both sources name `a`, ready; the control service as process `c1`, from discovery's list 40.
-fn both() -> EndpointMerger {
-    let mut m = merge();
+/// Both sources list `a` as ready; the control service as process `c1`, from discovery's list 40.
+fn both_sources() -> EndpointMerger {
+    let mut m = merger();
     m.list(Source::Discovery, &list(40, true, &[node("a", Ready, 7)]), at(0));
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 40)], vec![]), at(0));
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 40)], vec![]), at(0));
     m
 }
 
 #[test]
 fn the_more_restrictive_source_wins() {
     for (by_control, by_discovery) in [(Draining, Ready), (Ready, Draining), (Gone, Ready), (Ready, Gone)] {
-        let mut m = both();
+        let mut m = both_sources();
         m.list(Source::Discovery, &list(41, false, &[node("a", by_discovery, 7)]), at(1));
-        m.control("c1", WatchEvent::Changed(vec![stated(node("a", by_control, 7), 41)], vec![]), at(1));
-        let worst = by_control.max(by_discovery);
-        assert_eq!(state(&m, "a"), Some(worst).filter(|s| *s != Gone), "{by_control:?} {by_discovery:?}");
+        m.control("c1", WatchEvent::Changed(vec![sourced(node("a", by_control, 7), 41)], vec![]), at(1));
+        let strictest = by_control.max(by_discovery);
+        assert_eq!(state(&m, "a"), Some(strictest).filter(|s| *s != Gone), "{by_control:?} {by_discovery:?}");
     }
 }
 
 #[test]
 fn an_endpoint_gets_requests_only_while_a_list_names_it() {
-    let mut m = both();
+    let mut m = both_sources();
     assert!(
-        m.control("c1", WatchEvent::Changed(vec![stated(node("b", Ready, 1), 41)], vec![]), at(1))
+        m.control("c1", WatchEvent::Changed(vec![sourced(node("b", Ready, 1), 41)], vec![]), at(1))
             .upserts
             .len()
             == 1
     );
-    assert_eq!(state(&m, "b"), Some(Ready), "the control service's list is one");
+    assert_eq!(state(&m, "b"), Some(Ready), "listed by the control service");
     let changes = m.control("c1", WatchEvent::Changed(vec![], vec!["b".into()]), at(2));
     assert_eq!((changes.gone.len(), state(&m, "b")), (1, None));
-    // Discovery's list is late and names it still, with the start that the removal was about.
+    // An outdated list of discovery still contains the removed incarnation.
     m.list(Source::Discovery, &list(42, false, &[node("b", Ready, 1)]), at(3));
     assert_eq!(state(&m, "b"), None);
-    // It comes back as a new process.
+    // It returns as a new incarnation.
     m.list(Source::Discovery, &list(43, false, &[node("b", Ready, 9)]), at(4));
     assert_eq!(state(&m, "b"), Some(Ready));
 }
 
 #[test]
 fn statements_about_an_older_incarnation_do_not_apply_to_a_newer_one() {
-    let mut m = both();
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), at(1));
+    let mut m = both_sources();
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]), at(1));
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 8)]), at(2));
     assert_eq!(state(&m, "a"), Some(Ready));
-    // The older statement repeated changes nothing.
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 41)], vec![]), at(3));
+    // Repeating the older statement changes nothing.
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]), at(3));
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn a_restarted_control_service_with_an_old_list_does_not_undo_a_drain() {
-    let mut m = both();
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), at(1));
+    let mut m = both_sources();
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(1));
     m.lost(Source::Control);
-    // Empty after its restart, it follows a discovery that still serves list 41; this process's own does the same.
-    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), at(2));
+    // Restarted without state, it reads an instance of discovery that still serves list 41, like this process's own.
+    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(2));
     assert_eq!(state(&m, "a"), Some(Draining));
     m.confirm();
-    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 41)], vec![]), at(3));
-    assert_eq!(state(&m, "a"), Some(Draining), "repeating it on the same stream does not confirm it");
-    // A list from after the drain is believed.
-    m.control("c2", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 44)], vec![]), at(4));
+    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(3));
+    assert_eq!(state(&m, "a"), Some(Draining), "repeating the statement does not confirm it");
+    // A list from after the drain is accepted.
+    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 44)], vec![]), at(4));
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn repeated_restarts_with_versions_starting_over_do_not_undo_a_drain_before_the_hold_ends() {
-    let mut m = both();
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), at(SECOND));
+    let mut m = both_sources();
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(SECOND));
     for process in ["c2", "c3"] {
-        m.control(process, WatchEvent::Changed(vec![stated(node("a", Ready, 7), 1)], vec![]), at(2 * SECOND));
+        m.control(
+            process,
+            WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 1)], vec![]),
+            at(2 * SECOND),
+        );
         assert_eq!(state(&m, "a"), Some(Draining));
     }
     assert!(m.tick(at(60 * SECOND)).is_empty());
@@ -128,34 +132,34 @@
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
-/// Guards against a step of the control service's clock ending or prolonging the hold of a drain.
+/// Guards against a step of the control service's clock ending or prolonging the time for which a drain is kept.
 #[test]
-fn a_step_of_the_control_services_clock_does_not_change_how_long_a_drain_is_held() {
+fn a_step_of_the_control_services_clock_does_not_change_how_long_a_drain_is_kept() {
     const HOUR: Nanos = 3_600 * SECOND;
     for clock in [0, 2 * HOUR, 9 * HOUR] {
-        let mut m = both();
+        let mut m = both_sources();
         m.control(
             "c1",
-            WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]),
+            WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]),
             at_both(SECOND, 4 * HOUR),
         );
         m.control(
             "c2",
-            WatchEvent::Changed(vec![stated(node("a", Ready, 7), 1)], vec![]),
+            WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 1)], vec![]),
             at_both(2 * SECOND, clock),
         );
-        assert_eq!(state(&m, "a"), Some(Draining), "believed at once behind a step to {clock}");
-        assert!(m.tick(at_both(60 * SECOND, clock)).is_empty(), "believed too soon behind a step to {clock}");
+        assert_eq!(state(&m, "a"), Some(Draining), "withdrawn at once after a step to {clock}");
+        assert!(m.tick(at_both(60 * SECOND, clock)).is_empty(), "withdrawn too soon after a step to {clock}");
         m.tick(at_both(61 * SECOND, clock));
-        assert_eq!(state(&m, "a"), Some(Ready), "held for longer behind a step to {clock}");
+        assert_eq!(state(&m, "a"), Some(Ready), "kept for too long after a step to {clock}");
     }
 }
 
-/// Guards against a step of the control service's clock having removals forgotten.
+/// Guards against removals being forgotten when the control service's clock steps.
 #[test]
 fn a_step_of_the_control_services_clock_does_not_forget_a_removal() {
     const HOUR: Nanos = 3_600 * SECOND;
-    let mut m = both();
+    let mut m = both_sources();
     m.control("c1", WatchEvent::Changed(vec![], vec!["a".into()]), at_both(SECOND, HOUR));
     m.tick(at_both(2 * SECOND, 9 * HOUR));
     m.list(Source::Discovery, &list(41, true, &[node("a", Ready, 7)]), at_both(3 * SECOND, 9 * HOUR));
@@ -164,51 +168,51 @@
 
 #[test]
 fn the_process_that_drained_may_withdraw_the_drain() {
-    let mut m = both();
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 0)], vec![]), at(1));
+    let mut m = both_sources();
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 0)], vec![]), at(1));
     m.lost(Source::Control);
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Ready, 7), 0)], vec![]), at(2));
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 0)], vec![]), at(2));
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn an_outdated_control_service_does_not_remove_newer_endpoints() {
-    let mut m = both();
+    let mut m = both_sources();
     m.list(Source::Discovery, &list(45, false, &[node("new", Ready, 9)]), at(1));
-    m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), at(1));
-    // The other one has been suspended since list 30.
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(1));
+    // A different process that has been suspended since list 30 resumes.
     m.control("old", WatchEvent::Changed(vec![], vec!["new".into()]), at(2));
     assert_eq!(state(&m, "new"), Some(Ready));
-    // The process with the continuous view is believed.
-    m.control("c1", WatchEvent::Changed(vec![stated(node("new", Ready, 9), 45)], vec![]), at(3));
+    // The process whose view is continuous can remove it.
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(3));
     m.control("c1", WatchEvent::Changed(vec![], vec!["new".into()]), at(4));
     assert_eq!(state(&m, "new"), None);
 }
 
 #[test]
 fn a_drain_survives_another_process_that_omits_the_endpoint() {
-    let mut m = both();
-    m.control("c1", WatchEvent::Changed(vec![stated(node("a", Draining, 7), 43)], vec![]), at(1));
+    let mut m = both_sources();
+    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(1));
     m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
     assert_eq!(state(&m, "a"), Some(Draining));
 }
 
 #[test]
 fn statements_confirmed_by_a_new_process_may_be_removed_by_it() {
-    let mut m = both();
+    let mut m = both_sources();
     m.control("c2", WatchEvent::Changed(vec![], vec![]), at(1));
     m.confirm();
     m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
-    assert_eq!(state(&m, "a"), None, "it removed an endpoint that it had confirmed");
+    assert_eq!(state(&m, "a"), None, "removed by the process that had confirmed it");
 }
 
 #[test]
 fn losing_the_control_service_changes_nothing_and_newer_statements_replace_its_own() {
-    let mut m = both();
+    let mut m = both_sources();
     m.control(
         "c1",
         WatchEvent::Changed(
-            vec![stated(node("a", Draining, 7), 43), stated(node("b", Ready, 1), 43)],
+            vec![sourced(node("a", Draining, 7), 43), sourced(node("b", Ready, 1), 43)],
             vec![],
         ),
         at(1),
@@ -219,12 +223,16 @@
     m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 7)]), at(3));
     assert_eq!(state(&m, "a"), Some(Draining), "older than the drain");
     m.list(Source::Discovery, &list(44, false, &[node("a", Ready, 7)]), at(4));
-    assert_eq!(state(&m, "a"), Some(Ready), "the drain was withdrawn, and no other source can report it");
+    assert_eq!(
+        state(&m, "a"),
+        Some(Ready),
+        "newer than the drain, and the source of the drain is unreachable"
+    );
 }
 
 #[test]
 fn configured_endpoints_are_used_until_discovery_responds() {
-    let mut m = merge();
+    let mut m = merger();
     m.list(Source::Known, &list(3, true, &[node("a", Ready, 0), node("b", Ready, 0)]), at(0));
     assert_eq!(m.nodes().count(), 2);
     m.list(Source::Discovery, &list(9, true, &[node("a", Ready, 0)]), at(1));
@@ -233,26 +241,26 @@
 
 #[test]
 fn addresses_come_from_discovery_and_weights_from_the_control_service() {
-    let mut m = both();
-    let far = Endpoint {
+    let mut m = both_sources();
+    let from_control = Endpoint {
         addr: Some("127.9.9.9:1".parse().expect("an address")),
         weight: 0.25,
         ..node("a", Ready, 7)
     };
-    m.control("c1", WatchEvent::Changed(vec![stated(far, 41)], vec![]), at(1));
+    m.control("c1", WatchEvent::Changed(vec![sourced(from_control, 41)], vec![]), at(1));
     let a = m.nodes().next().expect("a node").member.clone();
     assert_eq!((a.addr, a.weight), (node("a", Ready, 7).addr, 0.25));
 }
 
 #[test]
 fn remembered_endpoints_are_bounded() {
-    let mut m = merge();
+    let mut m = merger();
     for i in 0..1000u64 {
         let id = format!("n{i}");
-        m.control("c1", WatchEvent::Changed(vec![stated(node(&id, Ready, 1), i + 1)], vec![]), at(i));
+        m.control("c1", WatchEvent::Changed(vec![sourced(node(&id, Ready, 1), i + 1)], vec![]), at(i));
         m.control("c1", WatchEvent::Changed(vec![], vec![id]), at(i));
     }
-    // The oldest are evicted: discovery may name them again.
+    // The oldest are evicted, so that discovery may list them again.
     m.list(Source::Discovery, &list(1, true, &[node("n0", Ready, 1), node("n999", Ready, 1)]), at(2000));
     assert_eq!((state(&m, "n0"), state(&m, "n999")), (Some(Ready), None));
 }
@@ -283,13 +291,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// The reported changes add up to the merged list, which contains only endpoints that a source has named.
+    /// Applying the reported changes yields the merged list, which contains only endpoints that a source has listed.
     #[test]
     fn changes_add_up_to_the_merged_list(steps in prop::collection::vec(step(), 1..60)) {
         let members = |nodes: Vec<(u8, u8, u8)>| nodes.into_iter().map(|(id, state, started)| {
             node(&id.to_string(), [Ready, Draining, Gone][state as usize], u64::from(started))
         });
-        let (mut m, mut told, mut named) = (merge(), std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
+        let (mut m, mut from_changes, mut named) = (merger(), std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
         for (i, step) in steps.into_iter().enumerate() {
             let now = i as Nanos * 5 * SECOND;
             let changes = match step {
@@ -299,7 +307,7 @@
                     m.list(Source::Discovery, &EndpointList { version, full, servers }, at(now))
                 }
                 Step::Control(process, nodes, gone) => {
-                    let all: Vec<SourcedEndpoint> = members(nodes).map(|m| stated(m, i as u64)).collect();
+                    let all: Vec<SourcedEndpoint> = members(nodes).map(|m| sourced(m, i as u64)).collect();
                     named.extend(all.iter().map(|s| s.member.id.clone()));
                     let gone = gone.iter().map(u8::to_string).collect();
                     m.control(&process.to_string(), WatchEvent::Changed(all, gone), at(now))
@@ -307,19 +315,19 @@
                 Step::Lost => { m.lost(Source::Control); Changes::default() }
                 Step::Tick => m.tick(at(now)),
             };
-            for gone in changes.gone { told.remove(&gone.id); }
-            for new in changes.upserts { told.insert(new.id.clone(), new); }
+            for gone in changes.gone { from_changes.remove(&gone.id); }
+            for new in changes.upserts { from_changes.insert(new.id.clone(), new); }
             let merged: std::collections::BTreeMap<String, Endpoint> =
                 m.nodes().map(|v| (v.member.id.clone(), v.member.clone())).collect();
-            prop_assert_eq!(&told, &merged);
+            prop_assert_eq!(&from_changes, &merged);
             prop_assert!(merged.iter().all(|(id, m)| named.contains(id) && m.state != Gone));
         }
     }
 }
 
-/// Operators' overrides apply and end by the clock alone, whatever the list says, and undo no drain.
+/// Overrides apply and end by the clock alone, regardless of the list, and do not end a drain.
 #[test]
-fn overrides_expire_by_themselves_and_only_restrict() {
+fn overrides_expire_without_the_control_service_and_only_restrict() {
     use rushquay_endpoints::Imposed;
     const S: u64 = 1_000_000_000;
     let mut merge = EndpointMerger::new(MergeLimits::default());
@@ -329,7 +337,7 @@
         );
         serde_json::from_str(&text).expect("a list")
     };
-    let stated = |imposed: Imposed| SourcedEndpoint {
+    let sourced = |imposed: Imposed| SourcedEndpoint {
         member: list("ready").servers[0].clone(),
         listed: 1,
         shared: true,
@@ -342,33 +350,33 @@
         cold_after: 60 * S,
         ..Imposed::default()
     };
-    let changes = merge.control("one", WatchEvent::Whole(vec![stated(imposed)]), at(2 * S));
-    let seen = |changes: &rushquay_endpoints::Changes| {
+    let changes = merge.control("one", WatchEvent::Whole(vec![sourced(imposed)]), at(2 * S));
+    let first_upsert = |changes: &rushquay_endpoints::Changes| {
         changes.upserts.first().map(|m| (m.state, m.weight, m.started))
     };
-    assert_eq!(seen(&changes), Some((EndpointState::Draining, 1.0, 0)));
-    // No connection to the control service from here on.
+    assert_eq!(first_upsert(&changes), Some((EndpointState::Draining, 1.0, 0)));
+    // The control service is unreachable from here on.
     merge.lost(Source::Control);
     assert!(merge.tick(at(49 * S)).is_empty());
-    assert_eq!(seen(&merge.tick(at(50 * S))), Some((EndpointState::Draining, 0.5, 0)));
-    // Another list and a restart of the endpoint change nothing.
+    assert_eq!(first_upsert(&merge.tick(at(50 * S))), Some((EndpointState::Draining, 0.5, 0)));
+    // A new list and a restart of the endpoint do not end the override.
     let mut restarted = list("ready");
     restarted.servers[0].started = 70 * S;
     merge.list(Source::Discovery, &restarted, at(71 * S));
     assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
-    // Back after 99 s: with a cold cache, and so with a slow start.
-    assert_eq!(seen(&merge.tick(at(100 * S))), Some((EndpointState::Ready, 0.5, 100 * S)));
-    assert_eq!(seen(&merge.tick(at(200 * S))), Some((EndpointState::Ready, 2.0, 100 * S)));
+    // In service again after 99 s, with a cold cache and therefore a slow start.
+    assert_eq!(first_upsert(&merge.tick(at(100 * S))), Some((EndpointState::Ready, 0.5, 100 * S)));
+    assert_eq!(first_upsert(&merge.tick(at(200 * S))), Some((EndpointState::Ready, 2.0, 100 * S)));
     // The end of an override does not make a draining endpoint ready.
     let mut merge = EndpointMerger::new(MergeLimits::default());
     merge.list(Source::Discovery, &list("draining"), at(S));
-    let short = Imposed { out: (S, 9 * S), ..Imposed::default() };
-    merge.control("one", WatchEvent::Whole(vec![stated(short)]), at(2 * S));
+    let short_outage = Imposed { out: (S, 9 * S), ..Imposed::default() };
+    merge.control("one", WatchEvent::Whole(vec![sourced(short_outage)]), at(2 * S));
     merge.tick(at(10 * S));
     assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
 }
 
-/// Guards against overrides staying void once a clock was heard that is ahead.
+/// Guards against overrides staying ineffective after the control service's clock was ahead for a time.
 #[test]
 fn overrides_follow_the_control_services_clock_forward_and_back() {
     use rushquay_endpoints::Imposed;
@@ -380,28 +388,28 @@
             let a = m.nodes().next().expect("a node").member;
             a.state == Draining || a.weight < 1.0
         };
-        let entry = SourcedEndpoint { imposed, ..stated(node("a", Ready, 7), 40) };
-        // A little ahead, a little more at each time, by more than the override lasts, and behind.
+        let entry = SourcedEndpoint { imposed, ..sourced(node("a", Ready, 7), 40) };
+        // By how much the clock is ahead for a time: up to more than the duration of the override.
         for ahead in [0, 60, 600, 3_700, 7_200, 0] {
             let ahead = ahead * SECOND;
-            let mut m = both();
+            let mut m = both_sources();
             m.tick(at_both(SECOND, SECOND + ahead));
             m.control(
                 "c2",
                 WatchEvent::Changed(vec![entry.clone()], vec![]),
                 at_both(2 * SECOND, 2 * SECOND),
             );
-            assert!(restricted(&m), "{ahead} ns ahead before it is heard");
-            // A clock that is ahead by more is believed while it speaks, and no longer.
+            assert!(restricted(&m), "clock {ahead} ns ahead before the override arrives");
+            // The override ends while the clock is ahead of its end, and applies again once the clock is back.
             m.tick(at_both(3 * SECOND, 3 * SECOND + ahead));
-            assert_eq!(restricted(&m), 3 * SECOND + ahead < end, "{ahead} ns ahead");
+            assert_eq!(restricted(&m), 3 * SECOND + ahead < end, "clock {ahead} ns ahead");
             m.list(Source::Discovery, &list(41, false, &[]), at_both(4 * SECOND, 4 * SECOND));
-            assert!(restricted(&m), "{ahead} ns ahead before a list of discovery");
+            assert!(restricted(&m), "clock {ahead} ns ahead before a list of discovery");
             m.tick(at_both(5 * SECOND, 5 * SECOND + ahead));
             m.tick(at_both(6 * SECOND, 6 * SECOND));
-            assert!(restricted(&m), "{ahead} ns ahead before a tick");
+            assert!(restricted(&m), "clock {ahead} ns ahead before a tick");
             m.tick(at_both(end, end));
-            assert!(!restricted(&m), "it has ended");
+            assert!(!restricted(&m), "still restricted after the end");
         }
     }
 }
--- a/crates/core/endpoints/tests/list_assembler.rs
+++ b/crates/core/endpoints/tests/list_assembler.rs
@@ -1,4 +1,4 @@
-//! Assembling a whole list from incremental updates.
+//! Assembling the whole list from whole lists and incremental updates.
 
 use rushquay_endpoints::{EndpointList, ListAssembler};
 
@@ -10,12 +10,12 @@
         let text = format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, servers.join(","));
         serde_json::from_str(&text).expect("a list")
     };
-    let mut roll = ListAssembler::default();
-    assert_eq!(roll.whole(), None);
-    roll.take(&list(3, true, &[("a", "ready"), ("b", "ready")]));
-    roll.take(&list(4, false, &[("b", "draining"), ("c", "ready")]));
-    roll.take(&list(5, false, &[("a", "gone")]));
-    assert_eq!(roll.whole(), Some(list(5, true, &[("b", "draining"), ("c", "ready")])));
-    roll.take(&list(6, true, &[("d", "ready")]));
-    assert_eq!(roll.whole(), Some(list(6, true, &[("d", "ready")])));
+    let mut assembler = ListAssembler::default();
+    assert_eq!(assembler.whole(), None);
+    assembler.take(&list(3, true, &[("a", "ready"), ("b", "ready")]));
+    assembler.take(&list(4, false, &[("b", "draining"), ("c", "ready")]));
+    assembler.take(&list(5, false, &[("a", "gone")]));
+    assert_eq!(assembler.whole(), Some(list(5, true, &[("b", "draining"), ("c", "ready")])));
+    assembler.take(&list(6, true, &[("d", "ready")]));
+    assert_eq!(assembler.whole(), Some(list(6, true, &[("d", "ready")])));
 }
--- a/crates/core/endpoints/tests/pins.rs
+++ b/crates/core/endpoints/tests/pins.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn of_equal_pins_the_later_applies_until_it_ends() {
+fn among_equally_specific_pins_the_latest_applies_until_it_ends() {
     let pins = Pins::new([(pin(1, 90, None, Some("a")), "old"), (pin(2, 50, None, Some("a")), "new")]);
     assert_eq!(pins.find("read", "a", 10), Some(&"new"));
     assert_eq!(pins.find("read", "a", 60), Some(&"old"));
--- a/crates/core/endpoints/tests/start_times.rs
+++ b/crates/core/endpoints/tests/start_times.rs
@@ -1,71 +1,72 @@
-//! Start times of endpoints, reported to a process whose wall clock was stepped at startup.
+//! Converting start times in a process whose wall clock was wrong at startup.
 
 use rushquay_endpoints::{Endpoint, EndpointList, Nanos, StartTimes};
 
 const SECOND: Nanos = 1_000_000_000;
 const HOUR: i64 = 3600 * SECOND as i64;
-/// Unix time.
+/// The present by discovery's clock, as Unix time.
 const NOW: Nanos = 1_800_000_000 * SECOND;
 
-fn members(told: &[(&str, Nanos)]) -> Vec<Endpoint> {
-    let one = |(id, started): &(&str, Nanos)| {
+fn endpoints(starts: &[(&str, Nanos)]) -> Vec<Endpoint> {
+    let endpoint = |(id, started): &(&str, Nanos)| {
         format!(r#"{{"id":"{id}","state":"ready","started_ms":{}}}"#, started / 1_000_000)
     };
-    let servers: Vec<String> = told.iter().map(one).collect();
+    let servers: Vec<String> = starts.iter().map(endpoint).collect();
     let text = format!(r#"{{"version":1,"full":true,"servers":[{}]}}"#, servers.join(","));
     serde_json::from_str::<EndpointList>(&text).expect("a list").servers
 }
 
-/// The uptime of an endpoint by its converted start.
-fn age(starts: &mut StartTimes, id: &str, started: Nanos, now_here: Nanos) -> Nanos {
-    let mut told = members(&[(id, started)]);
-    starts.take(&mut told, now_here);
-    now_here - told[0].started
+/// The uptime of an endpoint according to its converted start time.
+fn age(starts: &mut StartTimes, id: &str, started: Nanos, local_now: Nanos) -> Nanos {
+    let mut list = endpoints(&[(id, started)]);
+    starts.take(&mut list, local_now);
+    local_now - list[0].started
 }
 
 #[test]
 fn starts_are_unchanged_while_the_clocks_agree() {
     let mut starts = StartTimes::default();
-    let agos = [0, 1, 12, 3000];
+    let ages_s = [0, 1, 12, 3000];
     let names = ["a", "b", "c", "d"];
-    let told: Vec<(&str, Nanos)> = names.iter().zip(agos).map(|(n, ago)| (*n, NOW - ago * SECOND)).collect();
-    let mut list = members(&told);
+    let reported: Vec<(&str, Nanos)> =
+        names.iter().zip(ages_s).map(|(n, age_s)| (*n, NOW - age_s * SECOND)).collect();
+    let mut list = endpoints(&reported);
     starts.take(&mut list, NOW);
-    assert_eq!(list, members(&told));
+    assert_eq!(list, endpoints(&reported));
     assert_eq!(age(&mut starts, "later", NOW + 8 * SECOND, NOW + 10 * SECOND), 2 * SECOND);
     assert!(!starts.dated(NOW, NOW + SECOND));
     assert_eq!(starts.ahead(), 0);
 }
 
-/// Danger: an endpoint that has just started would pass for a warm one.
+/// Danger: otherwise an endpoint that has just started would count as warm.
 #[test]
 fn a_clock_an_hour_off_is_detected_by_the_date_of_a_response() {
     for step in [HOUR, -HOUR] {
-        let here = |t: Nanos| t.saturating_add_signed(step);
+        let local = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
-        assert!(starts.dated(NOW, here(NOW)));
-        let mut list = members(&[("cold", NOW - 3 * SECOND), ("warm", NOW - 3000 * SECOND)]);
-        starts.take(&mut list, here(NOW));
-        let ages: Vec<Nanos> = list.iter().map(|m| here(NOW) - m.started).collect();
+        assert!(starts.dated(NOW, local(NOW)));
+        let mut list = endpoints(&[("cold", NOW - 3 * SECOND), ("warm", NOW - 3000 * SECOND)]);
+        starts.take(&mut list, local(NOW));
+        let ages: Vec<Nanos> = list.iter().map(|m| local(NOW) - m.started).collect();
         assert_eq!(ages, [3 * SECOND, 3000 * SECOND]);
-        assert!(!starts.dated(NOW + SECOND, here(NOW)), "said once");
+        assert!(!starts.dated(NOW + SECOND, local(NOW)), "the same difference is reported only once");
     }
 }
 
-/// Without any date: an endpoint that starts while this process runs reveals it.
+/// If responses have no date, endpoints that start while this process runs reveal the error of its clock.
 #[test]
 fn a_clock_an_hour_off_is_detected_by_new_starts() {
     for step in [HOUR, -HOUR] {
-        let here = |t: Nanos| t.saturating_add_signed(step);
+        let local = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
-        starts.take(&mut members(&[("old", 0)]), here(NOW));
-        let later = NOW + 60 * SECOND;
-        // Reported two seconds late, and taken for a start just now: colder than it is, never warmer.
-        assert_eq!(age(&mut starts, "new", later - 2 * SECOND, here(later)), 0);
-        let second = later + 30 * SECOND;
-        assert_eq!(age(&mut starts, "newer", second - SECOND, here(second)), 0);
-        // A start that was reported before is converted as before.
-        assert_eq!(age(&mut starts, "new", later - 2 * SECOND, here(second)), 30 * SECOND);
+        starts.take(&mut endpoints(&[("old", 0)]), local(NOW));
+        let first_seen_at = NOW + 60 * SECOND;
+        // It started two seconds ago, but counts as just started: a wrong clock makes endpoints seem colder, never warmer.
+        assert_eq!(age(&mut starts, "new", first_seen_at - 2 * SECOND, local(first_seen_at)), 0);
+        let second_seen_at = first_seen_at + 30 * SECOND;
+        assert_eq!(age(&mut starts, "newer", second_seen_at - SECOND, local(second_seen_at)), 0);
+        // A start time that is already known keeps its conversion.
+        assert_eq!(age(&mut starts, "new", first_seen_at - 2 * SECOND, local(second_seen_at)), 30 * SECOND);
     }
 }
 
@@ -75,11 +76,11 @@
     assert_eq!(age(&mut starts, "a", NOW + 5 * SECOND, NOW), 0);
 }
 
-/// One endpoint that was away and comes back, as old as it reports, affects no other.
+/// An endpoint that returns after an absence has an old start time, which must not be attributed to the clock.
 #[test]
 fn one_implausible_start_does_not_affect_other_endpoints() {
     let mut starts = StartTimes::default();
-    starts.take(&mut members(&[("old", 0)]), NOW);
+    starts.take(&mut endpoints(&[("old", 0)]), NOW);
     assert_eq!(age(&mut starts, "back", NOW - 3000 * SECOND, NOW + SECOND), 0);
     assert_eq!(starts.ahead(), 0);
     assert_eq!(age(&mut starts, "new", NOW, NOW + 2 * SECOND), 2 * SECOND);
