--- a/crates/core/admission/src/lib.rs
+++ b/crates/core/admission/src/lib.rs
@@ -11,12 +11,13 @@
 const MILLISECOND: Nanos = 1_000_000;
 /// A new connection that has sent nothing counts as fresh for this long, as its first request is expected soon.
 pub const FRESH_PERIOD: Nanos = 500 * MILLISECOND;
-/// A connection is not evicted until this long after it was accepted, as its first request may be in flight.
+/// A connection that has sent nothing is not evicted until this long after it was accepted, as its first request may be in
+/// flight.
 pub const EVICTION_GRACE: Nanos = 100 * MILLISECOND;
 /// A client that has sent part of a request and then nothing for this long counts as stopped. Danger: a slow client pauses
 /// between the pieces that it sends, and a shorter time would mistake these pauses for a stop.
 pub const STOPPED_AFTER: Nanos = 1200 * MILLISECOND;
-/// Connections without a complete request are a flood if they occupy more than one slot out of this many.
+/// Mute, stopped and fresh connections are a flood if they occupy more than one slot out of this many.
 const FLOOD_DIVISOR: usize = 4;
 /// Connections that are sending a request are evicted before idle ones if they occupy more than one slot out of this many.
 const WRITING_DIVISOR: usize = 2;
--- a/crates/core/lease/tests/simulation.rs
+++ b/crates/core/lease/tests/simulation.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy)]
 enum Response {
     Won(u64, Nanos),
-    Taken,
+    HeldByOther,
     Renewed(Nanos),
     Fenced,
     Lost,
@@ -70,7 +70,7 @@
                 instance.response = None;
                 match response {
                     Response::Won(epoch, sent) => drop(instance.elector.won(Epoch(epoch), sent, clock)),
-                    Response::Taken => instance.elector.beaten(None, clock),
+                    Response::HeldByOther => instance.elector.beaten(None, clock),
                     Response::Renewed(sent) => instance.elector.renewed(sent),
                     Response::Fenced => instance.elector.lost(clock),
                     Response::Lost => instance.elector.unknown(clock),
@@ -92,7 +92,7 @@
                     store.holder = Some((i, now + terms.ttl));
                     Response::Won(store.epoch, clock)
                 }
-                Action::Campaign => Response::Taken,
+                Action::Campaign => Response::HeldByOther,
                 Action::Renew if request_arrives => match &instance.elector.role() {
                     Role::Leader { epoch, .. } if epoch.0 == store.epoch && !is_free => {
                         store.holder = Some((i, now + terms.ttl));
--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -1,7 +1,7 @@
 //! Tracks the transfer of message heads and bodies.
 //!
-//! [`Pace`] detects a peer that makes too little progress; [`Replay`] decides whether a request body can be sent to another
-//! endpoint after a part of it was forwarded.
+//! [`Pace`] detects a peer that makes too little progress; [`Replay`] decides whether a request body can be sent again
+//! after a part of it was forwarded.
 //! The crate does no I/O and reads no clock: time is passed in.
 #![forbid(unsafe_code)]
 
