--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,73 +1,80 @@
-//! Admission: the part of the requests that is taken, by what became of those sent in an earlier time window.
+//! Admission control: the fraction of requests that is admitted, by the outcomes of the requests of an
+//! earlier time window.
 
 use super::api::Nanos;
 use super::request::{FailureCause, OpenRequest};
 use super::{Balancer, MS, SECOND};
 use std::ops::Range;
 
-/// Of the requests sent in a window, the part late beyond which less is taken: well over what a failed fifth
-/// of the endpoints makes late by itself, which rejecting would not mend.
+/// Fraction of late requests in a window above which fewer requests are admitted. It is well above the
+/// fraction that the failure of a fifth of the endpoints makes late, which rejecting requests would not
+/// improve.
 const LATE_LIMIT: f64 = 0.35;
-/// The part late or rejected by endpoints beyond which requests of low value are rejected; below half of it
-/// more of them are taken.
+/// Fraction of late or endpoint-rejected requests above which fewer requests of low value are admitted; below
+/// half of it more of them are.
 const OVERLOAD_LIMIT: f64 = 0.1;
-/// Requests worth less than this part of the usual value for their work are of low value.
+/// A request is of low value if its value for its work is below this fraction of the usual one.
 const LOW_VALUE_RATIO: f64 = 0.5;
-/// Fewer requests than this say nothing against the endpoints; the window stays open for more, for a while.
-pub(super) const MIN_SAMPLE: f64 = 8.0;
-/// Bounds of the time after which the outcomes of a window are known.
+/// Minimum number of requests that is evidence against the endpoints; a window with fewer stays open longer.
+pub(super) const MIN_SAMPLE_SIZE: f64 = 8.0;
+/// Bounds of the time after the close of a window at which its outcomes count as known.
 const MIN_SETTLING_TIME: Nanos = 100 * MS;
 const MAX_SETTLING_TIME: Nanos = 4 * SECOND;
-/// The least parts that stay admitted, so that recovery is noticed.
+/// Minimum admitted fractions: some requests are always admitted, so that a recovery is noticed.
 const MIN_ADMITTED: f64 = 0.05;
 const MIN_LOW_VALUE_ADMITTED: f64 = 0.02;
-/// Growth of the admitted parts for each step of recovery.
+/// Growth factor of the admitted fractions per step of recovery.
 const RECOVERY_FACTOR: f64 = 1.1;
-/// The most steps of recovery for one window.
+/// Maximum number of recovery steps per window.
 const MAX_RECOVERY_STEPS: f64 = 8.0;
 
-/// What became of the requests that arrived in a window of time.
+/// Outcomes of the requests that arrived in a time window.
 #[derive(Clone, Default)]
 struct Window {
     opened_at: Nanos,
-    /// When it closed to new arrivals.
+    /// When the window was closed to new arrivals.
     closed_at: Option<Nanos>,
     sent: f64,
     ended: f64,
     late: f64,
     overloaded: f64,
-    /// Value of all requests that arrived, taken or not.
+    /// Total value of the requests that arrived, whether admitted or not.
     value: f64,
-    /// Usual time of these requests' work, in nanoseconds.
+    /// Total work of these requests, in nanoseconds: the mean latency of the class of each.
     work: f64,
 }
 
 impl Window {
-    /// Whether requests that arrived then belong to the window.
+    /// The arrival times that belong to the window; `open_end` is the end of one that is still open.
     fn span(&self, open_end: Nanos) -> Range<Nanos> {
         self.opened_at..self.closed_at.unwrap_or(open_end)
     }
 }
 
-/// The parts of the requests that are taken.
+/// The admitted fractions of the requests, and the window from which they are computed.
 pub(super) struct Admission {
     window: Window,
-    /// Usual value of a nanosecond's work.
-    usual_value: f64,
-    /// The part of all requests that is taken.
+    /// Usual value of a nanosecond of work.
+    usual_value_per_ns: f64,
+    /// Admitted fraction of all requests.
     admitted: f64,
-    /// The part that is taken of the requests of low value, on top of that.
+    /// Additional factor for requests of low value.
     low_value_admitted: f64,
 }
 
 impl Default for Admission {
     fn default() -> Self {
-        Admission { window: Window::default(), usual_value: 0.0, admitted: 1.0, low_value_admitted: 1.0 }
+        Admission {
+            window: Window::default(),
+            usual_value_per_ns: 0.0,
+            admitted: 1.0,
+            low_value_admitted: 1.0,
+        }
     }
 }
 
 impl Admission {
-    /// Whether some requests are rejected at present.
+    /// Whether some requests are currently rejected.
     pub(super) fn is_shedding(&self) -> bool {
         self.admitted < 1.0 || self.low_value_admitted < 1.0
     }
@@ -79,11 +86,12 @@
         }
     }
 
-    /// Counts the end of a request that was sent; `value` is the part of its value that the answer earned.
+    /// Counts the end of a request that was sent; `value` is the fraction of its value that the answer
+    /// earned.
     pub(super) fn record_end(&mut self, request: &OpenRequest, value: f64) {
-        // One that came too late to meet its objective says nothing of the endpoints.
-        let counts = request.is_feasible && !request.attempts.is_empty();
-        if !counts || !self.window.span(Nanos::MAX).contains(&request.arrived_at) {
+        // A request that arrived too late to meet its objective is no evidence against the endpoints.
+        let is_evidence = request.is_feasible && !request.attempts.is_empty();
+        if !is_evidence || !self.window.span(Nanos::MAX).contains(&request.arrived_at) {
             return;
         }
         self.window.ended += 1.0;
@@ -95,35 +103,38 @@
         }
     }
 
-    /// Closes the window once it holds enough; true once the outcomes of a closed one are known.
+    /// Closes the window once it is large or old enough; returns true once the outcomes of a closed one are
+    /// known.
     fn is_window_settled(&mut self, now: Nanos, settling_time: Nanos) -> bool {
         if let Some(closed_at) = self.window.closed_at {
             return now >= closed_at.saturating_add(settling_time);
         }
         let age = now.saturating_sub(self.window.opened_at);
-        let is_large = self.window.sent >= MIN_SAMPLE && age >= settling_time / 2;
+        let is_large = self.window.sent >= MIN_SAMPLE_SIZE && age >= settling_time / 2;
         if is_large || age >= 4 * settling_time {
             self.window.closed_at = Some(now);
         }
         false
     }
 
-    /// Adjusts the admitted parts by a window whose outcomes are known.
+    /// Adjusts the admitted fractions by a window whose outcomes are known. `rejection_cost` is the weight of
+    /// an endpoint's rejection, relative to a late answer.
     fn adjust(&mut self, now: Nanos, settling_time: Nanos, window: &Window, rejection_cost: f64) {
-        let sample = window.ended.max(MIN_SAMPLE);
+        let sample = window.ended.max(MIN_SAMPLE_SIZE);
         let (late, overload) = (window.late / sample, (window.late + window.overloaded) / sample);
         if window.work > 0.0 {
-            self.usual_value = window.value / window.work;
+            self.usual_value_per_ns = window.value / window.work;
         }
-        // Windows last long where traffic is sparse: recovery goes by time, or it would take minutes.
+        // With sparse traffic a window lasts long, so recovery is proportional to its age; one step per
+        // window would take minutes.
         let age = now.saturating_sub(window.opened_at) as f64;
         let steps = (age / (1.5 * settling_time as f64)).clamp(1.0, MAX_RECOVERY_STEPS);
         let growth = RECOVERY_FACTOR.powf(steps);
-        // By chance a few requests of a small window fail.
-        let by_chance = 1.5 * (OVERLOAD_LIMIT / window.ended.max(1.0)).sqrt();
-        if overload > OVERLOAD_LIMIT + by_chance {
+        // In a small window a few requests fail by chance.
+        let chance_margin = 1.5 * (OVERLOAD_LIMIT / window.ended.max(1.0)).sqrt();
+        if overload > OVERLOAD_LIMIT + chance_margin {
             self.low_value_admitted = (self.low_value_admitted * 0.5).max(MIN_LOW_VALUE_ADMITTED);
-        } else if overload < OVERLOAD_LIMIT / 2.0 + by_chance {
+        } else if overload < OVERLOAD_LIMIT / 2.0 + chance_margin {
             self.low_value_admitted = (self.low_value_admitted * growth + 0.01 * steps).min(1.0);
         }
         let late = late + rejection_cost * window.overloaded / sample;
@@ -136,15 +147,15 @@
 }
 
 impl Balancer {
-    /// The longest latency objective: what became of a window's requests is known by then.
+    /// The longest latency objective: the time after which the outcomes of a window's requests are known.
     fn settling_time(&self) -> Nanos {
         let longest = self.settings.classes.iter().map(|c| c.aim).max();
         longest.unwrap_or(SECOND).clamp(MIN_SETTLING_TIME, MAX_SETTLING_TIME)
     }
 
-    /// Adjusts the admitted parts by what became of the requests of one window that were sent. Danger:
-    /// judging by the requests that end just now reacts to the load of before, and swings between all and
-    /// none. What was rejected says nothing, or rejecting would feed itself.
+    /// Adjusts the admitted fractions by the outcomes of the requests of one window that were sent. Danger:
+    /// adjusting by the requests that are just ending would react to an earlier load, and oscillate between
+    /// admitting all and none. Rejected requests are not counted, or rejections would cause further ones.
     fn update_admission(&mut self, now: Nanos) {
         let settling_time = self.settling_time();
         if !self.admission.is_window_settled(now, settling_time) {
@@ -154,15 +165,16 @@
         let mut window = std::mem::replace(&mut self.admission.window, next);
         let overdue = self.overdue_requests(window.span(now)) as f64;
         (window.late, window.ended) = (window.late + overdue, window.ended + overdue);
-        // A rejection by an endpoint costs a handshake; where those have a price, hammering full endpoints is
-        // waste.
+        // A rejection by an endpoint costs a handshake; if handshakes have a price, requests to overloaded
+        // endpoints are a waste.
         let rejection_cost = if self.settings.handshake_price > 0.0 { 0.5 } else { 0.0 };
         self.admission.adjust(now, settling_time, &window, rejection_cost);
     }
 
-    /// The requests that arrived in this span and are still open, which is past their objective. Danger:
-    /// where clients wait for longer than that, endpoints that answer nothing would not be noticed until the
-    /// clients give up. What waits for the origin is not the endpoints' fault.
+    /// Number of the requests that arrived in this span and are still open, although their objective has
+    /// passed. Danger: if clients wait longer than the objective, endpoints that never answer would not be
+    /// noticed until the clients give up. Requests that wait for an overloaded origin are left out: they are
+    /// no evidence against the endpoints.
     fn overdue_requests(&self, arrived: Range<Nanos>) -> usize {
         let is_overdue = |request: &&OpenRequest| {
             let last = request.attempts.last().and_then(|a| self.endpoints.get(a.server));
@@ -173,7 +185,8 @@
         self.requests.values().filter(is_overdue).count()
     }
 
-    /// The probability with which to reject a request unsent: what is worth little for its work goes first.
+    /// The probability with which to reject a request before it is sent; it is highest for those of low value
+    /// for their work.
     pub(super) fn rejection_probability(&mut self, now: Nanos, request: &mut OpenRequest) -> f64 {
         self.update_admission(now);
         let work = self.latency_of(request.class).mean.max(1.0);
@@ -187,9 +200,9 @@
         let admission = &mut self.admission;
         admission.window.value += value;
         admission.window.work += work;
-        let ratio = value / work / admission.usual_value.max(1e-30);
+        let ratio = value / work / admission.usual_value_per_ns.max(1e-30);
         let mut admitted = 1.0 - (1.0 - admission.admitted).powf(ratio.clamp(0.25, 4.0));
-        request.is_low_value = ratio < LOW_VALUE_RATIO && admission.usual_value > 0.0;
+        request.is_low_value = ratio < LOW_VALUE_RATIO && admission.usual_value_per_ns > 0.0;
         if request.is_low_value {
             admitted *= admission.low_value_admitted;
         }
--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -1,16 +1,17 @@
-//! The interface of the decision module: settings at start, then events in and actions out.
+//! The interface of the decision module: it is created with settings, then turns events into actions.
 //!
-//! All times are nanoseconds. The caller owns the clock, the sockets and the timers; [`crate::Balancer`] has
-//! none.
+//! All times are in nanoseconds. The clock, the sockets and the timers belong to the caller;
+//! [`crate::Balancer`] has none.
 
 /// A point in time on the caller's clock, or a duration, in nanoseconds.
 pub type Nanos = u64;
-/// Stable id of an endpoint: the same value at every proxy (see [`server_id`]).
+/// Stable id of an endpoint, with the same value at every proxy (see [`server_id`]).
 pub type ServerId = u64;
-/// Id of a request at this proxy; below 2^52, never used twice.
+/// Id of a request at this proxy; below 2^52 and never reused.
 pub type RequestId = u64;
 
-/// Derives the id of an endpoint from its name (FNV-1a with a finalizer), so that all proxies agree on it.
+/// Derives the id of an endpoint from its name (FNV-1a with a finalizer), so that all proxies use the same
+/// id.
 pub fn server_id(name: &str) -> ServerId {
     let hash = name
         .bytes()
@@ -22,7 +23,7 @@
 /// Whether a request of a class may take effect more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: repeats do no harm.
+    /// Idempotent: repeats are harmless.
     #[default]
     Safe,
     /// The endpoints of the class's group drop repeats within its deduplication window.
@@ -48,37 +49,37 @@
 pub struct Class {
     /// Latency objective: an answer within this time earns its full value.
     pub aim: Nanos,
-    /// The client gives up after this time, counted over all its tries.
+    /// The client gives up after this time, measured from its first try.
     pub deadline: Nanos,
-    /// Whether it may take effect more than once.
+    /// Whether a request may take effect more than once.
     pub effect: Effect,
     /// For keyed classes: the endpoints that drop repeats.
     pub group: Group,
     /// For keyed classes: how long repeats are dropped.
     pub dedup_window: Nanos,
-    /// The part of its value that an answer after the latency objective earns.
+    /// Fraction of the value that an answer after the latency objective earns.
     pub late_value: f64,
-    /// Value of a request (or of a unit of its work).
+    /// Value of a request, or of a unit of its work (see [`Settings::worth_by_work`]).
     pub worth: f64,
-    /// Its answers are streamed.
+    /// Whether its answers are streamed.
     pub stream: bool,
-    /// The only zones that it may be sent to; `None`: all.
+    /// The zones to which its requests may be sent; `None`: all.
     pub zones: Option<Vec<u32>>,
-    /// The only machine kinds that it may be sent to; `None`: all.
+    /// The machine kinds to which its requests may be sent; `None`: all.
     pub kinds: Option<Vec<u32>>,
 }
 
 impl Class {
-    /// Whether it may be sent to the same endpoints as another class.
-    pub fn placed_as(&self, other: &Class) -> bool {
+    /// Whether its requests may be sent to the same endpoints as those of another class.
+    pub fn has_same_placement(&self, other: &Class) -> bool {
         self.zones == other.zones && self.kinds == other.kinds
     }
 }
 
-/// A tenant and its share.
+/// A tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests per second in its share, over all proxies.
+    /// Quota in requests per second, over all proxies.
     pub quota_rps: f64,
 }
 
@@ -95,54 +96,54 @@
     pub proxies: u32,
     /// Index of this proxy.
     pub me: u32,
-    /// The endpoint list must be subscribed to (else it is pushed).
+    /// Whether the proxy must subscribe to the endpoint list; otherwise the list is pushed.
     pub must_ask: bool,
-    /// Cache-aside deployment: endpoints answer a miss as such, and the proxy itself sends to the origin.
-    /// Else the endpoints fetch from the origin (a through deployment).
+    /// Whether this is a cache-aside deployment, in which endpoints report a miss and the proxy itself sends
+    /// to the origin. Otherwise the endpoints fetch from the origin (read-through).
     pub aside: bool,
     /// The machine kind of the origin in a cache-aside deployment.
     pub origin_kind: Option<u32>,
-    /// Value of a request beyond its tenant's share, as a part of its class's value.
+    /// Value of a request beyond its tenant's quota, as a fraction of the value of its class.
     pub over_share_worth: f64,
-    /// [`Class::worth`] is the value of a unit of work (else of a request).
+    /// Whether [`Class::worth`] is the value of a unit of work; otherwise it is the value of a request.
     pub worth_by_work: bool,
-    /// The most attempts for a request (0: one).
+    /// Maximum number of attempts of a request; 0 counts as 1.
     pub max_attempts: u32,
-    /// Pending attempts may be cancelled.
+    /// Whether pending attempts may be cancelled.
     pub cancel: bool,
-    /// Requests may be hedged: two attempts of one may be pending at once.
+    /// Whether requests may be hedged, so that two attempts of one request are pending at once.
     pub second_copies: bool,
-    /// The longest `Retry-After` that a rejection may advise (0: no advice).
+    /// Maximum `Retry-After` of a rejection; 0: none is given.
     pub max_retry_after: Nanos,
     /// Idle connections are closed after this time.
     pub conn_idle: Nanos,
-    /// Price of a new connection, for each first try.
+    /// Price of a new connection, charged for each first try.
     pub handshake_price: f64,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Slow start: the part of its capacity that an endpoint starts with.
+    /// Slow start: the fraction of its capacity with which an endpoint starts.
     pub cold_from: f64,
     /// Slow start: an endpoint is warm after this time.
     pub cold: Nanos,
-    /// A cold endpoint falls over when it is sent more than this multiple of its capacity ...
+    /// A cold endpoint fails if it is sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
     /// ... for this time.
     pub fall: Nanos,
-    /// Idle connections to a draining endpoint must be closed within this time (0: no such rule).
+    /// Idle connections to a draining endpoint must be closed within this time; 0: no limit.
     pub let_go: Nanos,
-    /// Without a subscription, one must be requested within this time.
+    /// Time within which a proxy without a subscription must request one.
     pub must_ask_in: Nanos,
-    /// Clients mark the tries that repeat an earlier one.
+    /// Whether clients mark the tries that repeat an earlier one.
     pub marks_retry: bool,
 }
 
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes the requests it has; no new ones may be sent to it.
+    /// Finishes its open requests; no new ones may be sent to it.
     Draining,
     /// Removed.
     Gone,
@@ -163,20 +164,20 @@
     pub state: State,
     /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Time of its last start; 0 if that is long ago.
+    /// Time of its last start; 0 if it started long ago.
     pub started: Nanos,
 }
 
-/// What the entries of a list event are.
+/// What the entries of an endpoint-list event contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The changed entries alone.
+    /// Only the changed entries.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as it was known last; it may be out of date.
+    /// The whole list as last known; it may be out of date.
     Cached,
-    /// A call failed or the subscription broke; the last list stays in use.
+    /// A call to discovery failed or the subscription broke; the last list stays in use.
     Failed,
 }
 
@@ -199,7 +200,7 @@
     Cancelled,
     /// Never sent; no effect.
     Moot,
-    /// The endpoint holds no value for the key (cache-aside deployments); no effect.
+    /// The endpoint has no value cached for the key (cache-aside deployments); no effect.
     Miss,
 }
 
@@ -210,7 +211,7 @@
     }
 }
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Id of the request.
@@ -227,11 +228,11 @@
     pub write: bool,
     /// Whether its client marked it as a repeat of an earlier try.
     pub retry: bool,
-    /// The endpoint that operators pinned it to, which is preferred while it may be used.
+    /// The endpoint to which operators pinned it; preferred whenever it is eligible.
     pub pinned: Option<ServerId>,
 }
 
-/// An event at the proxy.
+/// An event that the proxy reports to the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A change of the endpoint list.
@@ -262,13 +263,13 @@
     },
     /// A timer with this token has expired.
     Timer(u64),
-    /// The client left; no answer is owed.
+    /// The client left; no answer is needed.
     Expired(RequestId),
     /// A streamed answer has begun.
     First(RequestId),
 }
 
-/// What the proxy must do; actions are carried out in order.
+/// An action that the proxy must take; actions are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -277,7 +278,7 @@
         id: RequestId,
         /// The endpoint.
         server: ServerId,
-        /// Timeout; 0: until the client gives up.
+        /// Timeout; 0: only the client's deadline applies.
         timeout: Nanos,
     },
     /// Cancel a pending attempt.
@@ -287,7 +288,7 @@
         /// Index of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected, not done; a repeat does no harm.
+    /// Final answer: rejected; the client may safely repeat the request.
     Refuse {
         /// Id of the request.
         id: RequestId,
@@ -301,7 +302,7 @@
     },
     /// Arm a timer.
     Timer {
-        /// Token that the timer event carries.
+        /// Token of the timer event.
         token: u64,
         /// Time from now.
         delay: Nanos,
@@ -312,20 +313,21 @@
     Subscribe,
 }
 
-/// What this proxy may still send to a cold endpoint: handed from one process of the proxy to the next.
+/// Slow-start allowance of this proxy for a cold endpoint, as handed over from one process of the proxy to
+/// the next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLeft {
     /// The endpoint.
     pub server: ServerId,
-    /// When the endpoint started, Unix time, to the millisecond as in the list; the allowance does not hold
-    /// for another start.
+    /// Start time of the endpoint: Unix time, with the millisecond precision of the list. The allowance is
+    /// void if the endpoint has restarted since.
     pub started: Nanos,
-    /// Requests left; below one: none at present.
+    /// Requests left; below 1 none may be sent at present.
     pub left: f64,
 }
 
 impl ColdLeft {
-    /// The allowance left for the endpoint of this entry.
+    /// The allowance for the endpoint of this entry, with `left` requests.
     pub fn of(entry: &Entry, left: f64) -> Self {
         ColdLeft { server: entry.server, started: entry.started, left }
     }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts: sending one, retrying after a failure, hedging a slow one, and the final answer when none is
-//! left.
+//! Attempts: sending them, retrying after a failure, hedging slow ones, and the final answer when no further
+//! attempt is possible.
 
 use super::api::{Action, Effect, Nanos, RequestId, ServerId, Status};
 use super::endpoint_set::EndpointIndex;
@@ -7,12 +7,12 @@
 use super::request::{Attempt, Completion, OpenRequest};
 use super::{Balancer, HEDGE_TIMER, SECOND};
 
-/// Retries and hedges that each request earns.
+/// Retries and hedges that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.3;
-/// The most retries and hedges that are saved up.
+/// Maximum size of the budget.
 const MAX_RETRY_BUDGET: f64 = 10.0;
 
-/// The retries and hedges that may be sent.
+/// Budget of retries and hedges: the number that may be sent now.
 pub(super) struct RetryBudget {
     retries: f64,
 }
@@ -24,8 +24,8 @@
 }
 
 impl RetryBudget {
-    /// Counts a request.
-    pub(super) fn earn(&mut self) {
+    /// Adds the share of a new request.
+    pub(super) fn deposit(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
@@ -38,51 +38,53 @@
     }
 }
 
-/// What calls for a further attempt.
+/// Reason for a further attempt.
 #[derive(Clone, Copy, PartialEq)]
 enum RetryCause {
     /// An endpoint did not answer in time.
-    Silence,
+    NoAnswer,
     /// An attempt at the origin failed.
     OriginFailure,
     /// An attempt at another endpoint failed.
     EndpointFailure,
 }
 
-/// How long to wait for an attempt.
-struct Waits {
-    /// The attempt is given up after this time; 0 if the client's deadline alone applies.
+/// Timers of an attempt.
+struct AttemptTimers {
+    /// The attempt is abandoned after this time; 0 if only the client's deadline applies.
     timeout: Nanos,
-    /// A hedged attempt follows after this time.
+    /// A hedged attempt is sent after this time.
     hedge_after: Option<Nanos>,
 }
 
-impl Waits {
-    /// How long to wait for the attempt just sent.
+impl AttemptTimers {
+    /// The timers of the attempt that was just added to `request`.
     fn new(now: Nanos, request: &OpenRequest, latency: ClassLatency, to_origin: bool) -> Self {
         let settings = &request.settings;
         let budget = request.objective_at.min(request.deadline).saturating_sub(now) as f64;
-        // Danger: work for an answer that is worth nothing any more keeps others waiting.
+        // Danger: work on an answer that no longer has any value delays other requests.
         let is_worthless = budget > 0.0 && request.is_worthless_when_late();
         let timeout = if is_worthless { budget as Nanos } else { 0 };
-        let patience = latency.patience(budget);
+        let overdue_after = latency.overdue_after(budget);
         let is_repeatable = request.class().is_some_and(|c| c.effect != Effect::Unsafe && !c.stream);
         let has_attempts_left = (request.attempts.len() as u32) < settings.max_attempts;
-        let may_repeat = is_repeatable && has_attempts_left && !to_origin && patience + latency.mean < budget;
+        let may_repeat =
+            is_repeatable && has_attempts_left && !to_origin && overdue_after + latency.mean < budget;
         if may_repeat && settings.second_copies {
-            // Danger: an answer that got lost, or an endpoint that hangs, holds the request until its
-            // objective. While all endpoints are slow, patience exceeds the budget and nothing is sent twice.
-            Waits { timeout, hedge_after: Some(patience as Nanos) }
+            // Danger: a lost answer or a hung endpoint would delay the request past its objective. While all
+            // endpoints are slow, `overdue_after` exceeds the budget and no hedge is sent.
+            AttemptTimers { timeout, hedge_after: Some(overdue_after as Nanos) }
         } else if may_repeat && settings.aside {
-            Waits { timeout: patience as Nanos, hedge_after: None }
+            AttemptTimers { timeout: overdue_after as Nanos, hedge_after: None }
         } else {
-            Waits { timeout, hedge_after: None }
+            AttemptTimers { timeout, hedge_after: None }
         }
     }
 }
 
 impl Balancer {
-    /// Sends an attempt, if the rules and the endpoint's slow-start allowance let it go out.
+    /// Sends an attempt if the rules and the endpoint's slow-start allowance permit it; otherwise gives up
+    /// the request, unless another attempt is pending.
     pub(super) fn send(
         &mut self,
         now: Nanos,
@@ -91,10 +93,10 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
-        let is_lawful = self.is_lawful(now, request, &self.endpoints[index]);
+        let is_attempt_allowed = self.is_attempt_allowed(now, request, &self.endpoints[index]);
         let (is_fetch, has_pending_attempt) = (request.is_fetch, request.has_pending_attempt());
-        // The slow-start allowance is spent here, last of all, by whatever is sent.
-        if !(is_lawful && self.spend_slow_start_allowance(now, index)) {
+        // Every attempt spends the slow-start allowance here, after all other checks have passed.
+        if !(is_attempt_allowed && self.spend_slow_start_allowance(now, index)) {
             if !has_pending_attempt {
                 self.give_up(now, id, actions);
             }
@@ -109,14 +111,14 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempts.push(attempt);
         let latency = self.latency.get(request.class).copied().unwrap_or_default();
-        let waits = Waits::new(now, request, latency, to_origin);
-        if let Some(delay) = waits.hedge_after {
+        let timers = AttemptTimers::new(now, request, latency, to_origin);
+        if let Some(delay) = timers.hedge_after {
             actions.push(Action::Timer { token: HEDGE_TIMER | id, delay });
         }
-        actions.push(Action::Send { id, server, timeout: waits.timeout });
+        actions.push(Action::Send { id, server, timeout: timers.timeout });
     }
 
-    /// Counts an attempt at an endpoint.
+    /// Counts a new attempt at an endpoint.
     fn start_attempt(&mut self, now: Nanos, index: EndpointIndex) -> Attempt {
         let threshold = self.ejection_threshold(now);
         let endpoint = &mut self.endpoints[index];
@@ -124,7 +126,7 @@
         self.connections.in_flight += 1.0;
         let ejection = &mut endpoint.ejection;
         if ejection.log_odds >= 0.5 * threshold && ejection.backoff > 0 {
-            // A trial after an ejection: no second one before its answer is due.
+            // This is the trial request after an ejection: allow no second one before its answer is due.
             ejection.ejected_until = now.saturating_add(ejection.backoff.max(SECOND));
         }
         let entry = &endpoint.entry;
@@ -132,7 +134,7 @@
         Attempt { server, zone, cell, sent_at: now, is_pending: true, may_have_run: false }
     }
 
-    /// The next step of a request whose attempt failed: the origin, a retry, or the final answer.
+    /// Continues a request whose attempt failed: with an attempt at the origin, a retry, or the final answer.
     pub(super) fn continue_request(
         &mut self,
         now: Nanos,
@@ -158,44 +160,48 @@
         }
     }
 
-    /// Whether a failed attempt calls for another one. Danger: the key's other endpoints do not hold it, so a
-    /// retry after an overloaded, late or failed answer is one more miss at an origin that may be the cause.
-    /// Only an endpoint that did not take the request, because it cannot be reached or is ejected, is worth
-    /// another; in cache-aside deployments silence counts as a miss. A proxy with sparse traffic cannot know
-    /// that an endpoint is overloaded; while the origin is healthy it tries the next one.
+    /// The reason for a further attempt after a failed one, if there is one. Danger: the other endpoints
+    /// probably do not cache the key, so a retry after a rejected, late or failed answer causes one more
+    /// fetch from an origin that may be the cause of the failure. A retry is sent only if the endpoint could
+    /// not be reached, the connection broke, or the endpoint is ejected; in cache-aside deployments a timeout
+    /// counts as a miss. A proxy with sparse traffic cannot tell beforehand that an endpoint is overloaded,
+    /// so after a rejection it tries the next one while the origin is healthy.
     fn retry_cause(&self, now: Nanos, ended: &Completion, to_origin: bool) -> Option<RetryCause> {
         if to_origin {
             return (ended.status == Status::Reset).then_some(RetryCause::OriginFailure);
         }
-        let is_silent = ended.status == Status::Timeout && self.settings.aside;
-        if is_silent {
-            return Some(RetryCause::Silence);
+        let is_unanswered = ended.status == Status::Timeout && self.settings.aside;
+        if is_unanswered {
+            return Some(RetryCause::NoAnswer);
         }
-        let is_lost = matches!(ended.status, Status::ConnectFailed | Status::Reset | Status::Moot);
-        let is_unforeseen =
+        let is_connection_failure =
+            matches!(ended.status, Status::ConnectFailed | Status::Reset | Status::Moot);
+        let is_unexpected_rejection =
             ended.status == Status::Full && self.origin.is_healthy() && self.has_sparse_traffic(now);
-        let is_retryable = is_lost || is_unforeseen || self.is_ejected(now, ended.server);
+        let is_retryable =
+            is_connection_failure || is_unexpected_rejection || self.is_ejected(now, ended.server);
         is_retryable.then_some(RetryCause::EndpointFailure)
     }
 
-    /// A hedge timer ran out: if the attempt is still pending, it gets a second one beside it.
+    /// Handles an expired hedge timer: sends a hedge if exactly one attempt is pending.
     pub(super) fn on_hedge_timer(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let mut pending = request.attempts.iter().filter(|a| a.is_pending).map(|a| a.server);
-        let slow: Option<ServerId> = pending.next();
-        let is_single = slow.is_some() && pending.next().is_none();
-        if !is_single || request.is_streaming || now >= request.deadline {
+        let pending_server: Option<ServerId> = pending.next();
+        let has_single_pending = pending_server.is_some() && pending.next().is_none();
+        if !has_single_pending || request.is_streaming || now >= request.deadline {
             return;
         }
-        if let Some(server) = slow {
-            // No answer for so long counts against the endpoint at once: a hung one is ejected after two.
+        if let Some(server) = pending_server {
+            // An overdue answer counts as a failure at once, so that a hung endpoint is ejected after two.
             self.record_failure(now, server, 1.0);
         }
-        self.retry(now, id, RetryCause::Silence, actions);
+        self.retry(now, id, RetryCause::NoAnswer, actions);
     }
 
-    /// Sends a further attempt if time, budget and rules allow it; tells whether it did. After silence a
-    /// cache-aside deployment sends to the origin and to no other endpoint, which would lack the key.
+    /// Sends a further attempt if time, retry budget and rules allow it, and returns whether an endpoint was
+    /// found for it. In cache-aside deployments a retry after a timeout or a failure of the origin goes to
+    /// the origin, since the other endpoints do not cache the key.
     fn retry(&mut self, now: Nanos, id: RequestId, cause: RetryCause, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.remove(&id) else { return false };
         let target = if !self.may_retry(now, &request, cause) {
@@ -213,16 +219,17 @@
     }
 
     fn may_retry(&self, now: Nanos, request: &OpenRequest, cause: RetryCause) -> bool {
-        let loads_origin = cause == RetryCause::Silence && (self.settings.aside || request.is_fetch);
-        // Danger: where a hot key overloads an endpoint, the silence that a thousand proxies see would flood
-        // the origin as well.
+        let loads_origin = cause == RetryCause::NoAnswer && (self.settings.aside || request.is_fetch);
+        // Danger: when a hot key overloads an endpoint, the retries of a thousand proxies after their
+        // timeouts would flood the origin as well.
         (!loads_origin || self.origin.is_responsive())
             && request.has_attempts_left()
             && self.retry_budget.is_available()
             && self.is_retry_worthwhile(now, request)
     }
 
-    /// The request has had its answer: its value is noted, and attempts still pending are cancelled.
+    /// Finishes a request that has had its final answer: records its value and cancels the attempts still
+    /// pending.
     pub(super) fn finish(&mut self, now: Nanos, ended: &Completion, actions: &mut Vec<Action>) {
         let Some(request) = self.remove_request(ended.id) else { return };
         let late_value = request.class().map_or(0.0, |c| c.late_value);
@@ -236,15 +243,15 @@
         }
     }
 
-    /// The client left: nothing more is owed.
+    /// Handles a client that left without an answer.
     pub(super) fn on_expired(&mut self, id: RequestId) {
         if let Some(request) = self.remove_request(id) {
             self.admission.record_end(&request, 0.0);
         }
     }
 
-    /// The final answer when nothing more can be done: a rejection where it is true that a repeat does no
-    /// harm.
+    /// Gives the final answer when no further attempt is possible: a rejection if the client may safely
+    /// repeat the request, a failure otherwise.
     pub(super) fn give_up(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.remove_request(id) else { return };
         self.admission.record_end(&request, 0.0);
@@ -254,7 +261,7 @@
         }
         let is_too_late =
             now >= request.objective_at && !request.attempts.is_empty() && request.is_worthless_when_late();
-        // Clients are advised to stay away while some requests are rejected.
+        // While admission rejects requests, clients are advised to wait before they retry.
         let is_wait_advised = is_too_late || self.admission.is_shedding();
         let retry_after = if is_wait_advised { request.settings.max_retry_after } else { 0 };
         actions.push(Action::Refuse { id, retry_after });
--- a/src/decision/candidates.rs
+++ b/src/decision/candidates.rs
@@ -4,34 +4,35 @@
 use super::endpoint_set::{Endpoint, EndpointIndex};
 use super::hash::{mix64, unit_interval};
 use super::outcome_window::{OutcomeWindow, OutcomeWindows};
-use super::traffic::{DecayingCounter, REQUEST_MEMORY_S};
+use super::traffic::{DecayingCounter, REQUEST_TIME_CONSTANT_S};
 use super::Balancer;
 use rustc_hash::FxHashMap;
 
-/// Candidates of a bucket (SIGMA of Go-With-The-Winner).
+/// Number of candidates of a bucket (SIGMA of Go-With-The-Winner).
 pub(super) const CANDIDATES: usize = 2;
-/// Key buckets in each scope; a bucket's state exists only once it was used.
+/// Number of key buckets in each scope. The state of a bucket is created on first use.
 pub(super) const BUCKETS_PER_SCOPE: u64 = 1 << 13;
-/// Endpoints ranked for each bucket: the candidates first, then those that stand in for them.
+/// Number of endpoints ranked for each bucket: the candidates first, then their substitutes.
 pub(super) const RANKED_ENDPOINTS: usize = 16;
-/// By how much the miss ratio of a later candidate must be lower before an undecided bucket prefers it to the
-/// first one. Danger: with many proxies each sees few requests of a bucket; proxies that try the candidates
-/// in turn fill every candidate with a copy, and the origin pays for each.
+/// Amount by which the miss ratio of the next candidate must be lower before a bucket without a pin prefers
+/// it. Danger: among many proxies each sees few requests of a bucket; if every proxy tried the candidates in
+/// turn, each candidate would fetch a copy from the origin.
 const LATER_CANDIDATE_PENALTY: f64 = 0.25;
-/// The part of one endpoint's even share of the traffic that a bucket may bring before it is spread.
+/// Maximum traffic of a bucket on one endpoint, as a fraction of an endpoint's even share of all traffic; a
+/// bucket with more is spread over several endpoints.
 const HOT_BUCKET_SHARE: f64 = 0.25;
-/// How much sooner a bucket is spread per unit of the price of crossing zones: a copy in each zone saves
-/// crossings.
+/// Weight of the price of crossing zones: the higher the price, the less traffic a bucket needs to be spread,
+/// since a copy in each zone saves crossings.
 const ZONE_COPY_FACTOR: f64 = 20.0;
 
-/// Salts that keep hashes for different purposes independent.
+/// Salt that keeps the ranking of endpoints independent of other hashes.
 const RANKING_SALT: u64 = 0x5ca1_ab1e;
 
-/// Number of a bucket: its slot, offset by its scope.
+/// Id of a bucket: its slot plus an offset for its scope.
 pub(super) type BucketId = u32;
 
-/// The slot of a bucket in the hash space. It is the same in every scope, so that scopes share copies where
-/// they may.
+/// The slot of a bucket in the hash space. A key has the same slot in every scope, so that scopes with common
+/// endpoints share cached copies.
 pub(super) fn slot(bucket: BucketId) -> u64 {
     u64::from(bucket) % BUCKETS_PER_SCOPE
 }
@@ -41,15 +42,15 @@
     ((scope as u64 + 1) * BUCKETS_PER_SCOPE + slot) as BucketId
 }
 
-/// The scope of a bucket; `None` for the buckets of requests whose class is unknown.
+/// The scope of a bucket; `None` for a bucket of requests of an unknown class.
 fn scope_of(bucket: BucketId) -> Option<usize> {
     (u64::from(bucket) / BUCKETS_PER_SCOPE).checked_sub(1).map(|scope| scope as usize)
 }
 
-/// What is known of a bucket of keys.
+/// The state of a key bucket.
 #[derive(Default)]
 pub(super) struct Bucket {
-    /// Version of the endpoint set by which `ranked` was computed.
+    /// Version of the endpoint set from which `ranked` was computed.
     version: u64,
     /// The best endpoints of the bucket, in order.
     ranked: Vec<EndpointIndex>,
@@ -59,25 +60,25 @@
     requests: DecayingCounter,
     /// Rotates a hot bucket's requests over its endpoints.
     rotation: u32,
-    /// The last read was answered, so that an endpoint surely holds the value.
+    /// Whether the last read was answered, so that an endpoint has cached its value.
     pub(super) last_read_answered: bool,
     pub(super) was_read: bool,
 }
 
 impl Bucket {
-    /// Whether a candidate probably holds the values of this bucket. Danger: by the last read alone, one late
-    /// read of a rare key would close a bucket whose other keys its candidates hold.
+    /// Whether a candidate has probably cached the values of this bucket. Danger: if only the last read
+    /// counted, one late read of a rare key would limit a whole bucket whose other keys are cached.
     pub(super) fn is_probably_cached(&self) -> bool {
         self.last_read_answered || self.windows.iter().any(|w| w.hits != 0)
     }
 }
 
-/// All buckets in use.
+/// All buckets that have been used.
 #[derive(Default)]
 pub(super) struct Buckets {
     by_id: FxHashMap<BucketId, Bucket>,
-    /// For each class, the first class that may use the same endpoints: these classes are one scope and share
-    /// candidates and pins.
+    /// The scope of each class: the index of the first class that may use the same endpoints. Classes of one
+    /// scope share candidates and pins.
     scopes: Vec<usize>,
 }
 
@@ -90,21 +91,22 @@
         self.by_id.get_mut(&bucket)
     }
 
-    /// Finds which classes share endpoints.
+    /// Computes the scope of each class.
     pub(super) fn set_scopes(&mut self, settings: &Settings) {
-        let first_alike = |c: &Class| settings.classes.iter().position(|o| o.placed_as(c)).unwrap_or(0);
-        self.scopes = settings.classes.iter().map(first_alike).collect();
+        let first_with_same_placement =
+            |c: &Class| settings.classes.iter().position(|o| o.has_same_placement(c)).unwrap_or(0);
+        self.scopes = settings.classes.iter().map(first_with_same_placement).collect();
     }
 
-    /// The bucket of a key for a class: buckets of another scope have candidates and pins of their own.
+    /// The bucket of a key for a class. Buckets of different scopes have separate candidates and pins.
     pub(super) fn id_for(&self, class: usize, key: u64) -> BucketId {
         let scope = self.scopes.get(class).map_or(0, |scope| scope + 1) as u64;
         (scope * BUCKETS_PER_SCOPE + mix64(key) % BUCKETS_PER_SCOPE) as BucketId
     }
 
-    /// Moves all buckets to the scopes of new settings, and returns the mapping from former ids. Danger: a
-    /// bucket belongs to the endpoints of its scope; kept under another scope, its requests would go where
-    /// their class may not be sent.
+    /// Moves all buckets to the scopes of new settings, drops those whose scope has no successor, and returns
+    /// the mapping from former ids. Danger: the candidates of a bucket belong to its scope; under another
+    /// scope its requests would go to endpoints that their class may not use.
     pub(super) fn migrate(
         &mut self,
         before: &Settings,
@@ -114,11 +116,11 @@
         self.set_scopes(after);
         let new_scope_of = |scope: usize| {
             let is_unchanged =
-                |c: &usize| after.classes.get(*c).is_some_and(|n| n.placed_as(&before.classes[*c]));
+                |c: &usize| after.classes.get(*c).is_some_and(|n| n.has_same_placement(&before.classes[*c]));
             let mut classes = 0..former_scopes.len();
             classes.find(|c| former_scopes[*c] == scope && is_unchanged(c)).map(|c| self.scopes[c])
         };
-        // Indexed by the former scope.
+        // Indexed by former scope.
         let new_scopes: Vec<Option<usize>> = (0..former_scopes.len()).map(new_scope_of).collect();
         let migrated = move |bucket: BucketId| match scope_of(bucket) {
             None => Some(bucket),
@@ -131,8 +133,8 @@
 }
 
 impl Balancer {
-    /// Ranks the endpoints open to a bucket's classes by weighted rendezvous hashing: the same at every
-    /// proxy, whatever lists it has seen.
+    /// Ranks the endpoints that a bucket's classes may use, by weighted rendezvous hashing, unless the
+    /// ranking is up to date. The ranking depends only on the current list, so it is the same at every proxy.
     pub(super) fn rank_endpoints(&mut self, id: BucketId) {
         let mut bucket = self.buckets.by_id.remove(&id).unwrap_or_default();
         if bucket.version != self.endpoints.version || bucket.ranked.is_empty() {
@@ -162,16 +164,16 @@
         best.into_iter().map(|ranked| ranked.1).collect()
     }
 
-    /// How many scopes may use an endpoint. Danger: a scope that may use only some endpoints needs these; the
-    /// keys of the other scopes would crowd it out.
+    /// Number of scopes that may use an endpoint. Danger: a scope that is restricted to some endpoints
+    /// depends on them; without this factor the keys of the other scopes would crowd it out.
     fn scopes_served_by(&self, endpoint: &Endpoint) -> usize {
         let first_classes = self.buckets.scopes.iter().enumerate().filter(|(class, first)| class == *first);
         let is_open = |class: usize| self.is_open_to(self.settings.classes.get(class), endpoint);
         first_classes.filter(|(class, _)| is_open(*class)).count().max(1)
     }
 
-    /// The candidates of a bucket now: the first ranked endpoints that are admitted to it. Windows of
-    /// endpoints that remain candidates are kept.
+    /// The current candidates of a bucket: the first ranked endpoints that are admitted to it. Endpoints that
+    /// remain candidates keep their windows.
     fn current_candidates(&mut self, now: Nanos, id: BucketId) -> Vec<EndpointIndex> {
         let Some(bucket) = self.buckets.get(id) else { return Vec::new() };
         let is_admitted = |i: &&EndpointIndex| self.is_admitted(now, id, &self.endpoints[**i]);
@@ -186,7 +188,7 @@
                 let kept = former.iter().find(|w| w.server == *id).copied();
                 *window = kept.unwrap_or(OutcomeWindow::new(*id));
             }
-            // The bucket is undecided again once its winner is no candidate any more.
+            // The pin is removed when its endpoint is no longer a candidate.
             if bucket.pinned.is_some_and(|p| !ids.contains(&p)) {
                 bucket.pinned = None;
             }
@@ -194,8 +196,8 @@
         found
     }
 
-    /// Sorts a bucket's candidates by preference: the winner first; while undecided the one with the best
-    /// window, with the hash order as a bias so that proxies tend to the same winner.
+    /// Sorts a bucket's candidates by preference: the pinned one first, then by miss ratio, with a bias
+    /// towards the hash order so that proxies tend to choose the same winner.
     fn sort_by_preference(&self, bucket: BucketId, candidates: &mut [EndpointIndex]) {
         let Some(bucket) = self.buckets.get(bucket) else { return };
         let cost = |i: EndpointIndex| {
@@ -210,22 +212,28 @@
         candidates.sort_by(|a, b| cost(*a).total_cmp(&cost(*b)));
     }
 
-    /// Counts a request of a bucket and returns how many endpoints its traffic is worth.
+    /// Counts a request of a bucket and returns the number of endpoints over which the bucket is spread.
     pub(super) fn count_request(&mut self, now: Nanos, bucket: BucketId) -> usize {
         let (all_requests, ready_count) = (self.traffic.requests.sum, self.endpoints.ready_count);
         let hot_share = HOT_BUCKET_SHARE / (1.0 + ZONE_COPY_FACTOR * self.settings.cross_zone_price.max(0.0));
         let Some(bucket) = self.buckets.get_mut(bucket) else { return 1 };
-        bucket.requests.increment(now, REQUEST_MEMORY_S);
+        bucket.requests.increment(now, REQUEST_TIME_CONSTANT_S);
         bucket.rotation = bucket.rotation.wrapping_add(1);
-        // Few requests say little of a bucket's part in the traffic: count one standard deviation less.
+        // A few requests are a weak estimate of the bucket's traffic, so one standard deviation is
+        // subtracted.
         let lower_bound = bucket.requests.sum - bucket.requests.sum.sqrt();
         let endpoints = (lower_bound / all_requests.max(1.0) * ready_count / hot_share).ceil() as usize;
         endpoints.clamp(1, RANKED_ENDPOINTS)
     }
 
-    /// The ranked endpoints that are admitted to a bucket, in order of preference: candidates first, those of
-    /// a hot bucket in rotation.
-    pub(super) fn by_preference(&mut self, now: Nanos, id: BucketId, spread: usize) -> Vec<EndpointIndex> {
+    /// The ranked endpoints that are admitted to a bucket, in order of preference: candidates first, and the
+    /// first `spread` of a hot bucket in rotation.
+    pub(super) fn endpoints_by_preference(
+        &mut self,
+        now: Nanos,
+        id: BucketId,
+        spread: usize,
+    ) -> Vec<EndpointIndex> {
         let mut order = self.current_candidates(now, id);
         self.sort_by_preference(id, &mut order);
         let Some(bucket) = self.buckets.get(id) else { return order };
@@ -236,7 +244,7 @@
         }
         let shared = spread.min(order.len());
         if shared > 1 {
-            // The first endpoints share a hot bucket: one alone would be overloaded.
+            // A hot bucket would overload a single endpoint, so its first endpoints take turns.
             order[..shared].rotate_left(bucket.rotation.wrapping_add(self.settings.me) as usize % shared);
         }
         order
--- a/src/decision/endpoint_set.rs
+++ b/src/decision/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The set of endpoints this proxy knows of, as the endpoint list gives them.
+//! The endpoints known to this proxy, as given by the endpoint list.
 
 use super::api::{Action, Class, Entry, ListKind, Nanos, ServerId, State};
 use super::hash::{mix64, unit_interval};
@@ -8,34 +8,34 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::ops::{Index, IndexMut};
 
-/// Bounds of a weight that the list gives.
+/// Bounds of the weights in the list.
 const MIN_WEIGHT: f64 = 1e-6;
 const MAX_WEIGHT: f64 = 1e9;
 
 /// Position of an endpoint in the set; stable while the endpoint is listed.
 pub(super) type EndpointIndex = u32;
 
-/// An endpoint and what this proxy knows of it.
+/// An endpoint and its state at this proxy.
 #[derive(Default)]
 pub(super) struct Endpoint {
     pub(super) entry: Entry,
     pub(super) inverse_weight: f64,
-    /// Attempts of this proxy that the endpoint has not answered yet.
+    /// Attempts of this proxy that have not ended yet.
     pub(super) in_flight: f64,
     pub(super) ejection: Ejection,
-    /// What this proxy may still send to it while its cache is cold.
+    /// Slow-start allowance: the requests that this proxy may still send to it while its cache is cold.
     pub(super) slow_start_tokens: TokenBucket,
     /// When an attempt last ended on an open connection; 0 if a connection has failed since.
     pub(super) connected_at: Nanos,
 }
 
-/// All endpoints, in slots that are used again after an endpoint is removed.
+/// All endpoints, in slots that are reused after an endpoint is removed.
 #[derive(Default)]
 pub(super) struct EndpointSet {
     index_by_id: FxHashMap<ServerId, EndpointIndex>,
     slots: Vec<Endpoint>,
     free_slots: Vec<EndpointIndex>,
-    /// Grows with each change of the list; rankings of an earlier version are stale.
+    /// Incremented with each change of the list; rankings of an earlier version are stale.
     pub(super) version: u64,
     /// Sum of the weights of the endpoints that keys are placed on.
     pub(super) total_weight: f64,
@@ -70,12 +70,12 @@
         self.index_of(server).map(|index| &mut self[index])
     }
 
-    /// The indices of all slots, those of removed endpoints included.
+    /// The indices of all slots, including those of removed endpoints.
     pub(super) fn indices(&self) -> std::ops::Range<EndpointIndex> {
         0..self.slots.len() as EndpointIndex
     }
 
-    /// All slots in their order, those of removed endpoints included.
+    /// All slots in index order, including those of removed endpoints.
     pub(super) fn slots(&self) -> impl Iterator<Item = &Endpoint> {
         self.slots.iter()
     }
@@ -84,16 +84,16 @@
         self.slots.iter_mut()
     }
 
-    /// The endpoints that are listed, in no particular order.
+    /// The listed endpoints, in no particular order.
     pub(super) fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.index_by_id.values().map(|&index| &self[index])
     }
 
-    /// The ids of the endpoints that a full list no longer names, sorted.
+    /// The ids of the known endpoints that a full list does not contain, sorted.
     fn missing_from(&self, entries: &[Entry]) -> Vec<ServerId> {
-        let named: FxHashSet<ServerId> = entries.iter().map(|e| e.server).collect();
-        let unnamed = self.index_by_id.keys().filter(|server| !named.contains(server));
-        let mut missing: Vec<ServerId> = unnamed.copied().collect();
+        let listed_ids: FxHashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+        let unlisted = self.index_by_id.keys().filter(|server| !listed_ids.contains(server));
+        let mut missing: Vec<ServerId> = unlisted.copied().collect();
         missing.sort_unstable();
         missing
     }
@@ -109,7 +109,7 @@
 
 impl Balancer {
     /// Applies an event of the endpoint list.
-    pub(super) fn on_list(
+    pub(super) fn on_endpoint_list(
         &mut self,
         now: Nanos,
         kind: ListKind,
@@ -135,8 +135,9 @@
         self.on_list_applied(kind, actions);
     }
 
-    /// Closes the idle connections to a draining endpoint where the rules demand it: on every list entry that
-    /// names it as draining, and on every outcome there, since its connection is idle from then on.
+    /// Closes the idle connections to a draining endpoint if the settings require it. Called for every list
+    /// entry of the endpoint and after every attempt at it, since the connection of the attempt is idle from
+    /// then on.
     pub(super) fn close_idle_if_draining(&self, server: ServerId, actions: &mut Vec<Action>) {
         let is_draining = self.endpoints.get(server).is_some_and(|e| e.entry.state == State::Draining);
         if self.settings.let_go > 0 && is_draining {
@@ -150,12 +151,13 @@
 
     /// Whether keys are placed on this endpoint.
     pub(super) fn takes_keys(&self, endpoint: &Endpoint) -> bool {
-        // The origin of a cache-aside deployment is an endpoint of last resort, never a candidate.
+        // The origin of a cache-aside deployment is a fallback (after a miss or a timeout, and for writes),
+        // never a candidate.
         endpoint.entry.state == State::Ready && !(self.settings.aside && self.is_origin(endpoint))
     }
 
-    /// Whether requests of a class may be sent to this endpoint. The origin of a cache-aside deployment is
-    /// open to all classes.
+    /// Whether requests of a class may be sent to this endpoint. All classes may use the origin of a
+    /// cache-aside deployment.
     pub(super) fn is_open_to(&self, class: Option<&Class>, endpoint: &Endpoint) -> bool {
         let allows = |set: &Option<Vec<u32>>, value: u32| set.as_ref().is_none_or(|set| set.contains(&value));
         let is_allowed =
@@ -179,7 +181,7 @@
     fn upsert_endpoint(&mut self, now: Nanos, entry: Entry) {
         if let Some(endpoint) = self.endpoints.get_mut(entry.server) {
             if endpoint.entry.started != entry.started {
-                // A changed start time means a new process: an empty cache and no history of failures.
+                // A changed start time means a new process, with an empty cache and no history of failures.
                 endpoint.ejection = Ejection::default();
                 let tokens = unit_interval(mix64(self.rng.state ^ entry.started));
                 endpoint.slow_start_tokens = TokenBucket { tokens, refilled_at: now };
@@ -192,7 +194,7 @@
         self.endpoints.insert(endpoint);
     }
 
-    /// Computes the weights after a change of the list, and makes the rankings by the former list stale.
+    /// Recomputes the weights after a change of the list, and invalidates the rankings.
     fn update_weights(&mut self) {
         (self.endpoints.total_weight, self.endpoints.ready_count) = (0.0, 0.0);
         for index in self.endpoints.indices() {
--- a/src/decision/hash.rs
+++ b/src/decision/hash.rs
@@ -1,6 +1,6 @@
-//! Hashing that every proxy computes alike, and the pseudo-random numbers of one proxy.
+//! Hash functions that give the same results at every proxy, and the pseudo-random numbers of one proxy.
 
-/// Mixes the bits of a number: the finalizer of SplitMix64.
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 pub(super) fn mix64(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -23,7 +23,7 @@
         Rng { state: seed }
     }
 
-    /// A uniform number greater than 0 and at most 1.
+    /// The next random number, uniform, greater than 0 and at most 1.
     pub(super) fn next_unit(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit_interval(mix64(self.state))
--- a/src/decision/latency_objective.rs
+++ b/src/decision/latency_objective.rs
@@ -1,30 +1,30 @@
-//! The latency objective of a request, and the usual latency of each class.
+//! The latency objective of a request, and the latency statistics of each class.
 
 use super::api::{Class, Nanos, Request};
 use super::{Balancer, MS};
 
-/// Served answers of a class before its usual latency is trusted.
+/// Minimum number of served answers of a class for its statistics to be trusted.
 const MIN_SAMPLES: f64 = 5.0;
-/// Least gain of the moving averages.
+/// Minimum gain of the moving averages.
 const MIN_GAIN: f64 = 0.03;
-/// Deviations above the mean up to which a latency counts as usual.
+/// Number of deviations above the mean up to which a latency counts as usual.
 const USUAL_DEVIATIONS: f64 = 2.0;
-/// Deviations above the mean after which an answer counts as overdue.
+/// Number of deviations above the mean after which an answer counts as overdue.
 const OVERDUE_DEVIATIONS: f64 = 3.5;
-/// Votes for the common time budget count up to this.
+/// Maximum number of votes that the common time budget accumulates.
 const MAX_VOTES: u32 = 50;
-/// Time budgets that differ by less than this part of the deadline count as equal.
-const BUDGET_TOLERANCE: Nanos = 40;
+/// Time budgets that differ by less than the deadline divided by this count as equal.
+const BUDGET_TOLERANCE_DIVISOR: Nanos = 40;
 
-/// What is known of the answers of a class.
+/// Latency statistics of a class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassLatency {
     /// Mean latency of served answers, in nanoseconds.
     pub(super) mean: f64,
-    /// Mean deviation from the mean, in nanoseconds.
+    /// Mean absolute deviation from the mean, in nanoseconds.
     deviation: f64,
     samples: f64,
-    /// The time budget that most tries arrive with, and how surely.
+    /// The time budget with which most tries arrive, and the votes for it.
     common_budget: Nanos,
     votes: u32,
 }
@@ -38,18 +38,19 @@
         self.deviation += gain * (error.abs() - self.deviation);
     }
 
-    /// Whether a latency is surely usual for the class.
-    pub(super) fn is_surely_usual(&self, elapsed: Nanos) -> bool {
+    /// Whether a latency is within the usual range of the class; false while there are too few samples.
+    pub(super) fn is_within_usual_range(&self, elapsed: Nanos) -> bool {
         self.samples > MIN_SAMPLES && (elapsed as f64) < self.mean + USUAL_DEVIATIONS * self.deviation
     }
 
-    /// Whether an answer came no later than is usual, so that it passes for a cache hit.
-    pub(super) fn passes_for_hit(&self, elapsed: Nanos) -> bool {
+    /// Whether an answer came within the usual latency, so that it probably was a cache hit.
+    pub(super) fn is_probable_hit(&self, elapsed: Nanos) -> bool {
         (elapsed as f64) < self.mean + USUAL_DEVIATIONS * self.deviation.max(1.0)
     }
 
-    /// How long to wait for an answer, in nanoseconds, when `budget` of them are left to the objective.
-    pub(super) fn patience(&self, budget: f64) -> f64 {
+    /// The time after which an answer counts as overdue, in nanoseconds; `budget` is the time left to the
+    /// objective.
+    pub(super) fn overdue_after(&self, budget: f64) -> f64 {
         if self.samples < MIN_SAMPLES {
             budget * 0.5
         } else {
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Whether a time budget is the common one.
+    /// Whether a time budget equals the common one.
     fn is_common(&self, budget: Nanos, class: &Class) -> bool {
-        self.common_budget.abs_diff(budget) < class.deadline / BUDGET_TOLERANCE
+        self.common_budget.abs_diff(budget) < class.deadline / BUDGET_TOLERANCE_DIVISOR
     }
 
-    /// Finds the common time budget by majority vote.
+    /// Counts a time budget in the majority vote (Boyer-Moore) for the common one.
     fn vote(&mut self, budget: Nanos, class: &Class) {
         if self.is_common(budget, class) {
             self.votes = (self.votes + 1).min(MAX_VOTES);
@@ -75,18 +76,18 @@
 }
 
 impl Balancer {
-    /// What is known of a class; nothing for one that the settings do not name.
+    /// The latency statistics of a class; empty for an unknown one.
     pub(super) fn latency_of(&self, class: usize) -> ClassLatency {
         self.latency.get(class).copied().unwrap_or_default()
     }
 
-    /// The time until a request's latency objective. Most tries are first ones and arrive with the same time
-    /// budget; any other budget dates the beginning of the request.
+    /// The time left until a request's latency objective. Most tries are first tries and arrive with the same
+    /// time budget; a different budget is taken as the rest of the deadline and shows when the request began.
     pub(super) fn time_to_objective(&mut self, request: &Request, class: &Class) -> Nanos {
         let budget = request.remaining;
         let objective = class.aim.min(budget);
-        // Danger: clients that arrive with little time left are no late repeats; where clients mark repeats,
-        // the marks count.
+        // Danger: requests of impatient clients arrive with little time left and are not late repeats. If
+        // clients mark repeats, an unmarked request is a first try.
         let is_marked_first = self.settings.marks_retry && !request.retry;
         let Some(latency) = self.latency.get_mut(request.class as usize) else { return objective };
         latency.vote(budget, class);
@@ -97,14 +98,14 @@
         objective
     }
 
-    /// Whether a further attempt can still bring an answer that is worth something.
+    /// Whether enough time is left for a further attempt to earn any value.
     pub(super) fn is_retry_worthwhile(&self, now: Nanos, request: &super::request::OpenRequest) -> bool {
-        let end = if request.is_worthless_when_late() {
+        let useful_until = if request.is_worthless_when_late() {
             request.objective_at.min(request.deadline)
         } else {
             request.deadline
         };
         let mean = self.latency.get(request.class).map_or(0.0, |l| l.mean);
-        end.saturating_sub(now) as f64 > (0.5 * mean).max(MS as f64)
+        useful_until.saturating_sub(now) as f64 > (0.5 * mean).max(MS as f64)
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,23 +1,25 @@
-//! The decision module: which endpoint gets each request, and when a request is retried, hedged or rejected.
-//! Its interface (types, settings, events, actions) is `src/decision/api.rs`. It does no I/O, has no clock,
-//! and its only randomness is the seed it is given: the same events give the same actions.
+//! The decision module: chooses the endpoint for each request, and decides when a request is rejected,
+//! retried or hedged. Its interface (types, settings, events, actions) is in `src/decision/api.rs`. The
+//! module does no I/O and reads no clock; its only source of randomness is a seed, so the same events produce
+//! the same actions.
 //!
-//! The ordinary path is Go-With-The-Winner: the bucket of a key has a few hashed candidates, each with a
-//! window of its last outcomes; the first candidate with a full row of cache hits wins the bucket and keeps
-//! it.
+//! Requests are placed by Go-With-The-Winner: keys are hashed into buckets, each bucket has a few candidate
+//! endpoints, and each candidate has a window of its last outcomes. The first candidate whose window holds
+//! only cache hits wins the bucket, which is then pinned to it.
 //!
-//! A request passes these modules in order:
+//! A request passes through these modules in order:
 //!
-//! 1. `latency_objective`: until when an answer earns its full value.
-//! 2. `admission` and `tenant_quota`: whether the request is taken.
-//! 3. `candidates` and `outcome_window`: the bucket of its key, its candidates, and the pinned one.
-//! 4. `origin_limit`: whether the origin can take the fetch, if the read is one.
-//! 5. `load_balancer`, with `outlier_detection` and `slow_start`: which endpoint it goes to.
-//! 6. `attempts`: whether the attempt is lawful, how long to wait for it, whether to retry or hedge.
+//! 1. `latency_objective`: the time until which an answer earns its full value.
+//! 2. `admission` and `tenant_quota`: whether the request is admitted.
+//! 3. `candidates` and `outcome_window`: the bucket of its key, the bucket's candidates and its pin.
+//! 4. `origin_limit`: whether the origin has capacity, if the request is a fetch (a read that the origin will
+//!    probably have to serve).
+//! 5. `load_balancer`, with `outlier_detection` and `slow_start`: the endpoint of each attempt.
+//! 6. `attempts`: whether an attempt is allowed, how long to wait for it, and whether to retry or hedge.
 //!
-//! How an attempt ended goes back to the same modules. `endpoint_set` and `subscription` follow the endpoint
-//! list; `traffic` counts; `hash` holds hashing and randomness. Each exception to the ordinary path names the
-//! danger that it guards against, in a comment that begins with "Danger:".
+//! The outcome of each attempt is fed back to the same modules. `endpoint_set` and `subscription` track the
+//! endpoint list, `traffic` measures request rates, and `hash` provides hashing and random numbers. A comment
+//! that begins with "Danger:" names the failure that the rule beside it prevents.
 
 mod admission;
 pub mod api;
@@ -52,16 +54,16 @@
 use std::rc::Rc;
 use subscription::Subscription;
 use tenant_quota::TenantQuotas;
-use traffic::{Traffic, REQUEST_MEMORY_S, SERVED_MEMORY_S};
+use traffic::{Traffic, REQUEST_TIME_CONSTANT_S, SERVED_TIME_CONSTANT_S};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000_000_000;
-/// Kinds of timer tokens. The low bits of a hedge timer are the request's id, those of a subscribe timer a
-/// sequence number.
+/// Timer kinds, in the high bits of a timer token. The low bits hold the request's id for a hedge timer, and
+/// a sequence number for a subscribe timer.
 const HEDGE_TIMER: u64 = 1 << 56;
 const SUBSCRIBE_TIMER: u64 = 2 << 56;
 
-/// The decision module of one proxy.
+/// The decision module of one proxy, with all of its state.
 #[derive(Default)]
 pub struct Balancer {
     settings: Rc<Settings>,
@@ -82,7 +84,7 @@
 }
 
 impl Balancer {
-    /// A module that has learned nothing yet; `seed` is its only source of randomness.
+    /// Creates a module without any history; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut balancer = Balancer {
             rng: Rng::seeded(seed),
@@ -96,23 +98,25 @@
         balancer
     }
 
-    /// Applies other settings from the next request on: the same classes on other terms, and any tenants;
-    /// `tenants` gives the number that each had before. What was learned and counted stays.
+    /// Replaces the settings, from the next request on. The classes keep their indices, only their terms may
+    /// differ; tenants may be added, removed and reordered, and `tenants` gives the former index of each
+    /// tenant, if it had one. Statistics and counters are kept.
     pub fn obey(&mut self, settings: Settings, tenants: &[Option<usize>]) {
-        let before = std::mem::replace(&mut self.settings, Rc::new(settings));
+        let previous = std::mem::replace(&mut self.settings, Rc::new(settings));
         self.tenants.renumber(tenants);
-        let migrated = self.buckets.migrate(&before, &self.settings);
+        let migrated = self.buckets.migrate(&previous, &self.settings);
         for request in self.requests.values_mut() {
             request.bucket = request.bucket.and_then(&migrated);
-            request.tenant = request.tenant.and_then(|t| tenants.iter().position(|had| *had == Some(t)));
+            request.tenant =
+                request.tenant.and_then(|t| tenants.iter().position(|former| *former == Some(t)));
         }
     }
 
-    /// Handles one event and appends the actions that it calls for.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.traffic.started_at.get_or_insert(now);
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, entries, actions),
+            Event::List { kind, entries } => self.on_endpoint_list(now, kind, entries, actions),
             Event::Arrival(request) => self.on_arrival(now, request, actions),
             Event::Outcome { id, attempt, server, status, elapsed, last, hit } => {
                 let attempt = attempt as usize;
@@ -133,10 +137,10 @@
         }
     }
 
-    /// A request arrives: it is rejected, or its first attempt is sent.
+    /// Handles an arriving request: rejects it or sends its first attempt.
     fn on_arrival(&mut self, now: Nanos, arrival: Request, actions: &mut Vec<Action>) {
-        self.traffic.requests.increment(now, REQUEST_MEMORY_S);
-        self.retry_budget.earn();
+        self.traffic.requests.increment(now, REQUEST_TIME_CONSTANT_S);
+        self.retry_budget.deposit();
         let mut request = self.open_request(now, &arrival);
         let mut is_admitted = self.admits(now, &mut request);
         let mut spread = 1;
@@ -169,49 +173,50 @@
         let objective = self.time_to_objective(arrival, &class);
         let mut request = OpenRequest::new(settings, now, arrival, objective);
         request.bucket = arrival.key.map(|key| self.buckets.id_for(class_index, key));
-        let is_hopeless = (objective as f64) < 0.5 * self.latency_of(class_index).mean;
-        request.is_feasible = !(class.late_value <= 0.0 && is_hopeless);
+        let is_objective_unreachable = (objective as f64) < 0.5 * self.latency_of(class_index).mean;
+        request.is_feasible = !(class.late_value <= 0.0 && is_objective_unreachable);
         request
     }
 
-    /// Whether the request is taken, by its value and what became of earlier ones.
+    /// Whether the request is admitted, given its value and the outcomes of earlier requests.
     fn admits(&mut self, now: Nanos, request: &mut OpenRequest) -> bool {
         let probability = self.rejection_probability(now, request);
         request.is_feasible && !(probability > 0.0 && self.rng.next_unit() < probability)
     }
 
-    /// Whether a request of this bucket may go out, by what the origin can take if it is a fetch.
+    /// Whether a request of this bucket may be sent: a fetch needs capacity at the origin.
     fn admits_read(&mut self, bucket: BucketId, request: &mut OpenRequest) -> bool {
         let bucket = self.buckets.get(bucket);
         let is_cached = bucket.is_some_and(|b| b.is_probably_cached());
         let was_read = bucket.is_some_and(|b| b.was_read);
         request.is_fetch = !self.settings.aside && !request.is_write && !is_cached;
-        // Danger: an origin overloaded by fetches nobody waits for fills no cache; each further read joins
-        // it.
-        let is_held_back = self.origin.probability().is_some_and(|p| self.rng.next_unit() > p);
-        // Danger: a bucket that was not read yet is no fetch for sure; while fetches come in time none is
-        // rejected.
+        // Danger: an origin overloaded by fetches that no client waits for any longer fills no cache, so each
+        // further read becomes one more such fetch.
+        let is_throttled = self.origin.probability().is_some_and(|p| self.rng.next_unit() > p);
+        // Danger: a read of a bucket that was never read is not certain to be a fetch; rejecting it would
+        // fail requests that a cache could serve. Such a read is limited only while fetches are late.
         let is_limited = request.is_fetch && (was_read || !self.origin.is_healthy());
-        !(is_limited && (is_held_back || !self.origin.has_capacity_for(request)))
+        !(is_limited && (is_throttled || !self.origin.has_capacity_for(request)))
     }
 
-    /// An attempt has ended: each module learns from it, then the request is finished or continued.
+    /// Handles the end of an attempt: updates each module, then finishes the request or continues it.
     fn on_attempt_ended(&mut self, now: Nanos, ended: Completion, actions: &mut Vec<Action>) {
         self.release_attempt(now, &ended, actions);
         let to_origin = self.endpoints.get(ended.server).is_some_and(|e| self.is_origin(e));
         let request = self.requests.get(&ended.id);
         let class = request.map(|r| r.class);
         let is_fetch = to_origin || request.is_some_and(|r| r.is_fetch);
-        let is_cut_short = request.is_some_and(|r| self.is_cut_short(now, r, &ended));
+        let is_ended_by_client_deadline =
+            request.is_some_and(|r| self.is_ended_by_client_deadline(now, r, &ended));
         if is_fetch {
             self.on_fetch_ended(now, class, ended.status, ended.elapsed);
         }
-        // As it was before this outcome.
+        // The latency statistics without this outcome.
         let latency = class.map(|c| self.latency_of(c)).unwrap_or_default();
-        let is_usual = is_cut_short || latency.is_surely_usual(ended.elapsed);
+        let is_usual = is_ended_by_client_deadline || latency.is_within_usual_range(ended.elapsed);
         self.record_health(now, &ended, is_usual);
         if ended.status == Status::Ok {
-            self.traffic.served.increment(now, SERVED_MEMORY_S);
+            self.traffic.served.increment(now, SERVED_TIME_CONSTANT_S);
             if let Some(latency) = class.and_then(|c| self.latency.get_mut(c)) {
                 latency.record(ended.elapsed);
             }
@@ -222,10 +227,11 @@
             attempt.may_have_run = !ended.status.never_ran();
         }
         request.last_failure = FailureCause::of(&ended, is_fetch);
-        let is_telling = !request.is_write && !matches!(ended.status, Status::Cancelled | Status::Moot);
-        if let Some(bucket) = request.bucket.filter(|_| is_telling) {
-            // Without a note by the endpoint, an answer no slower than usual passes for a cache hit.
-            let hit = ended.hit.unwrap_or(latency.passes_for_hit(ended.elapsed));
+        let updates_window = !request.is_write && !matches!(ended.status, Status::Cancelled | Status::Moot);
+        if let Some(bucket) = request.bucket.filter(|_| updates_window) {
+            // If the endpoint does not report hit or miss, an answer within the usual latency counts as a
+            // hit.
+            let hit = ended.hit.unwrap_or(latency.is_probable_hit(ended.elapsed));
             self.record_read(bucket, ended.server, ended.status == Status::Ok, hit);
         }
         if ended.is_final {
@@ -235,26 +241,28 @@
         }
     }
 
-    /// Whether the client's deadline cut an attempt short that was not late yet. Danger: clients that wait
-    /// for less than the objective cut many; taken for silence, these would have healthy endpoints ejected.
-    fn is_cut_short(&self, now: Nanos, request: &OpenRequest, ended: &Completion) -> bool {
+    /// Whether the client's deadline ended an attempt before the latency objective had passed. Danger:
+    /// clients with a timeout shorter than the objective end many attempts in this way; counted as timeouts
+    /// of the endpoint, these would get healthy endpoints ejected.
+    fn is_ended_by_client_deadline(&self, now: Nanos, request: &OpenRequest, ended: &Completion) -> bool {
         let objective = self.settings.classes.get(request.class).map_or(0, |c| c.aim);
         let is_past_deadline = now.saturating_add(MS) >= request.deadline;
         is_past_deadline && ended.status == Status::Timeout && ended.elapsed < objective
     }
 
-    /// What an outcome says of the endpoint's health; `is_usual` if it came no later than is usual.
+    /// Updates the health of the endpoint by an outcome. A timeout does not count if `is_usual`: it ended
+    /// within the usual latency or at the client's deadline.
     fn record_health(&mut self, now: Nanos, ended: &Completion, is_usual: bool) {
         match ended.status {
             Status::Ok | Status::Miss => self.record_success(now, ended.server),
             Status::ConnectFailed => self.record_failure(now, ended.server, 2.0),
             Status::Timeout if is_usual => {}
-            // Danger: with sparse traffic an endpoint would be ejected for one error by chance; silence says
-            // more.
+            // Danger: with sparse traffic a single chance error would eject an endpoint; a timeout is
+            // stronger evidence.
             Status::Error if self.has_sparse_traffic(now) => self.record_failure(now, ended.server, 0.8),
             Status::Error | Status::Timeout | Status::Reset => self.record_failure(now, ended.server, 1.0),
-            // Danger: an endpoint that slows down rejects most of what all proxies send; with sparse traffic
-            // each proxy sees a few of these.
+            // Danger: an endpoint that slows down rejects most requests of all proxies; with sparse traffic
+            // each proxy sees only a few of these rejections, so they have to count.
             Status::Full if self.has_sparse_traffic(now) => self.record_failure(now, ended.server, 0.5),
             Status::Full | Status::Cancelled | Status::Moot => {}
         }
--- a/src/decision/origin_limit.rs
+++ b/src/decision/origin_limit.rs
@@ -1,22 +1,23 @@
-//! The concurrency limit on attempts that the origin must serve: additive increase, multiplicative decrease.
+//! The concurrency limit on attempts that the origin must serve: additive increase, multiplicative decrease
+//! (AIMD).
 
 use super::api::{Nanos, Settings, Status};
 use super::request::OpenRequest;
 use super::{Balancer, SECOND};
 
-/// The limit of one proxy before anything is known of the origin.
+/// Maximum initial limit of one proxy.
 const INITIAL_LIMIT: f64 = 32.0;
-/// The same for all proxies together, where they are many.
+/// Initial limit of all proxies together.
 const INITIAL_FLEET_LIMIT: f64 = 128.0;
 const MIN_INITIAL_LIMIT: f64 = 2.0;
-/// The lowest limit; below one it is a probability. Danger: many proxies with one attempt each still send
-/// more than a jammed origin serves.
+/// Minimum limit; a limit below one is the probability of sending a fetch. Danger: many proxies with one
+/// attempt each can still send more than an overloaded origin serves.
 const MIN_LIMIT: f64 = 0.3;
-/// The part of fetches that may be late while the origin is well.
+/// Fraction of fetches that may be late while the origin works normally.
 const USUAL_LATE_RATE: f64 = 0.1;
-/// Gain of the moving average of that part.
+/// Gain of the moving average of that fraction.
 const LATE_RATE_GAIN: f64 = 0.1;
-/// The limit is multiplied by this on a sign of overload.
+/// Factor by which the limit is reduced on a sign of overload.
 const DECREASE_FACTOR: f64 = 0.8;
 
 /// The attempts in flight that the origin must serve, and their limit.
@@ -26,13 +27,13 @@
     limit: f64,
     /// When the limit was last reduced.
     reduced_at: Nanos,
-    /// The part of fetches that are late or fail: a moving average.
+    /// Fraction of fetches that are late or fail: a moving average.
     late_rate: f64,
 }
 
 impl OriginLimit {
-    /// The limit of a proxy that knows nothing of the origin. Danger: hundreds of proxies that each trust an
-    /// unknown origin flood it together.
+    /// Creates the limit of a proxy that has not used the origin yet. Danger: hundreds of proxies with a high
+    /// initial limit each would flood the origin together.
     pub(super) fn new(proxies: u32) -> Self {
         let share = INITIAL_FLEET_LIMIT / f64::from(proxies.max(1));
         OriginLimit { limit: share.clamp(MIN_INITIAL_LIMIT, INITIAL_LIMIT), ..OriginLimit::default() }
@@ -46,46 +47,47 @@
         self.in_flight = (self.in_flight - attempts).max(0.0);
     }
 
-    /// The limit, where it is below one and so the probability that a fetch may go out.
+    /// The probability that a fetch may be sent, if the limit is below one.
     pub(super) fn probability(&self) -> Option<f64> {
         (self.limit < 1.0).then_some(self.limit)
     }
 
-    /// Whether no more fetches are late than is usual.
+    /// Whether the fraction of late fetches is normal.
     pub(super) fn is_responsive(&self) -> bool {
         self.late_rate < USUAL_LATE_RATE
     }
 
-    /// Whether fetches come in time on the whole.
+    /// Whether most fetches are in time: the late fraction is below twice the normal one.
     pub(super) fn is_healthy(&self) -> bool {
         self.late_rate < 2.0 * USUAL_LATE_RATE
     }
 
     /// Whether the origin has capacity for one more request of this kind.
     pub(super) fn has_capacity_for(&self, request: &OpenRequest) -> bool {
-        // Writes have nowhere else to go; what is worth little leaves capacity for the rest.
-        let part = match (request.is_write, request.is_low_value) {
+        // Writes can go nowhere else; requests of low value leave capacity for the others.
+        let limit_factor = match (request.is_write, request.is_low_value) {
             (true, _) => 1.5,
             (_, true) => 0.5,
             _ => 1.0,
         };
-        self.in_flight + 1.0 <= (self.limit * part).max(1.0)
+        self.in_flight + 1.0 <= (self.limit * limit_factor).max(1.0)
     }
 
-    /// Adjusts the limit by an attempt that has ended. Danger: an origin that goes on with work nobody waits
-    /// for any more fills no cache, so every read stays a miss and the overload feeds itself.
+    /// Adjusts the limit by an attempt that has ended. Danger: an origin that works on fetches which no
+    /// client waits for any longer fills no cache, so every read remains a miss and the overload sustains
+    /// itself.
     fn adjust(&mut self, now: Nanos, fetch: &Fetch, aside: bool, failure_rate: f64) {
         self.late_rate += LATE_RATE_GAIN * (f64::from(u8::from(!fetch.in_time)) - self.late_rate);
-        // Danger: where endpoints fetch, answers get lost or work is uneven, some are late without any
-        // overload; but an error is a fetch that failed.
+        // Danger: in deployments in which the endpoints fetch, some answers are late without any overload,
+        // because they get lost or because the work is uneven. An error always counts as a failed fetch.
         let is_by_chance = self.late_rate <= USUAL_LATE_RATE + 1.5 * failure_rate;
         let is_overload = aside || fetch.status == Status::Error || !is_by_chance;
-        // A limit that is not reached proves nothing; and an overload counts once for all attempts that were
-        // in flight when it was met.
+        // The limit is raised only while it is in use, and reduced only once for all attempts that were in
+        // flight during the same overload.
         if fetch.in_time && self.in_flight + 1.0 >= 0.5 * self.limit {
             self.limit += (0.2 * self.limit).min(1.0 / self.limit);
         } else if !fetch.in_time && is_overload && now.saturating_sub(fetch.elapsed) >= self.reduced_at {
-            // In through deployments it may be the endpoints that are overloaded, and a quick decrease helps.
+            // If the endpoints fetch, they may be the overloaded part; a quick decrease helps then.
             let highest = if aside { f64::MAX } else { 2.0 * self.in_flight + 2.0 };
             let lowest = if fetch.status == Status::Full { self.limit.min(1.0) } else { MIN_LIMIT };
             self.limit = (self.limit.min(highest) * DECREASE_FACTOR).max(lowest);
@@ -94,23 +96,23 @@
     }
 }
 
-/// How an attempt that the origin had to serve has ended.
+/// The outcome of an attempt that the origin had to serve.
 struct Fetch {
     status: Status,
     elapsed: Nanos,
     in_time: bool,
 }
 
-/// The time within which a fetch is in time: the shortest objective that applies.
+/// The time within which a fetch counts as in time: the shortest latency objective that applies.
 fn fetch_objective(settings: &Settings, class: Option<usize>) -> Nanos {
     let classes = settings.classes.iter().enumerate();
-    // An endpoint that fetches adds its own work to the time, which depends on the class.
+    // If the endpoint fetches, the time includes the endpoint's own work, which depends on the class.
     let applicable = classes.filter(|(index, _)| settings.aside || class == Some(*index));
     applicable.map(|(_, c)| c.aim).min().unwrap_or(SECOND)
 }
 
 impl Balancer {
-    /// Learns from an attempt that the origin had to serve how many it can take.
+    /// Updates the origin limit after an attempt that the origin had to serve.
     pub(super) fn on_fetch_ended(
         &mut self,
         now: Nanos,
@@ -119,7 +121,7 @@
         elapsed: Nanos,
     ) {
         self.origin.release(1.0);
-        // A connection that breaks is no sign of overload.
+        // A cancelled attempt, or a connection that failed or broke, is no sign of overload.
         if matches!(status, Status::Cancelled | Status::Moot | Status::ConnectFailed | Status::Reset) {
             return;
         }
--- a/src/decision/outcome_window.rs
+++ b/src/decision/outcome_window.rs
@@ -1,4 +1,4 @@
-//! The last outcomes of a key bucket at one candidate, and the pin that a row of cache hits earns.
+//! The last outcomes of a key bucket at one candidate, and pinning a bucket after consecutive cache hits.
 
 use super::api::ServerId;
 use super::candidates::{BucketId, CANDIDATES};
@@ -9,11 +9,11 @@
 /// A window in which every outcome was a hit.
 const ALL_HITS: u32 = (1 << HITS_TO_PIN) - 1;
 
-/// The last outcomes of a bucket at one candidate.
+/// The last outcomes of the reads of a bucket at one candidate.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OutcomeWindow {
     pub(super) server: ServerId,
-    /// One bit for each outcome, 1 for a hit, the latest in the lowest bit.
+    /// One bit per outcome, 1 for a hit; the latest is the lowest bit.
     pub(super) hits: u32,
     /// Number of outcomes in the window.
     len: u32,
@@ -29,7 +29,7 @@
         self.len = (self.len + 1).min(HITS_TO_PIN);
     }
 
-    /// The expected miss ratio: Laplace's estimate by the outcomes in the window.
+    /// The expected miss ratio: Laplace's rule of succession for the outcomes in the window.
     pub(super) fn miss_ratio(&self) -> f64 {
         1.0 - (f64::from(self.hits.count_ones()) + 1.0) / (f64::from(self.len) + 2.0)
     }
@@ -39,8 +39,8 @@
 pub(super) type OutcomeWindows = [OutcomeWindow; CANDIDATES];
 
 impl Balancer {
-    /// Records the outcome of a read of a bucket, and pins the bucket to the first candidate with a full row
-    /// of hits.
+    /// Records the outcome of a read of a bucket, and pins the bucket to the first candidate whose window
+    /// holds only hits.
     pub(super) fn record_read(&mut self, bucket: BucketId, server: ServerId, answered: bool, hit: bool) {
         let Some(bucket) = self.buckets.get_mut(bucket) else { return };
         (bucket.last_read_answered, bucket.was_read) = (answered, true);
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,4 +1,4 @@
-//! Requests that have no final answer yet, and their attempts.
+//! Requests without a final answer, and their attempts.
 
 use super::api::{Class, Effect, Entry, Group, Nanos, Request, RequestId, ServerId, Settings, State, Status};
 use super::candidates::BucketId;
@@ -6,7 +6,8 @@
 use super::{Balancer, MS};
 use std::rc::Rc;
 
-/// Margin of the deduplication window for the way to the endpoint.
+/// Margin by which a repeat must precede the end of the deduplication window, for the transit time to the
+/// endpoint.
 const DEDUP_MARGIN: Nanos = 100 * MS;
 
 /// An attempt of a request.
@@ -16,30 +17,30 @@
     pub(super) cell: u32,
     pub(super) sent_at: Nanos,
     pub(super) is_pending: bool,
-    /// The request may have taken effect.
+    /// Whether the request may have taken effect at the endpoint.
     pub(super) may_have_run: bool,
 }
 
 /// A request without a final answer.
 pub(super) struct OpenRequest {
-    /// The settings under which the request began: it ends under them, whatever applies meanwhile.
+    /// The settings at the time of arrival; later changes do not affect the request.
     pub(super) settings: Rc<Settings>,
     pub(super) class: usize,
     pub(super) bucket: Option<BucketId>,
     pub(super) is_write: bool,
-    /// An answer earns its full value until then (the latency objective).
+    /// Time of the latency objective; an answer until then earns its full value.
     pub(super) objective_at: Nanos,
-    /// The client gives up then.
+    /// When the client gives up.
     pub(super) deadline: Nanos,
-    /// A streamed answer has begun.
+    /// Whether a streamed answer has begun.
     pub(super) is_streaming: bool,
     pub(super) tenant: Option<usize>,
     pub(super) arrived_at: Nanos,
-    /// It came with enough time left to meet its objective.
+    /// Whether it arrived with enough time left to meet its objective.
     pub(super) is_feasible: bool,
-    /// It is worth little for the work that it takes.
+    /// Whether its value is low for the work that it takes.
     pub(super) is_low_value: bool,
-    /// The endpoint will probably fetch the value from the origin.
+    /// Whether the endpoint will probably have to fetch the value from the origin.
     pub(super) is_fetch: bool,
     /// The endpoint that operators pinned it to.
     pub(super) pinned: Option<ServerId>,
@@ -48,7 +49,8 @@
 }
 
 impl OpenRequest {
-    /// A request as it arrives, with no attempt yet.
+    /// Creates the state of an arriving request, without attempts. `objective` is the time left to its
+    /// latency objective.
     pub(super) fn new(settings: Rc<Settings>, now: Nanos, request: &Request, objective: Nanos) -> Self {
         OpenRequest {
             settings,
@@ -86,7 +88,8 @@
         (self.attempts.len() as u32) < self.settings.max_attempts.max(1)
     }
 
-    /// Whether no attempt can have taken effect, or a repeat of the request by the client does no harm.
+    /// Whether the client may safely repeat the request: repeats are harmless, or no attempt can have taken
+    /// effect.
     pub(super) fn is_safe_to_repeat(&self) -> bool {
         let may_have_run = self.attempts.iter().any(|a| a.is_pending || a.may_have_run);
         match self.class().map_or(Effect::Unsafe, |c| c.effect) {
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Whether a further attempt may go to this endpoint, after attempts that may have taken effect.
+    /// Whether a further attempt may go to this endpoint, given the earlier attempts that may have taken
+    /// effect.
     pub(super) fn allows_repeat_at(&self, now: Nanos, entry: &Entry) -> bool {
         let Some(class) = self.class() else { return true };
         let mut effective = self.attempts.iter().filter(|a| a.is_pending || a.may_have_run);
@@ -123,21 +127,21 @@
     pub(super) server: ServerId,
     pub(super) status: Status,
     pub(super) elapsed: Nanos,
-    /// The request has had its final answer.
+    /// Whether the request has had its final answer.
     pub(super) is_final: bool,
     /// Cache hit or miss, if the endpoint reported it.
     pub(super) hit: Option<bool>,
 }
 
-/// What the last failed attempt of a request says of the endpoints.
+/// Why the last attempt of a request failed, as far as it concerns admission.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum FailureCause {
-    /// No failure yet: if the request ends so, it was too slow.
+    /// No failure so far: a request that ends without a timely answer was too slow.
     #[default]
     Slow,
     /// The endpoint had no capacity.
     Overloaded,
-    /// The origin, or a fault of the endpoint itself: sending less would not mend it.
+    /// A failure of the origin or a fault of the endpoint; reducing the load would not help.
     Other,
 }
 
@@ -154,7 +158,7 @@
 }
 
 impl Balancer {
-    /// Removes a request that is over, and releases what its pending attempts hold at the origin.
+    /// Removes a request that is over, and releases the origin capacity of its pending attempts.
     pub(super) fn remove_request(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(&id)?;
         let fetches = request.attempts.iter().filter(|a| a.is_pending && request.is_fetch).count() as f64;
@@ -162,9 +166,9 @@
         Some(request)
     }
 
-    /// Whether the rules allow an attempt at this endpoint. Whatever chose the endpoint, nothing is sent
-    /// without this check.
-    pub(super) fn is_lawful(&self, now: Nanos, request: &OpenRequest, endpoint: &Endpoint) -> bool {
+    /// Whether the rules allow an attempt at this endpoint. Every attempt passes this check before it is
+    /// sent, regardless of how the endpoint was chosen.
+    pub(super) fn is_attempt_allowed(&self, now: Nanos, request: &OpenRequest, endpoint: &Endpoint) -> bool {
         endpoint.entry.state == State::Ready
             && self.is_open_to(request.class(), endpoint)
             && now < request.deadline
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: an endpoint with a cold cache gets a growing part of its keys, and of its share of the
-//! traffic.
+//! Slow start: an endpoint with a cold cache receives a growing fraction of its keys, and its traffic is
+//! limited by an allowance that grows as well.
 
 use super::api::{ColdLeft, Nanos};
 use super::candidates::{slot, BucketId};
@@ -8,18 +8,18 @@
 use super::token_bucket::TokenBucket;
 use super::{Balancer, MS, SECOND};
 
-/// The part of its keys that a cold endpoint gets, as a multiple of its least warmth. Danger: with just its
-/// share new endpoints idle (they warm up sooner than they must, and their misses cost them little) while the
-/// warm endpoints are overloaded during a rolling restart.
+/// Fraction of its keys that a cold endpoint receives, as a multiple of its minimum warmth. Danger: with a
+/// multiple of 1 new endpoints would be underused (they warm up sooner than the minimum, and misses cost them
+/// little) while the warm endpoints are overloaded during a rolling restart.
 const COLD_KEYS_FACTOR: f64 = 2.5;
-/// The part of the load under which a cold endpoint falls over that all proxies use together; the rest is
-/// for bursts and for proxies with uneven traffic.
+/// Fraction of the overload threshold of a cold endpoint that all proxies together may send; the rest is
+/// reserved for bursts and for uneven traffic among the proxies.
 const COLD_LOAD_SHARE: f64 = 0.7;
-/// Salt that keeps admission to buckets independent of their ranking.
+/// Salt that keeps the admission of an endpoint to a bucket independent of the bucket's ranking.
 const ADMISSION_SALT: u64 = 0xc01d;
 
 impl Balancer {
-    /// The part of its capacity that an endpoint has by now at least.
+    /// Minimum fraction of its full capacity that an endpoint has reached by now; 1 for a warm one.
     fn warmth(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
         if endpoint.entry.started == 0 || self.settings.cold == 0 {
             return 1.0;
@@ -29,21 +29,22 @@
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
-    /// Whether an endpoint takes part in a bucket. A cold one enters it once it is warmer than a hash of both
-    /// demands: all proxies admit it to the same growing part of its buckets.
+    /// Whether an endpoint is admitted to a bucket. A cold one is admitted once its warmth exceeds a
+    /// threshold that is a hash of both, so that all proxies admit it to the same growing fraction of its
+    /// buckets.
     pub(super) fn is_admitted(&self, now: Nanos, bucket: BucketId, endpoint: &Endpoint) -> bool {
         let warmth = self.warmth(now, endpoint);
         let hash = mix64(endpoint.entry.server ^ mix64(slot(bucket) ^ ADMISSION_SALT));
         warmth >= 1.0 || unit_interval(hash) < COLD_KEYS_FACTOR * warmth
     }
 
-    /// Whether the slow-start allowance of an endpoint has room for one more request.
+    /// Whether the slow-start allowance of an endpoint permits one more request.
     pub(super) fn has_slow_start_allowance(&mut self, now: Nanos, index: EndpointIndex) -> bool {
         self.refill_slow_start(now, index).is_none_or(|tokens| tokens >= 1.0)
     }
 
-    /// Spends one request of an endpoint's slow-start allowance; false if there is none left. Danger: a burst
-    /// of hot keys soon after its start makes an endpoint fall over for good.
+    /// Spends one request of an endpoint's slow-start allowance; returns false if none is left. Danger: a
+    /// burst of hot keys soon after its start overloads an endpoint permanently.
     pub(super) fn spend_slow_start_allowance(&mut self, now: Nanos, index: EndpointIndex) -> bool {
         let Some(tokens) = self.refill_slow_start(now, index) else { return true };
         let is_allowed = tokens >= 1.0;
@@ -53,7 +54,8 @@
         is_allowed
     }
 
-    /// Refills this proxy's allowance of a cold endpoint and returns it; `None` if the endpoint is warm.
+    /// Refills this proxy's allowance for a cold endpoint and returns the requests left; `None` if the
+    /// endpoint is not limited.
     fn refill_slow_start(&mut self, now: Nanos, index: EndpointIndex) -> Option<f64> {
         let endpoint = &self.endpoints[index];
         let warmth = self.warmth(now, endpoint);
@@ -68,16 +70,18 @@
         Some(tokens.refill(now, rate, (rate * window_s).max(1.0)))
     }
 
-    /// Gives away the slow-start allowance of each cold endpoint, for the process that takes over: during an
-    /// upgrade two processes are one proxy.
+    /// Hands over the slow-start allowance of each cold endpoint to the successor process, and keeps none:
+    /// during an upgrade both processes share the allowance of one proxy.
     pub fn give_cold(&mut self, now: Nanos) -> Vec<ColdLeft> {
         let cold = self.settings.cold;
         let is_cold = |e: &&mut Endpoint| e.entry.started > 0 && now < e.entry.started.saturating_add(cold);
-        let give = |e: &mut Endpoint| ColdLeft::of(&e.entry, std::mem::take(&mut e.slow_start_tokens.tokens));
-        self.endpoints.slots_mut().filter(is_cold).map(give).collect()
+        let release =
+            |e: &mut Endpoint| ColdLeft::of(&e.entry, std::mem::take(&mut e.slow_start_tokens.tokens));
+        self.endpoints.slots_mut().filter(is_cold).map(release).collect()
     }
 
-    /// Takes the allowances that another process gave away, in place of the random ones of a new process.
+    /// Adopts the allowances that the incumbent process handed over, in place of the random initial ones. An
+    /// allowance for another start of its endpoint is ignored.
     pub fn take_cold(&mut self, now: Nanos, given: &[ColdLeft]) {
         for ColdLeft { server, started, left } in given {
             let Some(endpoint) = self.endpoints.get_mut(*server) else { continue };
--- a/src/decision/subscription.rs
+++ b/src/decision/subscription.rs
@@ -1,19 +1,19 @@
-//! The subscription to the endpoint list: when to subscribe, and how long to back off after a failure.
+//! The subscription to the endpoint list: when to subscribe, and the backoff after a failure.
 
 use super::api::{Action, ListKind, Nanos};
 use super::{Balancer, SECOND, SUBSCRIBE_TIMER};
 
-/// The first backoff, in seconds.
+/// Initial backoff, in seconds.
 const INITIAL_BACKOFF_S: f64 = 0.4;
-/// The backoff doubles at most this many times.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 8;
-/// The part of a backoff that is waited at least; the rest is jitter.
-const MIN_JITTER: f64 = 0.2;
+/// Minimum fraction of the backoff that is waited; the rest is jitter.
+const MIN_BACKOFF_FRACTION: f64 = 0.2;
 
 /// State of the subscription to the endpoint list.
 pub(super) struct Subscription {
     is_active: bool,
-    /// A subscription was requested and no list has followed yet.
+    /// Whether a subscription was requested and no list has been received since.
     is_requested: bool,
     consecutive_failures: u32,
     /// Token of the last timer; timers with an older token are stale.
@@ -39,7 +39,7 @@
 }
 
 impl Balancer {
-    /// A call to discovery failed or the subscription broke; the last list stays in use.
+    /// Handles a failed call to discovery or a broken subscription; the last list stays in use.
     pub(super) fn on_subscription_lost(&mut self, actions: &mut Vec<Action>) {
         let subscription = &mut self.subscription;
         (subscription.is_active, subscription.is_requested) = (false, false);
@@ -47,7 +47,7 @@
         self.subscribe_later(actions);
     }
 
-    /// Settles the subscription's state after a list was applied.
+    /// Updates the state of the subscription after a list was applied.
     pub(super) fn on_list_applied(&mut self, kind: ListKind, actions: &mut Vec<Action>) {
         let subscription = &mut self.subscription;
         if kind == ListKind::Cached && self.settings.must_ask {
@@ -58,13 +58,14 @@
         }
     }
 
-    /// Arms the timer of the next call to discovery. Jitter and exponential backoff keep a fleet that lost
+    /// Arms the timer of the next call to discovery. Jitter and exponential backoff prevent a fleet that lost
     /// discovery from calling it all at once.
     fn subscribe_later(&mut self, actions: &mut Vec<Action>) {
         let max_backoff = (self.settings.must_ask_in / 3).max(SECOND) as f64;
         let doublings = self.subscription.consecutive_failures.min(MAX_DOUBLINGS);
         let backoff = (INITIAL_BACKOFF_S * SECOND as f64 * f64::from(1u32 << doublings)).min(max_backoff);
-        let delay = (backoff * (MIN_JITTER + (1.0 - MIN_JITTER) * self.rng.next_unit())) as Nanos;
+        let delay =
+            (backoff * (MIN_BACKOFF_FRACTION + (1.0 - MIN_BACKOFF_FRACTION) * self.rng.next_unit())) as Nanos;
         self.subscription.arm_timer(delay, actions);
     }
 
@@ -75,7 +76,7 @@
         }
         actions.push(Action::Subscribe);
         subscription.is_requested = true;
-        // Should the answer be lost, subscribe again before the list counts as outdated.
+        // If the answer is lost, subscribe again before the list counts as out of date.
         let delay = self.settings.must_ask_in.max(2 * SECOND) / 5 * 4;
         subscription.arm_timer(delay, actions);
     }
--- a/src/decision/tenant_quota.rs
+++ b/src/decision/tenant_quota.rs
@@ -1,9 +1,9 @@
-//! Quotas of tenants: whether a tenant is within this proxy's part of its share.
+//! Tenant quotas: whether a tenant is within this proxy's even part of its quota.
 
 use super::api::{Nanos, Settings};
 use super::token_bucket::TokenBucket;
 
-/// What each tenant may still be served within its share; indexed by tenant.
+/// The answers that each tenant may still receive within its quota; indexed by tenant.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
@@ -14,7 +14,7 @@
         TenantQuotas { buckets: vec![TokenBucket::ONE_TOKEN; tenants] }
     }
 
-    /// Renumbers the tenants: `former` gives the number that each had before, if any.
+    /// Renumbers the tenants; `former` gives the former index of each, if it had one.
     pub(super) fn renumber(&mut self, former: &[Option<usize>]) {
         let bucket = |tenant: &Option<usize>| {
             tenant.and_then(|t| self.buckets.get(t).copied()).unwrap_or(TokenBucket::ONE_TOKEN)
@@ -22,9 +22,9 @@
         self.buckets = former.iter().map(bucket).collect();
     }
 
-    /// Counts `served` answers of a tenant, and tells whether it is within this proxy's even part of its
-    /// share. Danger: counting what was only tried would use up a share by retries of what full endpoints
-    /// rejected.
+    /// Charges `served` answers to a tenant, and returns whether it is within this proxy's even part of its
+    /// quota. Danger: if attempts were charged as well, retries after rejections by overloaded endpoints
+    /// would use up the quota.
     pub(super) fn charge(
         &mut self,
         settings: &Settings,
@@ -40,7 +40,7 @@
         bucket.tokens >= 0.0
     }
 
-    /// Whether a tenant is within this proxy's even part of its share.
+    /// Whether a tenant is within this proxy's even part of its quota.
     pub(super) fn is_within(&mut self, settings: &Settings, now: Nanos, tenant: Option<usize>) -> bool {
         self.charge(settings, now, tenant, 0.0)
     }
--- a/src/decision/traffic.rs
+++ b/src/decision/traffic.rs
@@ -4,10 +4,10 @@
 use super::SECOND;
 
 /// Time constant of the request counters, in seconds.
-pub(super) const REQUEST_MEMORY_S: f64 = 16.0;
+pub(super) const REQUEST_TIME_CONSTANT_S: f64 = 16.0;
 /// Time constant of the counter of served answers, in seconds.
-pub(super) const SERVED_MEMORY_S: f64 = 2.0;
-/// The shortest uptime by which a rate is computed, in seconds.
+pub(super) const SERVED_TIME_CONSTANT_S: f64 = 2.0;
+/// Minimum uptime from which a rate is computed, in seconds.
 const MIN_UPTIME_S: f64 = 0.5;
 
 /// A count that decays exponentially with time.
@@ -26,7 +26,7 @@
     }
 }
 
-/// What this proxy received and served lately.
+/// The recent traffic of this proxy.
 #[derive(Default)]
 pub(super) struct Traffic {
     /// Time of the first event.
@@ -36,16 +36,16 @@
 }
 
 impl Traffic {
-    /// Requests per second that this proxy received lately.
+    /// Requests per second that this proxy received recently.
     pub(super) fn request_rate(&self, now: Nanos) -> f64 {
         let uptime_s = now.saturating_sub(self.started_at.unwrap_or(now)) as f64 / SECOND as f64;
-        // A young counter has not reached its steady state yet: divide by the part that it can have reached.
-        let warm_up = 1.0 - (-uptime_s.max(MIN_UPTIME_S) / REQUEST_MEMORY_S).exp();
-        self.requests.sum / (REQUEST_MEMORY_S * warm_up)
+        // A counter needs time to reach its steady state; this is the fraction reached so far.
+        let warm_up = 1.0 - (-uptime_s.max(MIN_UPTIME_S) / REQUEST_TIME_CONSTANT_S).exp();
+        self.requests.sum / (REQUEST_TIME_CONSTANT_S * warm_up)
     }
 
-    /// Answers per second that this proxy served lately, and one more.
+    /// Answers per second that this proxy served recently, plus one, so that the rate is never 0.
     pub(super) fn served_rate(&self) -> f64 {
-        self.served.sum / SERVED_MEMORY_S + 1.0
+        self.served.sum / SERVED_TIME_CONSTANT_S + 1.0
     }
 }
