--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Runs decision modules on the simulator's wire protocol, over standard input and output: one module for
-//! each proxy instance, with nothing shared between them.
+//! Runs decision modules on the simulator's wire protocol, over standard input and output. Each proxy
+//! instance has a module of its own, and the modules share no state.
 #![forbid(unsafe_code)]
 
 use rushquay::api::{Action, Entry, Event, ListKind, Nanos, ServerId};
@@ -10,17 +10,17 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use thiserror::Error;
 
-/// Number of endpoint lists that are kept at a time.
-const PAGES: usize = 16;
+/// Number of numbered slots ("pages") for endpoint lists.
+const PAGE_COUNT: usize = 16;
 
-/// Why a line cannot be handled.
+/// Why a line was rejected.
 #[derive(Debug, Error)]
 enum LineError {
     #[error(transparent)]
     Malformed(#[from] WireError),
     #[error("list {page} lacks {missing} entries")]
     IncompletePage { page: usize, missing: usize },
-    #[error("list number is over {}: {page}", PAGES - 1)]
+    #[error("list number is over {}: {page}", PAGE_COUNT - 1)]
     PageOutOfRange { page: usize },
     #[error("list {page} was never sent")]
     UnknownPage { page: usize },
@@ -32,7 +32,7 @@
     NoBatch,
 }
 
-/// Why the adapter stops.
+/// Why the adapter exits with an error.
 #[derive(Debug, Error)]
 enum AdapterError {
     #[error("line {number}: {source}")]
@@ -47,19 +47,20 @@
     Write(io::Error),
 }
 
-/// An endpoint list whose entries are still being read.
+/// An endpoint list of which `missing` entries have not been read yet.
 struct PartialPage {
     page: usize,
     missing: usize,
 }
 
-/// The adapter's state. The names of endpoints serve translation alone; no decision depends on them.
+/// The state of the adapter. The names of endpoints are used only to translate ids; no decision depends on
+/// them.
 #[derive(Default)]
 struct Adapter {
     now: Nanos,
     balancers: FxHashMap<String, Balancer>,
     names: FxHashMap<ServerId, String>,
-    pages: [Option<Vec<Entry>>; PAGES],
+    pages: [Option<Vec<Entry>>; PAGE_COUNT],
     in_batch: bool,
     partial_page: Option<PartialPage>,
     actions: Vec<Action>,
@@ -67,7 +68,7 @@
 }
 
 impl Adapter {
-    /// Handles one line; true when the reply is complete.
+    /// Handles one line; returns true if the batch, and so the reply, is complete.
     fn handle_line(&mut self, line: &str) -> Result<bool, LineError> {
         let parsed = wire::parse(line)?;
         if let Some(partial) = self.partial_page.take() {
@@ -113,7 +114,7 @@
         Ok(false)
     }
 
-    /// Adds an entry to the list that is being read; any other line is an error until the list is complete.
+    /// Adds an entry to the list that is being read. Until the list is complete, any other line is an error.
     fn add_entry(&mut self, partial: PartialPage, line: Line) -> Result<(), LineError> {
         let PartialPage { page, missing } = partial;
         let Line::Entry(name, entry) = line else {
@@ -129,15 +130,16 @@
         let Some(balancer) = self.balancers.get_mut(&instance) else {
             return;
         };
-        // A panic in the decision module must reach the operators as such, not as a process that died.
+        // Report a panic of the decision module in the reply, so that operators do not see just a dead process.
         let (now, actions) = (self.now, &mut self.actions);
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
-            let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").replace('\n', " ");
+            let message = panic.downcast_ref::<String>().map(String::as_str);
+            let message =
+                message.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").replace('\n', " ");
             self.actions.clear();
             self.balancers.remove(&instance);
-            self.reply.push_str(&format!("bug {instance} {text}\n"));
+            self.reply.push_str(&format!("bug {instance} {message}\n"));
             return;
         }
         for action in self.actions.drain(..) {
@@ -153,8 +155,8 @@
     let mut bytes = Vec::new();
     for number in 1u64.. {
         bytes.clear();
-        let read = input.read_until(b'\n', &mut bytes);
-        if read.map_err(|source| AdapterError::Read { number, source })? == 0 {
+        let bytes_read = input.read_until(b'\n', &mut bytes);
+        if bytes_read.map_err(|source| AdapterError::Read { number, source })? == 0 {
             if adapter.in_batch {
                 return Err(AdapterError::TruncatedBatch { number });
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,10 @@
-//! rushquay is a caching proxy that decides which cache server gets each request before it falls to a slow origin.
-//! [`decision`] holds every decision, without I/O or a clock of its own; [`api`] its types; [`wire`] the simulator's text codec;
-//! [`proxy`] the real proxy on sockets; [`supervisor`] the process that runs and replaces a proxy.
+//! rushquay is a proxy for a fleet of cache nodes in front of a slow origin: it chooses the cache node for each
+//! request.
+//!
+//! - [`decision`]: all decisions, without I/O or a clock; [`api`] has its types.
+//! - [`wire`]: the text codec of the simulator's protocol.
+//! - [`proxy`]: the proxy on real sockets.
+//! - [`supervisor`]: the process that runs and replaces a proxy.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 #![doc = include_str!("../README.md")]
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,25 +1,25 @@
-//! Text codec of the simulator's wire protocol: one message per line, fields separated by single spaces, `-`
-//! for an absent value. The names of messages, fields and settings are the simulator's.
+//! Text codec of the simulator's wire protocol. A message is one line; its fields are separated by single
+//! spaces, and `-` is an absent value. The simulator defines the names of messages, fields and settings.
 
 use crate::api::*;
 use std::fmt::Write as _;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The most classes or tenants that settings may have.
+/// Maximum number of classes, and of tenants, in the settings.
 const MAX_COUNT: usize = 4096;
-/// Flags of an arrival.
+/// Flag bits of an arrival.
 const FLAG_RETRY: u64 = 2;
 const FLAG_WRITE: u64 = 4;
 
 /// A parsed input line.
 #[derive(Clone, Debug)]
 pub enum Line {
-    /// A batch of messages begins at this time.
+    /// Begins a batch of messages at this time.
     Frame(Nanos),
-    /// The batch is complete.
+    /// Ends the batch.
     Go,
-    /// An endpoint list follows.
+    /// Begins an endpoint list; its entries follow.
     Page {
         /// Number of the list, 0 to 15.
         number: usize,
@@ -28,7 +28,7 @@
     },
     /// One entry of an endpoint list, with the endpoint's name.
     Entry(String, Entry),
-    /// A proxy instance starts.
+    /// Starts a proxy instance.
     New {
         /// Name of the instance.
         instance: String,
@@ -37,73 +37,73 @@
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance gets an endpoint list that was sent as a page.
+    /// Gives an instance an endpoint list that was sent as a page.
     Members {
         /// Name of the instance.
         instance: String,
-        /// What the entries are.
+        /// What the entries contain.
         kind: ListKind,
         /// Number of the page.
         page: usize,
     },
-    /// An instance stops.
+    /// Stops an instance.
     Stop(String),
     /// Any other event of an instance.
     Event(String, Event),
-    /// A message that no decision depends on; its form was checked.
+    /// A valid message that no decision depends on.
     Ignored,
 }
 
 /// Why a line cannot be parsed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum WireError {
-    /// A field is absent.
+    /// A field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field must hold a number.
+    /// A field is not a number.
     #[error("{field} is not a number: {value:?}")]
     NotANumber {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A field must hold a number in hexadecimal.
+    /// A field is not a hexadecimal number.
     #[error("{field} is not hex: {value:?}")]
     NotHex {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A field must hold 1, 0 or `-`.
+    /// A field is neither 1, 0 nor `-`.
     #[error("{field} is neither 1 nor 0: {value:?}")]
     NotAFlag {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A field must hold numbers separated by commas.
-    #[error("{field} is not a row of numbers: {value:?}")]
-    NotARow {
+    /// A field is not a list of numbers separated by commas.
+    #[error("{field} is not a comma-separated list of numbers: {value:?}")]
+    NotANumberList {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
-    /// A field or message name has no meaning.
+    /// The value of a field, or a message name, is unknown.
     #[error("{field} is unknown: {value:?}")]
     Unknown {
         /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
     /// A setting is not of the form `path=value`.
     #[error("setting has no value: {0:?}")]
     SettingWithoutValue(String),
-    /// The value of a setting cannot be used.
+    /// The value of a setting is invalid.
     #[error("{path} has a bad value: {value:?}")]
     BadSetting {
         /// Path of the setting.
@@ -154,11 +154,11 @@
 }
 
 fn duration(fields: &mut Fields, name: &'static str) -> Result<Nanos, WireError> {
-    // A duration may be negative on the wire (already over); it counts as 0.
+    // A duration on the wire is negative if it is already over; it is read as 0.
     Ok(number::<i128>(fields, name)?.clamp(0, i128::from(u64::MAX / 4)) as Nanos)
 }
 
-fn unknown(name: &'static str, value: &str) -> WireError {
+fn unknown_value(name: &'static str, value: &str) -> WireError {
     WireError::Unknown { field: name, value: value.to_owned() }
 }
 
@@ -173,22 +173,24 @@
         "ecanceled" => Status::Cancelled,
         "skipped" => Status::Moot,
         "enoent" => Status::Miss,
-        value => return Err(unknown("reason", value)),
+        value => return Err(unknown_value("reason", value)),
     })
 }
 
-/// Checks the form of a load report. No decision depends on one (docs/design.md).
+/// Validates the syntax of a load report. No decision depends on load reports (docs/design.md).
 fn check_load(fields: &mut Fields) -> Result<(), WireError> {
-    let row = field(fields, "load")?;
-    let is_valid = row == "-" || row.split(',').all(|v| v == "-" || v.parse::<f64>().is_ok());
-    is_valid.then_some(()).ok_or_else(|| WireError::NotARow { field: "load", value: row.to_owned() })
+    let values = field(fields, "load")?;
+    let is_valid = values == "-" || values.split(',').all(|v| v == "-" || v.parse::<f64>().is_ok());
+    is_valid
+        .then_some(())
+        .ok_or_else(|| WireError::NotANumberList { field: "load", value: values.to_owned() })
 }
 
 fn instance(fields: &mut Fields) -> Result<String, WireError> {
     field(fields, "instance").map(str::to_owned)
 }
 
-/// Parses one input line, without its line end.
+/// Parses one input line, given without its line ending.
 pub fn parse(line: &str) -> Result<Line, WireError> {
     let mut fields = line.split(' ');
     let f = &mut fields;
@@ -203,7 +205,7 @@
             event
         }
         "sampled" => {
-            // Nothing is probed (docs/design.md); the form of the line is checked all the same.
+            // The decision module sends no probes (docs/design.md); only the syntax of the line is checked.
             let _ = (instance(f)?, field(f, "node")?, status(f)?, duration(f, "elapsed_ns")?);
             check_load(f)?;
             Line::Ignored
@@ -220,12 +222,12 @@
         }
         "shutdown" => Line::Stop(instance(f)?),
         "peer" => {
-            // No decision depends on what other proxies say (docs/design.md); the form is checked all the
-            // same.
+            // No decision depends on messages from other proxies (docs/design.md); only the syntax is
+            // checked.
             let _ = (instance(f)?, number::<u64>(f, "author")?, field(f, "msg")?);
             Line::Ignored
         }
-        value => return Err(unknown("message", value)),
+        value => return Err(unknown_value("message", value)),
     })
 }
 
@@ -272,7 +274,7 @@
         "F" => ListKind::Full,
         "C" => ListKind::Cached,
         "X" => ListKind::Failed,
-        value => return Err(unknown("scope", value)),
+        value => return Err(unknown_value("scope", value)),
     };
     let _version = field(fields, "index")?;
     let page = match fields.next() {
@@ -294,7 +296,7 @@
             "IN" => State::Ready,
             "LAME" => State::Draining,
             "OUT" => State::Gone,
-            value => return Err(unknown("state", value)),
+            value => return Err(unknown_value("state", value)),
         },
         weight: optional(fields, "share")?.unwrap_or(1.0),
         started: optional(fields, "launched_ns")?.unwrap_or(0),
@@ -302,26 +304,26 @@
     Ok(Line::Entry(name, entry))
 }
 
-fn bad_setting(path: &str, value: &str) -> WireError {
+fn invalid_setting(path: &str, value: &str) -> WireError {
     WireError::BadSetting { path: path.to_owned(), value: value.to_owned() }
 }
 
 fn set<T: FromStr>(target: &mut T, path: &str, value: &str) -> Result<(), WireError> {
-    *target = value.parse().map_err(|_| bad_setting(path, value))?;
+    *target = value.parse().map_err(|_| invalid_setting(path, value))?;
     Ok(())
 }
 
-/// Sets an amount, which cannot be negative: a negative share would invert a comparison.
+/// Sets a finite amount that must not be negative, since a negative share would invert a comparison.
 fn set_amount(target: &mut f64, path: &str, value: &str) -> Result<(), WireError> {
     let amount = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0);
-    *target = amount.ok_or_else(|| bad_setting(path, value))?;
+    *target = amount.ok_or_else(|| invalid_setting(path, value))?;
     Ok(())
 }
 
-/// A list of whole numbers separated by commas; empty text is an empty list.
+/// Parses a list of whole numbers separated by commas; an empty string is an empty list.
 fn numbers(path: &str, value: &str) -> Result<Vec<u32>, WireError> {
     let numbers = value.split(',').filter(|v| !v.is_empty()).map(str::parse);
-    numbers.collect::<Result<_, _>>().map_err(|_| bad_setting(path, value))
+    numbers.collect::<Result<_, _>>().map_err(|_| invalid_setting(path, value))
 }
 
 fn count(path: &str, value: &str) -> Result<usize, WireError> {
@@ -341,8 +343,8 @@
         let Some((path, value)) = pair.split_once('=') else {
             return Err(WireError::SettingWithoutValue(pair.to_owned()));
         };
-        let mut steps = path.splitn(3, '.');
-        match (steps.next().unwrap_or(""), steps.next().unwrap_or(""), steps.next()) {
+        let mut segments = path.splitn(3, '.');
+        match (segments.next().unwrap_or(""), segments.next().unwrap_or(""), segments.next()) {
             ("categories", "count", None) => {
                 settings.classes.resize(count(path, value)?, Class::default());
             }
@@ -367,7 +369,7 @@
     Ok(settings)
 }
 
-/// Sets one field of a class.
+/// Sets a field of a class.
 fn set_class(class: &mut Class, name: &str, path: &str, value: &str) -> Result<(), WireError> {
     match name {
         "promise_ns" => set(&mut class.aim, path, value)?,
@@ -382,7 +384,7 @@
             class.effect = match value {
                 "safe" => Effect::Safe,
                 "keyed" => Effect::Keyed,
-                // The strictest rule holds for values of a later version.
+                // Unknown values, of a later version, get the strictest meaning.
                 _ => Effect::Unsafe,
             }
         }
@@ -398,7 +400,7 @@
     Ok(())
 }
 
-/// Sets a field that is of no class or tenant.
+/// Sets a field that belongs to no class or tenant.
 fn set_global(settings: &mut Settings, path: &str, value: &str) -> Result<(), WireError> {
     match path {
         "zone" => set(&mut settings.zone, path, value),
@@ -433,17 +435,17 @@
 
 /// Appends one action of an instance to a reply; `name` gives the wire name of an endpoint.
 pub fn write(out: &mut String, instance: &str, action: &Action, name: impl Fn(ServerId) -> Option<String>) {
-    let named = |server: &ServerId| name(*server).unwrap_or_default();
+    let name_of = |server: &ServerId| name(*server).unwrap_or_default();
     // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, server, timeout } => {
-            writeln!(out, "deliver {instance} {id} {} {timeout}", named(server))
+            writeln!(out, "deliver {instance} {id} {} {timeout}", name_of(server))
         }
         Action::Cancel { id, attempt } => writeln!(out, "abandon {instance} {id} {attempt}"),
         Action::Refuse { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(out, "arm {instance} {token} {delay}"),
-        Action::Close(server) => writeln!(out, "close {instance} {}", named(server)),
+        Action::Close(server) => writeln!(out, "close {instance} {}", name_of(server)),
         Action::Subscribe => writeln!(out, "stream_changes {instance} 1"),
     };
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -55,7 +55,7 @@
         ("page 99 1", "list number is over 15"),
         ("entry node_a 0 0 0 IN 1 -", "entry without a list"),
         ("", "message name is missing"),
-        ("sampled proxy_3 node_a done 1 x", "load is not a row of numbers"),
+        ("sampled proxy_3 node_a done 1 x", "load is not a comma-separated list of numbers"),
         ("new_instance proxy_4 1 caps.cancelling", "setting has no value"),
         ("new_instance proxy_4 1 rules.let_go_in_ns=soon", "rules.let_go_in_ns has a bad value"),
         ("new_instance proxy_4 1 client_habits.marks_retry=2", "client_habits.marks_retry has a bad value"),
