--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -129,7 +129,7 @@
     pub fall_multiple: f64,
     /// ... for this time.
     pub fall: Nanos,
-    /// Idle connections to a draining endpoint must be closed within this time; 0: no limit.
+    /// Idle connections to a draining endpoint must be closed within this time; 0: they may stay open.
     pub let_go: Nanos,
     /// Time within which a proxy without a subscription must request one.
     pub must_ask_in: Nanos,
@@ -237,7 +237,7 @@
 pub enum Event {
     /// A change of the endpoint list.
     List {
-        /// What the entries are.
+        /// What the entries contain.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
--- a/src/decision/candidates.rs
+++ b/src/decision/candidates.rs
@@ -1,4 +1,5 @@
-//! Key buckets and the candidate endpoints of each, by weighted rendezvous hashing.
+//! Key buckets and the candidate endpoints of each, by weighted rendezvous hashing. Classes that may use the
+//! same endpoints form a scope; each scope has buckets of its own.
 
 use super::api::{Class, Nanos, ServerId, Settings};
 use super::endpoint_set::{Endpoint, EndpointIndex};
@@ -244,7 +245,7 @@
         }
         let shared = spread.min(order.len());
         if shared > 1 {
-            // A hot bucket would overload a single endpoint, so its first endpoints take turns.
+            // A hot bucket would overload a single endpoint, so its requests rotate over the first few.
             order[..shared].rotate_left(bucket.rotation.wrapping_add(self.settings.me) as usize % shared);
         }
         order
--- a/src/decision/origin_limit.rs
+++ b/src/decision/origin_limit.rs
@@ -82,8 +82,8 @@
         // because they get lost or because the work is uneven. An error always counts as a failed fetch.
         let is_by_chance = self.late_rate <= USUAL_LATE_RATE + 1.5 * failure_rate;
         let is_overload = aside || fetch.status == Status::Error || !is_by_chance;
-        // The limit is raised only while it is in use, and reduced only once for all attempts that were in
-        // flight during the same overload.
+        // An answer in time is evidence for a higher limit only while at least half of the limit is in use.
+        // An overload reduces the limit only once for all attempts that were in flight when it was detected.
         if fetch.in_time && self.in_flight + 1.0 >= 0.5 * self.limit {
             self.limit += (0.2 * self.limit).min(1.0 / self.limit);
         } else if !fetch.in_time && is_overload && now.saturating_sub(fetch.elapsed) >= self.reduced_at {
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -25,7 +25,7 @@
 /// Evidence against an endpoint, and its ejection.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Ejection {
-    /// Evidence that the endpoint is broken: a sum of log-odds.
+    /// Evidence that the endpoint fails more often than endpoints do on average: a sum of log-odds.
     pub(super) log_odds: f64,
     pub(super) ejected_until: Nanos,
     /// Nominal duration of the last ejection; 0 if the next one is a first.
@@ -78,8 +78,8 @@
         EJECTION_LOG_ODDS * if self.has_sparse_traffic(now) { 0.5 } else { 1.0 }
     }
 
-    /// Whether this proxy is certain to receive at most one request per second and endpoint, so that its own
-    /// requests do not show how loaded an endpoint is.
+    /// Whether this proxy receives at most one request per second per endpoint, so that its own requests do
+    /// not show how loaded an endpoint is. False until enough requests were counted to be certain.
     pub(super) fn has_sparse_traffic(&self, now: Nanos) -> bool {
         self.traffic.requests.sum > 3.0 * MIN_SAMPLE_SIZE
             && self.traffic.request_rate(now) <= self.endpoints.ready_count
@@ -127,8 +127,8 @@
         self.endpoints.get(server).is_none_or(|e| e.ejection.is_ejected(now))
     }
 
-    /// The number of listed cache nodes, and how many of them currently receive no requests (not ready, or
-    /// ejected).
+    /// The number of listed cache nodes, and how many of them are not ready or are ejected, and so receive no
+    /// requests other than trials.
     pub fn avoided(&self, now: Nanos) -> (usize, usize) {
         let nodes = self.endpoints.listed().filter(|e| !self.is_origin(e));
         nodes.fold((0, 0), |(listed, avoided), endpoint| {
