--- a/crates/core/load-assignment/src/assignment.rs
+++ b/crates/core/load-assignment/src/assignment.rs
@@ -6,10 +6,10 @@
 use std::num::NonZeroU32;
 use std::sync::Arc;
 
-/// The highest priority number ("Priority levels": Envoy supports 128 levels).
-pub const PRIORITY_MOST: u8 = 127;
+/// The largest priority number, which is the lowest priority ("Priority levels": Envoy supports 128 levels).
+pub const MAX_PRIORITY: u8 = 127;
 /// Default overprovisioning factor, in percent ("Overprovisioning Factor").
-pub const OVERPROVISIONING: u32 = 140;
+pub const DEFAULT_OVERPROVISIONING_PERCENT: u32 = 140;
 
 /// The declared health of an endpoint (`envoy.config.core.v3.HealthStatus`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -20,14 +20,14 @@
     Degraded,
     /// `UNHEALTHY` and `TIMEOUT`: used in panic mode only.
     Unhealthy,
-    /// `DRAINING`: never gets new requests. Envoy would send some in panic mode; here draining takes precedence.
+    /// `DRAINING`: never receives new requests. Envoy sends it requests in panic mode; here draining takes precedence.
     Draining,
 }
 
-/// Location and kind of an endpoint.
+/// Location and machine kind of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Place {
-    /// Zone: from the locality or from metadata.
+    /// Zone, from the locality or from metadata.
     pub zone: Arc<str>,
     /// Machine kind, from metadata; may be empty.
     pub kind: Arc<str>,
@@ -38,7 +38,7 @@
 /// An endpoint (`LbEndpoint`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Identity, the same at every proxy: from metadata, else the address.
+    /// Identity, the same at every proxy: from metadata, or the address if metadata has none.
     pub id: Arc<str>,
     /// Address to connect to.
     pub addr: SocketAddr,
@@ -46,7 +46,7 @@
     pub weight: NonZeroU32,
     /// Declared health.
     pub health: Health,
-    /// Location and kind.
+    /// Location and machine kind.
     pub place: Place,
     /// Start time if known: Unix time in nanoseconds.
     pub started: Option<Nanos>,
@@ -68,9 +68,9 @@
 pub struct Locality {
     /// Name of the locality.
     pub name: LocalityName,
-    /// Priority from 0, the highest, to `PRIORITY_MOST`.
+    /// Priority from 0, the highest, to `MAX_PRIORITY`.
     pub priority: u8,
-    /// Weight among the localities of its priority; `None`: takes no load where locality weights apply.
+    /// Weight among the localities of its priority; `None`: receives no load if locality weights apply.
     pub weight: Option<NonZeroU32>,
     /// Endpoints in the order declared.
     pub endpoints: Vec<Endpoint>,
@@ -88,11 +88,11 @@
 /// The policy of an assignment (`ClusterLoadAssignment.Policy`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Overprovisioning factor in percent; `OVERPROVISIONING` by default.
+    /// Overprovisioning factor in percent; `DEFAULT_OVERPROVISIONING_PERCENT` by default.
     pub overprovisioning: u32,
     /// Time after receipt at which the assignment becomes stale and its endpoints unhealthy (`endpoint_stale_after`).
     pub stale_after: Option<Nanos>,
-    /// Whether availability is computed by weight rather than by number (`weighted_priority_health`).
+    /// Whether availability is computed from weights rather than from the number of endpoints (`weighted_priority_health`).
     pub weighted_health: bool,
     /// Drop rules, evaluated in order.
     pub overloads: Vec<Overload>,
@@ -101,7 +101,7 @@
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            overprovisioning: OVERPROVISIONING,
+            overprovisioning: DEFAULT_OVERPROVISIONING_PERCENT,
             stale_after: None,
             weighted_health: false,
             overloads: Vec::new(),
@@ -116,12 +116,12 @@
     rules: Rules,
 }
 
-/// A contradiction in an assignment, to be corrected at its source. Indices count from 0 in the order declared.
+/// An invalid assignment, to be corrected at its source. Indices count from 0 in the order declared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// An address is listed twice. Danger: of two weights for one endpoint, the one read last would win by chance.
-    #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the address {addr} stands already in endpoints[{first}]; list it once")]
-    AddressTwice {
+    /// An address is listed twice. Danger: if it were accepted, the order of the listings would decide which weight applies.
+    #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the address {addr} is already listed in endpoints[{first}]; list it once")]
+    DuplicateAddress {
         /// Index of the locality of the second listing.
         locality: usize,
         /// Index of the endpoint in that locality.
@@ -132,8 +132,8 @@
         addr: SocketAddr,
     },
     /// An identity is listed twice.
-    #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the id {id:?} stands already in endpoints[{first}]; list it once")]
-    IdTwice {
+    #[error("endpoints[{locality}].lb_endpoints[{endpoint}]: the id {id:?} is already listed in endpoints[{first}]; list it once")]
+    DuplicateId {
         /// Index of the locality of the second listing.
         locality: usize,
         /// Index of the endpoint in that locality.
@@ -144,8 +144,8 @@
         id: Arc<str>,
     },
     /// A locality is listed twice at the same priority.
-    #[error("endpoints[{locality}].locality: stands already in endpoints[{first}] with the same priority; join the two")]
-    LocalityTwice {
+    #[error("endpoints[{locality}].locality: already listed in endpoints[{first}] with the same priority; merge the two")]
+    DuplicateLocality {
         /// Index of the locality of the second listing.
         locality: usize,
         /// Index of the locality listed first.
@@ -153,7 +153,7 @@
     },
     /// The sum of weights exceeds 2^32-1.
     #[error(
-        "endpoints[{locality}].{field}: the weights add up to more than 4294967295; divide all by one number"
+        "endpoints[{locality}].{field}: the weights add up to more than 4294967295; scale all of them down by the same factor"
     )]
     WeightSum {
         /// Index of the locality at which the sum exceeds the limit.
@@ -175,7 +175,7 @@
     /// Validates a declared assignment.
     ///
     /// # Errors
-    /// See [`AssignmentError`]; no part of the assignment may be used then.
+    /// See [`AssignmentError`]; the whole assignment is rejected.
     pub fn new(localities: Vec<Locality>, rules: Rules) -> Result<Self, AssignmentError> {
         validate_rules(&rules)?;
         let mut validator = Validator::default();
@@ -186,17 +186,17 @@
         Ok(Assignment { localities, rules })
     }
 
-    /// The localities in the order declared.
+    /// Returns the localities in the order declared.
     pub fn localities(&self) -> &[Locality] {
         &self.localities
     }
 
-    /// The policy.
+    /// Returns the policy.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// All endpoints with their localities.
+    /// Returns all endpoints with their localities, in the order declared.
     pub fn endpoints(&self) -> impl Iterator<Item = (&Locality, &Endpoint)> {
         let localities = self.localities.iter();
         localities.flat_map(|locality| locality.endpoints.iter().map(move |endpoint| (locality, endpoint)))
@@ -206,7 +206,7 @@
 fn validate_rules(rules: &Rules) -> Result<(), AssignmentError> {
     let out_of_range = |field: &str, why| Err(AssignmentError::Range { field: field.into(), why });
     if rules.overprovisioning == 0 {
-        return out_of_range("policy.overprovisioning_factor", "expected 1 at least");
+        return out_of_range("policy.overprovisioning_factor", "expected at least 1");
     }
     if rules.overloads.iter().any(|overload| !(0.0..=1.0).contains(&overload.part)) {
         return out_of_range("policy.drop_overloads", "expected 0 to 100 percent");
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-/// What the localities validated so far have declared, each with the index of its locality.
+/// Everything declared by the localities validated so far, each item with the index of its locality.
 #[derive(Default)]
 struct Validator<'a> {
     addrs: HashMap<SocketAddr, usize>,
@@ -226,12 +226,12 @@
 
 impl<'a> Validator<'a> {
     fn validate_locality(&mut self, index: usize, locality: &'a Locality) -> Result<(), AssignmentError> {
-        if locality.priority > PRIORITY_MOST {
+        if locality.priority > MAX_PRIORITY {
             let field = format!("endpoints[{index}].priority");
             return Err(AssignmentError::Range { field, why: "expected 0 to 127" });
         }
         if let Some(first) = self.localities.insert((&locality.name, locality.priority), index) {
-            return Err(AssignmentError::LocalityTwice { locality: index, first });
+            return Err(AssignmentError::DuplicateLocality { locality: index, first });
         }
         let weight_sum = self.weight_sums.entry(locality.priority).or_default();
         *weight_sum += locality.weight.map_or(0, |weight| u64::from(weight.get()));
@@ -245,7 +245,7 @@
         let mut weight_sum = 0u64;
         for (endpoint_index, endpoint) in locality.endpoints.iter().enumerate() {
             if let Some(first) = self.addrs.insert(endpoint.addr, index) {
-                return Err(AssignmentError::AddressTwice {
+                return Err(AssignmentError::DuplicateAddress {
                     locality: index,
                     endpoint: endpoint_index,
                     first,
@@ -253,7 +253,7 @@
                 });
             }
             if let Some(first) = self.ids.insert(&endpoint.id, index) {
-                return Err(AssignmentError::IdTwice {
+                return Err(AssignmentError::DuplicateId {
                     locality: index,
                     endpoint: endpoint_index,
                     first,
--- a/crates/core/load-assignment/src/breakers.rs
+++ b/crates/core/load-assignment/src/breakers.rs
@@ -1,7 +1,7 @@
-//! Circuit breakers: limits on what is in flight to a cluster.
+//! Circuit breakers: limits on the requests, retries and connecting attempts in flight to a cluster.
 //!
-//! Source: Envoy's documentation, "Circuit breaking", and `envoy/config/cluster/v3/circuit_breaker.proto`. What
-//! exceeds a limit is rejected at once; nothing queues for a slot.
+//! Source: Envoy's documentation, "Circuit breaking", and `envoy/config/cluster/v3/circuit_breaker.proto`.
+//! Anything over a limit is rejected at once; nothing is queued.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,16 +16,16 @@
     High,
 }
 
-/// Retry budget: limit of retries in flight relative to the requests in flight (`retry_budget`).
+/// Retry budget: limits the retries in flight to a percentage of the requests in flight (`retry_budget`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Percentage of the requests in flight; 20 by default (`budget_percent`).
     pub percent: f64,
-    /// Retries allowed in flight in any case; 3 by default (`min_retry_concurrency`).
+    /// Number of retries that may always be in flight; 3 by default (`min_retry_concurrency`).
     pub least: u32,
 }
 
-/// Thresholds for one routing priority. The defaults are Envoy's, for fields that a configured threshold leaves out.
+/// Thresholds for one routing priority. The defaults are Envoy's and apply to fields that the configuration omits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// Connections, including idle ones.
@@ -34,7 +34,7 @@
     pub pending: u32,
     /// Requests in flight.
     pub requests: u32,
-    /// Retries in flight; ignored if there is a budget.
+    /// Retries in flight; ignored if there is a retry budget.
     pub retries: u32,
     /// Retry budget.
     pub budget: Option<Budget>,
@@ -56,7 +56,7 @@
         budget: None,
     };
 
-    /// The limit of retries while `requests` requests are in flight.
+    /// Returns the limit of retries while `requests` requests are in flight.
     fn max_retries(&self, requests: u32) -> u32 {
         match self.budget {
             None => self.retries,
@@ -90,15 +90,15 @@
 struct State {
     limits: [Thresholds; 2],
     in_flight: [InFlight; 2],
-    /// How often each limit was reached, by [`Trip`].
+    /// Number of rejections by each limit, indexed by [`Trip`].
     trips: [u64; 3],
 }
 
-/// The circuit breakers of a cluster: limits and what is in flight. Clones share one state.
+/// The circuit breakers of a cluster: limits and counts in flight. Clones share one state.
 #[derive(Clone, Debug)]
 pub struct Breakers(Rc<RefCell<State>>);
 
-/// A slot under a limit, released on drop.
+/// A slot acquired under a limit, released on drop.
 #[derive(Debug)]
 pub struct Hold {
     breakers: Breakers,
@@ -112,7 +112,7 @@
         Breakers(Rc::new(RefCell::new(State { limits, in_flight: Default::default(), trips: [0; 3] })))
     }
 
-    /// Replaces the thresholds; what is in flight stays counted.
+    /// Replaces the thresholds; slots already acquired stay counted.
     pub fn set(&self, limits: [Thresholds; 2]) {
         self.0.borrow_mut().limits = limits;
     }
@@ -120,7 +120,7 @@
     /// Acquires a slot for a request, a retry or a connecting attempt.
     ///
     /// # Errors
-    /// The limit, if it is reached.
+    /// Returns the limit that has been reached.
     pub fn take(&self, importance: Importance, limit: Trip) -> Result<Hold, Trip> {
         let mut state = self.0.borrow_mut();
         let thresholds = state.limits[importance as usize];
@@ -138,18 +138,18 @@
         Ok(Hold { breakers: self.clone(), importance, limit })
     }
 
-    /// The limit of connections.
+    /// Returns the limit of connections.
     pub fn connections(&self, importance: Importance) -> u32 {
         self.0.borrow().limits[importance as usize].connections
     }
 
-    /// Numbers of requests, retries and connecting attempts in flight.
+    /// Returns the numbers of requests, retries and connecting attempts in flight.
     pub fn out(&self, importance: Importance) -> [u32; 3] {
         let in_flight = self.0.borrow().in_flight[importance as usize];
         [in_flight.requests, in_flight.retries, in_flight.pending]
     }
 
-    /// How often the limits of requests, retries and connecting attempts were reached.
+    /// Returns how often the limits of requests, retries and connecting attempts, in this order, rejected something.
     pub fn trips(&self) -> [u64; 3] {
         self.0.borrow().trips
     }
--- a/crates/core/load-assignment/src/dns.rs
+++ b/crates/core/load-assignment/src/dns.rs
@@ -24,7 +24,7 @@
     pub weight: NonZeroU32,
     /// Declared health.
     pub health: Health,
-    /// Location and kind.
+    /// Location and machine kind.
     pub place: Place,
 }
 
@@ -50,7 +50,7 @@
     pub failure: (Nanos, Nanos),
 }
 
-/// Bound of the exponent of the failure backoff, against overflow of the shift.
+/// Maximum exponent of the failure backoff; keeps the shift from overflowing.
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
 /// The state of one name.
@@ -58,8 +58,10 @@
 struct Lookup {
     /// Addresses of the last successful resolution.
     addresses: Option<Vec<IpAddr>>,
+    /// When the next resolution is due; `Nanos::MAX`: never.
     due: Nanos,
     is_in_flight: bool,
+    /// Consecutive failures.
     failures: u32,
 }
 
@@ -73,7 +75,7 @@
 }
 
 impl Lookups {
-    /// Creates the lookups of a cluster. All names are due at once; IP addresses need no lookup.
+    /// Creates the lookups of a cluster. All host names are due immediately; IP addresses are not looked up.
     pub fn new(localities: Vec<NamedLocality>, rules: Rules, rates: Rates) -> Self {
         let endpoints = localities.iter().flat_map(|locality| &locality.endpoints);
         let names = endpoints.map(|endpoint| {
@@ -84,7 +86,7 @@
         Lookups { names: names.collect(), localities, rules, rates }
     }
 
-    /// Returns the names to resolve now. Each is in flight until [`Lookups::found`] or [`Lookups::failed`] is called for it.
+    /// Returns the names to resolve now. Each one counts as in flight until [`Lookups::found`] or [`Lookups::failed`] is called for it.
     pub fn due(&mut self, now: Nanos) -> Vec<Arc<str>> {
         let due = self.names.iter_mut().filter(|(_, lookup)| !lookup.is_in_flight && lookup.due <= now);
         due.map(|(name, lookup)| {
@@ -94,13 +96,13 @@
         .collect()
     }
 
-    /// Returns when the next name is due.
+    /// Returns when the next name is due, or `None` if every name is in flight or needs no lookup.
     pub fn wake(&self) -> Option<Nanos> {
         let idle = self.names.values().filter(|lookup| !lookup.is_in_flight);
         idle.map(|lookup| lookup.due).filter(|due| *due < Nanos::MAX).min()
     }
 
-    /// Records the addresses of a name. Without addresses the name has no endpoints.
+    /// Records the addresses of a name. An empty list leaves the name without endpoints.
     pub fn found(&mut self, name: &str, mut addresses: Vec<IpAddr>, now: Nanos) {
         let Some(lookup) = self.names.get_mut(name) else { return };
         addresses.sort_unstable();
@@ -109,7 +111,7 @@
         *lookup = Lookup { addresses: Some(addresses), due, is_in_flight: false, failures: 0 };
     }
 
-    /// Records a failed lookup; the addresses found before stay in use.
+    /// Records a failed lookup; the addresses of the last successful one stay in use.
     pub fn failed(&mut self, name: &str, now: Nanos) {
         let Some(lookup) = self.names.get_mut(name) else { return };
         let (base, max) = self.rates.failure;
@@ -124,8 +126,8 @@
         self.names.values().all(|lookup| lookup.addresses.is_some())
     }
 
-    /// Returns the current assignment. An address that several names resolve to is listed once, at its first occurrence:
-    /// it is not a duplicate in the configuration.
+    /// Returns the current assignment. An address that several names resolve to is listed once, at its first occurrence;
+    /// unlike an address that is configured twice, this is not an error.
     ///
     /// # Errors
     /// See [`Assignment::new`].
--- a/crates/core/load-assignment/src/effective.rs
+++ b/crates/core/load-assignment/src/effective.rs
@@ -1,9 +1,9 @@
-//! The share of a cluster's load that each endpoint takes.
+//! The share of a cluster's load that each endpoint receives.
 //!
 //! Source: Envoy's documentation, "Priority levels", "Locality weighted load balancing" and "Degraded endpoints".
 
 use crate::assignment::{Assignment, Endpoint, Health, Locality};
-use crate::levels::{availability, loads, Level, Load, PANIC};
+use crate::levels::{availability, loads, Level, Load, DEFAULT_PANIC_THRESHOLD_PERCENT};
 
 /// Settings for how the endpoints of a cluster share its load (`common_lb_config`, `load_balancing_policy`).
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
 
 impl Default for Sharing {
     fn default() -> Self {
-        Sharing { panic: PANIC, fail_on_panic: false, by_locality: false }
+        Sharing { panic: DEFAULT_PANIC_THRESHOLD_PERCENT, fail_on_panic: false, by_locality: false }
     }
 }
 
@@ -30,11 +30,11 @@
     /// For each endpoint in the order of [`Assignment::endpoints`]: its share of the load. The sum is 1, or 0 if no
     /// endpoint is eligible.
     pub parts: Vec<f64>,
-    /// The fraction of all requests to reject, because it falls to a panicking priority under `fail_on_panic`.
+    /// The fraction of all requests to reject: the load of panicking priorities under `fail_on_panic`.
     pub refused: f64,
 }
 
-/// The health of an endpoint; in a stale assignment none is healthy.
+/// Returns the health of an endpoint; in a stale assignment, available endpoints count as unhealthy.
 fn effective_health(endpoint: &Endpoint, stale: bool) -> Health {
     match endpoint.health {
         Health::Healthy | Health::Degraded if stale => Health::Unhealthy,
@@ -47,7 +47,8 @@
     let lowest = assignment.localities().iter().map(|locality| locality.priority).max();
     let mut levels = vec![Level::default(); lowest.map_or(0, |priority| usize::from(priority) + 1)];
     let rules = assignment.rules();
-    // Sums over all, healthy and degraded endpoints: of weights with `weighted_health`, else of numbers.
+    // For each priority, the sums over all, healthy and degraded endpoints: of weights with `weighted_health`, otherwise
+    // of counts.
     let mut sums = vec![[0u64; 3]; levels.len()];
     for (locality, endpoint) in assignment.endpoints() {
         let priority = usize::from(locality.priority);
@@ -98,7 +99,7 @@
         spread(localities, load.healthy, factor, has_health(Health::Healthy), &mut parts);
         spread(localities, load.degraded, factor, has_health(Health::Degraded), &mut parts);
     }
-    // Normalized over eligible endpoints: the load of a priority whose endpoints all drain goes to the others.
+    // Normalize over the eligible endpoints: the load of a priority whose endpoints are all draining goes to the others.
     let sum: f64 = parts.iter().sum();
     if sum > 0.0 {
         parts.iter_mut().for_each(|part| *part /= sum);
@@ -109,6 +110,7 @@
 /// A locality with the index of its first endpoint in the order of [`Assignment::endpoints`].
 type IndexedLocality<'a> = (&'a Locality, usize);
 
+/// Groups the localities by priority.
 fn localities_by_priority(assignment: &Assignment, priorities: usize) -> Vec<Vec<IndexedLocality<'_>>> {
     let mut by_priority = vec![Vec::new(); priorities];
     let mut first_endpoint = 0;
@@ -173,7 +175,7 @@
         };
         return Some(weighted.map(share).collect());
     }
-    // If no locality has a weight, their endpoints share the load as if in one locality.
+    // If no locality has a weight, the endpoints share the load as if they were in one locality.
     let all: f64 = localities.iter().map(|(locality, _)| weight_sum(locality)).sum();
     (all != 0.0).then(|| vec![1.0 / all; localities.len()])
 }
--- a/crates/core/load-assignment/src/levels.rs
+++ b/crates/core/load-assignment/src/levels.rs
@@ -1,7 +1,7 @@
 //! The load of each priority level.
 //!
 //! Source: Envoy's documentation, "Priority levels", "Degraded endpoints" and "Panic threshold". All loads are whole
-//! percentages, as there: what Envoy rounds is rounded here in the same way.
+//! percentages, rounded at the same places as in Envoy.
 
 /// Endpoint counts and availability of a priority level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     pub panic: bool,
 }
 
-/// Returns min(100, overprovisioning x part / whole) in whole percent.
+/// Returns min(100, overprovisioning x part / whole) in whole percent, or 0 if `whole` is 0.
 pub fn availability(overprovisioning: u32, part: u64, whole: u64) -> u32 {
     match whole {
         0 => 0,
@@ -39,10 +39,11 @@
     }
 }
 
-/// Default panic threshold: the percentage of healthy or degraded endpoints below which a priority panics.
-pub const PANIC: f64 = 50.0;
+/// Default panic threshold: the percentage of available (healthy or degraded) endpoints below which a priority is in panic
+/// mode.
+pub const DEFAULT_PANIC_THRESHOLD_PERCENT: f64 = 50.0;
 
-/// Returns the loads of all priorities, the highest first. The sum is 100, or 0 if there is no eligible endpoint.
+/// Returns the loads of all priorities, starting with the highest. The sum is 100, or 0 if there is no eligible endpoint.
 /// `panic` is `healthy_panic_threshold` in percent.
 pub fn loads(levels: &[Level], panic: f64) -> Vec<Load> {
     if levels.iter().all(|level| level.open == 0) {
@@ -52,12 +53,12 @@
     // "Normalized total availability."
     let total = sum.min(100);
     let mut loads = loads_by_availability(levels, total);
-    // "Panic threshold": if the available endpoints can take all of the load, no priority panics.
+    // "Panic threshold": if the available endpoints can carry the whole load, no priority panics.
     if total == 100 {
         return loads;
     }
-    // With panic mode disabled, priority 0 takes all if no priority reaches a whole percent, so that a few healthy
-    // endpoints among very many still get requests.
+    // With panic mode disabled, priority 0 receives the whole load if no priority reaches one percent. Otherwise a few
+    // healthy endpoints among thousands would get no requests.
     if total == 0 && panic == 0.0 {
         loads[0].healthy = 100;
         return loads;
@@ -87,14 +88,14 @@
         unassigned -= load;
         load
     };
-    // "Degraded endpoints": healthy endpoints of all priorities come first.
+    // "Degraded endpoints": load is assigned to the healthy endpoints of all priorities first.
     for (load, level) in loads.iter_mut().zip(levels) {
         load.healthy = assign(level.availability);
     }
     for (load, level) in loads.iter_mut().zip(levels) {
         load.degraded = assign(level.degraded_availability);
     }
-    // The remainder from rounding goes to the first priority that is available at all.
+    // The rounding remainder goes to the first priority with any availability.
     if let Some(first) = levels.iter().position(|level| level.availability > 0) {
         loads[first].healthy += unassigned;
     } else if let Some(first) = levels.iter().position(|level| level.degraded_availability > 0) {
@@ -103,7 +104,7 @@
     loads
 }
 
-/// Distributes the load in proportion to the numbers of eligible endpoints, for when all priorities panic.
+/// Distributes the load in proportion to the numbers of eligible endpoints; used if all priorities panic.
 fn distribute_by_host_count(loads: &mut [Load], levels: &[Level]) {
     let open: u64 = levels.iter().map(|level| level.open).sum();
     let mut unassigned = 100;
--- a/crates/core/load-assignment/src/lib.rs
+++ b/crates/core/load-assignment/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load assignment: which endpoints of a cluster take requests and which share each, by Envoy's rules on priorities,
-//! localities, weights and health.
+//! Load assignment: which endpoints of a cluster receive requests, and the share of each, by Envoy's rules on
+//! priorities, localities, weights and health.
 //!
 //! This crate does not pick the endpoint of a request; the decision module does. It does no I/O and reads no clock; time and
 //! random numbers are passed in by the caller.
@@ -7,7 +7,7 @@
 //! - [`Assignment`]: the validated `ClusterLoadAssignment` of a cluster.
 //! - [`levels`](mod@levels): the load of each priority, and which priorities are in panic mode.
 //! - [`effective`](mod@effective): the share of the load of each endpoint.
-//! - [`Pool`]: the endpoints of a cluster over time; reports changes.
+//! - [`Pool`]: tracks the endpoints of a cluster over time and reports their changes.
 //! - [`aggregate`]: distribution of requests over the clusters of an aggregate cluster.
 //! - [`Breakers`]: circuit breakers. [`repeats`]: whether a keyed request may be retried.
 //! - [`dns`]: endpoints whose addresses come from DNS.
--- a/crates/core/load-assignment/src/pool.rs
+++ b/crates/core/load-assignment/src/pool.rs
@@ -1,4 +1,5 @@
-//! The endpoints of a cluster over time: the last assignment, the state of each endpoint, and the changes not yet reported.
+//! Tracks the endpoints of a cluster over time: the last assignment, the state of each endpoint, and the changes not yet
+//! reported.
 
 use crate::assignment::{Assignment, Endpoint, Health};
 use crate::effective::{effective, levels, Effective, Sharing};
@@ -11,11 +12,11 @@
 /// How an endpoint is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes its share of the load.
+    /// It receives its share of the load.
     Serves,
-    /// It is eligible, but its priority or locality takes no load. Connections to it may stay open.
+    /// It is eligible, but its priority or locality currently receives no load. Connections to it may stay open.
     StandsBy,
-    /// It gets no new requests: it is draining or unhealthy.
+    /// It receives no new requests: it is draining or unhealthy.
     Drains,
 }
 
@@ -32,11 +33,11 @@
     pub kind: Arc<str>,
     /// Cell.
     pub cell: u32,
-    /// Share of the load as a multiple of an equal share; over 0.
+    /// Share of the load as a multiple of an equal share; greater than 0.
     pub weight: f64,
     /// How it is used.
     pub standing: Standing,
-    /// When it started, or was first listed if the start time is unknown; 0: long ago.
+    /// When it started, or was first listed if the start time is unknown; 0: before the first assignment.
     pub started: Nanos,
     /// When its zone or cell last changed; 0: never. See [`crate::repeats`].
     pub grouped: Nanos,
@@ -58,23 +59,23 @@
 pub struct ClusterRules {
     /// How the endpoints share the load.
     pub sharing: Sharing,
-    /// Minimum time between reports of pure weight changes (`update_merge_window`).
+    /// Minimum interval between reports of changes that affect only weights (`update_merge_window`).
     pub merge: Nanos,
 }
 
 /// Envoy's default `update_merge_window`, in nanoseconds.
-pub const MERGE: Nanos = 1_000_000_000;
+pub const DEFAULT_MERGE_WINDOW: Nanos = 1_000_000_000;
 
 impl Default for ClusterRules {
     fn default() -> Self {
-        ClusterRules { sharing: Sharing::default(), merge: MERGE }
+        ClusterRules { sharing: Sharing::default(), merge: DEFAULT_MERGE_WINDOW }
     }
 }
 
 /// An endpoint as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shown {
-    /// Present state.
+    /// Current state.
     pub node: Node,
     /// Share of the load, from 0 to 1.
     pub part: f64,
@@ -91,7 +92,7 @@
 /// What the pool tracks of an endpoint beyond its declaration.
 struct TrackedNode {
     node: Node,
-    /// The node as last reported; `None`: never.
+    /// The node as last reported; `None` if it has not been reported.
     reported: Option<Node>,
     /// Number of the last assignment that listed it.
     listed_in: u64,
@@ -119,13 +120,14 @@
     fn update(&mut self, endpoint: &Endpoint, now: Nanos) {
         let (node, place) = (&mut self.node, &endpoint.place);
         if (&node.zone, node.cell) != (&place.zone, place.cell) {
-            // Danger: what it remembers of keyed requests is what its former group sent it.
+            // Danger: the endpoint has records only of the keyed requests sent to its former group, so it cannot
+            // deduplicate a retry of a request sent to the new group before it joined.
             node.grouped = now;
         }
         if let Some(started) = endpoint.started {
             node.started = started;
         } else if node.addr != endpoint.addr {
-            // Another process now has this identity.
+            // A different process now has this identity.
             node.started = now;
         }
         node.addr = endpoint.addr;
@@ -147,7 +149,7 @@
     removed: Vec<Arc<str>>,
     /// Number of assignments so far.
     assignments: u64,
-    /// When weight changes were last reported.
+    /// When changes that affect only weights were last reported.
     weights_reported_at: Option<Nanos>,
     has_unreported_weights: bool,
 }
@@ -181,10 +183,10 @@
         }
     }
 
-    /// Applies an assignment. One equal to the last still restarts `endpoint_stale_after`.
+    /// Applies an assignment. Even an unchanged one restarts `endpoint_stale_after`.
     pub fn assign(&mut self, assignment: Assignment, now: Nanos) {
         self.stale_at = assignment.rules().stale_after.map(|after| now.saturating_add(after));
-        // The endpoints of the first assignment may have started long before.
+        // The endpoints of the first assignment may have started long before they were listed.
         let is_first = !std::mem::replace(&mut self.is_assigned, true);
         self.assignment = assignment;
         self.assignments += 1;
@@ -213,7 +215,7 @@
 
     /// Recomputes the distribution if the assignment has become stale, and returns whether it has.
     pub fn tick(&mut self, now: Nanos) -> bool {
-        // Without available endpoints, staleness is already accounted for or changes nothing.
+        // If no endpoint is available, the staleness has already been applied or would change nothing.
         let became_stale = self.is_stale(now) && self.has_available();
         if became_stale {
             self.recompute(now);
@@ -249,8 +251,8 @@
         }
     }
 
-    /// Returns the changes since the last call. Pure weight changes wait for the merge window; all others are reported at
-    /// once.
+    /// Returns the changes since the last call. Changes that affect only weights wait for the merge window; all others are
+    /// reported immediately.
     pub fn changes(&mut self, now: Nanos) -> Vec<NodeChange> {
         let is_window_over =
             self.weights_reported_at.is_none_or(|at| now >= at.saturating_add(self.rules.merge));
@@ -278,7 +280,7 @@
         changes
     }
 
-    /// All endpoints as last reported.
+    /// Returns all endpoints as last reported.
     pub fn told(&self) -> impl Iterator<Item = &Node> {
         self.nodes.values().filter_map(|tracked| tracked.reported.as_ref())
     }
@@ -291,17 +293,17 @@
         merged.into_iter().chain(stale).min()
     }
 
-    /// The state of each priority, also for an aggregate cluster that contains this one.
+    /// Returns the state of each priority; an aggregate cluster that contains this one uses it as well.
     pub fn levels(&self, now: Nanos) -> Vec<Level> {
         levels(&self.assignment, self.is_stale(now))
     }
 
-    /// The state and load of each priority.
+    /// Returns the state and load of each priority.
     pub fn loads(&self) -> impl Iterator<Item = &(Level, Load)> {
         self.effective.levels.iter()
     }
 
-    /// All endpoints as shown to operators.
+    /// Returns all endpoints as shown to operators.
     pub fn shown(&self) -> Vec<Shown> {
         let endpoints = self.assignment.endpoints().zip(&self.effective.parts);
         let shown = endpoints.filter_map(|((locality, endpoint), part)| {
@@ -328,7 +330,7 @@
 
 impl ChangeKind {
     fn between(old: &Node, new: &Node) -> ChangeKind {
-        // Differences within rounding do not count.
+        // Differences within rounding error are not reported.
         let is_same = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(b.abs());
         let Node { weight, .. } = *new;
         match (Node { weight, ..old.clone() } == *new, is_same(old.weight, weight)) {
--- a/crates/core/load-assignment/tests/pool.rs
+++ b/crates/core/load-assignment/tests/pool.rs
@@ -21,7 +21,7 @@
     assignment_of((0..n).map(|i| endpoint(&format!("n{i}"), &addr(i), weight(i), Health::Healthy)).collect())
 }
 
-/// The nodes as a consumer of the changes sees them.
+/// The nodes as a consumer of the changes sees them; built only from the reported changes.
 #[derive(Default)]
 struct ObservedNodes(BTreeMap<String, Node>);
 
@@ -44,36 +44,37 @@
 
 #[test]
 fn duplicate_endpoints_and_localities_are_rejected() {
-    let (a, again) = (
+    let (a, duplicate) = (
         endpoint("a", "127.0.0.1:80", 1, Health::Healthy),
         endpoint("b", "127.0.0.1:80", 9, Health::Healthy),
     );
     let rejection =
-        |localities| Assignment::new(localities, Rules::default()).expect_err("twice").to_string();
-    let same = rejection(vec![locality("x", 0, vec![a.clone(), again.clone()])]);
+        |localities| Assignment::new(localities, Rules::default()).expect_err("a duplicate").to_string();
+    let in_same_locality = rejection(vec![locality("x", 0, vec![a.clone(), duplicate.clone()])]);
     assert_eq!(
-        same,
-        "endpoints[0].lb_endpoints[1]: the address 127.0.0.1:80 stands already in endpoints[0]; list it once"
+        in_same_locality,
+        "endpoints[0].lb_endpoints[1]: the address 127.0.0.1:80 is already listed in endpoints[0]; list it once"
     );
-    let other = rejection(vec![locality("x", 0, vec![a.clone()]), locality("y", 0, vec![again.clone()])]);
+    let other = rejection(vec![locality("x", 0, vec![a.clone()]), locality("y", 0, vec![duplicate.clone()])]);
     assert!(other.starts_with("endpoints[1].lb_endpoints[0]: the address"), "{other}");
-    let lower = rejection(vec![locality("x", 0, vec![a.clone()]), locality("x", 1, vec![again])]);
-    assert!(lower.starts_with("endpoints[1].lb_endpoints[0]: the address"), "{lower}");
+    let lower_priority =
+        rejection(vec![locality("x", 0, vec![a.clone()]), locality("x", 1, vec![duplicate])]);
+    assert!(lower_priority.starts_with("endpoints[1].lb_endpoints[0]: the address"), "{lower_priority}");
     let renamed = endpoint("a", "127.0.0.2:80", 1, Health::Healthy);
     assert!(rejection(vec![locality("x", 0, vec![a.clone(), renamed])]).contains("the id \"a\""));
-    let parted = rejection(vec![locality("x", 0, vec![a]), locality("x", 0, vec![])]);
-    assert!(parted.starts_with("endpoints[1].locality"), "{parted}");
+    let repeated_locality = rejection(vec![locality("x", 0, vec![a]), locality("x", 0, vec![])]);
+    assert!(repeated_locality.starts_with("endpoints[1].locality"), "{repeated_locality}");
 }
 
 #[test]
 fn weight_sums_over_u32_max_are_rejected() {
-    let most = |n: usize| {
+    let max_weights = |n: usize| {
         (0..n)
             .map(|i| endpoint(&i.to_string(), &format!("127.0.0.{}:80", i + 1), u32::MAX, Health::Healthy))
             .collect()
     };
-    assert!(Assignment::new(vec![locality("x", 0, most(1))], Rules::default()).is_ok());
-    assert!(Assignment::new(vec![locality("x", 0, most(2))], Rules::default()).is_err());
+    assert!(Assignment::new(vec![locality("x", 0, max_weights(1))], Rules::default()).is_ok());
+    assert!(Assignment::new(vec![locality("x", 0, max_weights(2))], Rules::default()).is_err());
 }
 
 #[test]
@@ -90,7 +91,7 @@
         reported += observed.apply(pool.changes(now));
     }
     assert!((2000..=4000).contains(&reported), "{reported} changes reported for 30 updates of 1000 weights");
-    // Draining is reported at once, within the merge window.
+    // Draining is reported immediately, within the merge window.
     let now = 305 * SECOND / 100;
     let mut drained: Vec<Endpoint> =
         numbered(1000, |i| 1 + i as u32 % 5).endpoints().map(|(_, e)| e.clone()).collect();
@@ -98,13 +99,13 @@
     pool.assign(assignment_of(drained), now);
     observed.apply(pool.changes(now));
     assert_eq!(observed.standing("n7"), Some(Standing::Drains));
-    // The waiting weight changes are due at the end of the window.
-    let wake = pool.wake(now).expect("weight changes wait");
+    // The deferred weight changes are reported at the end of the window.
+    let wake = pool.wake(now).expect("a wake-up for the waiting weight changes");
     assert!(wake <= now + SECOND);
     assert!(observed.apply(pool.changes(wake)) > 900);
-    let even: f64 =
+    let mean_weight: f64 =
         observed.0.values().filter(|n| n.standing == Standing::Serves).map(|n| n.weight).sum::<f64>() / 999.0;
-    assert!((even - 1.0).abs() < 1e-9, "{even}");
+    assert!((mean_weight - 1.0).abs() < 1e-9, "{mean_weight}");
 }
 
 #[test]
@@ -141,7 +142,7 @@
     );
 }
 
-/// An address moves from one node to another, and the first gets a new one in the same update.
+/// One update moves an address from one node to another and gives the first node a new address.
 #[test]
 fn address_change_counts_as_a_restart() {
     let mut pool = Pool::new(ClusterRules::default());
@@ -157,26 +158,26 @@
     assert_eq!((observed.0["a"].started, observed.0["b"].started), (7 * SECOND, 7 * SECOND));
 }
 
-/// Priority 0 crosses the threshold at which load spills over at every update.
+/// At every update, priority 0 crosses the threshold below which load spills over to priority 1.
 #[test]
 fn flapping_priority_does_not_restart_its_nodes() {
     let mut pool = Pool::new(ClusterRules { merge: 0, ..ClusterRules::default() });
     let mut observed = ObservedNodes::default();
     let listed = |healthy: usize| {
-        let of = |p: u8, i: usize| {
+        let endpoint_of = |p: u8, i: usize| {
             let health = if p == 0 && i >= healthy { Health::Unhealthy } else { Health::Healthy };
             endpoint(&format!("{p}-{i}"), &format!("127.0.{p}.{}:80", i + 1), 1, health)
         };
-        let level = |p: u8| locality("x", p, (0..7).map(|i| of(p, i)).collect());
+        let level = |p: u8| locality("x", p, (0..7).map(|i| endpoint_of(p, i)).collect());
         Assignment::new(vec![level(0), level(1)], Rules::default()).expect("valid assignment")
     };
-    // 5 of 7 healthy make 100 %, 4 of 7 make 80 %.
+    // With overprovisioning 5 healthy of 7 carry 100 % of the load, 4 of 7 only 80 %.
     for tick in 0..40u64 {
         let healthy = 5 - (tick % 2) as usize;
         pool.assign(listed(healthy), tick * SECOND);
         observed.apply(pool.changes(tick * SECOND));
-        let lower = if healthy == 5 { Standing::StandsBy } else { Standing::Serves };
-        assert_eq!(observed.standing("1-0"), Some(lower), "at {tick}");
+        let lower_priority = if healthy == 5 { Standing::StandsBy } else { Standing::Serves };
+        assert_eq!(observed.standing("1-0"), Some(lower_priority), "at {tick}");
         assert_eq!(
             observed.standing("0-4"),
             Some(if healthy == 5 { Standing::Serves } else { Standing::Drains })
@@ -188,10 +189,10 @@
             .filter(|(id, n)| id.starts_with("1-") && n.standing == Standing::Serves)
             .map(|(_, n)| n.weight)
             .sum();
-        let whole: f64 =
+        let total_load: f64 =
             observed.0.values().filter(|n| n.standing == Standing::Serves).map(|n| n.weight).sum();
         let expected = if healthy == 5 { 0.0 } else { 0.2 };
-        assert!((load / whole - expected).abs() < 1e-9, "{load} of {whole}");
+        assert!((load / total_load - expected).abs() < 1e-9, "{load} of {total_load}");
     }
 }
 
@@ -208,7 +209,7 @@
     let mut observed = ObservedNodes::default();
     observed.apply(pool.changes(0));
     assert_eq!(observed.standing("1"), Some(Standing::StandsBy));
-    let wake = pool.wake(0).expect("it becomes stale");
+    let wake = pool.wake(0).expect("a wake-up when the assignment becomes stale");
     assert_eq!(wake, 5 * SECOND);
     pool.tick(wake);
     observed.apply(pool.changes(wake));
@@ -250,8 +251,9 @@
         ..Thresholds::default()
     };
     let breakers = Breakers::new([budget, Thresholds { requests: 1, ..Thresholds::default() }]);
-    let requests: Vec<_> =
-        (0..100).map(|_| breakers.take(Importance::Default, Trip::Requests).expect("room")).collect();
+    let requests: Vec<_> = (0..100)
+        .map(|_| breakers.take(Importance::Default, Trip::Requests).expect("below the limit"))
+        .collect();
     assert_eq!(breakers.take(Importance::Default, Trip::Requests).err(), Some(Trip::Requests));
     let high = breakers.take(Importance::High, Trip::Requests).expect("high priority has its own limits");
     assert!(breakers.take(Importance::High, Trip::Requests).is_err());
--- a/crates/core/load-assignment/tests/shares.rs
+++ b/crates/core/load-assignment/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of load compared with a reference calculation, simple and slow, written from Envoy's documentation ("Priority
+//! Compares the shares of the load with a simple and slow reference calculation written from Envoy's documentation ("Priority
 //! levels", "Degraded endpoints", "Panic threshold", "Locality weighted load balancing").
 
 mod support;
@@ -38,65 +38,66 @@
         .expect("valid assignment")
 }
 
-/// The share of each endpoint in order, computed as the documentation states it, one priority after another.
+/// Returns the share of each endpoint in order, computed step by step as the documentation describes it.
 fn reference_shares(declared: &Declaration, factor: u32, panic: f64, by_locality: bool) -> Vec<f64> {
     let all: Vec<(usize, u8, Option<u32>, usize, u32)> = declared
         .iter()
         .enumerate()
         .flat_map(|(l, (p, lw, es))| es.iter().map(move |(h, w)| (l, *p, *lw, *h, *w)))
         .collect();
-    let top = declared.iter().map(|t| t.0).max().map_or(0, |p| p + 1);
+    let priority_count = declared.iter().map(|t| t.0).max().map_or(0, |p| p + 1);
     let count = |p: u8, h: &[usize]| all.iter().filter(|e| e.1 == p && h.contains(&e.3)).count() as u64;
-    // "health = 140 x healthy / all, at most 100", degraded ones apart.
-    let health = |p: u8, which: usize| match count(p, &[0, 1, 2, 3]) {
+    // "health = 140 x healthy / all, at most 100"; computed separately for degraded endpoints.
+    let health = |p: u8, health_index: usize| match count(p, &[0, 1, 2, 3]) {
         0 => 0,
-        n => (u64::from(factor) * count(p, &[which]) / n).min(100),
+        n => (u64::from(factor) * count(p, &[health_index]) / n).min(100),
     };
-    let total = (0..top).map(|p| health(p, 0) + health(p, 1)).sum::<u64>().min(100);
-    let (mut healthy, mut degraded) = (vec![0u64; top.into()], vec![0u64; top.into()]);
+    let total = (0..priority_count).map(|p| health(p, 0) + health(p, 1)).sum::<u64>().min(100);
+    let (mut healthy, mut degraded) = (vec![0u64; priority_count.into()], vec![0u64; priority_count.into()]);
     {
-        // "load to P0 = min(100, health(P0) x 100 / total); load to P1 = min(100 - what went before, ...)".
-        let mut given = 0;
-        for which in [0, 1] {
-            for p in 0..top {
-                let load = (health(p, which) * 100).checked_div(total).unwrap_or(0).min(100 - given);
-                given += load;
-                if which == 0 {
+        // "load to P0 = min(100, health(P0) x 100 / total); load to P1 = min(100 - load of the priorities before, ...)".
+        let mut assigned = 0;
+        for health_index in [0, 1] {
+            for p in 0..priority_count {
+                let load =
+                    (health(p, health_index) * 100).checked_div(total).unwrap_or(0).min(100 - assigned);
+                assigned += load;
+                if health_index == 0 {
                     healthy[usize::from(p)] = load;
                 } else {
                     degraded[usize::from(p)] = load;
                 }
             }
         }
-        let first = |which| (0..top).find(|p| health(*p, which) > 0);
+        let first = |health_index| (0..priority_count).find(|p| health(*p, health_index) > 0);
         match (first(0), first(1)) {
-            (Some(p), _) => healthy[usize::from(p)] += 100 - given,
-            (None, Some(p)) => degraded[usize::from(p)] += 100 - given,
+            (Some(p), _) => healthy[usize::from(p)] += 100 - assigned,
+            (None, Some(p)) => degraded[usize::from(p)] += 100 - assigned,
             (None, None) => {}
         }
     }
-    // "If the total is under 100, a priority with fewer than 50 % available ones panics."
+    // "If the total is under 100, a priority with fewer than 50 % available endpoints panics."
     let panics = |p: u8| {
         let n = count(p, &[0, 1, 2, 3]);
         let available = if n == 0 { 0.0 } else { 100.0 * count(p, &[0, 1]) as f64 / n as f64 };
         total < 100 && available < panic
     };
-    let open: u64 = (0..top).map(|p| count(p, &[0, 1, 2])).sum();
+    let open: u64 = (0..priority_count).map(|p| count(p, &[0, 1, 2])).sum();
     if open == 0 {
         return vec![0.0; all.len()];
     }
-    // "If panic is disabled and nobody is available, all of the load goes to priority 0."
+    // "If panic mode is disabled and no endpoint is available, the whole load goes to priority 0."
     if total == 0 && panic == 0.0 {
         healthy[0] = 100;
     }
-    if (0..top).all(panics) {
+    if (0..priority_count).all(panics) {
         let mut left = 100;
-        for p in 0..top {
+        for p in 0..priority_count {
             healthy[usize::from(p)] = 100 * count(p, &[0, 1, 2]) / open;
             degraded[usize::from(p)] = 0;
             left -= healthy[usize::from(p)];
         }
-        if let Some(p) = (0..top).find(|p| count(*p, &[0, 1, 2]) > 0) {
+        if let Some(p) = (0..priority_count).find(|p| count(*p, &[0, 1, 2]) > 0) {
             healthy[usize::from(p)] += left;
         }
     }
@@ -163,7 +164,7 @@
         for (i, (ours, theirs)) in now.parts.iter().zip(&reference).enumerate() {
             prop_assert!((ours - theirs).abs() < 1e-9, "endpoint {i}: {ours}, reference {theirs}");
         }
-        // A draining endpoint gets nothing, also in panic mode; the shares add up to 1 or all are 0.
+        // A draining endpoint gets no load, even in panic mode; the shares add up to 1, or all are 0.
         for ((_, e), part) in assignment.endpoints().zip(&now.parts) {
             prop_assert!(e.health != Health::Draining || *part == 0.0);
         }
@@ -172,7 +173,7 @@
     }
 }
 
-/// The table of Envoy's page "Priority levels", two and three levels.
+/// The tables for two and three levels on Envoy's documentation page "Priority levels".
 #[test]
 fn priority_loads_agree_with_the_tables_of_the_documentation() {
     let load = |healthy: &[u32]| {
