--- a/crates/core/overrides/src/effective.rs
+++ b/crates/core/overrides/src/effective.rs
@@ -8,23 +8,24 @@
 pub enum OverrideStatus {
     /// It is in force.
     InForce,
-    /// The override of this number is in force instead; this one takes effect when that one ends.
+    /// The override with this number is in force instead; this one takes effect when that one ends.
     Masked(u64),
 }
 
-/// The masked pins, each with the pin that masks it: of pins of the same keys and class on different endpoints the last one counts.
+/// Returns the numbers of the masked pins, each with the number of the pin that masks it. Of pins with the same keys and class on different
+/// endpoints, only the one set last is in force.
 pub fn masked_pins<'a>(overrides: impl Iterator<Item = &'a Override> + Clone, now: Nanos) -> Vec<(u64, u64)> {
     let live = || overrides.clone().filter(|o| o.since <= now && o.until > now);
-    let pin = |o: &&Override| matches!(o.effect, Effect::Pinned { .. });
+    let is_pin = |o: &&Override| matches!(o.effect, Effect::Pinned { .. });
     let masked_by = |o: &Override| {
         let same_pins =
-            live().filter(pin).filter(|l| l.effect == o.effect && l.scope != o.scope && l.id > o.id);
+            live().filter(is_pin).filter(|l| l.effect == o.effect && l.scope != o.scope && l.id > o.id);
         same_pins.map(|l| l.id).max()
     };
-    live().filter(pin).filter_map(|o| Some((o.id, masked_by(o)?))).collect()
+    live().filter(is_pin).filter_map(|o| Some((o.id, masked_by(o)?))).collect()
 }
 
-/// The combined effect on an endpoint of the overrides in force at this time, and the status of each of them, by number.
+/// Returns the combined effect on an endpoint of the overrides that apply to it at `now`, and the status of each of them with its number.
 pub fn effective_overrides<'a>(
     overrides: impl Iterator<Item = &'a Override>,
     node: &Node<'_>,
@@ -32,7 +33,7 @@
 ) -> (Imposed, Vec<(u64, OverrideStatus)>) {
     let mut applying: Vec<&Override> =
         overrides.filter(|o| o.since <= now && o.until > now && o.scope.covers(node)).collect();
-    // The narrowest first, and within one scope the latest.
+    // The narrowest scope first, and within one scope the latest override first.
     applying.sort_by_key(|o| std::cmp::Reverse((o.scope.rank(), o.since, o.id)));
     let outs = || applying.iter().filter(|o| o.effect == Effect::Out);
     let mut imposed = Imposed::default();
@@ -48,12 +49,12 @@
             Effect::Pinned { class, keys } => {
                 let (class, keys) = (class.clone(), keys.clone());
                 imposed.pins.push(Pin { number: o.id, until: o.until, class, keys });
-                // No requests are sent to an endpoint that is out of service, pinned or not.
+                // An endpoint that is out of service gets no requests, not even pinned ones.
                 statuses.push((o.id, last_out.map_or(OverrideStatus::InForce, OverrideStatus::Masked)));
             }
             Effect::Out => statuses.push((o.id, OverrideStatus::InForce)),
             Effect::Weight(factor) => {
-                // A weight that ends no later than one of higher precedence never counts.
+                // A weight that ends no later than one of higher precedence never takes effect.
                 if imposed.weights.iter().all(|(until, _)| *until < o.until) {
                     imposed.weights.push((o.until, *factor));
                 }
--- a/crates/core/overrides/src/override_set.rs
+++ b/crates/core/overrides/src/override_set.rs
@@ -1,6 +1,6 @@
 //! The set of live overrides, and the history of its changes.
 
-use crate::capacity_guard::{check_capacity, Arithmetic, FleetCapacity};
+use crate::capacity_guard::{check_capacity, CapacityCalculation, FleetCapacity};
 use crate::{Effect, Nanos, Override, OverrideLimits, Scope, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,11 +20,12 @@
     pub effect: Effect,
     /// Expiry, in Unix time in nanoseconds.
     pub until: Nanos,
-    /// Who requests it.
+    /// Who sets it.
     pub author: String,
     /// Why.
     pub reason: String,
-    /// Set it even if the remaining endpoints may not carry the load.
+    /// Sets it even if the remaining endpoints may not be able to carry the load, or if the fleet has no endpoint of the
+    /// given name.
     #[serde(default)]
     pub force: bool,
 }
@@ -33,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum OverrideError {
     /// The set has changed since the caller read it.
-    #[error("the overrides have changed meanwhile (now {now}, expected {expected}): look at them again")]
+    #[error("the overrides have changed meanwhile (now {now}, expected {expected}): read them again")]
     Changed {
         /// The current revision.
         now: u64,
@@ -44,10 +45,10 @@
     #[error("{0}: {1}")]
     Field(&'static str, String),
     /// The remaining endpoints cannot carry the load.
-    #[error("{0}; say force if you mean it")]
-    TooMuch(Arithmetic),
-    /// The maximum number is reached.
-    #[error("{0} overrides are set already: lift some first")]
+    #[error("{0}; say force to set it anyway")]
+    TooMuch(CapacityCalculation),
+    /// The maximum number of overrides or pins is reached.
+    #[error("{0} overrides are already set; lift some first")]
     Full(usize),
     /// There is no live override of this number.
     #[error("no override {0} is set")]
@@ -74,11 +75,11 @@
 pub struct OverrideEvent {
     /// Its number, increasing.
     pub number: u64,
-    /// When, Unix time in nanoseconds.
+    /// Unix time of the change, in nanoseconds.
     pub at: Nanos,
     /// The kind of change.
     pub kind: EventKind,
-    /// Who made the change; the author of the override where it expired.
+    /// Who made the change; the author of the override if it expired.
     pub by: String,
     /// The override.
     pub what: Override,
@@ -92,16 +93,19 @@
     next: u64,
     revision: u64,
     history: VecDeque<OverrideEvent>,
+    /// Number of events so far, which is also the number of the last one.
     events: u64,
+    /// Live overrides whose expiry has been announced.
     announced: BTreeSet<u64>,
 }
 
-fn field(name: &'static str, problem: &str) -> Result<(), OverrideError> {
+/// Returns the error for an invalid field.
+fn invalid_field(name: &'static str, problem: &str) -> Result<(), OverrideError> {
     Err(OverrideError::Field(name, problem.to_owned()))
 }
 
 impl OverrideSet {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new(limits: OverrideLimits) -> Self {
         OverrideSet {
             limits,
@@ -114,27 +118,27 @@
         }
     }
 
-    /// The live overrides, by number.
+    /// Returns the live overrides in the order of their numbers.
     pub fn live(&self) -> impl Iterator<Item = &Override> + Clone {
         self.live.values()
     }
 
-    /// Incremented by each change of the live overrides.
+    /// Returns the revision, which each change of the live overrides increments.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The history, the newest event first.
+    /// Returns the history, the newest event first.
     pub fn history(&self) -> impl Iterator<Item = &OverrideEvent> {
         self.history.iter().rev()
     }
 
-    /// The number that the next override will get.
+    /// Returns the number that the next override will get.
     pub fn next_id(&self) -> u64 {
         self.next
     }
 
-    /// The limits.
+    /// Returns the limits.
     pub fn policy(&self) -> &OverrideLimits {
         &self.limits
     }
@@ -157,27 +161,27 @@
     ) -> Result<(), OverrideError> {
         for (name, text) in [("author", &request.author), ("reason", &request.reason)] {
             if text.trim().is_empty() || text.len() > MAX_TEXT_BYTES {
-                return field(name, &format!("expected 1 to {MAX_TEXT_BYTES} bytes"));
+                return invalid_field(name, &format!("expected 1 to {MAX_TEXT_BYTES} bytes"));
             }
         }
         if request.until <= now {
-            return field("until", "lies in the past");
+            return invalid_field("until", "is in the past");
         }
         if request.until - now > self.limits.longest {
             let hours = self.limits.longest as f64 / (3600.0 * SECOND as f64);
-            return field("until", &format!("expected {hours:.1} hours from now at most"));
+            return invalid_field("until", &format!("expected at most {hours:.1} hours from now"));
         }
         self.validate_effect(request)?;
-        let empty = |text: &String| text.is_empty();
-        if matches!(&request.scope, Scope::Zone(t) | Scope::Kind(t) | Scope::Node(t) if empty(t)) {
-            return field("scope", "expected a name");
+        let is_empty = |text: &String| text.is_empty();
+        if matches!(&request.scope, Scope::Zone(t) | Scope::Kind(t) | Scope::Node(t) if is_empty(t)) {
+            return invalid_field("scope", "expected a name");
         }
         if let Scope::Node(id) = &request.scope {
-            // An endpoint that has gone may return; one that was never listed is probably a typing error.
+            // An unlisted endpoint may return to the list, but an unknown id is probably a typing error.
             if !fleet.iter().any(|n| n.id == *id) && !request.force {
-                return field(
+                return invalid_field(
                     "scope.node",
-                    &format!("no node is named {id:?}; say force to set it all the same"),
+                    &format!("no node is named {id:?}; say force to set it anyway"),
                 );
             }
         }
@@ -192,24 +196,27 @@
             Effect::Out => {}
             Effect::Weight(factor) => {
                 if !(*factor > 0.0 && *factor <= 10.0) {
-                    return field(
+                    return invalid_field(
                         "effect.weight",
-                        "expected a factor over 0, at most 10; to send nothing take it out",
+                        "expected a factor above 0 and at most 10; to send no requests, take the node out of service",
                     );
                 }
             }
             Effect::Pinned { class, keys } => {
                 if !matches!(request.scope, Scope::Node(_)) {
-                    return field("scope", "a pin is to one node: expected a node");
+                    return invalid_field("scope", "a pin applies to a single node: expected a node");
                 }
-                let named = |text: &Option<String>| {
+                let has_valid_length = |text: &Option<String>| {
                     text.as_ref().is_none_or(|t| (1..=MAX_TEXT_BYTES).contains(&t.len()))
                 };
-                if class.is_none() && keys.is_none() || !named(class) || !named(keys) {
-                    return field("effect.pinned", "expected a class, keys (such as boiler-*) or both");
+                if class.is_none() && keys.is_none() || !has_valid_length(class) || !has_valid_length(keys) {
+                    return invalid_field(
+                        "effect.pinned",
+                        "expected a class, keys (such as boiler-*) or both",
+                    );
                 }
                 if keys.as_ref().is_some_and(|k| k.trim_end_matches('*').contains('*') || k.ends_with("**")) {
-                    return field("effect.pinned.keys", "expected one *, at the end");
+                    return invalid_field("effect.pinned.keys", "expected a single * at the end");
                 }
                 let pins = self.live.values().filter(|o| matches!(o.effect, Effect::Pinned { .. })).count();
                 // Danger: each request is matched against all pins.
@@ -224,7 +231,7 @@
     /// Sets an override, if the set is still at the expected revision.
     ///
     /// # Errors
-    /// See [`OverrideError`]; nothing is changed then.
+    /// See [`OverrideError`]; the set is then unchanged.
     pub fn set(
         &mut self,
         request: OverrideRequest,
@@ -238,7 +245,7 @@
         let new = Override { id: self.next, scope, effect, since: now, until, author, reason };
         let capacity = check_capacity(self.live.values(), &new, fleet, &self.limits, now);
         let kind = match capacity {
-            Err(arithmetic) if !force => return Err(OverrideError::TooMuch(arithmetic)),
+            Err(calculation) if !force => return Err(OverrideError::TooMuch(calculation)),
             Err(_) => EventKind::Forced,
             Ok(_) => EventKind::Set,
         };
@@ -281,7 +288,7 @@
         expired
     }
 
-    /// The overrides that expire soon and have not been announced yet.
+    /// Returns the overrides that expire soon and have not been announced yet, and marks them as announced.
     pub fn expiring(&mut self, now: Nanos) -> Vec<Override> {
         let expires_soon =
             |o: &&Override| o.until.saturating_sub(now) <= self.limits.announce && o.until > now;
@@ -289,7 +296,7 @@
         soon.into_iter().filter(|o| self.announced.insert(o.id)).collect()
     }
 
-    /// The next expiry.
+    /// Returns the time of the next expiry.
     pub fn next_expiry(&self) -> Option<Nanos> {
         self.live.values().map(|o| o.until).min()
     }
@@ -302,7 +309,7 @@
         }
     }
 
-    /// Restores a set from its stored overrides, history in order, and counters.
+    /// Restores a set from its stored overrides, its history (oldest event first) and its counters.
     pub fn restore(
         limits: OverrideLimits,
         live: Vec<Override>,
--- a/crates/core/overrides/src/types.rs
+++ b/crates/core/overrides/src/types.rs
@@ -12,18 +12,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Scope {
-    /// All endpoints.
+    /// All endpoints of the fleet.
     All,
-    /// Those of a data centre.
+    /// The endpoints of a data centre.
     Zone(String),
-    /// Those of a machine kind.
+    /// The endpoints of a machine kind.
     Kind(String),
-    /// One, by its id.
+    /// A single endpoint, by its id.
     Node(String),
 }
 
 impl Scope {
-    /// Whether it includes this endpoint.
+    /// Returns `true` if the scope includes this endpoint.
     pub fn covers(&self, node: &Node<'_>) -> bool {
         match self {
             Scope::All => true,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Its precedence: a narrower scope has a higher rank.
+    /// Returns the precedence of the scope: a narrower scope has a higher rank.
     pub(crate) fn rank(&self) -> u8 {
         match self {
             Scope::All => 0,
@@ -63,7 +63,7 @@
     Out,
     /// The weight is multiplied by this factor, above 0 and at most 10.
     Weight(f64),
-    /// Requests of a class, for some keys, or both go to the endpoint while it can take them.
+    /// Requests of a class, for some keys, or both are sent to the endpoint while it can serve them.
     Pinned {
         /// The class; `None`: any.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -124,11 +124,11 @@
 pub struct OverrideLimits {
     /// Maximum duration of an override, in nanoseconds.
     pub longest: Nanos,
-    /// The part of the fleet's weight that must stay in service, from 0 to 1.
+    /// The fraction of the fleet's weight that must stay in service, from 0 to 1.
     pub stay: f64,
     /// How long before its expiry an override is announced, in nanoseconds.
     pub announce: Nanos,
-    /// An endpoint that was out of service for this time has a cold cache, in nanoseconds.
+    /// Time out of service after which the cache of an endpoint counts as cold, in nanoseconds.
     pub cold_after: Nanos,
     /// Maximum number of overrides.
     pub most: usize,
--- a/crates/core/overrides/tests/override_set.rs
+++ b/crates/core/overrides/tests/override_set.rs
@@ -1,4 +1,4 @@
-//! Precedence as a table, expiry against a model, the capacity guard, and the history.
+//! Tests the precedence of overrides, their expiry, the capacity guard and the history.
 
 use proptest::prelude::*;
 use rushquay_overrides::{
@@ -25,28 +25,29 @@
     Scope::Kind("std-1c".into())
 }
 
-/// Two conflicting overrides: out until when, which factor, and the status of each at second 10.
+/// Each row holds two conflicting overrides (scope, effect, start and end in seconds) and the expected result at second 10: the end of the
+/// time out of service (0: in service), the weight factor, and the status of each override.
 #[test]
 fn precedence_follows_the_documented_table() {
     use Effect::{Out, Weight};
     use OverrideStatus::{InForce, Masked};
     let table = [
-        // Out of service wins over any weight, however narrow.
+        // Out of service wins over any weight, however narrow the scope of the weight.
         ((zone(), Out, 1, 50), (node(), Weight(0.5), 2, 90), (50, 0.5), [InForce, Masked(1)]),
         ((Scope::All, Out, 1, 90), (node(), Weight(2.0), 2, 50), (90, 2.0), [InForce, Masked(1)]),
-        // Two out of service: the later end.
+        // Two out of service: the later end applies.
         ((node(), Out, 1, 50), (zone(), Out, 2, 90), (90, 1.0), [InForce, InForce]),
         ((node(), Out, 1, 90), (zone(), Out, 2, 50), (90, 1.0), [InForce, InForce]),
-        // Two weights: the narrower, whichever came first.
+        // Two weights: the narrower scope wins, whichever was set first.
         ((node(), Weight(0.5), 1, 50), (kind(), Weight(0.2), 2, 90), (0, 0.5), [InForce, Masked(1)]),
         ((kind(), Weight(0.5), 1, 50), (zone(), Weight(0.2), 2, 90), (0, 0.5), [InForce, Masked(1)]),
         ((zone(), Weight(0.5), 2, 50), (Scope::All, Weight(0.2), 1, 90), (0, 0.5), [InForce, Masked(1)]),
         ((zone(), Weight(0.5), 1, 50), (node(), Weight(0.2), 2, 90), (0, 0.2), [Masked(2), InForce]),
-        // Of one scope: the one set later; of one moment: the higher number.
+        // Two weights of the same scope: the one set later wins; if set at the same time, the one with the higher number.
         ((node(), Weight(0.5), 1, 50), (node(), Weight(0.2), 2, 90), (0, 0.2), [Masked(2), InForce]),
         ((node(), Weight(0.5), 3, 50), (node(), Weight(0.2), 3, 90), (0, 0.2), [Masked(2), InForce]),
     ];
-    for (number, (one, two, (out, factor), standings)) in table.into_iter().enumerate() {
+    for (number, (one, two, (out, factor), expected_statuses)) in table.into_iter().enumerate() {
         let make = |id, (scope, effect, since, until): (Scope, Effect, u64, u64)| {
             make_override(id, scope, effect, since, until)
         };
@@ -56,11 +57,15 @@
         assert_eq!(imposed.out.1, out * SECOND, "row {number}");
         assert_eq!(imposed.is_out(OverrideTime::from_unix_nanos(10 * SECOND)), out > 0, "row {number}");
         assert_eq!(imposed.factor(OverrideTime::from_unix_nanos(10 * SECOND)), factor, "row {number}");
-        assert_eq!(statuses.into_iter().map(|(_, s)| s).collect::<Vec<_>>(), standings, "row {number}");
+        assert_eq!(
+            statuses.into_iter().map(|(_, s)| s).collect::<Vec<_>>(),
+            expected_statuses,
+            "row {number}"
+        );
     }
 }
 
-/// Two conflicting weights that expire in either order: the masked one takes effect without a new request.
+/// Of two conflicting weights that expire in either order, the masked one takes effect without a new request.
 #[test]
 fn a_masked_override_takes_effect_when_the_masking_one_ends() {
     for (upper_ends, later) in [(50, 0.2), (90, 1.0)] {
@@ -96,21 +101,24 @@
     let mut overrides = OverrideSet::new(OverrideLimits::default());
     let nodes = fleet(&[1.0, 1.0, 2.0]);
     let first = request(Scope::Node("cache-00".into()), Effect::Out, 100);
-    overrides.set(first, &nodes, 0, None).expect("a quarter may go");
+    overrides.set(first, &nodes, 0, None).expect("a quarter may be taken out");
     let second = request(Scope::Node("cache-01".into()), Effect::Out, 100);
-    let refused = overrides.set(second.clone(), &nodes, 0, None).expect_err("too much");
-    let text = refused.to_string();
-    assert!(text.contains("all nodes weigh 4.00, 3.00 of it (75%) is in service"), "{text}");
-    assert!(text.contains("with this 2.00 (50%) would be, and 2.68 (67%) must stay"), "{text}");
+    let rejection = overrides.set(second.clone(), &nodes, 0, None).expect_err("too much");
+    let text = rejection.to_string();
+    assert!(text.contains("the total weight of all nodes is 4.00: 3.00 (75%) is in service now"), "{text}");
+    assert!(
+        text.contains("2.00 (50%) would be with this override, and 2.68 (67%) must stay in service"),
+        "{text}"
+    );
     let forced = overrides.set(OverrideRequest { force: true, ..second }, &nodes, 0, None).expect("forced");
     assert_eq!(overrides.history().next().map(|e| (e.kind, e.what.id)), Some((EventKind::Forced, forced.id)));
     // An override that reduces no capacity is accepted, however little remains.
     overrides
         .set(request(Scope::Node("cache-02".into()), Effect::Weight(1.5), 100), &nodes, 0, None)
-        .expect("no less");
+        .expect("capacity is not reduced");
     // A weight reduces capacity as well.
-    let less = request(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
-    assert!(matches!(overrides.set(less, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
+    let lower_weight = request(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
+    assert!(matches!(overrides.set(lower_weight, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
 }
 
 #[test]
@@ -176,10 +184,10 @@
         (on("cache-07"), pinned(None, Some("")), "effect.pinned"),
         (on("cache-07"), pinned(None, Some("a*b")), "effect.pinned.keys"),
     ] {
-        let refused = overrides.set(request(scope, effect.clone(), 100), &nodes, 0, None);
+        let rejection = overrides.set(request(scope, effect.clone(), 100), &nodes, 0, None);
         assert!(
-            matches!(&refused, Err(OverrideError::Field(name, _)) if *name == field),
-            "{effect}: {refused:?}"
+            matches!(&rejection, Err(OverrideError::Field(name, _)) if *name == field),
+            "{effect}: {rejection:?}"
         );
     }
     let mut set_pin =
@@ -218,8 +226,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Compared with a model evaluated every second: an effect computed at the beginning and never again agrees with the set at each later
-    /// second, as long as nothing new is set. A restart changes nothing.
+    /// An effect computed once at the beginning agrees, at every later second, with one computed anew from the restored set, as long as no
+    /// new override is set.
     #[test]
     fn expiry_takes_effect_without_a_new_evaluation(all in prop::collection::vec((0usize..4, 0usize..3, 1u64..9, 0u64..20, 21u64..60), 1..8)) {
         let overrides: Vec<Override> = all
@@ -231,15 +239,15 @@
                 make_override(i as u64 + 1, scope, effect, *since, *until)
             })
             .collect();
-        let (taken, _) = effective_overrides(overrides.iter(), &NODE, 20 * SECOND);
+        let (computed_once, _) = effective_overrides(overrides.iter(), &NODE, 20 * SECOND);
         let mut set = OverrideSet::restore(OverrideLimits::default(), overrides.clone(), Vec::new(), 1, 9);
         for second in 20..61 {
             let now = second * SECOND;
             let at = OverrideTime::from_unix_nanos(now);
             set.expire(now);
             let (fresh, _) = effective_overrides(set.live(), &NODE, now);
-            prop_assert_eq!(taken.is_out(at), fresh.is_out(at), "out at {}", second);
-            prop_assert_eq!(taken.factor(at), fresh.factor(at), "factor at {}", second);
+            prop_assert_eq!(computed_once.is_out(at), fresh.is_out(at), "out at {}", second);
+            prop_assert_eq!(computed_once.factor(at), fresh.factor(at), "factor at {}", second);
             let live: Vec<u64> = overrides.iter().filter(|o| o.until > now).map(|o| o.id).collect();
             prop_assert_eq!(set.live().map(|o| o.id).collect::<Vec<_>>(), live);
         }
