--- a/crates/core/routing/src/headers.rs
+++ b/crates/core/routing/src/headers.rs
@@ -3,13 +3,13 @@
 /// What to do with a value when the header may already be present (`HeaderAppendAction`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Append {
-    /// `APPEND_IF_EXISTS_OR_ADD`: appended after existing values.
+    /// `APPEND_IF_EXISTS_OR_ADD`: adds the value after existing ones.
     Add,
-    /// `ADD_IF_ABSENT`: set only if the header is absent.
+    /// `ADD_IF_ABSENT`: sets the value only if the header is absent.
     IfAbsent,
     /// `OVERWRITE_IF_EXISTS_OR_ADD`: replaces all existing values.
     Overwrite,
-    /// `OVERWRITE_IF_EXISTS`: replaces all existing values; not added if the header is absent.
+    /// `OVERWRITE_IF_EXISTS`: replaces all existing values; does nothing if the header is absent.
     OverwriteOnly,
 }
 
@@ -29,7 +29,7 @@
 pub struct Mutations {
     /// Headers to set, in order.
     pub set: Vec<Change>,
-    /// Headers to remove before any is set; names in lower case.
+    /// Headers to remove, before any header is set; names in lower case.
     pub remove: Vec<String>,
 }
 
--- a/crates/core/routing/src/index.rs
+++ b/crates/core/routing/src/index.rs
@@ -1,5 +1,5 @@
-//! Index over the routes of a virtual host by path. The result is that of a linear search (the first matching route in
-//! configuration order wins), but the cost of a lookup does not grow with the number of prefixes.
+//! Index of the routes of a virtual host by path. A lookup returns the same route as a linear search (the first matching one in
+//! configuration order), but its cost does not grow with the number of prefixes.
 
 use crate::route::{PathMatch, Route};
 use std::collections::{BTreeMap, HashMap};
@@ -35,12 +35,12 @@
     /// Returns the position of the first route, in configuration order, for which `matches` returns `true`. `matches` is
     /// called only for routes whose path may match.
     pub fn first(&self, path: &str, mut matches: impl FnMut(u32) -> bool) -> Option<u32> {
-        // A merge of sorted lists; there are few of them, so a linear scan for the smallest head is enough.
+        // Merges the sorted lists. There are few of them, so a linear scan for the smallest first element is enough.
         let mut lists: Vec<&[u32]> = Vec::with_capacity(8);
         lists.extend(self.exact.get(path).map(Vec::as_slice));
         lists.extend((!self.unindexed.is_empty()).then_some(self.unindexed.as_slice()));
         for (length, by_prefix) in self.prefixes.range(..=path.len()) {
-            // `get` returns `None` inside a multi-byte character; no prefix of that length can match then.
+            // `get` returns `None` if the length splits a multi-byte character; no prefix of that length can match then.
             let path_prefix = path.get(..*length);
             lists.extend(path_prefix.and_then(|prefix| by_prefix.get(prefix)).map(Vec::as_slice));
         }
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -1,4 +1,5 @@
-//! Request routing: Envoy's route configuration as a table that maps a request to a cluster and to changes of the request.
+//! Request routing: Envoy's route configuration as a table that maps a request to a cluster and to the changes to make to the request
+//! and its response.
 //!
 //! This crate neither parses route configurations nor forwards requests. It does no I/O and reads no clock; random numbers
 //! are passed in by the caller.
@@ -36,6 +37,7 @@
     fn query(&self) -> &str;
     /// The request method.
     fn method(&self) -> &str;
-    /// All values of the header `name` (in lower case), in order. A value that is not valid text is given as an empty string.
+    /// All values of the header `name` (in lower case), in order. A value that is not valid text is returned as an empty
+    /// string.
     fn header<'a>(&'a self, name: &'a str) -> Box<dyn Iterator<Item = &'a str> + 'a>;
 }
--- a/crates/core/routing/src/route.rs
+++ b/crates/core/routing/src/route.rs
@@ -21,7 +21,7 @@
     Regex(Regex),
 }
 
-/// The conditions of a route; all must hold (`RouteMatch`).
+/// The conditions of a route, all of which a request must meet (`RouteMatch`).
 #[derive(Clone, Debug)]
 pub struct Matcher {
     /// The path.
@@ -37,15 +37,15 @@
 }
 
 impl Matcher {
-    /// Returns `true` if everything but the path matches. `random` is in `[0, 1)`.
-    pub fn rest_fits(&self, head: &dyn Head, random: f64) -> bool {
-        self.headers.iter().all(|header| header.fits(head))
-            && self.query.iter().all(|parameter| parameter.fits(head))
+    /// Returns `true` if all conditions other than the path are met. `random` is in `[0, 1)`.
+    pub fn other_conditions_match(&self, head: &dyn Head, random: f64) -> bool {
+        self.headers.iter().all(|header| header.matches(head))
+            && self.query.iter().all(|parameter| parameter.matches(head))
             && self.part.is_none_or(|fraction| random < fraction)
     }
 
     /// Returns `true` if the path matches.
-    pub fn path_fits(&self, path: &str) -> bool {
+    pub fn path_matches(&self, path: &str) -> bool {
         let has_prefix = |prefix: &str| {
             let start = path.as_bytes().get(..prefix.len());
             start.is_some_and(|start| match self.case {
@@ -100,7 +100,7 @@
     Regex(Regex, String),
 }
 
-/// A response sent without contacting an endpoint (`direct_response`).
+/// A response that the proxy sends without contacting an endpoint (`direct_response`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Direct {
     /// Response status, from 200 to 599.
@@ -132,11 +132,11 @@
         rewrite: Option<Rewrite>,
         /// Rewritten host name (`host_rewrite_literal`).
         host: Option<String>,
-        /// Timeout for all attempts together; `None`: the one of the request class.
+        /// Timeout for all attempts together; `None`: the timeout of the request class.
         timeout: Option<Nanos>,
-        /// Retry policy; `None`: the decision module alone decides.
+        /// Retry policy; `None`: the route adds no limits to those of the decision module.
         retries: Option<Retries>,
-        /// Which circuit breaker thresholds apply.
+        /// Selects the circuit breaker thresholds.
         importance: Importance,
     },
     /// Responds directly.
@@ -165,17 +165,18 @@
 pub struct Found<'t> {
     /// The matching route.
     pub route: &'t Route,
-    /// Request header mutations of the virtual host and of the route configuration, in the order to apply them.
+    /// Request header mutations of the virtual host and of the route configuration, in the order in which to apply them.
     pub request: [&'t Mutations; 2],
     /// Response header mutations, in the same order.
     pub response: [&'t Mutations; 2],
-    /// Whether the mutations of the route and its cluster are applied last.
+    /// Whether the mutations of the route and its cluster are applied after those of the virtual host and the route
+    /// configuration.
     pub specific_last: bool,
 }
 
 impl Clusters {
     /// Returns the cluster for a request and, for weighted clusters, the chosen entry. `at` is in `[0, 1)`; the same
-    /// number leads to the same cluster for as long as the weights are unchanged.
+    /// number selects the same cluster while the weights are unchanged.
     pub fn pick(&self, head: &dyn Head, at: f64) -> Option<(Cow<'_, str>, Option<&Weighted>)> {
         match self {
             Clusters::One(name) => Some((Cow::Borrowed(name), None)),
--- a/crates/core/routing/src/table.rs
+++ b/crates/core/routing/src/table.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A virtual host (`VirtualHost`).
+/// A virtual host: the routes for requests to its domains (`VirtualHost`).
 #[derive(Clone, Debug)]
 pub struct Host {
     /// Name of the virtual host.
     pub name: String,
-    /// The domains that it serves: `www.x.y`, `*.x.y`, `www.*` or `*`.
+    /// The domains that it matches: `www.x.y`, `*.x.y`, `www.*` or `*`.
     pub domains: Vec<String>,
     /// Routes in order; the first matching one wins.
     pub routes: Vec<Route>,
@@ -25,9 +25,9 @@
 /// An invalid or ambiguous domain in a route configuration; to be corrected at its source.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DomainError {
-    /// The same domain is listed twice, so that its requests cannot be assigned to one virtual host.
-    #[error("virtual_hosts[{host}].domains[{domain}]: {text:?} stands already in virtual_hosts[{first}]")]
-    Twice {
+    /// The same domain is listed twice, so the virtual host for its requests is ambiguous.
+    #[error("virtual_hosts[{host}].domains[{domain}]: {text:?} is already listed in virtual_hosts[{first}]")]
+    Duplicate {
         /// Index of the later virtual host.
         host: usize,
         /// Index of the domain in the later virtual host.
@@ -37,9 +37,9 @@
         /// Index of the earlier virtual host.
         first: usize,
     },
-    /// The domain has a form that cannot match any authority.
+    /// The domain is not a valid pattern and cannot match any authority.
     #[error("virtual_hosts[{host}].domains[{domain}]: {text:?}; expected a name, *.name, name.* or *")]
-    Form {
+    InvalidPattern {
         /// Index of the virtual host.
         host: usize,
         /// Index of the domain in the virtual host.
@@ -67,8 +67,10 @@
     catch_all: Option<usize>,
     request: Mutations,
     response: Mutations,
-    /// The most specific header mutations are applied last and so win (`most_specific_header_mutations_wins`).
+    /// Whether the most specific header mutations are applied last and so take precedence
+    /// (`most_specific_header_mutations_wins`).
     specific_last: bool,
+    /// Whether a port in the authority is ignored (`ignore_port_in_host_matching`).
     ignore_port: bool,
 }
 
@@ -76,7 +78,7 @@
     /// Creates a table of virtual hosts.
     ///
     /// # Errors
-    /// A domain that is listed twice or that cannot match any authority.
+    /// Returns an error if a domain is listed twice or cannot match any authority.
     pub fn new(name: &str, hosts: Vec<Host>) -> Result<Self, DomainError> {
         let mut table = Table { name: name.to_owned(), ..Table::default() };
         for (host_index, host) in hosts.into_iter().enumerate() {
@@ -97,43 +99,43 @@
         let stars = text.matches('*').count();
         let previous = match (text.as_str(), stars) {
             ("*", _) => self.catch_all.replace(host),
-            ("", _) => return Err(DomainError::Form { host, domain, text }),
+            ("", _) => return Err(DomainError::InvalidPattern { host, domain, text }),
             (_, 0) => self.exact.insert(text.clone(), host),
             (_, 1) if text.starts_with('*') => insert_wildcard(&mut self.suffixes, &text[1..], host),
             (_, 1) if text.ends_with('*') => {
                 insert_wildcard(&mut self.prefixes, &text[..text.len() - 1], host)
             }
-            _ => return Err(DomainError::Form { host, domain, text }),
+            _ => return Err(DomainError::InvalidPattern { host, domain, text }),
         };
         match previous {
-            Some(first) => Err(DomainError::Twice { host, domain, text, first }),
+            Some(first) => Err(DomainError::Duplicate { host, domain, text, first }),
             None => Ok(()),
         }
     }
 
-    /// Sets the header mutations for all requests and responses.
+    /// Sets the header mutations for all requests and responses, and whether the most specific mutations are applied last.
     pub fn with_headers(mut self, request: Mutations, response: Mutations, specific_last: bool) -> Self {
         (self.request, self.response, self.specific_last) = (request, response, specific_last);
         self
     }
 
-    /// With `ignore`, a port in the authority is ignored (`ignore_port_in_host_matching`).
+    /// If `ignore` is set, ignores a port in the authority (`ignore_port_in_host_matching`).
     pub fn without_ports(mut self, ignore: bool) -> Self {
         self.ignore_port |= ignore;
         self
     }
 
-    /// The name of the route configuration.
+    /// Returns the name of the route configuration.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The virtual hosts, in order.
+    /// Returns the virtual hosts, in order.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.iter().map(|(host, _)| host)
     }
 
-    /// The clusters that routes name directly; those named by a request header are not included.
+    /// Returns the clusters that routes name directly; those named by a request header are not included.
     pub fn clusters(&self) -> BTreeSet<&Arc<str>> {
         let mut names = BTreeSet::new();
         for route in self.hosts().flat_map(|host| &host.routes) {
@@ -148,14 +150,14 @@
         names
     }
 
-    /// Returns the route of a request, or `None` if no route matches (to be answered with 404). `random` returns numbers
-    /// in `[0, 1)`; it is called only for routes that match a fraction of requests.
+    /// Returns the route of a request, or `None` if no route matches (the response is then a 404). `random` returns
+    /// numbers in `[0, 1)`; it is called only for routes that match a fraction of requests.
     pub fn find(&self, head: &dyn Head, mut random: impl FnMut() -> f64) -> Option<Found<'_>> {
         let (host, index) = &self.hosts[self.host_index(head.authority())?];
         let matches = |position: u32| {
             let matcher = &host.routes[position as usize].matcher;
             let fraction = if matcher.part.is_some() { random() } else { 0.0 };
-            matcher.path_fits(head.path()) && matcher.rest_fits(head, fraction)
+            matcher.path_matches(head.path()) && matcher.other_conditions_match(head, fraction)
         };
         let route = &host.routes[index.first(head.path(), matches)? as usize];
         let in_order = |host, table| if self.specific_last { [table, host] } else { [host, table] };
@@ -175,7 +177,7 @@
             Some((name, port)) if self.ignore_port && port.bytes().all(|byte| byte.is_ascii_digit()) => name,
             _ => &authority,
         };
-        // A star stands for at least one character.
+        // The star of a wildcard matches at least one character.
         let is_longer = |part: &str| name.len() > part.len();
         let exact = self.exact.get(name).copied();
         let by_suffix = || {
@@ -193,7 +195,7 @@
     }
 }
 
-/// Adds a wildcard domain and returns the virtual host that already had it, if any.
+/// Adds a wildcard domain and returns the virtual host that already listed it, if any.
 fn insert_wildcard(wildcards: &mut WildcardDomains, part: &str, host: usize) -> Option<usize> {
     let previous = wildcards.iter().find(|(known, _)| known == part).map(|(_, host)| *host);
     wildcards.push((part.to_owned(), host));
--- a/crates/core/routing/src/text.rs
+++ b/crates/core/routing/src/text.rs
@@ -23,17 +23,17 @@
 #[derive(Clone, Debug)]
 pub struct TextMatch {
     pattern: Text,
-    /// Does not apply to regular expressions, which state it in the expression itself.
+    /// Does not apply to regular expressions, which set case sensitivity in the expression itself.
     ignore_case: bool,
 }
 
-/// Upper bound of the size of a compiled regular expression, in bytes.
+/// Maximum size of a compiled regular expression, in bytes.
 const MAX_COMPILED_REGEX_BYTES: usize = 1 << 20;
 
 /// Compiles a regular expression that must match a whole string. The size of the compiled expression is bounded.
 ///
 /// # Errors
-/// The last line of the compiler's message if the expression is invalid or too large.
+/// Returns the last line of the error message of the `regex` crate if the expression is invalid or too large.
 pub fn whole(expression: &str) -> Result<Regex, String> {
     let anchored = format!("^(?:{expression})$");
     let compiled = regex::RegexBuilder::new(&anchored).size_limit(MAX_COMPILED_REGEX_BYTES).build();
@@ -55,7 +55,7 @@
     }
 
     /// Returns `true` if `text` matches.
-    pub fn fits(&self, text: &str) -> bool {
+    pub fn matches(&self, text: &str) -> bool {
         let normalized = match (&self.pattern, self.ignore_case) {
             (Text::Regex(regex), _) => return regex.is_match(text),
             (_, true) => Cow::Owned(text.to_ascii_lowercase()),
@@ -89,7 +89,7 @@
     pub name: String,
     /// The condition on the header.
     pub is: HeaderIs,
-    /// Negates the condition; an absent header then matches a condition on its value (`invert_match`).
+    /// Negates the condition (`invert_match`); an absent header then matches any condition on the value.
     pub invert: bool,
     /// Treats an absent header as an empty value (`treat_missing_header_as_empty`).
     pub missing_is_empty: bool,
@@ -97,7 +97,7 @@
 
 impl HeaderMatch {
     /// Returns `true` if the request matches.
-    pub fn fits(&self, head: &dyn Head) -> bool {
+    pub fn matches(&self, head: &dyn Head) -> bool {
         let value = header_value(head, &self.name);
         let value = match value {
             None if self.missing_is_empty && !matches!(self.is, HeaderIs::Present(_)) => {
@@ -105,15 +105,15 @@
             }
             value => value,
         };
-        let holds = match (&self.is, &value) {
+        let is_met = match (&self.is, &value) {
             (HeaderIs::Present(expected), value) => value.is_some() == *expected,
             (_, None) => return self.invert,
             (HeaderIs::Range(start, end), Some(value)) => {
                 value.parse::<i64>().is_ok_and(|number| (*start..*end).contains(&number))
             }
-            (HeaderIs::Text(matcher), Some(value)) => matcher.fits(value),
+            (HeaderIs::Text(matcher), Some(value)) => matcher.matches(value),
         };
-        holds != self.invert
+        is_met != self.invert
     }
 }
 
@@ -148,13 +148,13 @@
 
 impl QueryMatch {
     /// Returns `true` if the request matches. Values are compared without percent-decoding, as in Envoy.
-    pub fn fits(&self, head: &dyn Head) -> bool {
+    pub fn matches(&self, head: &dyn Head) -> bool {
         let pairs = head.query().split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
         let mut matching_pairs = pairs.filter(|(name, _)| *name == self.name);
         match (matching_pairs.next(), &self.is) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some((_, value)), Some(matcher)) => matcher.fits(value),
+            (Some((_, value)), Some(matcher)) => matcher.matches(value),
         }
     }
 }
--- a/crates/core/routing/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Route lookup compared with a linear search, and each kind of matcher by example.
+//! Compares route lookup with a linear search, and tests each kind of matcher, rewrite and retry condition by example.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -90,7 +90,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order of the routes, the first matching one wins.
+    /// The first matching route in configuration order wins, whatever the kinds of the path matchers.
     #[test]
     fn indexed_lookup_agrees_with_linear_search(
         path_matches in prop::collection::vec(path_match(), 0..60),
@@ -101,15 +101,15 @@
                 0 => PathMatch::Prefix(text.clone()),
                 1 => PathMatch::Exact(text.clone()),
                 2 => PathMatch::Under(text.trim_end_matches('/').to_owned()),
-                _ => PathMatch::Regex(whole(&format!("{text}[ab]*")).expect("an expression")),
+                _ => PathMatch::Regex(whole(&format!("{text}[ab]*")).expect("valid expression")),
             };
             let mut route = route(path, forward_to(&i.to_string()));
             route.matcher.case = *case;
             route
         }).collect();
-        let table = Table::new("t", vec![host(&["*"], routes.clone())]).expect("good");
+        let table = Table::new("t", vec![host(&["*"], routes.clone())]).expect("valid table");
         for path in &paths {
-            let expected = routes.iter().position(|r| r.matcher.path_fits(path)).map(|i| i.to_string());
+            let expected = routes.iter().position(|r| r.matcher.path_matches(path)).map(|i| i.to_string());
             prop_assert_eq!(cluster_name(table.find(&request_for(path), || 0.0)), expected, "{}", path);
         }
     }
@@ -119,7 +119,7 @@
 fn most_specific_domain_wins() {
     let one = |d: &str| host(&[d], vec![route(PathMatch::Prefix("/".into()), forward_to(d))]);
     let domains = ["*", "*.org", "*.a.org", "www.a.org", "www.*", "www.a.*", "b.org:81"];
-    let table = Table::new("t", domains.iter().map(|d| one(d)).collect()).expect("good");
+    let table = Table::new("t", domains.iter().map(|d| one(d)).collect()).expect("valid table");
     for (authority, expected) in [
         ("www.a.org", "www.a.org"),
         ("WWW.A.ORG", "www.a.org"),
@@ -139,11 +139,14 @@
     let mut head = request_for("/");
     head.authority = "www.a.org:80".into();
     assert_eq!(cluster_name(table.without_ports(true).find(&head, || 0.0)).as_deref(), Some("www.a.org"));
-    let twice = Table::new("t", vec![one("a.org"), one("A.org")]).expect_err("twice").to_string();
-    assert!(twice.starts_with("virtual_hosts[1].domains[0]"), "{twice}");
+    let duplicate =
+        Table::new("t", vec![one("a.org"), one("A.org")]).expect_err("a duplicate domain").to_string();
+    assert!(duplicate.starts_with("virtual_hosts[1].domains[0]"), "{duplicate}");
     assert!(Table::new("t", vec![one("a.*.org")]).is_err());
-    assert!(cluster_name(Table::new("t", vec![one("a.org")]).expect("good").find(&request_for("/"), || 0.0))
-        .is_none());
+    assert!(cluster_name(
+        Table::new("t", vec![one("a.org")]).expect("valid table").find(&request_for("/"), || 0.0)
+    )
+    .is_none());
 }
 
 #[test]
@@ -151,33 +154,38 @@
     let header = |is, invert, missing_is_empty| {
         let mut r = route(PathMatch::Prefix("/".into()), forward_to("it"));
         r.matcher.headers = vec![HeaderMatch { name: "x-plant".into(), is, invert, missing_is_empty }];
-        Table::new("t", vec![host(&["*"], vec![r])]).expect("good")
+        Table::new("t", vec![host(&["*"], vec![r])]).expect("valid table")
     };
-    let text = |t, fold| HeaderIs::Text(TextMatch::new(t, fold));
-    let fits = |table: &Table, values: &[&str]| {
+    let text = |t, ignore_case| HeaderIs::Text(TextMatch::new(t, ignore_case));
+    let matches = |table: &Table, values: &[&str]| {
         let mut head = request_for("/");
         head.headers = values.iter().map(|v| ("x-plant".to_owned(), v.to_string())).collect();
         table.find(&head, || 0.0).is_some()
     };
     let exact = header(text(Text::Exact("Surat".into()), false), false, false);
-    assert!(fits(&exact, &["Surat"]) && !fits(&exact, &["surat"]) && !fits(&exact, &[]));
-    let folded = header(text(Text::Exact("Surat".into()), true), false, false);
-    assert!(fits(&folded, &["sURAT"]));
-    let not = header(text(Text::Prefix("su".into()), false), true, false);
-    assert!(!fits(&not, &["surat"]) && fits(&not, &["rajkot"]) && fits(&not, &[]));
+    assert!(matches(&exact, &["Surat"]) && !matches(&exact, &["surat"]) && !matches(&exact, &[]));
+    let case_insensitive = header(text(Text::Exact("Surat".into()), true), false, false);
+    assert!(matches(&case_insensitive, &["sURAT"]));
+    let inverted = header(text(Text::Prefix("su".into()), false), true, false);
+    assert!(!matches(&inverted, &["surat"]) && matches(&inverted, &["rajkot"]) && matches(&inverted, &[]));
     let empty = header(text(Text::Exact(String::new()), false), false, true);
-    assert!(fits(&empty, &[]) && !fits(&empty, &["x"]));
-    let there = header(HeaderIs::Present(true), false, false);
-    assert!(fits(&there, &[""]) && !fits(&there, &[]));
+    assert!(matches(&empty, &[]) && !matches(&empty, &["x"]));
+    let present = header(HeaderIs::Present(true), false, false);
+    assert!(matches(&present, &[""]) && !matches(&present, &[]));
     let absent = header(HeaderIs::Present(false), false, true);
-    assert!(fits(&absent, &[]) && !fits(&absent, &["x"]));
+    assert!(matches(&absent, &[]) && !matches(&absent, &["x"]));
     let range = header(HeaderIs::Range(-5, 10), false, false);
-    assert!(fits(&range, &["-5"]) && fits(&range, &["9"]) && !fits(&range, &["10"]) && !fits(&range, &["x"]));
+    assert!(
+        matches(&range, &["-5"])
+            && matches(&range, &["9"])
+            && !matches(&range, &["10"])
+            && !matches(&range, &["x"])
+    );
     let joined = header(text(Text::Exact("a,b".into()), false), false, false);
-    assert!(fits(&joined, &["a", "b"]));
-    let expression = header(text(Text::Regex(whole("a|b").expect("good")), false), false, false);
+    assert!(matches(&joined, &["a", "b"]));
+    let expression = header(text(Text::Regex(whole("a|b").expect("valid expression")), false), false, false);
     assert!(
-        fits(&expression, &["b"]) && !fits(&expression, &["ab"]),
+        matches(&expression, &["b"]) && !matches(&expression, &["ab"]),
         "the expression must match the whole value"
     );
 
@@ -186,7 +194,7 @@
         QueryMatch { name: "zone".into(), is: Some(TextMatch::new(Text::Suffix("ra".into()), false)) },
         QueryMatch { name: "dry".into(), is: None },
     ];
-    let table = Table::new("t", vec![host(&["*"], vec![r])]).expect("good");
+    let table = Table::new("t", vec![host(&["*"], vec![r])]).expect("valid table");
     for (query, expected) in [
         ("zone=vadodara&dry", true),
         ("dry=0&zone=vadodara", true),
@@ -207,7 +215,7 @@
         "t",
         vec![host(&["*"], vec![trial, route(PathMatch::Prefix("/".into()), forward_to("rest"))])],
     )
-    .expect("good");
+    .expect("valid table");
     let taken = (0..1000).filter(|i| {
         cluster_name(table.find(&request_for("/"), || f64::from(*i) / 1000.0)).as_deref() == Some("trial")
     });
@@ -246,11 +254,12 @@
         Some("/new/k")
     );
     assert_eq!(prefix(PathMatch::Exact("/old".into()), "/new").rewritten("/old").as_deref(), Some("/new"));
-    let expression = regex::Regex::new("^/plant/([^/]+)/(.*)$").expect("good");
-    let swap = Rewrite::Regex(expression, "/${2}/at/${1}".into());
-    let swap = route(PathMatch::Prefix("/".into()), forward(Clusters::One("c".into()), Some(swap)));
-    assert_eq!(swap.rewritten("/plant/7/read").as_deref(), Some("/read/at/7"));
-    assert_eq!(swap.rewritten("/else").as_deref(), Some("/else"));
+    let expression = regex::Regex::new("^/plant/([^/]+)/(.*)$").expect("valid expression");
+    let swap_segments = Rewrite::Regex(expression, "/${2}/at/${1}".into());
+    let swap_segments =
+        route(PathMatch::Prefix("/".into()), forward(Clusters::One("c".into()), Some(swap_segments)));
+    assert_eq!(swap_segments.rewritten("/plant/7/read").as_deref(), Some("/read/at/7"));
+    assert_eq!(swap_segments.rewritten("/else").as_deref(), Some("/else"));
 }
 
 #[test]
@@ -267,18 +276,18 @@
         Ended::Status(418),
     ];
     let allowed = |on| all.map(|e| policy(on, 9).allow(1, Some(e)));
-    assert_eq!(allowed(Retries::CONNECT), [true, false, false, false, false, false, false, false]);
+    assert_eq!(allowed(Retries::CONNECT_FAILURE), [true, false, false, false, false, false, false, false]);
     assert_eq!(allowed(Retries::RESET), [true, true, true, false, false, false, false, false]);
-    assert_eq!(allowed(Retries::SERVER), [true, true, true, true, true, true, false, false]);
-    assert_eq!(allowed(Retries::GATEWAY), [true, true, true, true, false, true, false, false]);
+    assert_eq!(allowed(Retries::ANY_5XX), [true, true, true, true, true, true, false, false]);
+    assert_eq!(allowed(Retries::GATEWAY_ERROR), [true, true, true, true, false, true, false, false]);
     assert_eq!(
-        allowed(Retries::CONFLICT | Retries::CODES),
+        allowed(Retries::RETRIABLE_4XX | Retries::CODES),
         [false, false, false, false, false, false, true, true]
     );
     assert_eq!(allowed(0), [false; 8]);
     assert!(
-        policy(Retries::SERVER, 2).allow(2, Some(Ended::Reset))
-            && !policy(Retries::SERVER, 2).allow(3, Some(Ended::Reset))
+        policy(Retries::ANY_5XX, 2).allow(2, Some(Ended::Reset))
+            && !policy(Retries::ANY_5XX, 2).allow(3, Some(Ended::Reset))
     );
     assert!(policy(0, 1).allow(1, None), "a hedged request is not a retry of a failed attempt");
 }
