--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -1,7 +1,7 @@
-//! Keeps each of many proxies to its share of the connections that the endpoints can hold.
+//! Limits each of many proxies to its share of the connections that the endpoints accept.
 //!
-//! Proxies do not coordinate. Each one derives its share from the number of proxies, which it is configured with, and from how
-//! often endpoints reject its new connections. The crate does no I/O and reads no clock; see [`Jitter`].
+//! Proxies do not coordinate. Each one derives its share from the configured number of proxies and from how often
+//! endpoints reject its new connections. This crate does no I/O and reads no clock; see [`Jitter`].
 #![forbid(unsafe_code)]
 
 mod idle_timeout;
--- a/crates/core/fleet-budget/tests/idle_timeout.rs
+++ b/crates/core/fleet-budget/tests/idle_timeout.rs
@@ -1,20 +1,20 @@
-//! Simulates proxies that share endpoints with scarce room for connections, in steps of virtual time.
+//! Simulates, in steps of virtual time, proxies that share endpoints with few connection slots.
 
 use proptest::prelude::*;
 use rushquay_fleet_budget::{Jitter, Nanos};
 
 const MILLISECOND: Nanos = 1_000_000;
-const LONGEST: Nanos = 11_000 * MILLISECOND;
+const MAX_TIMEOUT: Nanos = 11_000 * MILLISECOND;
 
 struct Simulation {
     timeouts: Vec<Jitter>,
-    /// When each proxy last used its connection to each endpoint; 0 where it has none.
+    /// When each proxy last used its connection to each endpoint; 0 if it has none.
     last_used: Vec<Vec<Nanos>>,
-    /// How many requests that connection has carried.
+    /// Number of requests sent on that connection.
     uses: Vec<Vec<u32>>,
     /// Open connections at each endpoint.
     open: Vec<usize>,
-    /// Connections that an endpoint can hold.
+    /// Maximum number of connections of each endpoint.
     capacity: usize,
     now: Nanos,
     random: fastrand::Rng,
@@ -22,7 +22,7 @@
 
 impl Simulation {
     fn new(proxies: usize, nodes: usize, capacity: usize, seed: u64) -> Self {
-        let timeouts = vec![Jitter::new(LONGEST, proxies as u32); proxies];
+        let timeouts = vec![Jitter::new(MAX_TIMEOUT, proxies as u32); proxies];
         let (last_used, open) = (vec![vec![0; nodes]; proxies], vec![0; nodes]);
         let uses = vec![vec![0; nodes]; proxies];
         Simulation {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Runs for `duration`, with `rate` requests per second by every proxy; returns the numbers of requests, handshakes and
-    /// rejected connections. Without `adaptive` idle connections are kept for the longest time.
+    /// Runs for `duration`, with an average of `rate` requests per second from each proxy; returns the numbers of requests,
+    /// handshakes and rejected connections. Unless `adaptive` is set, idle connections are kept for the maximum timeout.
     fn run(&mut self, duration: Nanos, rate: u64, adaptive: bool) -> (u64, u64, u64) {
         let (mut requests, mut handshakes, mut rejected) = (0, 0, 0);
         let end = self.now + duration;
@@ -51,7 +51,7 @@
             for other in 0..self.timeouts.len() {
                 let idle = self.now - self.last_used[other][node];
                 if self.last_used[other][node] > 0
-                    && idle > if adaptive { self.timeouts[other].span() } else { LONGEST }
+                    && idle > if adaptive { self.timeouts[other].span() } else { MAX_TIMEOUT }
                 {
                     self.last_used[other][node] = 0;
                     self.open[node] -= 1;
@@ -80,12 +80,13 @@
 }
 
 #[test]
-fn a_hundred_proxies_leave_each_other_room() {
-    // Danger: if kept for as long as endpoints allow, idle connections fill every endpoint, and proxies without one are rejected.
+fn a_hundred_proxies_leave_connections_for_each_other() {
+    // Danger: if idle connections are kept for as long as endpoints allow, they use up the slots of every endpoint, and
+    // connections of other proxies are rejected.
     let (requests, _, rejected) = Simulation::new(100, 60, 50, 1).run(20_000 * MILLISECOND, 16, false);
     assert!(
         rejected * 5 > requests,
-        "{rejected} of {requests} rejected with a fixed timeout: the simulation has no shortage"
+        "{rejected} of {requests} rejected with a fixed timeout: connections are not scarce in this simulation"
     );
     let (requests, handshakes, rejected) =
         Simulation::new(100, 60, 50, 1).run(20_000 * MILLISECOND, 16, true);
@@ -94,8 +95,9 @@
 }
 
 #[test]
-fn an_endpoint_used_often_by_all_proxies_has_room_for_all() {
-    // Danger: at the origin, proxies that hold a connection never learn that others get none.
+fn an_endpoint_used_often_by_all_proxies_accepts_connections_of_all() {
+    // Danger: at a busy endpoint such as the origin, a proxy with an open connection never opens another one, so it does not
+    // detect that other proxies get none.
     let (mut simulation, mut rejected_shares) = (Simulation::new(100, 1, 60, 4), Vec::new());
     simulation.run(20_000 * MILLISECOND, 5, true);
     for _ in 0..10 {
@@ -107,15 +109,15 @@
 }
 
 #[test]
-fn a_small_fleet_keeps_the_longest_idle_timeout() {
+fn a_small_fleet_keeps_the_maximum_idle_timeout() {
     let mut simulation = Simulation::new(7, 45, 100, 2);
     let (_, _, rejected) = simulation.run(20_000 * MILLISECOND, 250, true);
     assert_eq!(rejected, 0);
-    assert!(simulation.timeouts.iter().all(|timeout| timeout.span() == LONGEST));
+    assert!(simulation.timeouts.iter().all(|timeout| timeout.span() == MAX_TIMEOUT));
 }
 
 #[test]
-fn the_idle_timeout_recovers_when_there_is_room_again() {
+fn the_idle_timeout_recovers_when_capacity_grows() {
     let mut simulation = Simulation::new(100, 60, 20, 3);
     simulation.run(20_000 * MILLISECOND, 16, true);
     let longest_before = simulation.timeouts.iter().map(Jitter::span).max();
@@ -134,13 +136,13 @@
         proxies in 0u32..10_000,
         outcomes in prop::collection::vec(any::<bool>(), 0..400),
     ) {
-        let mut timeout = Jitter::new(LONGEST, proxies);
+        let mut timeout = Jitter::new(MAX_TIMEOUT, proxies);
         for accepted in outcomes {
             let before = timeout.span();
             if accepted { timeout.taken() } else { timeout.turned_away() }
             let is_ordered = if accepted { timeout.span() >= before } else { timeout.span() <= before };
             prop_assert!(is_ordered);
-            prop_assert!((LONGEST / 200..=LONGEST).contains(&timeout.span()));
+            prop_assert!((MAX_TIMEOUT / 200..=MAX_TIMEOUT).contains(&timeout.span()));
         }
     }
 }
