--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -1,5 +1,5 @@
-//! Owns the decision module and all requests, attempts and timers: network events go in, the module's actions come out. Each request
-//! gets exactly one final answer.
+//! The engine owns the decision module and all requests, attempts and timers. It passes network events to the module and carries out
+//! the actions that the module returns. Each request gets exactly one final answer.
 
 use crate::api::*;
 use crate::proxy::clock::{margin, Clock};
@@ -7,8 +7,8 @@
 use crate::proxy::http::answer::Answer;
 use crate::proxy::observability::fleet_stats::{self, Kind};
 use crate::proxy::observability::request_trace::{self, Event as Traced};
-use crate::proxy::upstream::attempt::{AttemptOutcome, Cancellation, Span, UpstreamRequest};
-use crate::proxy::upstream::attempt_policy::{AttemptPolicy, Made};
+use crate::proxy::upstream::attempt::{AttemptLimits, AttemptOutcome, Cancellation, UpstreamRequest};
+use crate::proxy::upstream::attempt_policy::{AttemptPolicy, AttemptRecord};
 use crate::proxy::upstream::Upstreams;
 use crate::Balancer;
 use rushquay_admin::Cause;
@@ -22,105 +22,114 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// Slack for the time a request is on its way to a node.
-const WAY: Nanos = 50_000_000;
+/// Allowance for the time that a request travels to a node.
+const TRAVEL_ALLOWANCE: Nanos = 50_000_000;
 
-/// A client's request as the module reads it; its id is assigned on arrival.
+/// A client's request to be submitted. The engine assigns its id.
 pub struct PendingRequest {
+    /// The request as the decision module sees it.
     pub request: Request,
+    /// The request as it is forwarded to nodes.
     pub job: UpstreamRequest,
-    /// The deadline runs from the last byte of the body, which may arrive this much later.
+    /// How much later the last byte of a streamed body may arrive. The deadline runs from that byte.
     pub upload: Nanos,
-    /// What its cluster and route add; `None`: nothing.
+    /// The attempt policy of its cluster and route; `None`: none applies.
     pub terms: Option<Rc<AttemptPolicy>>,
 }
 
+/// One attempt of a request.
 struct Attempt {
     server: ServerId,
     sent: Nanos,
-    /// Its task while it is in flight.
-    out: Option<(Rc<Cancellation>, AbortHandle)>,
-    /// Retry rules of its route and cluster.
-    made: Made,
-    /// How it ended; `None`: it is in flight.
+    /// Its cancellation and task while it is in flight.
+    in_flight: Option<(Rc<Cancellation>, AbortHandle)>,
+    /// The attempt as its route's and cluster's policy counts it.
+    record: AttemptRecord,
+    /// Its outcome; `None`: it is in flight.
     status: Option<Status>,
 }
 
 impl Attempt {
-    /// An attempt that was never sent.
+    /// Creates the record of an attempt that was never sent.
     fn unsent(server: ServerId, sent: Nanos) -> Self {
-        Attempt { server, sent, out: None, made: Made::unsent(), status: Some(Status::Moot) }
+        Attempt { server, sent, in_flight: None, record: AttemptRecord::unsent(), status: Some(Status::Moot) }
     }
 
-    /// Records how it ended; `code`: the status of its response, or 0.
-    fn ended(&mut self, status: Status, code: u16) {
-        self.made.ended(status, code);
+    /// Records the outcome. `code` is the status code of the response, or 0 if there was none.
+    fn record_outcome(&mut self, status: Status, code: u16) {
+        self.record.record_outcome(status, code);
         self.status = Some(status);
         fleet_stats::outcome(status);
     }
 }
 
+/// A request that is unanswered or has an attempt in flight.
 struct Pending {
     id: RequestId,
-    /// A retry relies on a group of nodes that deduplicates it.
+    /// Whether retries rely on a group of nodes to deduplicate them.
     keyed: bool,
     /// How long the nodes deduplicate retries of its class; `None`: it needs no deduplication.
-    remembered: Option<Nanos>,
+    deduplicated_for: Option<Nanos>,
     job: Rc<UpstreamRequest>,
     terms: Option<Rc<AttemptPolicy>>,
     deadline: Nanos,
-    /// When its client gives up.
+    /// When its client stops waiting.
     client_until: Nanos,
     /// How long its client waits after the last byte of a streamed body; `None`: the last byte has arrived.
-    behind_body: Option<Nanos>,
-    /// Where the final answer goes; `None`: it was given.
+    after_body: Option<Nanos>,
+    /// The channel for the final answer; `None`: it was sent.
     answer: Option<oneshot::Sender<Answer>>,
     attempts: Vec<Attempt>,
 }
 
 impl Pending {
-    /// Its attempts.
-    fn out(&self) -> impl Iterator<Item = &Cancellation> {
-        self.attempts.iter().filter_map(|a| a.out.as_ref()).map(|(cancellation, _)| &**cancellation)
+    /// Returns the attempts in flight.
+    fn in_flight(&self) -> impl Iterator<Item = &Cancellation> {
+        self.attempts.iter().filter_map(|a| a.in_flight.as_ref()).map(|(cancellation, _)| &**cancellation)
     }
 
-    /// By when a retry has to begin, so that the nodes still deduplicate it against every attempt before; `None`: no limit.
-    fn repeat_by(&self) -> Option<Nanos> {
+    /// Returns the time by which a retry must begin to be deduplicated against every earlier attempt; `None`: no limit.
+    fn retry_by(&self) -> Option<Nanos> {
         let may_have_run = |a: &&Attempt| a.status.is_none_or(|s| !s.never_ran());
         let first = self.attempts.iter().filter(may_have_run).map(|a| a.sent).min()?;
-        Some(first.saturating_add(self.remembered?).saturating_sub(WAY))
+        Some(first.saturating_add(self.deduplicated_for?).saturating_sub(TRAVEL_ALLOWANCE))
     }
 
-    /// Whether a retry would still reach the group that deduplicates it.
-    fn harmless(&self) -> bool {
-        let remembered =
-            |t: &Rc<AttemptPolicy>| t.remembered(self.attempts.iter().map(|a| (a.sent, &a.made)));
-        !self.keyed || self.terms.as_ref().is_none_or(remembered)
+    /// Returns whether a retry by the client would still be deduplicated.
+    fn is_retry_harmless(&self) -> bool {
+        let reaches_same_group =
+            |t: &Rc<AttemptPolicy>| t.reaches_same_group(self.attempts.iter().map(|a| (a.sent, &a.record)));
+        !self.keyed || self.terms.as_ref().is_none_or(reaches_same_group)
     }
 }
 
+/// The decision module and the requests that it decides on.
 struct Core {
     balancer: Balancer,
-    next: RequestId,
+    next_id: RequestId,
     pending: FxHashMap<RequestId, Pending>,
 }
 
+/// Drives the decision module and carries out its actions.
 pub struct Engine {
     clock: Clock,
-    /// The configuration that new requests start under.
+    /// The configuration for new requests.
     active_config: RefCell<Rc<ActiveConfig>>,
-    cancel: bool,
-    origin: Option<u32>,
-    cold: Nanos,
+    /// Whether attempts still in flight are cancelled when their request ends.
+    cancel_obsolete: bool,
+    /// The origin's machine kind; `None`: there is no origin.
+    origin_kind: Option<u32>,
+    /// How long a node counts as cold after its start.
+    slow_start: Nanos,
     core: RefCell<Core>,
     upstreams: Rc<Upstreams>,
-    myself: Weak<Engine>,
-    /// Requests that operators pinned to endpoints.
+    weak_self: Weak<Engine>,
+    /// The requests that operators pinned to endpoints.
     pins: RefCell<Pins<ServerId>>,
 }
 
 impl Engine {
-    /// Starts the module on an endpoint list that may be stale.
+    /// Starts the decision module on a cached endpoint list, which may be stale.
     pub fn new(
         acting: Rc<ActiveConfig>,
         seed: u64,
@@ -128,32 +137,32 @@
         upstreams: Rc<Upstreams>,
         clock: Clock,
     ) -> Rc<Self> {
-        let engine = Rc::new_cyclic(|myself| Engine {
+        let engine = Rc::new_cyclic(|weak_self| Engine {
             clock,
-            cancel: acting.settings.cancel,
-            origin: acting.settings.origin_kind,
-            cold: acting.settings.cold,
+            cancel_obsolete: acting.settings.cancel,
+            origin_kind: acting.settings.origin_kind,
+            slow_start: acting.settings.cold,
             core: RefCell::new(Core {
                 balancer: Balancer::new(acting.settings.clone(), seed),
-                next: 1,
+                next_id: 1,
                 pending: FxHashMap::default(),
             }),
             active_config: RefCell::new(acting),
             upstreams,
-            myself: myself.clone(),
+            weak_self: weak_self.clone(),
             pins: RefCell::default(),
         });
         engine.list(ListKind::Cached, known);
         engine
     }
 
-    /// The configuration that new requests start under.
+    /// Returns the configuration for new requests.
     pub fn acting(&self) -> Rc<ActiveConfig> {
         self.active_config.borrow().clone()
     }
 
-    /// Applies this configuration from the next request on: the same classes, zones and machine kinds under other terms. Open
-    /// requests end under the configuration that they started with.
+    /// Applies a configuration from the next request on. It has the same classes, zones and machine kinds with other settings. Open
+    /// requests finish under the configuration that they started with.
     pub fn apply_config(&self, acting: Rc<ActiveConfig>) {
         let tenants = acting.tenants_before(&self.active_config.borrow().names);
         self.core.borrow_mut().balancer.obey(acting.settings.clone(), &tenants);
@@ -165,8 +174,8 @@
         *self.pins.borrow_mut() = pins;
     }
 
-    /// Where operators pinned a request. Pins expire by this proxy's clock, at the latest a moment after the control service
-    /// reports that they did.
+    /// Returns the endpoint that operators pinned a request to. Pins expire by this proxy's clock, or shortly after the control
+    /// service reports that they expired, whichever is first.
     pub fn pinned(&self, class: &str, key: &str) -> Option<ServerId> {
         let pins = self.pins.borrow();
         if pins.is_empty() {
@@ -175,17 +184,17 @@
         pins.find(class, key, self.clock.now()).copied()
     }
 
-    /// How many requests are unanswered or have an attempt in flight.
+    /// Returns how many requests are unanswered or have an attempt in flight.
     pub fn open(&self) -> usize {
         self.core.borrow().pending.len()
     }
 
-    /// How many cache nodes are listed, and how many of them the module avoids at present.
+    /// Returns how many cache nodes are listed, and how many of them the module avoids at present.
     pub fn endpoint_counts(&self) -> (usize, usize) {
         self.core.borrow().balancer.avoided(self.clock.now())
     }
 
-    /// Gives up the slow-start allowance, for a successor.
+    /// Gives up the slow-start allowance to a successor.
     pub fn release_slow_start_allowance(&self) -> Vec<ColdLeft> {
         self.core.borrow_mut().balancer.give_cold(self.clock.now())
     }
@@ -195,17 +204,17 @@
         self.core.borrow_mut().balancer.take_cold(self.clock.now(), given);
     }
 
-    /// Whether a request could be served at present.
+    /// Returns whether a request could be served at present.
     pub fn can_serve(&self) -> bool {
         self.upstreams.any_ready()
     }
 
-    /// The time in nanoseconds on the proxy's one clock.
+    /// Returns the time in nanoseconds on the proxy's clock.
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// A change of the endpoint list.
+    /// Applies an endpoint list, or changes to it, to the connection pools and the decision module.
     pub fn list(&self, kind: ListKind, members: &[Endpoint]) {
         let names = &self.acting().names;
         let entries: Vec<(Entry, Option<SocketAddr>)> = members.iter().map(|m| names.entry(m)).collect();
@@ -216,74 +225,74 @@
         self.entries(kind, entries.into_iter().map(|(e, _)| e).collect());
     }
 
-    /// A change of the endpoint list for the module alone.
+    /// Applies an endpoint list, or changes to it, to the decision module alone.
     pub fn entries(&self, kind: ListKind, entries: Vec<Entry>) {
         self.feed(&mut self.core.borrow_mut(), Event::List { kind, entries });
     }
 
-    /// Submits a request; its answer comes from the ticket.
-    pub fn submit(&self, asked: PendingRequest) -> Ticket {
-        let PendingRequest { mut request, job, upload, terms } = asked;
+    /// Submits a request. The returned ticket yields its answer.
+    pub fn submit(&self, pending_request: PendingRequest) -> Ticket {
+        let PendingRequest { mut request, job, upload, terms } = pending_request;
         let core = &mut *self.core.borrow_mut();
         let now = self.clock.now();
-        let (answer, answered) = oneshot::channel();
-        let id = core.next;
-        core.next += 1;
-        let patience = request.remaining.saturating_add(upload);
+        let (answer, receiver) = oneshot::channel();
+        let id = core.next_id;
+        core.next_id += 1;
+        let client_timeout = request.remaining.saturating_add(upload);
         request.id = id;
-        let margin = margin(patience);
-        request.remaining = patience - margin;
+        let margin = margin(client_timeout);
+        request.remaining = client_timeout - margin;
         let deadline = now.saturating_add(request.remaining);
         let keyed = request.write && self.active_config.borrow().keyed(request.class);
-        let remembered = self.active_config.borrow().remembered(request.class);
+        let deduplicated_for = self.active_config.borrow().remembered(request.class);
         let (job, attempts) = (Rc::new(job), Vec::new());
-        let client_until = now.saturating_add(patience);
-        let behind_body = job.upload().map(|_| patience.saturating_sub(upload));
+        let client_until = now.saturating_add(client_timeout);
+        let after_body = job.upload().map(|_| client_timeout.saturating_sub(upload));
         let answer = Some(answer);
         let pending = Pending {
             id,
             keyed,
-            remembered,
+            deduplicated_for,
             job,
             terms,
             deadline,
             client_until,
-            behind_body,
+            after_body,
             answer,
             attempts,
         };
         core.pending.insert(id, pending);
         fleet_stats::count(Kind::Arrival, 1);
         self.feed(core, Event::Arrival(request));
-        // With half of the margin left, a request that the module has not answered is failed.
-        let guard = Duration::from_nanos(patience - margin / 2);
-        Ticket { id, answered: Some(answered), guard, engine: self.myself.clone() }
+        // A request that the module has not answered fails when half of the margin is left.
+        let max_wait = Duration::from_nanos(client_timeout - margin / 2);
+        Ticket { id, receiver: Some(receiver), max_wait, engine: self.weak_self.clone() }
     }
 
-    /// The client has gone or was told that its deadline passed: nothing more is done for the request.
-    fn leave(&self, id: RequestId) {
+    /// Drops a request whose client has disconnected or was answered with a timeout.
+    fn abandon(&self, id: RequestId) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
             request_trace::event(|| Traced::Gone { request: pending.job.id() });
-            pending.out().for_each(Cancellation::abandoned);
+            pending.in_flight().for_each(Cancellation::mark_abandoned);
             self.feed(core, Event::Expired(id));
-            if self.cancel {
-                self.call_off_all(core, id);
+            if self.cancel_obsolete {
+                self.cancel_all_attempts(core, id);
             }
             Self::forget(core, id);
         }
     }
 
-    /// Handles the end of an attempt.
-    fn ended(&self, id: RequestId, number: usize, ended: AttemptOutcome) {
+    /// Records the outcome of an attempt and delivers its response.
+    fn on_outcome(&self, id: RequestId, number: usize, ended: AttemptOutcome) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(number) else { return };
-        if attempt.out.take().is_none() {
+        if attempt.in_flight.take().is_none() {
             return;
         }
-        attempt.ended(ended.status, ended.code);
+        attempt.record_outcome(ended.status, ended.code);
         let (node, status) = (attempt.server, ended.status);
         request_trace::event(|| Traced::Ended { request: pending.job.id(), number, node, status });
         if let Some(response) = ended.answer {
@@ -292,23 +301,23 @@
                 let (request, status) = (pending.job.id(), response.status().as_u16());
                 request_trace::event(|| Traced::Answered { request, status, after: None });
                 let _ = answer.send(Answer::Served(response));
-                pending.out().for_each(Cancellation::answered);
+                pending.in_flight().for_each(Cancellation::mark_answered);
             }
         }
-        let event = self.outcome(pending, number, ended.status, ended.hit);
+        let event = self.outcome_event(pending, number, ended.status, ended.hit);
         self.feed(core, event);
         Self::forget(core, id);
     }
 
-    /// How an attempt ended, as the module reads it.
-    fn outcome(&self, pending: &Pending, number: usize, status: Status, hit: Option<bool>) -> Event {
+    /// Builds the event that reports an attempt's outcome to the module.
+    fn outcome_event(&self, pending: &Pending, number: usize, status: Status, hit: Option<bool>) -> Event {
         let Attempt { server, sent, .. } = pending.attempts[number];
         let elapsed = self.clock.now().saturating_sub(sent);
         let last = pending.answer.is_none();
         Event::Outcome { id: pending.id, attempt: number as u32, server, status, elapsed, last, hit }
     }
 
-    /// Passes an event to the module and carries out its actions, and so on with the events that follow immediately.
+    /// Passes an event to the module and carries out its actions, then does the same for the events that these cause immediately.
     fn feed(&self, core: &mut Core, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -320,14 +329,15 @@
         }
     }
 
+    /// Carries out one action of the module. Events that follow immediately are added to `events`.
     fn act(&self, core: &mut Core, action: Action, events: &mut VecDeque<Event>) {
         match action {
             Action::Send { id, server, timeout } => events.extend(self.send(core, id, server, timeout)),
-            Action::Cancel { id, attempt } => events.extend(self.call_off(core, id, attempt as usize)),
+            Action::Cancel { id, attempt } => events.extend(self.cancel_attempt(core, id, attempt as usize)),
             Action::Refuse { id, retry_after } => {
-                // Danger: a rejection promises that a retry is harmless. If the group that would have dropped the duplicate has changed by
-                // now, it is not.
-                let harmless = core.pending.get(&id).is_none_or(Pending::harmless);
+                // Danger: a rejection promises that a retry is harmless. It is not if the group that would have dropped the duplicate has
+                // changed since.
+                let harmless = core.pending.get(&id).is_none_or(Pending::is_retry_harmless);
                 let answer = match harmless {
                     true => Answer::Refused(Duration::from_nanos(retry_after)),
                     false => Answer::Failed,
@@ -336,22 +346,22 @@
             }
             Action::Fail { id } => self.answer(core, id, Answer::Failed, events),
             Action::Timer { token, delay } => {
-                let myself = self.myself.clone();
+                let weak_self = self.weak_self.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_nanos(delay)).await;
-                    if let Some(engine) = myself.upgrade() {
+                    if let Some(engine) = weak_self.upgrade() {
                         engine.feed(&mut engine.core.borrow_mut(), Event::Timer(token));
                     }
                 });
             }
             Action::Close(server) => self.upstreams.close_idle(server),
-            // Danger: where lists are pushed the module subscribes to nothing, and would keep the list that it was started with.
-            // The list is watched from the start, on a schedule of its own (`rushquay_endpoints::WatchSchedule`).
+            // Danger: if lists are pushed, the module never subscribes, and would keep its initial list. The list is therefore watched
+            // from the start, on a separate schedule (`rushquay_endpoints::WatchSchedule`).
             Action::Subscribe => {}
         }
     }
 
-    /// Starts an attempt; returns an event if it ended before it was sent.
+    /// Starts an attempt. Returns its outcome as an event if it was not sent.
     fn send(&self, core: &mut Core, id: RequestId, server: ServerId, timeout: Nanos) -> Option<Event> {
         let now = self.clock.now();
         let pending = core.pending.get_mut(&id)?;
@@ -359,25 +369,26 @@
         let left = pending.deadline.saturating_sub(now);
         if pending.answer.is_none() || left == 0 || !pending.job.may_send() {
             pending.attempts.push(Attempt::unsent(server, now));
-            return Some(self.outcome(pending, number, Status::Moot, None));
+            return Some(self.outcome_event(pending, number, Status::Moot, None));
         }
-        // The module's timeout is meant for a request that the node receives immediately.
-        let mut wait = if timeout == 0 || pending.job.upload().is_some() { left } else { timeout.min(left) };
-        let mut made = Made::default();
+        // The module's timeout assumes that the node receives the complete request immediately, so streamed bodies are exempt.
+        let mut attempt_timeout =
+            if timeout == 0 || pending.job.upload().is_some() { left } else { timeout.min(left) };
+        let mut record = AttemptRecord::default();
         if let Some(terms) = &pending.terms {
-            let earlier = pending.attempts.iter().map(|a| (a.sent, &a.made));
-            match terms.allow(earlier, pending.keyed, self.upstreams.grouped(server)) {
-                Some(allowed) => made = allowed,
+            let earlier = pending.attempts.iter().map(|a| (a.sent, &a.record));
+            match terms.allow(earlier, pending.keyed, self.upstreams.group_since(server)) {
+                Some(allowed) => record = allowed,
                 None => {
                     pending.attempts.push(Attempt::unsent(server, now));
-                    return Some(self.outcome(pending, number, Status::Moot, None));
+                    return Some(self.outcome_event(pending, number, Status::Moot, None));
                 }
             }
-            wait = terms.wait(wait);
+            attempt_timeout = terms.attempt_timeout(attempt_timeout);
         }
-        let busy = pending.attempts.iter().any(|a| a.out.is_some());
+        let in_flight = pending.attempts.iter().any(|a| a.in_flight.is_some());
         let last = pending.attempts.last().and_then(|a| a.status);
-        let after = match (busy, pending.attempts.is_empty()) {
+        let after = match (in_flight, pending.attempts.is_empty()) {
             (_, true) => None,
             (true, _) => Some(Cause::SecondCopy),
             (false, _) => Some(cause_of(last)),
@@ -386,118 +397,129 @@
         request_trace::event(|| Traced::Attempt { request: pending.job.id(), number, node: server, after });
         if fleet_stats::on() {
             let (kind, started) = self.upstreams.kind(server).unwrap_or_default();
-            let cold = started > 0 && now < started.saturating_add(self.cold);
-            fleet_stats::attempt(busy, last, self.origin == Some(kind), cold);
+            let cold = started > 0 && now < started.saturating_add(self.slow_start);
+            fleet_stats::attempt(in_flight, last, self.origin_kind == Some(kind), cold);
         }
-        let begin = pending.repeat_by().map(|by| Duration::from_nanos(by.saturating_sub(now)));
+        let first_byte = pending.retry_by().map(|by| Duration::from_nanos(by.saturating_sub(now)));
         let client = Duration::from_nanos(pending.client_until.saturating_sub(now));
-        let told_most = pending.behind_body.map(Duration::from_nanos);
-        let span = Span { whole: Duration::from_nanos(wait), begin, client, told_most };
+        let max_node_deadline = pending.after_body.map(Duration::from_nanos);
+        let limits = AttemptLimits {
+            total: Duration::from_nanos(attempt_timeout),
+            first_byte,
+            client,
+            max_node_deadline,
+        };
         let importance = pending.terms.as_ref().map(|t| t.importance);
         let (job, cancellation) = (pending.job.clone(), Rc::new(Cancellation::default()));
-        let (upstreams, held, myself) = (self.upstreams.clone(), cancellation.clone(), self.myself.clone());
+        let (upstreams, task_cancellation, weak_self) =
+            (self.upstreams.clone(), cancellation.clone(), self.weak_self.clone());
         let task = tokio::task::spawn_local(async move {
-            let ended = upstreams.attempt(server, &job, span, &held, importance.unwrap_or_default()).await;
-            if let Some(engine) = myself.upgrade() {
-                engine.ended(id, number, ended);
+            let ended = upstreams
+                .attempt(server, &job, limits, &task_cancellation, importance.unwrap_or_default())
+                .await;
+            if let Some(engine) = weak_self.upgrade() {
+                engine.on_outcome(id, number, ended);
             }
         });
         pending.attempts.push(Attempt {
             server,
             sent: now,
-            out: Some((cancellation, task.abort_handle())),
-            made,
+            in_flight: Some((cancellation, task.abort_handle())),
+            record,
             status: None,
         });
         None
     }
 
     /// Cancels an attempt in flight and closes its connection.
-    fn call_off(&self, core: &mut Core, id: RequestId, number: usize) -> Option<Event> {
+    fn cancel_attempt(&self, core: &mut Core, id: RequestId, number: usize) -> Option<Event> {
         let pending = core.pending.get_mut(&id)?;
         let attempt = pending.attempts.get_mut(number)?;
-        let (cancellation, task) = attempt.out.take()?;
-        cancellation.cut();
+        let (cancellation, task) = attempt.in_flight.take()?;
+        cancellation.close_connection();
         task.abort();
-        attempt.ended(Status::Cancelled, 0);
-        let event = self.outcome(pending, number, Status::Cancelled, None);
+        attempt.record_outcome(Status::Cancelled, 0);
+        let event = self.outcome_event(pending, number, Status::Cancelled, None);
         Self::forget(core, id);
         Some(event)
     }
 
-    fn call_off_all(&self, core: &mut Core, id: RequestId) {
+    /// Cancels all attempts of a request.
+    fn cancel_all_attempts(&self, core: &mut Core, id: RequestId) {
         let attempts = core.pending.get(&id).map_or(0, |p| p.attempts.len());
         for number in 0..attempts {
-            if let Some(event) = self.call_off(core, id, number) {
+            if let Some(event) = self.cancel_attempt(core, id, number) {
                 self.feed(core, event);
             }
         }
     }
 
-    /// Gives the final answer, if none was given.
+    /// Sends the final answer, unless one was sent.
     fn answer(&self, core: &mut Core, id: RequestId, answer: Answer, events: &mut VecDeque<Event>) {
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(sender) = pending.answer.take() else { return };
         let last = pending.attempts.last().and_then(|a| a.status);
         fleet_stats::unserved(&answer, last);
         self.count_unserved(pending.job.id(), &answer, cause_of(last));
-        // A client that has just gone needs no answer.
+        // The receiver is gone if the client has just disconnected.
         let _ = sender.send(answer);
-        pending.out().for_each(Cancellation::answered);
-        if self.cancel {
-            // Danger: attempts still in flight when the request is over would go on for no client.
+        pending.in_flight().for_each(Cancellation::mark_answered);
+        if self.cancel_obsolete {
+            // Danger: attempts still in flight would go on for a request that is already answered.
             let attempts = pending.attempts.len();
-            events.extend((0..attempts).filter_map(|n| self.call_off(core, id, n)));
+            events.extend((0..attempts).filter_map(|n| self.cancel_attempt(core, id, n)));
         }
         Self::forget(core, id);
     }
 
-    /// Counts a rejection or failure by what preceded it.
+    /// Counts a rejection or failure under the outcome of the last attempt.
     fn count_unserved(&self, request: &str, answer: &Answer, after: Cause) {
-        let ledger = self.upstreams.ledger();
+        let metrics = self.upstreams.ledger();
         let status = match answer {
             Answer::Refused(_) => {
-                ledger.refusals.one_more(after);
+                metrics.refusals.one_more(after);
                 503
             }
             _ => {
-                ledger.failures.one_more(after);
+                metrics.failures.one_more(after);
                 502
             }
         };
         request_trace::event(|| Traced::Answered { request, status, after: Some(after) });
     }
 
-    /// Forgets a request that was answered and has no attempt in flight.
+    /// Removes a request that was answered and has no attempt in flight.
     fn forget(core: &mut Core, id: RequestId) {
-        let over = |p: &Pending| p.answer.is_none() && p.attempts.iter().all(|a| a.out.is_none());
-        if core.pending.get(&id).is_some_and(over) {
+        let is_finished =
+            |p: &Pending| p.answer.is_none() && p.attempts.iter().all(|a| a.in_flight.is_none());
+        if core.pending.get(&id).is_some_and(is_finished) {
             core.pending.remove(&id);
         }
     }
 }
 
-/// A claim on one final answer. Dropping it before the answer arrives tells the module that the client has gone.
+/// Yields the final answer of a request. Dropping it before the answer arrives cancels the request.
 pub struct Ticket {
     id: RequestId,
-    answered: Option<oneshot::Receiver<Answer>>,
-    guard: Duration,
+    receiver: Option<oneshot::Receiver<Answer>>,
+    /// Maximum time to wait for the module's answer.
+    max_wait: Duration,
     engine: Weak<Engine>,
 }
 
 impl Ticket {
-    /// Waits for the final answer, at most until just before the client gives up.
+    /// Waits for the final answer, at most until just before the client's deadline.
     pub async fn answer(&mut self) -> Answer {
-        let Some(answered) = self.answered.as_mut() else { return Answer::Overdue };
-        let got = tokio::time::timeout(self.guard, answered).await;
-        match got {
+        let Some(receiver) = self.receiver.as_mut() else { return Answer::Overdue };
+        let result = tokio::time::timeout(self.max_wait, receiver).await;
+        match result {
             Ok(Ok(answer)) => {
-                self.answered = None;
+                self.receiver = None;
                 answer
             }
             Ok(Err(_)) => Answer::Failed,
             Err(_) => {
-                crate::proxy::log("a request was left unanswered until its deadline");
+                crate::proxy::log("the decision module left a request unanswered until its deadline");
                 Answer::Overdue
             }
         }
@@ -506,15 +528,15 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        if self.answered.is_some() {
+        if self.receiver.is_some() {
             if let Some(engine) = self.engine.upgrade() {
-                engine.leave(self.id);
+                engine.abandon(self.id);
             }
         }
     }
 }
 
-/// The label that an attempt's end is counted under.
+/// Returns the label under which the outcome of the last attempt is counted.
 fn cause_of(last: Option<Status>) -> Cause {
     match last {
         None => Cause::NotSent,
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! A request as it is forwarded to nodes, and the engine's handle on an attempt.
+//! The request that attempts send to upstream nodes, and the handle that cancels an attempt.
 
 use crate::api::Status;
 use crate::proxy::http::headers::CORRELATION_ID;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request as it is forwarded to any node.
+/// A client's request in the form in which it is forwarded to upstream nodes.
 pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
@@ -21,21 +21,21 @@
     pub body: AttemptBody,
 }
 
-/// A request's body.
+/// The body of a forwarded request.
 pub enum AttemptBody {
-    /// Buffered completely.
+    /// The complete body, buffered.
     Whole(Bytes),
-    /// Streamed.
+    /// A body that is streamed from the client.
     Long(Rc<Upload>),
 }
 
 impl UpstreamRequest {
-    /// Its X-Correlation-Id.
+    /// Returns the request's `X-Correlation-Id`, or an empty string if it has none.
     pub fn id(&self) -> &str {
         self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or("")
     }
 
-    /// Its body if that is streamed.
+    /// Returns the body if it is streamed.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.body {
             AttemptBody::Whole(_) => None,
@@ -43,41 +43,42 @@
         }
     }
 
-    /// Whether another attempt could still send its complete body.
+    /// Returns whether another attempt could still send the complete body.
     pub fn may_send(&self) -> bool {
         self.upload().is_none_or(|u| u.may_send())
     }
 }
 
-/// The time limits of an attempt, from now.
+/// The time limits of an attempt, counted from its start.
 #[derive(Clone, Copy)]
-pub struct Span {
-    /// For the whole attempt.
-    pub whole: Duration,
-    /// Until its first byte; `None`: no limit but the whole. Danger: nodes deduplicate against the previous attempt only for a limited
-    /// time, which may be over once a connection is established.
-    pub begin: Option<Duration>,
-    /// Until the client's deadline.
+pub struct AttemptLimits {
+    /// Limit on the whole attempt.
+    pub total: Duration,
+    /// Limit until the first byte is written; `None`: only `total` applies. Danger: nodes deduplicate against the previous
+    /// attempt only for a limited time, which may have passed by the time a connection is established.
+    pub first_byte: Option<Duration>,
+    /// Time until the client's deadline.
     pub client: Duration,
-    /// The most that is passed on to the node as its deadline; `None`: all that is left. The deadline of a streamed body runs from its
-    /// last byte, for the client and for the node.
-    pub told_most: Option<Duration>,
+    /// Maximum time left that is announced to the node; `None`: all that remains of `total`. The deadline of a request with a
+    /// streamed body runs from its last byte, for the client and for the node.
+    pub max_node_deadline: Option<Duration>,
 }
 
-impl Span {
-    /// No limit on the first byte, and a client deadline equal to the whole.
-    pub fn of(whole: Duration) -> Self {
-        Span { whole, begin: None, client: whole, told_most: None }
+impl AttemptLimits {
+    /// Creates limits with no limit on the first byte and a client deadline equal to `total`.
+    pub fn with_total(total: Duration) -> Self {
+        AttemptLimits { total, first_byte: None, client: total, max_node_deadline: None }
     }
 }
 
 /// The outcome of an attempt.
 pub struct AttemptOutcome {
     pub status: Status,
-    /// The status code of its response; 0: there was none.
+    /// The status code of the response; 0 if there was none.
     pub code: u16,
+    /// Whether the node reported a cache hit; `None`: it did not say.
     pub hit: Option<bool>,
-    /// The response, if it was served.
+    /// The response to forward, if the attempt succeeded.
     pub answer: Option<Response<Body>>,
 }
 
@@ -87,7 +88,7 @@
     }
 }
 
-/// The engine's handle on an attempt in flight.
+/// The engine's handle for cancelling an attempt in flight.
 #[derive(Default)]
 pub struct Cancellation {
     socket: RefCell<Option<Rc<Socket>>>,
@@ -95,35 +96,37 @@
 }
 
 impl Cancellation {
-    /// The state of the request.
-    pub fn request(&self) -> RequestState {
+    /// Returns the state of the request that the attempt belongs to.
+    pub fn request_state(&self) -> RequestState {
         self.request.get()
     }
 
-    /// The request was answered: an attempt that is not written yet is never written, which the check at its first byte ensures.
-    pub fn answered(&self) {
+    /// Marks the request as answered. An attempt whose first byte is not written yet is then never written: the check before the
+    /// first byte denies it.
+    pub fn mark_answered(&self) {
         self.request.set(RequestState::Answered(steady()));
     }
 
-    /// Its client has gone: the same.
-    pub fn abandoned(&self) {
+    /// Marks the request as abandoned by its client, with the same effect on an unwritten attempt.
+    pub fn mark_abandoned(&self) {
         self.request.set(RequestState::Abandoned(steady()));
     }
 
-    /// The attempt is written on this connection.
-    pub fn on(&self, socket: &Rc<Socket>) {
+    /// Sets the connection that the attempt is written to.
+    pub fn set_socket(&self, socket: &Rc<Socket>) {
         self.socket.replace(Some(socket.clone()));
     }
 
-    /// Whether it was written completely.
-    pub fn written(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|s| s.whole())
+    /// Returns whether the attempt was written completely.
+    pub fn is_written(&self) -> bool {
+        self.socket.borrow().as_ref().is_some_and(|s| s.is_written())
     }
 
-    /// Closes the connection immediately. Danger: the task that writes it may run before the aborted task ends.
-    pub fn cut(&self) {
+    /// Closes the connection immediately. Danger: the task that drives the connection may still write before the aborted attempt's
+    /// task ends, so the request is marked first.
+    pub fn close_connection(&self) {
         if self.request.get() == RequestState::Open {
-            self.answered();
+            self.mark_answered();
         }
         if let Some(socket) = self.socket.take() {
             socket.close();
--- a/src/proxy/upstream/attempt_policy.rs
+++ b/src/proxy/upstream/attempt_policy.rs
@@ -1,4 +1,5 @@
-//! What a request's cluster and route permit for its attempts, in addition to the decision module: they can only forbid.
+//! Limits that a request's cluster and route put on its attempts. They apply on top of the decision module's choices and can only
+//! deny an attempt.
 
 use crate::api::{Nanos, Status};
 use rushquay_load_assignment::repeats::{may_repeat, Tried};
@@ -7,50 +8,50 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The terms of one request.
+/// The attempt policy of one request.
 pub struct AttemptPolicy {
-    /// What its route says of repeated attempts; `None`: nothing.
+    /// The retry policy of its route; `None`: the route has none.
     pub retries: Option<Retries>,
-    /// Which limits of its cluster hold.
+    /// The importance level of the request, which selects the set of circuit breaker limits.
     pub importance: Importance,
-    /// Its cluster's limits; `None`: it has none.
+    /// The circuit breakers of its cluster; `None`: the cluster has none.
     pub breakers: Option<Breakers>,
-    /// Since when its cluster's group of nodes is what it is; told by the cluster, also while the request is out.
+    /// When the cluster's deduplication group last changed. Shared with the cluster, so a change during the request is seen.
     pub group_since: Rc<Cell<Nanos>>,
-    /// Since when the routes are what they are.
+    /// When the route table last changed.
     pub routes_since: Rc<Cell<Nanos>>,
-    /// Wherever its route may lead a repeat of its client's, the same group is there.
+    /// Whether every cluster that the route may choose for a client's retry has the same deduplication group.
     pub one_group: bool,
 }
 
-/// What becomes of an attempt, as terms see it.
+/// The record of one attempt, as the attempt policy counts it.
 #[derive(Debug, Default)]
-pub struct Made {
-    /// It counts among the repeats that are out.
-    repeat: Option<Hold>,
-    state: State,
+pub struct AttemptRecord {
+    /// Holds a place in the cluster's retry limit until the attempt ends; `None`: it is no retry, or no limit applies.
+    retry_hold: Option<Hold>,
+    state: AttemptState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
+enum AttemptState {
     #[default]
-    Out,
+    InFlight,
     Ended(Option<Ended>, bool),
-    /// Nothing was sent, or the node lacked the key: no attempt that a policy would count.
+    /// Nothing was sent, or the node did not have the key: not an attempt that a retry policy counts.
     Uncounted,
 }
 
-impl Made {
-    /// One that was never sent.
+impl AttemptRecord {
+    /// Creates the record of an attempt that was never sent.
     pub fn unsent() -> Self {
-        Made { repeat: None, state: State::Uncounted }
+        AttemptRecord { retry_hold: None, state: AttemptState::Uncounted }
     }
 
-    /// It has ended so; `code`: the status of its answer, or 0.
-    pub fn ended(&mut self, status: Status, code: u16) {
-        self.repeat = None;
+    /// Records the outcome. `code` is the status code of the response, or 0 if there was none.
+    pub fn record_outcome(&mut self, status: Status, code: u16) {
+        self.retry_hold = None;
         let ended = match status {
-            Status::Moot | Status::Miss => return self.state = State::Uncounted,
+            Status::Moot | Status::Miss => return self.state = AttemptState::Uncounted,
             Status::Ok | Status::Cancelled => None,
             Status::ConnectFailed => Some(Ended::ConnectFailure),
             Status::Reset => Some(Ended::Reset),
@@ -58,62 +59,64 @@
             Status::Full => Some(Ended::Overloaded),
             Status::Error => Some(Ended::Status(code)),
         };
-        self.state = State::Ended(ended, !status.never_ran());
+        self.state = AttemptState::Ended(ended, !status.never_ran());
     }
 
     fn may_have_run(&self) -> bool {
-        matches!(self.state, State::Out | State::Ended(_, true))
+        matches!(self.state, AttemptState::InFlight | AttemptState::Ended(_, true))
     }
 }
 
 impl AttemptPolicy {
-    /// Whether another attempt may be made after these, with the time at which each was sent; `node_since`: since when the
-    /// node that it would go to belongs to its group.
+    /// Returns a record for the next attempt if the policy allows one after `earlier`, the previous attempts with the time at which
+    /// each was sent. `node_since` is when the target node joined its group.
     pub fn allow<'a>(
         &self,
-        earlier: impl Iterator<Item = (Nanos, &'a Made)> + Clone,
+        earlier: impl Iterator<Item = (Nanos, &'a AttemptRecord)> + Clone,
         keyed: bool,
         node_since: Nanos,
-    ) -> Option<Made> {
+    ) -> Option<AttemptRecord> {
         if keyed && !may_repeat(self.group_since.get(), node_since, tried(earlier.clone())) {
             return None;
         }
-        let counted = earlier.filter(|(_, m)| m.state != State::Uncounted);
-        let made = counted.clone().count() as u32;
-        if made == 0 {
-            return Some(Made::default());
+        let counted = earlier.filter(|(_, m)| m.state != AttemptState::Uncounted);
+        let attempts = counted.clone().count() as u32;
+        if attempts == 0 {
+            return Some(AttemptRecord::default());
         }
-        let last = counted.filter_map(|(_, m)| match m.state {
-            State::Ended(how, _) => how,
+        let endings = counted.filter_map(|(_, m)| match m.state {
+            AttemptState::Ended(ending, _) => ending,
             _ => None,
         });
-        if self.retries.as_ref().is_some_and(|r| !r.allow(made, last.last())) {
+        if self.retries.as_ref().is_some_and(|r| !r.allow(attempts, endings.last())) {
             return None;
         }
-        let repeat =
+        let retry_hold =
             self.breakers.as_ref().map(|b| b.take(self.importance, Trip::Retries)).transpose().ok()?;
-        Some(Made { repeat, state: State::Out })
+        Some(AttemptRecord { retry_hold, state: AttemptState::InFlight })
     }
 
-    /// Whether a repeat of the client's meets the group that these attempts were sent to, whatever cluster its route then
-    /// picks.
-    pub fn remembered<'a>(&self, made: impl Iterator<Item = (Nanos, &'a Made)>) -> bool {
+    /// Returns whether a retry by the client would reach the deduplication group that these attempts were sent to, whichever cluster
+    /// the route then chooses.
+    pub fn reaches_same_group<'a>(&self, attempts: impl Iterator<Item = (Nanos, &'a AttemptRecord)>) -> bool {
         let since =
             if self.one_group { self.group_since.get().max(self.routes_since.get()) } else { Nanos::MAX };
-        may_repeat(since, 0, tried(made))
+        may_repeat(since, 0, tried(attempts))
     }
 
-    /// How long an attempt may take, at most `wait`.
-    pub fn wait(&self, wait: Nanos) -> Nanos {
+    /// Returns the timeout of an attempt: `timeout`, or the per-try timeout of the route if that is shorter.
+    pub fn attempt_timeout(&self, timeout: Nanos) -> Nanos {
         match self.retries.as_ref().map_or(0, |r| r.per_try) {
-            0 => wait,
-            most => wait.min(most),
+            0 => timeout,
+            per_try => timeout.min(per_try),
         }
     }
 }
 
-fn tried<'a, I: Iterator<Item = (Nanos, &'a Made)>>(made: I) -> impl Iterator<Item = Tried> + use<'a, I> {
-    made.map(|(sent, m)| Tried { sent, may_have_run: m.may_have_run() })
+fn tried<'a, I: Iterator<Item = (Nanos, &'a AttemptRecord)>>(
+    attempts: I,
+) -> impl Iterator<Item = Tried> + use<'a, I> {
+    attempts.map(|(sent, m)| Tried { sent, may_have_run: m.may_have_run() })
 }
 
 #[cfg(test)]
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,4 +1,5 @@
-//! What answers requests: one decision module on the proxy's own endpoint list, or the clusters of Envoy's form.
+//! The backend that serves requests: a single decision module on the proxy's own endpoint list, or the clusters of an Envoy
+//! configuration.
 
 use crate::api::ColdLeft;
 use crate::proxy::discovery::endpoint_list::EndpointFeed;
@@ -9,17 +10,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What answers requests.
+/// The backend that serves requests.
 #[derive(Clone)]
 pub enum Backend {
-    /// One decision module for all requests.
+    /// A single decision module serves all requests.
     One { engine: Rc<Engine>, upstreams: Rc<Upstreams>, nodes: Rc<EndpointFeed> },
-    /// Routes choose a cluster for each request.
+    /// The route table chooses a cluster for each request.
     Pools(Rc<Pools>),
 }
 
 impl Backend {
-    /// Whether a request could be served now.
+    /// Returns whether a request could be served now.
     pub fn can_serve(&self) -> bool {
         match self {
             Backend::One { engine, .. } => engine.can_serve(),
@@ -27,16 +28,17 @@
         }
     }
 
-    /// Discovery's list, for a successor; null: there is none.
+    /// Returns discovery's endpoint list for a successor; null if there is none.
     pub fn list(&self) -> Value {
         match self {
-            // Nothing in a list can fail to be written.
+            // Serializing an endpoint list cannot fail.
             Backend::One { nodes, .. } => serde_json::to_value(nodes.whole()).unwrap_or_default(),
             Backend::Pools(_) => Value::Null,
         }
     }
 
-    /// Gives away what may still be sent to cold nodes. Envoy's form does not tell when a node's process started.
+    /// Gives up the slow-start allowance for cold nodes, for a successor. Envoy clusters have none: an Envoy configuration does not
+    /// say when a node's process started.
     pub fn give_cold(&self) -> Vec<ColdLeft> {
         match self {
             Backend::One { engine, .. } => engine.release_slow_start_allowance(),
@@ -44,14 +46,14 @@
         }
     }
 
-    /// Takes what the process before this one gave.
+    /// Takes over the slow-start allowance that the incumbent gave up.
     pub fn take_cold(&self, given: &[ColdLeft]) {
         if let Backend::One { engine, .. } = self {
             engine.inherit_slow_start_allowance(given);
         }
     }
 
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn longest(&self) -> Duration {
         match self {
             Backend::One { engine, .. } => engine.acting().longest(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// How many cache nodes are listed, and how many of them are avoided at present.
+    /// Returns how many cache nodes are listed, and how many of them are avoided at present.
     pub fn members(&self) -> (usize, usize) {
         match self {
             Backend::One { engine, .. } => engine.endpoint_counts(),
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Closes the upstream connection that has been idle the longest; false if there is none.
+    /// Closes the upstream connection that has been idle the longest. Returns false if no connection is idle.
     pub fn yield_idle(&self) -> bool {
         match self {
             Backend::One { upstreams, .. } => upstreams.yield_idle(),
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Closes idle connections that were closed by their peer or idle for too long.
+    /// Closes idle connections that their peer has closed or that exceeded the idle timeout.
     pub fn sweep(&self) {
         match self {
             Backend::One { upstreams, .. } => upstreams.sweep(),
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection from its first byte to its close.
+//! Serves one client connection from accept to close.
 
 use crate::proxy::http::request_framing::RequestFraming;
 use crate::proxy::http::responses::{bad, closing};
@@ -18,24 +18,24 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Before an idle connection is closed on which something has come, the runtime gets so many turns to hear of it.
-const LOOKS: u32 = 3;
+/// How many times the runtime gets a turn to read bytes that have arrived on an idle connection before it is closed.
+const MAX_RECHECKS: u32 = 3;
 
-/// What to do with a connection that is to end.
+/// What to do with a connection that should be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
-    /// Close it.
+enum CloseAction {
+    /// Close it now.
     Close,
-    /// Something has come of which the runtime has not heard: look again.
-    LookAgain,
-    /// Let its answers say that it ends behind the last of them.
+    /// The kernel holds bytes that the runtime has not read yet: let the runtime run and check again.
+    Recheck,
+    /// Answer the open requests first; the last response carries `Connection: close`.
     AnswerFirst,
-    /// Wait for the rest of a head, whose time is limited elsewhere.
+    /// Wait for the rest of a request head, which has a timeout of its own.
     Wait,
 }
 
 impl Server {
-    /// Serves a connection, on a task of its own.
+    /// Serves a new connection in a separate task.
     pub fn connected(self: &Rc<Self>, stream: TcpStream, permit: Permit) {
         let client = Client::new(self.next_connection(), stream, permit);
         self.clients.borrow_mut().push(client.clone());
@@ -49,16 +49,16 @@
         });
     }
 
-    /// Answers all that comes on a connection, up to its end.
+    /// Answers all requests of a connection until it closes.
     async fn serve(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| {
             let busy = Busy::new(client);
             let fault = client.read_buffer.fault.take();
             async move {
                 let mut response = match fault {
-                    Some(why) => {
+                    Some(reason) => {
                         self.count_turned_away(client.number, TurnedAway::BadFraming);
-                        bad(StatusCode::BAD_REQUEST, why)
+                        bad(StatusCode::BAD_REQUEST, reason)
                     }
                     None => self.handle_request(request, client).await,
                 };
@@ -69,49 +69,49 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        // Danger: by default hyper drops the request of a client that has ended its sending and still waits,
-        // and lets one connection hold some 400 KB.
-        let gate = RequestFraming::new(client.socket.clone(), client.read_buffer.clone());
+        // Danger: by default hyper drops the request of a client that has closed its sending side and still waits for the response,
+        // and buffers some 400 KB per connection.
+        let framing = RequestFraming::new(client.socket.clone(), client.read_buffer.clone());
         let connection = http1::Builder::new()
             .half_close(true)
             .max_buf_size(BUFFER_MOST)
-            .serve_connection(TokioIo::new(gate), service);
+            .serve_connection(TokioIo::new(framing), service);
         let mut connection = std::pin::pin!(connection);
-        let mut looks = LOOKS;
+        let mut rechecks_left = MAX_RECHECKS;
         loop {
-            // What has come in is read before the connection is asked to end.
+            // Bytes that have arrived are read before the connection is asked to close.
             tokio::select! {
                 biased;
                 ended = connection.as_mut() => {
                     if ended.as_ref().is_err_and(hyper::Error::is_parse) {
                         self.count_turned_away(client.number, TurnedAway::Unparsable);
                     }
-                    self.closed(client, ended_by(client, ended));
+                    self.record_close(client, close_cause(client, ended));
                     return;
                 }
                 () = client.ending.notified() => {
                     let cause = client.cause().unwrap_or(CloseCause::Idle);
-                    match next(client, cause, &mut looks) {
-                        Next::Close => {
-                            self.closed(client, cause);
+                    match close_action(client, cause, &mut rechecks_left) {
+                        CloseAction::Close => {
+                            self.record_close(client, cause);
                             return;
                         }
-                        Next::LookAgain => {
+                        CloseAction::Recheck => {
                             client.ending.notify_one();
                             tokio::task::yield_now().await;
                         }
-                        Next::AnswerFirst if client.read_buffer.behind() == BufferedInput::Nothing => {
+                        CloseAction::AnswerFirst if client.read_buffer.behind() == BufferedInput::Nothing => {
                             connection.as_mut().graceful_shutdown();
                         }
-                        Next::AnswerFirst | Next::Wait => {}
+                        CloseAction::AnswerFirst | CloseAction::Wait => {}
                     }
                 }
             }
         }
     }
 
-    /// Whether the answer that is given now is the last on its connection. Danger: what has been read behind the request would be
-    /// dropped unanswered; what has come and was not read is read now.
+    /// Returns whether the response that is being sent is the last on its connection. Danger: requests that were already read behind
+    /// this one would be dropped unanswered, so bytes that have arrived are read now.
     fn is_last(&self, client: &Client) -> bool {
         if client.read_buffer.last.get() {
             return true;
@@ -123,8 +123,8 @@
         client.read_buffer.behind() == BufferedInput::Nothing
     }
 
-    /// Notes that a connection has ended, and looks whether something was owed on it.
-    fn closed(&self, client: &Client, cause: CloseCause) {
+    /// Records that a connection has closed, and checks whether a response was still owed on it.
+    fn record_close(&self, client: &Client, cause: CloseCause) {
         let facts = ConnectionFacts { peer_gone: client.socket.ended(), ..client.facts() };
         if let Some(violation) = check_closed(&facts, cause) {
             let connection = format!("connection {} ({cause:?}, {facts:?})", client.number);
@@ -134,17 +134,17 @@
         request_trace::event(|| Event::Closed { connection: client.number, cause });
     }
 
-    /// Notes a connection that the end of the process cuts off.
+    /// Records a connection that is closed by the end of the process.
     pub fn cut_off(&self, client: &Client) {
-        self.closed(client, CloseCause::ProcessEnd);
+        self.record_close(client, CloseCause::ProcessEnd);
     }
 }
 
-/// Why a connection has ended that hyper no longer serves.
-fn ended_by(client: &Client, ended: Result<(), hyper::Error>) -> CloseCause {
+/// Returns why hyper stopped serving a connection.
+fn close_cause(client: &Client, ended: Result<(), hyper::Error>) -> CloseCause {
     let cause = match &ended {
         Err(e) if e.is_user() => {
-            // Danger: where the end of an answer is the end of its connection, a part of it would pass for the whole.
+            // Danger: if a response is delimited by the close of its connection, a truncated one would pass for complete.
             if client.ends_by_close.get() {
                 client.socket.reset();
             }
@@ -158,16 +158,16 @@
     client.cause().unwrap_or(cause)
 }
 
-/// What to do with a connection that is to end for this reason.
-fn next(client: &Client, cause: CloseCause, looks: &mut u32) -> Next {
+/// Returns what to do with a connection that should be closed for this cause.
+fn close_action(client: &Client, cause: CloseCause, rechecks_left: &mut u32) -> CloseAction {
     match may_close(&client.facts(), cause) {
-        Err(Owed::Answer | Owed::RestOfAnswer) => Next::AnswerFirst,
-        Err(Owed::RestOfHead) => Next::Wait,
-        // Danger: what has just come may be a request, of which the runtime has not heard yet.
-        Ok(()) if *looks > 0 && cause != CloseCause::NotRead && !client.socket.silent() => {
-            *looks -= 1;
-            Next::LookAgain
+        Err(Owed::Answer | Owed::RestOfAnswer) => CloseAction::AnswerFirst,
+        Err(Owed::RestOfHead) => CloseAction::Wait,
+        // Danger: bytes that have just arrived may be a request that the runtime has not read yet.
+        Ok(()) if *rechecks_left > 0 && cause != CloseCause::NotRead && !client.socket.silent() => {
+            *rechecks_left -= 1;
+            CloseAction::Recheck
         }
-        Ok(()) => Next::Close,
+        Ok(()) => CloseAction::Close,
     }
 }
--- a/src/proxy/upstream/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -1,5 +1,5 @@
-//! The clusters that requests are sent to, where they come in Envoy's form: each has a decision module, connections and
-//! limits of its own, and shares nothing with the others but the proxy's descriptors.
+//! The upstream clusters of an Envoy configuration. Each has a decision module, connections and limits of its own, and shares only the
+//! proxy's descriptors with the others.
 
 use crate::api::{server_id, Entry, ListKind, Nanos, ServerId, Settings, State};
 use crate::proxy::clock::Clock;
@@ -7,7 +7,7 @@
 use crate::proxy::config::interner::Interner;
 use crate::proxy::engine::Engine;
 use crate::proxy::listener::descriptors::Descriptors;
-use crate::proxy::upstream::{idle_most, Bounds, Upstreams};
+use crate::proxy::upstream::{idle_timeout_for, ConnectionLimits, Upstreams};
 use rushquay_admin::RequestMetrics;
 use rushquay_endpoints::{Endpoint, EndpointState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
@@ -21,29 +21,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A cluster. Whoever has a request in it holds it, so that the request gets its answer also when the cluster is gone.
+/// An upstream cluster. Each of its requests holds a reference, so that requests in flight are still answered after the cluster is
+/// removed.
 pub struct Cluster {
-    /// Its name.
     pub name: Arc<str>,
     pub engine: Rc<Engine>,
     pub upstreams: Rc<Upstreams>,
-    /// Its limits, where it names any.
+    /// Its circuit breakers, if it configures any.
     pub breakers: RefCell<Option<Breakers>>,
-    /// Since when its group of nodes is what it is.
+    /// When its deduplication group last changed.
     pub group_since: Rc<Cell<Nanos>>,
+    /// The name of the group of nodes that deduplicates its retries.
     group: RefCell<Arc<str>>,
-    /// All connections are made anew when a node comes or goes.
-    renew: Cell<bool>,
-    /// The part of its requests that is refused.
+    /// Whether all connections are replaced when a node is added or removed.
+    retire_on_change: Cell<bool>,
+    /// The fraction of its requests that is rejected by configuration, from 0 to 1.
     pub refused: Cell<f64>,
     pub overloads: RefCell<Vec<Overload>>,
     nodes: RefCell<FxHashMap<ServerId, Arc<str>>>,
     pub requests: Cell<u64>,
-    /// Requests that were turned away by limits or on purpose.
+    /// Requests that were rejected by limits or by configuration.
     pub shed: Cell<u64>,
 }
 
-/// What passed at a node, for the admin page.
+/// Counters of a node for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct NodeFigures {
     pub cluster: Arc<str>,
@@ -54,7 +55,7 @@
     pub failed: u64,
 }
 
-/// What passed at a cluster.
+/// Counters of a cluster for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterFigures {
     pub name: Arc<str>,
@@ -62,22 +63,22 @@
     pub open: usize,
     pub requests: u64,
     pub shed: u64,
-    /// How often the limits on requests, repeats and connecting attempts were reached.
+    /// How often the limits on requests, retries and pending connections were reached.
     pub trips: [u64; 3],
 }
 
-/// All clusters, and the routes that lead to them.
+/// All clusters, and the route table that selects among them.
 pub struct Pools {
     acting: Rc<ActiveConfig>,
     seed: u64,
-    /// The one clock of all clusters, and of who tells of their changes.
+    /// The clock that all clusters, and the source of their changes, share.
     clock: Clock,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<RequestMetrics>,
+    metrics: Arc<RequestMetrics>,
     clusters: RefCell<HashMap<Arc<str>, Rc<Cluster>>>,
     splits: RefCell<HashMap<Arc<str>, Split>>,
     table: RefCell<Option<Arc<Table>>>,
-    /// Since when it holds.
+    /// When the route table was last replaced.
     routes_since: Rc<Cell<Nanos>>,
 }
 
@@ -87,7 +88,7 @@
         names: Interner,
         seed: u64,
         descriptors: Rc<Descriptors>,
-        ledger: Arc<RequestMetrics>,
+        metrics: Arc<RequestMetrics>,
         clock: Clock,
     ) -> Rc<Self> {
         Rc::new(Pools {
@@ -95,7 +96,7 @@
             seed,
             clock,
             descriptors,
-            ledger,
+            metrics,
             clusters: RefCell::default(),
             splits: RefCell::default(),
             table: RefCell::default(),
@@ -111,76 +112,77 @@
         &self.acting.settings
     }
 
-    /// What all clusters go by.
+    /// Returns the configuration that all clusters share.
     pub fn acting(&self) -> &ActiveConfig {
         &self.acting
     }
 
-    /// The routes that hold.
+    /// Returns the current route table.
     pub fn table(&self) -> Option<Arc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// Since when they hold.
+    /// Returns when the route table was last replaced.
     pub fn routes_since(&self) -> Rc<Cell<Nanos>> {
         self.routes_since.clone()
     }
 
-    /// Whether all clusters that these names stand for have one group of nodes that drops repeats.
+    /// Returns whether all clusters that these names resolve to have the same deduplication group.
     pub fn one_group<'n>(&self, names: impl Iterator<Item = &'n str>) -> bool {
         let (clusters, splits) = (self.clusters.borrow(), self.splits.borrow());
-        let leaves = names.flat_map(|name| match splits.get(name) {
-            Some(split) => split.iter().map(|(leaf, _)| &**leaf).collect(),
+        let cluster_names = names.flat_map(|name| match splits.get(name) {
+            Some(split) => split.iter().map(|(cluster_name, _)| &**cluster_name).collect(),
             None => vec![name],
         });
-        let mut groups = leaves.filter_map(|leaf| Some(clusters.get(leaf)?.group.borrow().clone()));
+        let mut groups =
+            cluster_names.filter_map(|cluster_name| Some(clusters.get(cluster_name)?.group.borrow().clone()));
         let first = groups.next();
         groups.all(|g| Some(g) == first)
     }
 
-    /// How many cache nodes all clusters list, and how many of them are avoided now.
+    /// Returns how many cache nodes all clusters list, and how many of them are avoided at present.
     pub fn members(&self) -> (usize, usize) {
         let clusters = self.clusters.borrow();
         let each = clusters.values().map(|c| c.engine.endpoint_counts());
         each.fold((0, 0), |(listed, avoided), (l, a)| (listed + l, avoided + a))
     }
 
-    /// Whether a request could be served now.
+    /// Returns whether a request could be served now.
     pub fn can_serve(&self) -> bool {
         self.table.borrow().is_some() && self.clusters.borrow().values().any(|c| c.engine.can_serve())
     }
 
-    /// The cluster of this name, or the one of an aggregate's that `at`, from 0 up to 1, falls to. The inner `None`: an
-    /// aggregate of which none can take anything.
+    /// Returns the cluster of this name. For an aggregate, `at` in [0, 1) selects one of its clusters by weight. The outer `None`: no such
+    /// cluster; the inner `None`: an aggregate in which no cluster can accept requests.
     pub fn find(&self, name: &str, at: f64) -> Option<Option<Rc<Cluster>>> {
         let clusters = self.clusters.borrow();
         let Some(split) = self.splits.borrow().get(name).cloned() else {
             return clusters.get(name).cloned().map(Some);
         };
-        let parts: Vec<u32> = split.iter().map(|(_, part)| *part).collect();
-        let picked = rushquay_load_assignment::aggregate::pick(&parts, at);
+        let weights: Vec<u32> = split.iter().map(|(_, weight)| *weight).collect();
+        let picked = rushquay_load_assignment::aggregate::pick(&weights, at);
         Some(picked.and_then(|i| clusters.get(&split[i].0).cloned()))
     }
 
-    /// Closes the connection that has been idle for longest; false if there is none.
+    /// Closes the connection that has been idle the longest. Returns false if no connection is idle.
     pub fn yield_idle(&self) -> bool {
         let clusters = self.clusters.borrow();
-        let idle = clusters.values().filter_map(|c| Some((c.upstreams.longest_idle()?, c)));
+        let idle = clusters.values().filter_map(|c| Some((c.upstreams.oldest_idle_since()?, c)));
         idle.min_by_key(|(since, _)| *since).is_some_and(|(_, c)| c.upstreams.yield_idle())
     }
 
-    /// Closes idle connections that were closed by their peer or idle for too long.
+    /// Closes idle connections that their peer has closed or that exceeded the idle timeout.
     pub fn sweep(&self) {
         self.clusters.borrow().values().for_each(|c| c.upstreams.sweep());
     }
 
-    /// Does what has changed. Danger: it all counts from here on, so that no request meets half of it.
+    /// Applies a batch of changes. Danger: no request may see half of a batch, so it is applied without yielding.
     pub fn apply(&self, batch: Batch, now: Nanos) {
         for name in batch.gone {
             self.splits.borrow_mut().remove(&name);
             if let Some(cluster) = self.clusters.borrow_mut().remove(&name) {
-                // What is out there goes on, and its idle connections close; nothing more is sent. What its group
-                // remembers nobody will ask it for again.
+                // Attempts in flight go on, idle connections are closed, and nothing more is sent. Retries never reach its
+                // deduplication group again, so the group counts as changed.
                 cluster.group_since.set(now);
                 cluster.upstreams.update(true, &[]);
                 cluster.engine.entries(ListKind::Full, Vec::new());
@@ -189,13 +191,13 @@
         for (name, spec) in batch.specs {
             let found = self.clusters.borrow().get(&name).cloned();
             match found {
-                Some(cluster) => cluster.change(&spec, &self.acting.settings, now),
-                None => drop(self.clusters.borrow_mut().insert(name, self.start(&spec))),
+                Some(cluster) => cluster.apply_spec(&spec, &self.acting.settings, now),
+                None => drop(self.clusters.borrow_mut().insert(name, self.create_cluster(&spec))),
             }
         }
         for (name, nodes) in batch.nodes {
             if let Some(cluster) = self.clusters.borrow().get(&name).cloned() {
-                cluster.list(nodes, &self.acting.names, &self.acting.settings);
+                cluster.apply_nodes(nodes, &self.acting.names, &self.acting.settings);
             }
         }
         for (name, (refused, overloads)) in batch.sheds {
@@ -211,11 +213,12 @@
         }
     }
 
-    fn start(&self, spec: &Spec) -> Rc<Cluster> {
+    /// Creates a cluster with its own engine and connection pools.
+    fn create_cluster(&self, spec: &Spec) -> Rc<Cluster> {
         let breakers = spec.limits.map(Breakers::new);
-        let bounds = bounds(spec, &self.acting.settings, breakers.clone());
-        let upstreams = Upstreams::bounded(self.descriptors.clone(), self.ledger.clone(), bounds);
-        // Each cluster's chances are its own.
+        let limits = connection_limits(spec, &self.acting.settings, breakers.clone());
+        let upstreams = Upstreams::with_limits(self.descriptors.clone(), self.metrics.clone(), limits);
+        // Each cluster draws its own random numbers.
         let seed = self.seed ^ server_id(&spec.name);
         let engine = Engine::new(self.acting.clone(), seed, &[], upstreams.clone(), self.clock);
         Rc::new(Cluster {
@@ -225,7 +228,7 @@
             breakers: RefCell::new(breakers),
             group_since: Rc::default(),
             group: RefCell::new(spec.group.clone()),
-            renew: Cell::new(spec.renew),
+            retire_on_change: Cell::new(spec.renew),
             refused: Cell::default(),
             overloads: RefCell::default(),
             nodes: RefCell::default(),
@@ -234,10 +237,10 @@
         })
     }
 
-    /// What passed at clusters and nodes.
+    /// Returns the counters of all clusters and nodes.
     pub fn figures(&self) -> (Vec<ClusterFigures>, Vec<NodeFigures>) {
         let clusters = self.clusters.borrow();
-        let of = |c: &Rc<Cluster>| ClusterFigures {
+        let cluster_stats = |c: &Rc<Cluster>| ClusterFigures {
             name: c.name.clone(),
             connections: c.upstreams.connections(),
             open: c.engine.open(),
@@ -247,91 +250,92 @@
         };
         let nodes = clusters.values().flat_map(|c| {
             let nodes = c.nodes.borrow();
-            let one = |(server, id): (&ServerId, &Arc<str>)| {
-                let f = c.upstreams.figures(*server)?;
+            let node_stats = |(server, id): (&ServerId, &Arc<str>)| {
+                let stats = c.upstreams.stats(*server)?;
                 Some(NodeFigures {
                     cluster: c.name.clone(),
                     id: id.clone(),
-                    connections: f.connections.get(),
-                    out: f.out.get(),
-                    attempts: f.attempts.get(),
-                    failed: f.failed.get(),
+                    connections: stats.connections.get(),
+                    out: stats.in_flight.get(),
+                    attempts: stats.attempts.get(),
+                    failed: stats.failed.get(),
                 })
             };
-            nodes.iter().filter_map(one).collect::<Vec<_>>()
+            nodes.iter().filter_map(node_stats).collect::<Vec<_>>()
         });
-        (clusters.values().map(of).collect(), nodes.collect())
+        (clusters.values().map(cluster_stats).collect(), nodes.collect())
     }
 }
 
-fn bounds(spec: &Spec, settings: &Settings, breakers: Option<Breakers>) -> Bounds {
-    let idle = spec.idle.map_or_else(|| idle_most(settings.conn_idle), Duration::from_nanos);
-    Bounds {
+fn connection_limits(spec: &Spec, settings: &Settings, breakers: Option<Breakers>) -> ConnectionLimits {
+    let idle = spec.idle.map_or_else(|| idle_timeout_for(settings.conn_idle), Duration::from_nanos);
+    ConnectionLimits {
         connect_timeout: Duration::from_nanos(spec.connect_timeout),
         proxies: settings.proxies,
-        idle_most: idle.min(idle_most(settings.conn_idle).max(Duration::from_secs(1))),
-        node_most: spec.node_connections,
+        idle_timeout: idle.min(idle_timeout_for(settings.conn_idle).max(Duration::from_secs(1))),
+        max_node_connections: spec.node_connections,
         breakers,
     }
 }
 
 impl Cluster {
-    fn change(&self, spec: &Spec, settings: &Settings, now: Nanos) {
+    /// Applies a changed specification.
+    fn apply_spec(&self, spec: &Spec, settings: &Settings, now: Nanos) {
         let breakers = &mut *self.breakers.borrow_mut();
         match (&breakers, spec.limits) {
-            // What is out keeps its places.
+            // Requests in flight still count against the changed limits.
             (Some(breakers), Some(limits)) => breakers.set(limits),
             (_, limits) => *breakers = limits.map(Breakers::new),
         }
-        self.upstreams.bound(bounds(spec, settings, breakers.clone()));
-        self.renew.set(spec.renew);
+        self.upstreams.set_limits(connection_limits(spec, settings, breakers.clone()));
+        self.retire_on_change.set(spec.renew);
         if *self.group.borrow() != spec.group {
             *self.group.borrow_mut() = spec.group.clone();
             self.group_since.set(now);
         }
     }
 
-    fn list(&self, changes: HashMap<Arc<str>, Option<Node>>, names: &Interner, settings: &Settings) {
-        // Danger: an address that goes over from one node to another must not belong to both for a moment, so those that
-        // go are told first.
+    /// Applies changes to the nodes; `None`: the node is removed.
+    fn apply_nodes(&self, changes: HashMap<Arc<str>, Option<Node>>, names: &Interner, settings: &Settings) {
+        // Danger: an address that moves from one node to another must never belong to both, so removals come first.
         let mut upstream: Vec<(Entry, Option<SocketAddr>)> = Vec::with_capacity(changes.len());
-        let mut grouped = Vec::new();
+        let mut joined_group = Vec::new();
         let mut nodes = self.nodes.borrow_mut();
-        let mut others = false;
-        let mut put = Vec::new();
+        let mut membership_changed = false;
+        let mut upserts = Vec::new();
         for (id, node) in &changes {
             let server = server_id(id);
             match node {
                 None => {
-                    others |= nodes.remove(&server).is_some();
+                    membership_changed |= nodes.remove(&server).is_some();
                     upstream.push((Entry { server, state: State::Gone, ..Entry::default() }, None));
                 }
                 Some(node) => {
-                    others |= nodes.insert(server, node.id.clone()).is_none();
-                    put.push(entry(node, names, settings));
+                    membership_changed |= nodes.insert(server, node.id.clone()).is_none();
+                    upserts.push(upstream_entry(node, names, settings));
                     if node.grouped > 0 {
-                        grouped.push((server, node.grouped));
+                        joined_group.push((server, node.grouped));
                     }
                 }
             }
         }
         drop(nodes);
-        upstream.extend(put.iter().map(|(e, addr, _)| (e.clone(), *addr)));
+        upstream.extend(upserts.iter().map(|(e, addr, _)| (e.clone(), *addr)));
         self.upstreams.update(false, &upstream);
-        grouped.into_iter().for_each(|(server, since)| self.upstreams.regroup(server, since));
-        if others && self.renew.get() {
-            self.upstreams.renew();
+        joined_group.into_iter().for_each(|(server, since)| self.upstreams.set_group_since(server, since));
+        if membership_changed && self.retire_on_change.get() {
+            self.upstreams.retire_connections();
         }
         let gone = upstream.into_iter().map(|(e, _)| e).filter(|e| e.state == State::Gone);
-        let entries = gone.chain(put.into_iter().map(|(e, _, state)| Entry { state, ..e })).collect();
+        let entries = gone.chain(upserts.into_iter().map(|(e, _, state)| Entry { state, ..e })).collect();
         self.engine.entries(ListKind::Delta, entries);
     }
 }
 
-/// A node for the connections' side, where it is, and its state for the module: one that stands by gets nothing new, but its
-/// connections may stay.
-fn entry(node: &Node, names: &Interner, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
-    let (kept, state) = match node.standing {
+/// Returns a node's entry for the connection pools, its address, and its state for the decision module. A stand-by node gets no new
+/// requests, but keeps its connections.
+fn upstream_entry(node: &Node, names: &Interner, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
+    let (pool_state, state) = match node.standing {
         Standing::Serves => (EndpointState::Ready, State::Ready),
         Standing::StandsBy => (EndpointState::Ready, State::Draining),
         Standing::Drains => (EndpointState::Draining, State::Draining),
@@ -342,14 +346,14 @@
         zone: node.zone.to_string(),
         kind: node.kind.to_string(),
         cell: node.cell,
-        state: kept,
+        state: pool_state,
         weight: node.weight,
         started: node.started,
     });
     if let Some(kind) = settings.origin_kind {
         match node.origin {
             true => entry.kind = kind,
-            // Danger: a node that calls itself the origin would be asked for what it lacks.
+            // Danger: requests that need the origin would be sent to a cache node that claims the origin's machine kind.
             false if entry.kind == kind => entry.kind = u32::MAX,
             false => {}
         }
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to cache nodes and the origin, and the exchange of one attempt on one of them.
+//! Pooled connections to cache nodes and the origin, and the exchange of an attempt on one of them.
 
 pub(crate) mod attempt;
 pub(crate) mod attempt_policy;
@@ -14,7 +14,9 @@
 use crate::proxy::listener::descriptors::Descriptors;
 use crate::proxy::observability::fleet_stats::{self, Kind};
 use crate::proxy::observability::request_trace::{self, Event};
-use crate::proxy::upstream::attempt::{AttemptBody, AttemptOutcome, Cancellation, Span, UpstreamRequest};
+use crate::proxy::upstream::attempt::{
+    AttemptBody, AttemptLimits, AttemptOutcome, Cancellation, UpstreamRequest,
+};
 use crate::proxy::upstream::socket::{FirstByte, Io, Socket};
 use crate::proxy::{Body, BODY_MOST, BUFFER_MOST};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -36,85 +38,93 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
-/// Most bytes of one response: body, framing, and interim responses. Danger: hyper reads on for as long as interim responses
-/// arrive, and reports none of them.
-const ANSWER_MOST: usize = 2 * BODY_MOST;
+/// Maximum size of one response: body, framing, and interim responses. Danger: hyper keeps reading for as long as interim
+/// responses arrive, and reports none of them.
+const MAX_RESPONSE_BYTES: usize = 2 * BODY_MOST;
 
-/// Pause before a connect is retried that failed for lack of local ports, buffers or descriptors, and how many retries are made.
-const SHORTAGE_WAIT: Duration = Duration::from_millis(3);
-const SHORT_DIALS_MOST: u32 = 4;
+/// Delay before retrying a connect that failed for lack of local ports, buffers or descriptors, and the maximum number of connects.
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(3);
+const MAX_SHORTAGE_DIALS: u32 = 4;
 
-/// When an attempt has to be over, begun, and worth nothing any more, on the clock of [`steady`].
+/// The deadlines of an attempt, on the clock of [`steady`].
 #[derive(Clone, Copy)]
-struct Due {
-    whole: Nanos,
-    begin: Option<Nanos>,
+struct AttemptDeadlines {
+    /// When the attempt must be complete.
+    total: Nanos,
+    /// When its first byte must have been written; `None`: no limit besides `total`.
+    first_byte: Option<Nanos>,
+    /// When the client stops waiting, after which its response is useless.
     client: Nanos,
-    /// The most that is passed on to the node.
-    told_most: Nanos,
+    /// Maximum time left that is announced to the node.
+    max_node_deadline: Nanos,
 }
 
-impl Due {
-    fn of(span: &Span, now: Nanos) -> Self {
-        let at = |span: Duration| now.saturating_add(span.as_nanos() as Nanos);
-        let told_most = span.told_most.map_or(Nanos::MAX, |most| most.as_nanos() as Nanos);
-        Due { whole: at(span.whole), begin: span.begin.map(at), client: at(span.client), told_most }
+impl AttemptDeadlines {
+    fn from_limits(limits: &AttemptLimits, now: Nanos) -> Self {
+        let at = |limit: Duration| now.saturating_add(limit.as_nanos() as Nanos);
+        let max_node_deadline = limits.max_node_deadline.map_or(Nanos::MAX, |max| max.as_nanos() as Nanos);
+        AttemptDeadlines {
+            total: at(limits.total),
+            first_byte: limits.first_byte.map(at),
+            client: at(limits.client),
+            max_node_deadline,
+        }
     }
 }
 
-/// An open connection; dropping it closes it.
+/// An open connection, closed on drop.
 struct Connection {
     sender: SendRequest<Body>,
     socket: Rc<Socket>,
     driver: AbortHandle,
-    /// Requests sent on it.
+    /// Number of requests sent on it.
     uses: u32,
-    /// The cause that would be counted if it closed now.
+    /// The cause that is counted if the connection is closed now.
     cause: Cell<NodeCloseCause>,
-    ledger: Arc<RequestMetrics>,
-    _counted: [Counted; 2],
+    metrics: Arc<RequestMetrics>,
+    _gauges: [GaugeGuard; 2],
 }
 
-/// Increments a gauge until it is dropped.
-struct Counted(Rc<Cell<u32>>);
+/// Increments a gauge, and decrements it on drop.
+struct GaugeGuard(Rc<Cell<u32>>);
 
-impl Counted {
-    fn new(of: &Rc<Cell<u32>>) -> Self {
-        of.set(of.get() + 1);
-        Counted(of.clone())
+impl GaugeGuard {
+    fn new(gauge: &Rc<Cell<u32>>) -> Self {
+        gauge.set(gauge.get() + 1);
+        GaugeGuard(gauge.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Connection {
-    /// Whether no bytes follow the last response. Danger: responses carry no id, so leftover bytes would pass for the response to the
-    /// next request. Hyper closes a connection when it finds such bytes in its own buffer, before it returns the response; the
-    /// kernel's buffer is checked here.
-    fn clean(&self) -> bool {
+    /// Returns whether the connection is open and no bytes follow the last response. Danger: responses carry no id, so leftover bytes
+    /// would be taken for the response to the next request. Hyper closes a connection if it finds such bytes in its own buffer,
+    /// before it returns the response; this checks the kernel's buffer.
+    fn is_reusable(&self) -> bool {
         !self.sender.is_closed() && self.socket.silent()
     }
 
-    /// Closes it for this cause.
-    fn end(self, cause: NodeCloseCause) {
+    /// Closes the connection and counts this cause.
+    fn close(self, cause: NodeCloseCause) {
         self.cause.set(cause);
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.ledger.node_closes.one_more(self.cause.get());
+        self.metrics.node_closes.one_more(self.cause.get());
         self.socket.close();
         self.driver.abort();
     }
 }
 
-/// Where a node accepts new requests, and since which change of its state.
-struct Place {
+/// The address of a node that accepts requests, with the epoch in which it was read.
+struct Target {
     addr: SocketAddr,
     kind: u32,
     epoch: u64,
@@ -130,66 +140,67 @@
     kind: u32,
     started: Nanos,
     ready: bool,
-    /// Incremented by what makes older connections unusable: a restart, a new address, a drain.
+    /// Changes with every event that makes older connections unusable: a restart, a new address, a drain.
     epoch: u64,
+    /// Idle connections, the most recently used last.
     idle: Vec<Idle>,
-    /// Since when it belongs to its group; 0: since it came.
-    grouped: Nanos,
-    figures: Rc<ConnectionStats>,
+    /// When the node joined its deduplication group; 0: when it was first listed.
+    group_since: Nanos,
+    stats: Rc<ConnectionStats>,
 }
 
 impl Node {
-    /// Ends its idle connections for this reason.
-    fn end_idle(&mut self, cause: NodeCloseCause) {
-        self.idle.drain(..).for_each(|idle| idle.connection.end(cause));
+    /// Closes its idle connections for this cause.
+    fn close_idle(&mut self, cause: NodeCloseCause) {
+        self.idle.drain(..).for_each(|idle| idle.connection.close(cause));
     }
 }
 
-/// Counters of a node.
+/// Connection and attempt counters of a node.
 #[derive(Default)]
 pub struct ConnectionStats {
     /// Connections that are open or being established.
     pub connections: Rc<Cell<u32>>,
     /// Attempts in flight.
-    pub out: Rc<Cell<u32>>,
+    pub in_flight: Rc<Cell<u32>>,
     /// Attempts since it was listed.
     pub attempts: Cell<u64>,
-    /// Those of them without a usable response; misses do not count.
+    /// Attempts without a usable response; misses do not count.
     pub failed: Cell<u64>,
 }
 
-/// A cluster's limits on its connections.
-pub struct Bounds {
+/// Connection limits of a cluster.
+pub struct ConnectionLimits {
     /// Connect timeout.
     pub connect_timeout: Duration,
     /// Idle timeout.
-    pub idle_most: Duration,
-    /// How many proxies share the nodes' connection capacity.
+    pub idle_timeout: Duration,
+    /// Number of proxies that share the nodes' connection capacity.
     pub proxies: u32,
-    /// Most connections to one node.
-    pub node_most: u32,
-    /// Limits on those that are open and that come up; `None`: the descriptors are the limit.
+    /// Maximum number of connections to one node.
+    pub max_node_connections: u32,
+    /// Circuit breakers for open and pending connections; `None`: only the descriptors limit them.
     pub breakers: Option<Breakers>,
 }
 
-/// All cache nodes that the list names.
+/// The connection pools of all listed endpoints.
 pub struct Upstreams {
     nodes: RefCell<FxHashMap<ServerId, Node>>,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<RequestMetrics>,
-    bounds: RefCell<Bounds>,
-    /// Idle timeout by machine kind: kinds differ in when they close idle connections.
-    keeps: RefCell<FxHashMap<u32, Jitter>>,
+    metrics: Arc<RequestMetrics>,
+    limits: RefCell<ConnectionLimits>,
+    /// Adaptive idle timeout per machine kind: kinds differ in when they close idle connections.
+    idle_timeouts: RefCell<FxHashMap<u32, Jitter>>,
     open: Rc<Cell<u32>>,
     epochs: Cell<u64>,
-    /// How many nodes accept requests. Danger: counting thousands of nodes at each request would slow all of them.
+    /// Number of nodes that accept requests. Danger: counting thousands of nodes on each request would slow all requests.
     ready: Cell<usize>,
 }
 
-/// How long an idle connection is kept if its node closes it after `limit` at the latest; 0: unknown.
-/// Danger: a request that is written to a connection which its node is just closing is reset, and may have run. The node
-/// counts from its own last byte, so a good part of the time is left as a margin.
-pub fn idle_most(limit: Nanos) -> Duration {
+/// Returns the idle timeout for connections that the node closes after at most `limit`; 0: unknown.
+/// Danger: a request written to a connection that its node is just closing is reset, and may have run. The node counts from its
+/// own last byte, so a quarter of the limit is kept as a margin.
+pub fn idle_timeout_for(limit: Nanos) -> Duration {
     match limit {
         0 => Duration::from_secs(5),
         limit => Duration::from_nanos(limit / 4 * 3),
@@ -199,74 +210,84 @@
 impl Upstreams {
     pub fn new(
         descriptors: Rc<Descriptors>,
-        ledger: Arc<RequestMetrics>,
+        metrics: Arc<RequestMetrics>,
         connect_timeout: Duration,
         settings: &Settings,
     ) -> Rc<Self> {
-        let (idle_most, proxies) = (idle_most(settings.conn_idle), settings.proxies);
-        let bounds = Bounds { connect_timeout, idle_most, proxies, node_most: u32::MAX, breakers: None };
-        Self::bounded(descriptors, ledger, bounds)
+        let (idle_timeout, proxies) = (idle_timeout_for(settings.conn_idle), settings.proxies);
+        let limits = ConnectionLimits {
+            connect_timeout,
+            idle_timeout,
+            proxies,
+            max_node_connections: u32::MAX,
+            breakers: None,
+        };
+        Self::with_limits(descriptors, metrics, limits)
     }
 
-    /// With bounds of its own.
-    pub fn bounded(descriptors: Rc<Descriptors>, ledger: Arc<RequestMetrics>, bounds: Bounds) -> Rc<Self> {
+    /// Creates pools with the given connection limits.
+    pub fn with_limits(
+        descriptors: Rc<Descriptors>,
+        metrics: Arc<RequestMetrics>,
+        limits: ConnectionLimits,
+    ) -> Rc<Self> {
         let (nodes, open, epochs, ready) = Default::default();
-        let keeps = RefCell::default();
+        let idle_timeouts = RefCell::default();
         Rc::new(Upstreams {
             nodes,
             descriptors,
-            ledger,
-            bounds: RefCell::new(bounds),
-            keeps,
+            metrics,
+            limits: RefCell::new(limits),
+            idle_timeouts,
             open,
             epochs,
             ready,
         })
     }
 
-    /// Where all is counted.
+    /// Returns the metrics of all requests and connections.
     pub fn ledger(&self) -> &RequestMetrics {
-        &self.ledger
+        &self.metrics
     }
 
-    /// Other bounds for connections from now on.
-    pub fn bound(&self, bounds: Bounds) {
-        let longest = bounds.idle_most.as_nanos() as Nanos;
-        self.keeps.borrow_mut().values_mut().for_each(|keep| keep.limit(longest));
-        *self.bounds.borrow_mut() = bounds;
+    /// Replaces the connection limits, from the next connection on.
+    pub fn set_limits(&self, limits: ConnectionLimits) {
+        let max = limits.idle_timeout.as_nanos() as Nanos;
+        self.idle_timeouts.borrow_mut().values_mut().for_each(|jitter| jitter.limit(max));
+        *self.limits.borrow_mut() = limits;
     }
 
-    /// Steers for how long idle connections to nodes of a kind are kept.
-    fn steer(&self, kind: u32, step: impl FnOnce(&mut Jitter)) {
-        let bounds = self.bounds.borrow();
-        let first = || Jitter::new(bounds.idle_most.as_nanos() as Nanos, bounds.proxies);
-        step(self.keeps.borrow_mut().entry(kind).or_insert_with(first));
+    /// Adjusts the idle timeout of connections to nodes of this machine kind.
+    fn adjust_idle_timeout(&self, kind: u32, step: impl FnOnce(&mut Jitter)) {
+        let limits = self.limits.borrow();
+        let initial = || Jitter::new(limits.idle_timeout.as_nanos() as Nanos, limits.proxies);
+        step(self.idle_timeouts.borrow_mut().entry(kind).or_insert_with(initial));
     }
 
-    /// For how long idle connections to nodes of a kind are kept now.
-    fn span(&self, kind: u32) -> Duration {
-        let mut span = 0;
-        self.steer(kind, |keep| span = keep.span());
-        Duration::from_nanos(span)
+    /// Returns the current idle timeout of connections to nodes of this machine kind.
+    fn idle_timeout(&self, kind: u32) -> Duration {
+        let mut timeout = 0;
+        self.adjust_idle_timeout(kind, |jitter| timeout = jitter.span());
+        Duration::from_nanos(timeout)
     }
 
-    /// Takes news of the list; `whole` when nodes that it does not name are gone.
-    pub fn update(&self, whole: bool, entries: &[(Entry, Option<SocketAddr>)]) {
+    /// Applies an endpoint list. If `full`, nodes that are not in `entries` are removed.
+    pub fn update(&self, full: bool, entries: &[(Entry, Option<SocketAddr>)]) {
         let mut nodes = self.nodes.borrow_mut();
-        if whole {
+        if full {
             let named: FxHashSet<ServerId> = entries.iter().map(|(e, _)| e.server).collect();
             nodes.retain(|server, node| {
-                let stays = named.contains(server);
-                if !stays {
-                    node.end_idle(NodeCloseCause::NodeChanged);
+                let listed = named.contains(server);
+                if !listed {
+                    node.close_idle(NodeCloseCause::NodeChanged);
                 }
-                stays
+                listed
             });
         }
         for (entry, addr) in entries {
             if entry.state == State::Gone {
                 if let Some(mut node) = nodes.remove(&entry.server) {
-                    node.end_idle(NodeCloseCause::NodeChanged);
+                    node.close_idle(NodeCloseCause::NodeChanged);
                 }
                 continue;
             }
@@ -276,58 +297,58 @@
             {
                 continue;
             }
-            old.iter_mut().for_each(|n| n.end_idle(NodeCloseCause::NodeChanged));
+            old.iter_mut().for_each(|n| n.close_idle(NodeCloseCause::NodeChanged));
             self.epochs.set(self.epochs.get() + 1);
             let epoch = self.epochs.get();
-            let (figures, grouped) = old.map(|n| (n.figures.clone(), n.grouped)).unwrap_or_default();
+            let (stats, group_since) = old.map(|n| (n.stats.clone(), n.group_since)).unwrap_or_default();
             let (addr, kind, started, idle) = (*addr, entry.kind, entry.started, Vec::new());
-            nodes.insert(entry.server, Node { addr, kind, started, ready, epoch, idle, grouped, figures });
+            nodes.insert(entry.server, Node { addr, kind, started, ready, epoch, idle, group_since, stats });
         }
         self.ready.set(nodes.values().filter(|n| n.ready && n.addr.is_some()).count());
     }
 
-    /// A node came over from another group at this time.
-    pub fn regroup(&self, server: ServerId, since: Nanos) {
+    /// Records when a node joined its deduplication group from another one.
+    pub fn set_group_since(&self, server: ServerId, since: Nanos) {
         if let Some(node) = self.nodes.borrow_mut().get_mut(&server) {
-            node.grouped = since;
+            node.group_since = since;
         }
     }
 
-    /// Since when a node belongs to its group; 0: since it came.
-    pub fn grouped(&self, server: ServerId) -> Nanos {
-        self.nodes.borrow().get(&server).map_or(0, |n| n.grouped)
+    /// Returns when a node joined its deduplication group; 0: when it was first listed.
+    pub fn group_since(&self, server: ServerId) -> Nanos {
+        self.nodes.borrow().get(&server).map_or(0, |n| n.group_since)
     }
 
-    /// No connection that is open now is used for another request.
-    pub fn renew(&self) {
+    /// Retires all connections that are open now: none is used for another request.
+    pub fn retire_connections(&self) {
         for node in self.nodes.borrow_mut().values_mut() {
             self.epochs.set(self.epochs.get() + 1);
             node.epoch = self.epochs.get();
-            node.end_idle(NodeCloseCause::NodeChanged);
+            node.close_idle(NodeCloseCause::NodeChanged);
         }
     }
 
-    /// A node's machine kind, and when it started.
+    /// Returns a node's machine kind and when it started.
     pub fn kind(&self, server: ServerId) -> Option<(u32, Nanos)> {
         self.nodes.borrow().get(&server).map(|n| (n.kind, n.started))
     }
 
-    /// Counters of a node.
-    pub fn figures(&self, server: ServerId) -> Option<Rc<ConnectionStats>> {
-        self.nodes.borrow().get(&server).map(|n| n.figures.clone())
+    /// Returns the counters of a node.
+    pub fn stats(&self, server: ServerId) -> Option<Rc<ConnectionStats>> {
+        self.nodes.borrow().get(&server).map(|n| n.stats.clone())
     }
 
-    /// How many connections are open or come up.
+    /// Returns how many connections are open or being established.
     pub fn connections(&self) -> u32 {
         self.open.get()
     }
 
-    /// Since when the connection has been idle that has been for longest.
-    pub fn longest_idle(&self) -> Option<Instant> {
+    /// Returns when the connection that has been idle the longest became idle.
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.nodes.borrow().values().filter_map(|n| n.idle.first()).map(|i| i.since).min()
     }
 
-    /// Whether any node takes work.
+    /// Returns whether any node accepts requests.
     pub fn any_ready(&self) -> bool {
         self.ready.get() > 0
     }
@@ -335,96 +356,113 @@
     /// Closes the idle connections to a node.
     pub fn close_idle(&self, server: ServerId) {
         if let Some(node) = self.nodes.borrow_mut().get_mut(&server) {
-            node.end_idle(NodeCloseCause::NodeChanged);
+            node.close_idle(NodeCloseCause::NodeChanged);
         }
     }
 
-    /// Closes idle connections that were closed by their peer or idle for too long.
+    /// Closes idle connections that their peer has closed or that exceeded the idle timeout.
     pub fn sweep(&self) {
         for node in self.nodes.borrow_mut().values_mut().filter(|n| !n.idle.is_empty()) {
-            let (most, before) = (self.span(node.kind), node.idle.len());
+            let (timeout, before) = (self.idle_timeout(node.kind), node.idle.len());
             node.idle.retain(|i| {
                 i.connection.cause.set(NodeCloseCause::Idle);
-                i.since.elapsed() < most && !i.connection.sender.is_closed()
+                i.since.elapsed() < timeout && !i.connection.sender.is_closed()
             });
             fleet_stats::count(Kind::ClosedIdle, (before - node.idle.len()) as u64);
         }
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor; false if there is none.
+    /// Closes the connection that has been idle the longest, to free its descriptor. Returns false if no connection is idle.
     pub fn yield_idle(&self) -> bool {
         let mut nodes = self.nodes.borrow_mut();
         let oldest = nodes.values_mut().filter(|n| !n.idle.is_empty()).min_by_key(|n| n.idle[0].since);
-        oldest.map(|n| n.idle.remove(0).connection.end(NodeCloseCause::MadeRoom)).is_some()
+        oldest.map(|n| n.idle.remove(0).connection.close(NodeCloseCause::MadeRoom)).is_some()
     }
 
     /// Sends one attempt and returns its outcome.
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
-        job: &UpstreamRequest,
-        span: Span,
+        upstream_request: &UpstreamRequest,
+        limits: AttemptLimits,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
     ) -> AttemptOutcome {
-        let Some(figures) = self.figures(server) else { return Status::Moot.into() };
-        let _out = Counted::new(&figures.out);
-        let ended = self.timed(server, job, span, cancellation, importance).await;
+        let Some(stats) = self.stats(server) else { return Status::Moot.into() };
+        let _in_flight = GaugeGuard::new(&stats.in_flight);
+        let ended =
+            self.attempt_with_timeout(server, upstream_request, limits, cancellation, importance).await;
         if ended.status != Status::Moot {
-            figures.attempts.set(figures.attempts.get() + 1);
+            stats.attempts.set(stats.attempts.get() + 1);
             let served = matches!(ended.status, Status::Ok | Status::Miss);
-            figures.failed.set(figures.failed.get() + u64::from(!served));
+            stats.failed.set(stats.failed.get() + u64::from(!served));
         }
         ended
     }
 
-    async fn timed(
+    /// Runs an attempt under its overall timeout.
+    async fn attempt_with_timeout(
         self: &Rc<Self>,
         server: ServerId,
-        job: &UpstreamRequest,
-        span: Span,
+        upstream_request: &UpstreamRequest,
+        limits: AttemptLimits,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
     ) -> AttemptOutcome {
-        let due = Due::of(&span, steady());
-        let until = Instant::now() + span.whole;
-        match timeout_at(until, self.exchange(server, job, due, cancellation, importance)).await {
+        let deadlines = AttemptDeadlines::from_limits(&limits, steady());
+        let until = Instant::now() + limits.total;
+        match timeout_at(until, self.exchange(server, upstream_request, deadlines, cancellation, importance))
+            .await
+        {
             Ok(ended) => ended,
             // A request that was not written completely has not run.
-            Err(_) if cancellation.written() => Status::Timeout.into(),
+            Err(_) if cancellation.is_written() => Status::Timeout.into(),
             Err(_) => Status::ConnectFailed.into(),
         }
     }
 
-    /// What is known of an attempt that is to be written now at this state of its node.
-    fn facts(&self, server: ServerId, epoch: u64, due: Due, cancellation: &Cancellation) -> SendFacts {
-        let same = self.open_to(server).is_some_and(|place| place.epoch == epoch);
+    /// Collects the facts that decide whether an attempt may be written now. `epoch` is the node's epoch when it was chosen.
+    fn facts(
+        &self,
+        server: ServerId,
+        epoch: u64,
+        deadlines: AttemptDeadlines,
+        cancellation: &Cancellation,
+    ) -> SendFacts {
+        let same = self.target(server).is_some_and(|target| target.epoch == epoch);
         SendFacts {
             now: steady(),
-            request: cancellation.request(),
+            request: cancellation.request_state(),
             node: if same { NodeStanding::Ready } else { NodeStanding::Left },
-            deadline: due.whole,
-            repeat_by: due.begin,
+            deadline: deadlines.total,
+            repeat_by: deadlines.first_byte,
         }
     }
 
-    /// The outcome of an attempt that must not be written: it says nothing about its node.
-    fn denied(&self, job: &UpstreamRequest, server: ServerId, denied: SendDenied) -> AttemptOutcome {
-        request_trace::event(|| Event::Denied { request: job.id(), node: server, denied });
+    /// Returns the outcome of an attempt that must not be written. It does not count against the node.
+    fn denied_outcome(
+        &self,
+        upstream_request: &UpstreamRequest,
+        server: ServerId,
+        denied: SendDenied,
+    ) -> AttemptOutcome {
+        request_trace::event(|| Event::Denied { request: upstream_request.id(), node: server, denied });
         Status::Moot.into()
     }
 
+    /// Sends an attempt on an idle or new connection and reads its response. If a reused connection turns out to be closed before
+    /// the request was written completely, the next one is tried.
     async fn exchange(
         self: &Rc<Self>,
         server: ServerId,
-        job: &UpstreamRequest,
-        due: Due,
+        upstream_request: &UpstreamRequest,
+        deadlines: AttemptDeadlines,
         cancellation: &Rc<Cancellation>,
         importance: Importance,
     ) -> AttemptOutcome {
         loop {
-            let Some(Place { addr, kind, epoch }) = self.open_to(server) else { return Status::Moot.into() };
-            let (mut connection, reused) = match self.newest(server) {
+            let Some(Target { addr, kind, epoch }) = self.target(server) else { return Status::Moot.into() };
+            let (mut connection, reused) = match self.take_idle(server) {
                 Some(connection) => (connection, true),
                 None => match self.connect(server, addr, importance).await {
                     Ok(connection) => (connection, false),
@@ -437,30 +475,30 @@
                 }
                 return Status::ConnectFailed.into();
             }
-            // Danger: while the connection was established, the node may have begun to drain or have restarted, the request may
-            // have been answered or its client have gone, or the deduplication of its retry have expired. This is checked once more
-            // where its first byte is written.
-            if let Err(denied) = may_send(&self.facts(server, epoch, due, cancellation)) {
-                self.ledger.denied.one_more(denied);
-                connection.end(NodeCloseCause::NodeChanged);
-                return self.denied(job, server, denied);
+            // Danger: while the connection was being established, the node may have started to drain or restarted, the request may
+            // have been answered or abandoned, or the deduplication window of a retry may have passed. This is checked again when
+            // the first byte is written.
+            if let Err(denied) = may_send(&self.facts(server, epoch, deadlines, cancellation)) {
+                self.metrics.denied.one_more(denied);
+                connection.close(NodeCloseCause::NodeChanged);
+                return self.denied_outcome(upstream_request, server, denied);
             }
-            let told_left = due.whole.saturating_sub(steady()).min(due.told_most);
-            let (pool, looks_at) = (self.clone(), cancellation.clone());
+            let time_left = deadlines.total.saturating_sub(steady()).min(deadlines.max_node_deadline);
+            let (pool, cancellation_state) = (self.clone(), cancellation.clone());
             let facts = Box::new(move || SendFacts {
-                deadline: due.client,
-                ..pool.facts(server, epoch, due, &looks_at)
+                deadline: deadlines.client,
+                ..pool.facts(server, epoch, deadlines, &cancellation_state)
             });
-            connection.socket.begin(ANSWER_MOST, Some(FirstByte { facts, told_left }));
+            connection.socket.begin_message(MAX_RESPONSE_BYTES, Some(FirstByte { facts, time_left }));
             connection.uses += 1;
-            cancellation.on(&connection.socket);
-            let sent = connection.sender.send_request(request(job, addr, told_left)).await;
+            cancellation.set_socket(&connection.socket);
+            let sent = connection.sender.send_request(build_request(upstream_request, addr, time_left)).await;
             let Ok(response) = sent else {
                 if let Some(denied) = connection.socket.denied() {
-                    return self.denied(job, server, denied);
+                    return self.denied_outcome(upstream_request, server, denied);
                 }
-                // Danger: after its last byte the request may have run, and must not be retried here.
-                if connection.socket.whole() {
+                // Danger: once its last byte is written the request may have run, and must not be retried here.
+                if connection.socket.is_written() {
                     return Status::Reset.into();
                 }
                 if reused {
@@ -468,12 +506,12 @@
                 }
                 return Status::ConnectFailed.into();
             };
-            return self.answered(server, kind, epoch, connection, reused, response).await;
+            return self.read_response(server, kind, epoch, connection, reused, response).await;
         }
     }
 
-    /// Reads a response, and keeps its connection if it can be reused.
-    async fn answered(
+    /// Reads a response, and returns its connection to the pool if it can be reused.
+    async fn read_response(
         self: &Rc<Self>,
         server: ServerId,
         kind: u32,
@@ -485,79 +523,84 @@
         let closing = response.headers().get(CONNECTION).is_some_and(|v| v == "close");
         let ResponseReader { mut ended, reusable, long } = read(response).await;
         if !reused && ended.status == Status::Full && closing {
-            // Danger: a node whose connection table is full answers a new connection so and closes it, while it serves
-            // its existing ones. That is a failed connection, not a full request queue.
+            // Danger: a node whose connection table is full answers a new connection like this and closes it, while it serves its
+            // existing ones. That is a failed connect, not a full request queue.
             fleet_stats::count(Kind::TurnedAway, 1);
-            self.steer(kind, Jitter::turned_away);
+            self.adjust_idle_timeout(kind, Jitter::turned_away);
             ended.status = Status::ConnectFailed;
         } else if !reused {
-            self.steer(kind, Jitter::taken);
+            self.adjust_idle_timeout(kind, Jitter::taken);
         }
         let mut uses = 0;
-        self.steer(kind, |keep| uses = keep.uses());
+        self.adjust_idle_timeout(kind, |jitter| uses = jitter.uses());
         let reusable = reusable && connection.uses < uses;
-        if let Some((head, held, rest, length)) = long {
-            // From here on the client's reading bounds what is received.
-            connection.socket.unbound();
+        if let Some((head, buffered, rest, length)) = long {
+            // A streamed response is limited by how fast the client reads it.
+            connection.socket.lift_read_limit();
             let to = reusable.then(|| (self.clone(), server, epoch));
-            let answer = LongAnswer::new(held, rest, length, Returning { connection, to });
+            let answer = LongAnswer::new(buffered, rest, length, ReturnToPool { connection, to });
             ended.answer = Some(Response::from_parts(head, Body::answer(answer)));
-        } else if reusable && connection.socket.whole() {
-            self.keep(server, epoch, connection);
+        } else if reusable && connection.socket.is_written() {
+            self.return_idle(server, epoch, connection);
         } else {
-            connection.end(NodeCloseCause::Finished);
+            connection.close(NodeCloseCause::Finished);
         }
         ended
     }
 
-    /// Where a node accepts new requests.
-    fn open_to(&self, server: ServerId) -> Option<Place> {
+    /// Returns the address of a node if it accepts requests.
+    fn target(&self, server: ServerId) -> Option<Target> {
         let nodes = self.nodes.borrow();
         let node = nodes.get(&server).filter(|n| n.ready)?;
-        Some(Place { addr: node.addr?, kind: node.kind, epoch: node.epoch })
+        Some(Target { addr: node.addr?, kind: node.kind, epoch: node.epoch })
     }
 
-    fn newest(&self, server: ServerId) -> Option<Connection> {
+    /// Takes the most recently used idle connection that can be reused, and closes those found unusable.
+    fn take_idle(&self, server: ServerId) -> Option<Connection> {
         let mut nodes = self.nodes.borrow_mut();
         let node = nodes.get_mut(&server)?;
-        let most = self.span(node.kind);
+        let timeout = self.idle_timeout(node.kind);
         while let Some(Idle { connection, since }) = node.idle.pop() {
-            if since.elapsed() >= most {
-                connection.end(NodeCloseCause::Idle);
-            } else if connection.clean() {
+            if since.elapsed() >= timeout {
+                connection.close(NodeCloseCause::Idle);
+            } else if connection.is_reusable() {
                 connection.cause.set(NodeCloseCause::Failed);
                 return Some(connection);
             } else {
-                connection.end(NodeCloseCause::NotClean);
+                connection.close(NodeCloseCause::NotClean);
             }
         }
         None
     }
 
-    fn keep(&self, server: ServerId, epoch: u64, connection: Connection) {
-        if !connection.clean() {
-            return connection.end(NodeCloseCause::NotClean);
+    /// Returns a connection to the pool if it can be reused and the node has not changed since `epoch`.
+    fn return_idle(&self, server: ServerId, epoch: u64, connection: Connection) {
+        if !connection.is_reusable() {
+            return connection.close(NodeCloseCause::NotClean);
         }
         match self.nodes.borrow_mut().get_mut(&server).filter(|n| n.epoch == epoch && n.ready) {
             Some(node) => node.idle.push(Idle { connection, since: Instant::now() }),
-            None => connection.end(NodeCloseCause::NodeChanged),
+            None => connection.close(NodeCloseCause::NodeChanged),
         }
     }
 
-    /// Opens a new connection; an error is the outcome of the attempt.
+    /// Opens a new connection.
+    ///
+    /// # Errors
+    /// The outcome of the attempt.
     async fn connect(
         &self,
         server: ServerId,
         addr: SocketAddr,
         importance: Importance,
     ) -> Result<Connection, Status> {
-        let figures = self.figures(server).ok_or(Status::Moot)?;
-        let (timeout, node_most, breakers) = {
-            let bounds = self.bounds.borrow();
-            (bounds.connect_timeout, bounds.node_most, bounds.breakers.clone())
+        let stats = self.stats(server).ok_or(Status::Moot)?;
+        let (timeout, max_node_connections, breakers) = {
+            let limits = self.limits.borrow();
+            (limits.connect_timeout, limits.max_node_connections, limits.breakers.clone())
         };
         // An attempt over a limit was never sent, and does not count against the node.
-        if figures.connections.get() >= node_most {
+        if stats.connections.get() >= max_node_connections {
             return Err(Status::Moot);
         }
         let _pending = match &breakers {
@@ -571,37 +614,38 @@
                 Some(breakers.take(importance, Trip::Pending).map_err(|_| Status::Moot)?)
             }
         };
-        let counted = [Counted::new(&self.open), Counted::new(&figures.connections)];
+        let gauges = [GaugeGuard::new(&self.open), GaugeGuard::new(&stats.connections)];
         let permit = loop {
             match self.descriptors.take() {
                 Some(permit) => break permit,
                 None if self.yield_idle() => tokio::task::yield_now().await,
-                // Danger: reporting this as a failed connection would blame the node for this machine's shortage.
+                // Danger: reporting this as a failed connect would blame the node for this machine's shortage.
                 None => return Err(Status::Moot),
             }
         };
-        let first = figures.connections.get() == 1;
+        let first = stats.connections.get() == 1;
         fleet_stats::count(if first { Kind::HandshakeNew } else { Kind::HandshakeBusy }, 1);
         let until = Instant::now() + timeout;
         let stream = self.dial(addr, until).await?;
-        let socket = Socket::counted(stream, permit, self.ledger.clone());
-        // Danger: by default hyper reads a head of some 400 KB before it gives up.
-        let shaken =
+        let socket = Socket::with_metrics(stream, permit, self.metrics.clone());
+        // Danger: by default hyper accepts a response head of up to some 400 KB.
+        let handshake =
             http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(Io(socket.clone())));
-        let (sender, driver) = shaken.await.map_err(|_| Status::ConnectFailed)?;
+        let (sender, driver) = handshake.await.map_err(|_| Status::ConnectFailed)?;
         let driver = tokio::task::spawn_local(driver).abort_handle();
-        let (cause, ledger) = (Cell::new(NodeCloseCause::Failed), self.ledger.clone());
-        Ok(Connection { sender, socket, driver, uses: 0, cause, ledger, _counted: counted })
+        let (cause, metrics) = (Cell::new(NodeCloseCause::Failed), self.metrics.clone());
+        Ok(Connection { sender, socket, driver, uses: 0, cause, metrics, _gauges: gauges })
     }
 
-    /// Connects to a node. Danger: a shortage of this machine would count against all nodes, and all would be avoided at once.
+    /// Connects to a node, and retries while this machine is short of resources. Danger: counted as connect failures, a local shortage
+    /// would have all nodes avoided at once.
     async fn dial(&self, addr: SocketAddr, until: Instant) -> Result<TcpStream, Status> {
-        for _ in 0..SHORT_DIALS_MOST {
+        for _ in 0..MAX_SHORTAGE_DIALS {
             match timeout_at(until, connect(addr)).await {
                 Ok(Ok(stream)) => return Ok(stream),
                 Ok(Err(ConnectError::Shortage(_))) => {
                     self.yield_idle();
-                    tokio::time::sleep_until(until.min(Instant::now() + SHORTAGE_WAIT)).await;
+                    tokio::time::sleep_until(until.min(Instant::now() + SHORTAGE_RETRY_DELAY)).await;
                 }
                 Ok(Err(ConnectError::Unreached(_))) | Err(_) => return Err(Status::ConnectFailed),
             }
@@ -610,32 +654,34 @@
     }
 }
 
-/// A connection with a response in progress; closed on drop.
-struct Returning {
+/// A connection with a streamed response in progress. It returns to the pool when the response is complete, and is closed on drop.
+struct ReturnToPool {
     connection: Connection,
+    /// The pool, node and node epoch to return to; `None`: not reusable.
     to: Option<(Rc<Upstreams>, ServerId, u64)>,
 }
 
-impl Returns for Returning {
+impl Returns for ReturnToPool {
     fn back(self: Box<Self>) {
-        let Returning { connection, to } = *self;
-        if let Some((upstreams, server, epoch)) = to.filter(|_| connection.socket.whole()) {
-            upstreams.keep(server, epoch, connection);
+        let ReturnToPool { connection, to } = *self;
+        if let Some((upstreams, server, epoch)) = to.filter(|_| connection.socket.is_written()) {
+            upstreams.return_idle(server, epoch, connection);
         }
     }
 }
 
-fn request(job: &UpstreamRequest, addr: SocketAddr, told_left: Nanos) -> Request<Body> {
-    let mut request = Request::new(match &job.body {
+/// Builds the request of one attempt, with its time left and host.
+fn build_request(upstream_request: &UpstreamRequest, addr: SocketAddr, time_left: Nanos) -> Request<Body> {
+    let mut request = Request::new(match &upstream_request.body {
         AttemptBody::Whole(bytes) => Body::new(bytes.clone()),
         AttemptBody::Long(upload) => Body::upload(upload),
     });
-    *request.method_mut() = job.method.clone();
-    *request.uri_mut() = job.uri.clone();
+    *request.method_mut() = upstream_request.method.clone();
+    *request.uri_mut() = upstream_request.uri.clone();
     let headers = request.headers_mut();
-    *headers = job.headers.clone();
-    let left = Duration::from_nanos(told_left).as_secs_f64();
-    if let Ok(left) = HeaderValue::try_from(format!("{left:.4}")) {
+    *headers = upstream_request.headers.clone();
+    let seconds_left = Duration::from_nanos(time_left).as_secs_f64();
+    if let Ok(left) = HeaderValue::try_from(format!("{seconds_left:.4}")) {
         headers.insert(TIME_LEFT, left);
     }
     if !headers.contains_key(HOST) {
--- a/src/proxy/upstream/socket.rs
+++ b/src/proxy/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! One TCP stream under hyper: what has been written to it and whether its peer has gone. Calls that a signal interrupts and
-//! shortages of the system's buffers end here.
+//! A TCP stream beneath hyper that tracks what has been written and whether the peer has closed. It also retries calls that a signal
+//! interrupted or for which the system was short of buffers.
 
 use crate::proxy::listener::descriptors::Permit;
 use rushquay_admin::RequestMetrics;
@@ -19,113 +19,113 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A call for which the system has no buffers is made again after this, so often at most.
-const SHORTAGE_WAIT: Duration = Duration::from_millis(5);
-const SHORTAGES_MOST: u32 = 400;
-/// The interim answer that asks whether a client is still there.
+/// Delay before retrying a call that failed for lack of system buffers, and the maximum number of consecutive retries.
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(5);
+const MAX_SHORTAGES: u32 = 400;
+/// The interim response that probes whether a client is still connected.
 const INTERIM: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What is looked at when the first byte of an attempt is written.
+/// The check that runs when the first byte of an attempt is about to be written.
 pub struct FirstByte {
-    /// What is known at that moment.
+    /// Collects the facts at that moment.
     pub facts: Box<dyn Fn() -> SendFacts>,
-    /// The time left that the node is told, in nanoseconds.
-    pub told_left: u64,
+    /// The time left that is announced to the node, in nanoseconds.
+    pub time_left: u64,
 }
 
-/// A stream that several parties look at: hyper reads and writes it through [`Io`].
+/// A stream that is shared by hyper, which reads and writes it through [`Io`], and by the code that watches its state.
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes were written since [`Socket::begin`].
-    begun: Cell<bool>,
-    /// All that hyper had to write then has been written.
-    whole: Cell<bool>,
-    /// The kernel took no more bytes, so hyper holds some.
+    /// Bytes were written since [`Socket::begin_message`].
+    write_started: Cell<bool>,
+    /// The message was written completely.
+    fully_written: Cell<bool>,
+    /// The kernel accepts no more bytes, so hyper still buffers some.
     stalled: Cell<bool>,
-    /// So many more bytes may come.
-    room: Cell<usize>,
-    /// When bytes last came or went.
-    moved: Cell<Instant>,
-    /// What is to be looked at before the next byte is written.
+    /// How many more bytes may be read.
+    read_limit: Cell<usize>,
+    /// When bytes were last read or written.
+    last_activity: Cell<Instant>,
+    /// The check that is due before the next byte is written.
     first_byte: RefCell<Option<FirstByte>>,
-    /// Why the last message was not written.
+    /// Why the last message was denied.
     denied: Cell<Option<SendDenied>>,
-    /// What is left of an interim answer of which the kernel took a part.
+    /// The unwritten rest of an interim response.
     interim: Cell<&'static [u8]>,
-    /// The wait after a call for which the system had no buffers, and how often that was in a row.
+    /// The delay after a call that failed for lack of buffers, and the number of such failures in a row.
     shortage: RefCell<Option<Pin<Box<Sleep>>>>,
     shortages: Cell<u32>,
-    /// Where messages that have been written whole are counted.
-    ledger: Option<Arc<RequestMetrics>>,
+    /// Counts completely written attempts; `None` on connections that carry no attempts.
+    metrics: Option<Arc<RequestMetrics>>,
     _permit: Permit,
 }
 
 impl Socket {
     pub fn new(stream: TcpStream, permit: Permit) -> Rc<Self> {
-        Self::made(stream, permit, None)
+        Self::build(stream, permit, None)
     }
 
-    /// One whose messages are attempts at nodes.
-    pub fn counted(stream: TcpStream, permit: Permit, ledger: Arc<RequestMetrics>) -> Rc<Self> {
-        Self::made(stream, permit, Some(ledger))
+    /// Creates a socket whose messages are counted as attempts.
+    pub fn with_metrics(stream: TcpStream, permit: Permit, metrics: Arc<RequestMetrics>) -> Rc<Self> {
+        Self::build(stream, permit, Some(metrics))
     }
 
-    fn made(stream: TcpStream, permit: Permit, ledger: Option<Arc<RequestMetrics>>) -> Rc<Self> {
-        // Without it a small answer waits for the acknowledgement of the one before.
+    fn build(stream: TcpStream, permit: Permit, metrics: Option<Arc<RequestMetrics>>) -> Rc<Self> {
+        // With Nagle's algorithm a small message would wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream,
-            begun: Cell::new(false),
-            whole: Cell::new(false),
+            write_started: Cell::new(false),
+            fully_written: Cell::new(false),
             stalled: Cell::new(false),
-            room: Cell::new(usize::MAX),
-            moved: Cell::new(Instant::now()),
+            read_limit: Cell::new(usize::MAX),
+            last_activity: Cell::new(Instant::now()),
             first_byte: RefCell::new(None),
             denied: Cell::new(None),
             interim: Cell::new(&[]),
             shortage: RefCell::new(None),
             shortages: Cell::new(0),
-            ledger,
+            metrics,
             _permit: permit,
         })
     }
 
-    /// A new message is about to be written, and at most `room` bytes may come in answer. `first_byte` is looked at where its
-    /// first byte is written: between the handing over to hyper and that moment other tasks run.
-    pub fn begin(&self, room: usize, first_byte: Option<FirstByte>) {
-        self.room.set(room);
-        self.begun.set(false);
-        self.whole.set(false);
+    /// Begins a new message whose response may have at most `read_limit` bytes. `first_byte` is checked when its first byte is written,
+    /// because other tasks run between the hand-over to hyper and that moment.
+    pub fn begin_message(&self, read_limit: usize, first_byte: Option<FirstByte>) {
+        self.read_limit.set(read_limit);
+        self.write_started.set(false);
+        self.fully_written.set(false);
         self.denied.set(None);
         *self.first_byte.borrow_mut() = first_byte;
     }
 
-    /// As many bytes as there are may come in answer from now on.
-    pub fn unbound(&self) {
-        self.room.set(usize::MAX);
+    /// Lifts the limit on the size of the response.
+    pub fn lift_read_limit(&self) {
+        self.read_limit.set(usize::MAX);
     }
 
-    /// When bytes last came or went.
+    /// Returns when bytes were last read or written.
     pub fn moved(&self) -> Instant {
-        self.moved.get()
+        self.last_activity.get()
     }
 
-    /// Whether the message's last byte has been written.
-    pub fn whole(&self) -> bool {
-        self.whole.get()
+    /// Returns whether the message was written completely.
+    pub fn is_written(&self) -> bool {
+        self.fully_written.get()
     }
 
-    /// Why the message was not written; `None`: nothing stood against it.
+    /// Returns why the message was denied; `None` if it was not.
     pub fn denied(&self) -> Option<SendDenied> {
         self.denied.get()
     }
 
-    /// Whether something is still to be written for which the kernel has no room.
+    /// Returns whether a write is blocked because the kernel accepts no more bytes.
     pub fn stalled(&self) -> bool {
         self.stalled.get()
     }
 
-    /// Looks at what has come without reading it: how many bytes of one, or the error. A call that is interrupted is made again.
+    /// Peeks at one received byte. Returns 0 at the end of the stream. Interrupted calls are retried.
     fn peek(&self) -> io::Result<usize> {
         loop {
             match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -135,29 +135,30 @@
         }
     }
 
-    /// Whether the kernel holds nothing that has come and was not read, not even the peer's end. Danger: the runtime
-    /// learns of new bytes only when it next looks, so this asks the kernel.
+    /// Returns whether the kernel holds no unread bytes and no end of stream. Danger: the runtime learns of new bytes only at its next
+    /// poll, so this asks the kernel.
     pub fn silent(&self) -> bool {
         self.peek().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends both directions now, whoever still holds the stream.
+    /// Shuts down both directions immediately, even if others still hold the stream.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
     }
 
-    /// Has the connection reset when it is dropped, so that its peer can't take what came for the whole.
+    /// Makes the connection reset on drop, so that its peer cannot take a truncated message for a complete one.
     pub fn reset(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Says that nothing more will be written.
+    /// Shuts down the sending direction.
     pub fn end(&self) {
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
     }
 
-    /// Whether the peer sends nothing more: it has ended its sending, or is gone. Danger: the runtime may have heard of a request
-    /// and not yet of the end behind it, so this asks the kernel; behind bytes that were not read only the runtime can tell.
+    /// Returns whether the peer has closed its sending direction or the connection. Danger: the runtime may know of a request and not
+    /// yet of the end of stream behind it, so this asks the kernel first. An end of stream behind unread bytes is known only to the
+    /// runtime.
     pub fn ended(&self) -> bool {
         match self.peek() {
             Ok(0) => return true,
@@ -168,31 +169,31 @@
         ended.poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 
-    /// Returns once the peer has ended its sending, or is gone. What it sent before is not read.
+    /// Returns once the peer has closed its sending direction or the connection. Reads nothing.
     pub async fn peer_ended(&self) {
         let _ = self.stream.ready(Interest::PRIORITY | Interest::ERROR).await;
     }
 
-    /// Returns once the stream is ready for one of these.
+    /// Returns once the stream is ready for one of these interests.
     pub async fn ready(&self, interest: Interest) -> io::Result<Ready> {
         self.stream.ready(interest).await
     }
 
-    /// Reads what has come, once; `WouldBlock`: nothing has.
-    pub fn try_read(&self, part: &mut [u8]) -> io::Result<usize> {
+    /// Reads once; fails with `WouldBlock` if no bytes have arrived.
+    pub fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
         loop {
-            match self.stream.try_read(part) {
+            match self.stream.try_read(buf) {
                 Err(e) if classify(&e) == ErrorClass::Repeat => {}
                 other => return other,
             }
         }
     }
 
-    /// Returns once the peer has closed the connection while an answer is due to it. Danger: a peer that only
-    /// ended its sending looks the same, and still waits. An interim answer tells them apart: the machine of
-    /// one that is gone resets the connection.
+    /// Returns once the peer has closed the connection while a response is due to it. Danger: a peer that only closed its sending
+    /// direction looks the same, and still waits. If `may_ask`, an interim response tells them apart: the machine of a peer that has
+    /// closed the connection resets it.
     pub async fn hung_up(&self, may_ask: bool) {
-        // Of all interests this one wakes for a closed read side and not for bytes, which may be pipelined.
+        // This interest wakes for a closed read side but not for bytes, which may be pipelined requests.
         let closed = self.stream.ready(Interest::PRIORITY).await;
         if closed.is_ok() && may_ask && !self.stalled.get() && self.interim.get().is_empty() {
             self.interim.set(INTERIM);
@@ -203,13 +204,13 @@
         let _ = self.stream.ready(Interest::ERROR).await;
     }
 
-    /// Writes what is left of an interim answer. Danger: the kernel may take a part of it, and what is written next must not stand
-    /// in its midst.
+    /// Writes the rest of an interim response. Danger: the kernel may accept a part of it, and no other bytes may be written before the
+    /// rest.
     fn write_interim(&self) -> io::Result<()> {
         while !self.interim.get().is_empty() {
-            let left = self.interim.get();
-            match self.stream.try_write(left) {
-                Ok(n) => self.interim.set(&left[n..]),
+            let rest = self.interim.get();
+            match self.stream.try_write(rest) {
+                Ok(n) => self.interim.set(&rest[n..]),
                 Err(e) if classify(&e) == ErrorClass::Repeat => {}
                 Err(e) => return Err(e),
             }
@@ -217,48 +218,51 @@
         Ok(())
     }
 
-    /// Looks at what stands against the first byte of a message; `None`: it has been written.
-    fn look(&self) -> io::Result<Option<Sent>> {
+    /// Checks whether the first byte of a message may be written. Returns the facts for the record; `None`: no check is due.
+    fn check_first_byte(&self) -> io::Result<Option<Sent>> {
         let first_byte = self.first_byte.borrow();
-        let Some(look) = first_byte.as_ref() else { return Ok(None) };
-        let facts = (look.facts)();
+        let Some(first_byte) = first_byte.as_ref() else { return Ok(None) };
+        let facts = (first_byte.facts)();
         match may_send(&facts) {
-            Ok(()) => Ok(Some(Sent { facts, told_left: look.told_left })),
+            Ok(()) => Ok(Some(Sent { facts, told_left: first_byte.time_left })),
             Err(denied) => {
                 self.denied.set(Some(denied));
-                self.ledger.iter().for_each(|l| l.denied.one_more(denied));
-                Err(io::Error::new(io::ErrorKind::ConnectionAborted, "the attempt is not to be written"))
+                self.metrics.iter().for_each(|m| m.denied.one_more(denied));
+                Err(io::Error::new(
+                    io::ErrorKind::ConnectionAborted,
+                    "the attempt must not be written any more",
+                ))
             }
         }
     }
 
-    /// Counts a rule that was broken.
-    fn broke(&self, violation: Option<Violation>) {
-        if let (Some(violation), Some(ledger)) = (violation, &self.ledger) {
-            crate::proxy::violation(ledger, violation, "an attempt");
+    /// Counts and logs a violated invariant.
+    fn report_violation(&self, violation: Option<Violation>) {
+        if let (Some(violation), Some(metrics)) = (violation, &self.metrics) {
+            crate::proxy::violation(metrics, violation, "an attempt");
         }
     }
 
-    /// Waits out a shortage that was met just now.
+    /// Waits for the delay after a shortage, if there was one.
     fn poll_shortage(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shortage = self.shortage.borrow_mut();
-        if let Some(wait) = shortage.as_mut() {
-            ready!(wait.as_mut().poll(cx));
+        if let Some(delay) = shortage.as_mut() {
+            ready!(delay.as_mut().poll(cx));
             *shortage = None;
         }
         Poll::Ready(())
     }
 
-    /// What to do about a failed call; `None`: make it again.
-    fn failed(&self, error: io::Error) -> Option<io::Error> {
+    /// Classifies a failed call. Returns `None` if it should be retried, and the error otherwise.
+    fn on_error(&self, error: io::Error) -> Option<io::Error> {
         if error.kind() == io::ErrorKind::WouldBlock {
             return None;
         }
         match classify(&error) {
             ErrorClass::Repeat => None,
-            ErrorClass::Shortage if self.shortages.get() < SHORTAGES_MOST => {
+            ErrorClass::Shortage if self.shortages.get() < MAX_SHORTAGES => {
                 self.shortages.set(self.shortages.get() + 1);
-                *self.shortage.borrow_mut() = Some(Box::pin(sleep(SHORTAGE_WAIT)));
+                *self.shortage.borrow_mut() = Some(Box::pin(sleep(SHORTAGE_RETRY_DELAY)));
                 None
             }
             _ => Some(error),
@@ -266,30 +270,30 @@
     }
 }
 
-/// Hyper's end of a [`Socket`].
+/// The side of a [`Socket`] that hyper reads and writes.
 pub struct Io(pub Rc<Socket>);
 
 impl Io {
-    /// Reads into `part`; 0: the peer has ended its sending.
-    pub fn poll_fill(&self, cx: &mut Context<'_>, part: &mut [u8]) -> Poll<io::Result<usize>> {
+    /// Reads into `buf`. Returns 0 at the end of the stream.
+    pub fn poll_fill(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let socket = &self.0;
         loop {
             ready!(socket.poll_shortage(cx));
             ready!(socket.stream.poll_read_ready(cx))?;
-            match socket.stream.try_read(part) {
-                Ok(n) if n > socket.room.get() => {
-                    return Poll::Ready(Err(io::Error::other("the answer does not end")));
+            match socket.stream.try_read(buf) {
+                Ok(n) if n > socket.read_limit.get() => {
+                    return Poll::Ready(Err(io::Error::other("the response exceeds the size limit")));
                 }
                 Ok(n) => {
-                    if socket.room.get() != usize::MAX {
-                        socket.room.set(socket.room.get() - n);
+                    if socket.read_limit.get() != usize::MAX {
+                        socket.read_limit.set(socket.read_limit.get() - n);
                     }
                     socket.shortages.set(0);
-                    socket.moved.set(Instant::now());
+                    socket.last_activity.set(Instant::now());
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) => {
-                    if let Some(e) = socket.failed(e) {
+                    if let Some(e) = socket.on_error(e) {
                         return Poll::Ready(Err(e));
                     }
                 }
@@ -308,19 +312,19 @@
                 socket.stalled.set(true);
                 return Poll::Pending;
             }
-            let first = socket.look()?;
+            let checked = socket.check_first_byte()?;
             let sent = socket.write_interim().and_then(|()| send(&socket.stream));
             match sent {
                 Ok(n) => {
-                    socket.begun.set(true);
+                    socket.write_started.set(true);
                     socket.shortages.set(0);
-                    socket.moved.set(Instant::now());
-                    socket.broke(first.as_ref().and_then(check_sent));
+                    socket.last_activity.set(Instant::now());
+                    socket.report_violation(checked.as_ref().and_then(check_sent));
                     *socket.first_byte.borrow_mut() = None;
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) => {
-                    if let Some(e) = socket.failed(e) {
+                    if let Some(e) = socket.on_error(e) {
                         return Poll::Ready(Err(e));
                     }
                 }
@@ -355,10 +359,10 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Hyper flushes the stream once its own buffer, which holds the whole message, is empty.
+        // Hyper flushes the stream once its own buffer, which holds the complete message, is empty.
         self.0.stalled.set(false);
-        if self.0.begun.get() && !self.0.whole.replace(true) {
-            self.0.ledger.iter().for_each(|l| l.attempts.one_more());
+        if self.0.write_started.get() && !self.0.fully_written.replace(true) {
+            self.0.metrics.iter().for_each(|m| m.attempts.one_more());
         }
         Poll::Ready(Ok(()))
     }
--- a/src/proxy/upstream/socket/tests.rs
+++ b/src/proxy/upstream/socket/tests.rs
@@ -8,10 +8,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Danger: a kept connection on which something has come would give it to the next request. Nothing here lets the
-/// runtime look at its sockets between the writing and the question.
+/// Danger: an idle connection with unread bytes would return them as the response to the next request. Nothing in this test lets the
+/// runtime poll its sockets between the write and the check.
 #[tokio::test(flavor = "current_thread")]
-async fn what_has_come_is_seen_before_the_runtime_has_looked() {
+async fn received_bytes_are_seen_before_the_runtime_polls() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
     let (far, _) = listener.accept().await.expect("accepted");
@@ -22,10 +22,10 @@
     assert!(!socket.silent());
 }
 
-/// Danger: taken for unwritten, a request that ran would be sent again; taken for written, one that never
-/// ran would be failed.
+/// Danger: if it counted as unwritten too long, a request that ran would be sent again; if it counted as written too early, one that
+/// never ran would fail.
 #[tokio::test(flavor = "current_thread")]
-async fn a_message_is_whole_once_its_last_byte_is_written() {
+async fn a_message_is_written_once_its_last_byte_is_written() {
     const LENGTH: usize = 1 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let near = TcpSocket::new_v4().expect("a socket");
@@ -37,23 +37,23 @@
     let request = Request::put("/a").body(Full::new(Bytes::from(vec![b'x'; LENGTH]))).expect("a request");
     let exchange = async { tokio::join!(connection, sender.send_request(request)) };
     let mut exchange = std::pin::pin!(exchange);
-    // The first bytes have come, but the buffers between hold only a part of the rest.
+    // The first byte has arrived, but the socket buffers hold only a part of the rest.
     let mut first = [0; 1];
     tokio::select! {
         _ = exchange.as_mut() => panic!("ended"),
         read = far.read_exact(&mut first) => { read.expect("read"); }
     }
-    assert!(!socket.whole());
+    assert!(!socket.is_written());
     let mut rest = vec![0; LENGTH];
     tokio::select! {
         _ = exchange.as_mut() => panic!("ended"),
         read = far.read_exact(&mut rest) => { read.expect("read"); }
     }
-    // The head is still to be read, so that the last byte may not have been written yet.
+    // The body is longer than what was read by the length of the head, so the last byte may not have been written yet.
     let head = "PUT /a HTTP/1.1\r\ncontent-length: 1048576\r\n\r\n".len() - 1;
     tokio::select! {
         _ = exchange.as_mut() => panic!("ended"),
         read = far.read_exact(&mut rest[..head]) => { read.expect("read"); }
     }
-    assert!(socket.whole());
+    assert!(socket.is_written());
 }
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -4,27 +4,33 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Danger: a node that is blamed for the proxy's own shortage is left with all its keys.
+/// Danger: if a shortage of descriptors in the proxy counted against the node, the node would be avoided and lose all its keys.
 #[tokio::test(flavor = "current_thread")]
-async fn a_lack_of_descriptors_is_not_the_nodes_fault() {
+async fn a_lack_of_descriptors_does_not_count_against_the_node() {
     let node = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let (none, ledger) = (Descriptors::new(0), RequestMetrics::new(&[]));
-    let upstreams = Upstreams::new(none, ledger, Duration::from_secs(30), &Settings::default());
+    let (none, metrics) = (Descriptors::new(0), RequestMetrics::new(&[]));
+    let upstreams = Upstreams::new(none, metrics, Duration::from_secs(30), &Settings::default());
     let entry = Entry { server: 1, ..Entry::default() };
     upstreams.update(true, &[(entry, node.local_addr().ok())]);
-    let job = UpstreamRequest {
+    let upstream_request = UpstreamRequest {
         method: Method::GET,
         uri: Uri::default(),
         headers: HeaderMap::new(),
         body: AttemptBody::Whole(Bytes::new()),
     };
     let ended = upstreams
-        .attempt(1, &job, Span::of(Duration::from_secs(30)), &Rc::default(), Importance::Default)
+        .attempt(
+            1,
+            &upstream_request,
+            AttemptLimits::with_total(Duration::from_secs(30)),
+            &Rc::default(),
+            Importance::Default,
+        )
         .await;
     assert_eq!(ended.status, Status::Moot);
 }
 
-/// A connection with nothing on its way, and its far end.
+/// Returns a connection with no bytes in flight, and its far end.
 async fn pair() -> (Rc<Socket>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
@@ -33,41 +39,47 @@
     (socket, far)
 }
 
-/// A message is about to be written on this connection, for an attempt that may be called off.
-fn guarded(socket: &Rc<Socket>) -> Rc<Cancellation> {
+/// Begins a message on this connection for an attempt that can be cancelled through the returned handle.
+fn begin_cancellable(socket: &Rc<Socket>) -> Rc<Cancellation> {
     let cancellation = Rc::new(Cancellation::default());
-    let looks_at = cancellation.clone();
-    let facts = move || SendFacts { request: looks_at.request(), deadline: 1, ..SendFacts::default() };
-    socket.begin(ANSWER_MOST, Some(FirstByte { facts: Box::new(facts), told_left: 0 }));
-    cancellation.on(socket);
+    let cancellation_state = cancellation.clone();
+    let facts = move || SendFacts {
+        request: cancellation_state.request_state(),
+        deadline: 1,
+        ..SendFacts::default()
+    };
+    socket.begin_message(MAX_RESPONSE_BYTES, Some(FirstByte { facts: Box::new(facts), time_left: 0 }));
+    cancellation.set_socket(socket);
     cancellation
 }
 
-/// Danger: between the last look and the first byte the request may get its answer. The connection's own task writes.
+/// Danger: the request may be answered after the attempt was handed to hyper and before its first byte is written by the connection's
+/// task. The first-byte check has to deny the attempt then.
 #[tokio::test(flavor = "current_thread")]
-async fn what_is_barred_before_its_first_byte_is_not_written_by_the_task_of_its_connection() {
+async fn an_attempt_cancelled_before_its_first_byte_is_not_written_by_its_connection_task() {
     let (socket, mut far) = pair().await;
     let (mut sender, driver) = http1::handshake(TokioIo::new(Io(socket.clone()))).await.expect("up");
-    let cancellation = guarded(&socket);
-    // Handed over, and not written: its connection's task has not run.
+    let cancellation = begin_cancellable(&socket);
+    // Handed to hyper but not written: the connection's task has not run yet.
     let mut sending = std::pin::pin!(sender.send_request(Request::new(Body::default())));
-    assert!(futures_poll(sending.as_mut()).is_none());
-    cancellation.answered();
-    let mut came = Vec::new();
+    assert!(poll_once(sending.as_mut()).is_none());
+    cancellation.mark_answered();
+    let mut received = Vec::new();
     let ended = async { tokio::join!(driver, sending) };
     tokio::select! {
         biased;
-        read = far.read_buf(&mut came) => { read.expect("read"); }
+        read = far.read_buf(&mut received) => { read.expect("read"); }
         (_, sent) = ended => assert!(sent.is_err()),
     }
-    assert!(came.is_empty() && !socket.whole(), "{}", String::from_utf8_lossy(&came));
+    assert!(received.is_empty() && !socket.is_written(), "{}", String::from_utf8_lossy(&received));
 }
 
+/// Once its first byte is written, an attempt goes on even if the request is answered elsewhere.
 #[tokio::test(flavor = "current_thread")]
-async fn what_is_barred_behind_its_first_byte_goes_on() {
+async fn an_attempt_cancelled_after_its_first_byte_goes_on() {
     let (socket, mut far) = pair().await;
     let (mut sender, driver) = http1::handshake(TokioIo::new(Io(socket.clone()))).await.expect("up");
-    let cancellation = guarded(&socket);
+    let cancellation = begin_cancellable(&socket);
     let mut exchange =
         std::pin::pin!(async { tokio::join!(driver, sender.send_request(Request::new(Body::default()))) });
     let mut first = [0; 1];
@@ -75,14 +87,14 @@
         _ = exchange.as_mut() => panic!("ended"),
         read = far.read_exact(&mut first) => { read.expect("read"); }
     }
-    cancellation.answered();
+    cancellation.mark_answered();
     assert!(far.try_write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_ok());
     drop(far);
     let (_, sent) = exchange.await;
     assert_eq!(sent.expect("answered").status(), StatusCode::OK);
 }
 
-fn futures_poll<F: std::future::Future>(future: std::pin::Pin<&mut F>) -> Option<F::Output> {
+fn poll_once<F: std::future::Future>(future: std::pin::Pin<&mut F>) -> Option<F::Output> {
     match future.poll(&mut std::task::Context::from_waker(std::task::Waker::noop())) {
         std::task::Poll::Ready(done) => Some(done),
         std::task::Poll::Pending => None,
