--- a/src/proxy/control/mod.rs
+++ b/src/proxy/control/mod.rs
@@ -1,4 +1,4 @@
-//! The proxy's side of the control service: its subscription, and its part in rollouts and policies.
+//! The proxy's client of the control service: its endpoint subscription, and its participation in rollouts and policies.
 
 pub mod policy_client;
 pub mod policy_settings;
--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -1,5 +1,6 @@
-//! The proxy's part in policies: it requests leases, applies the policies that it holds a lease for, and the fallback policy without one
-//! (`docs/design-policy.md`). `rushquay_policy` decides; here are the clock, the messages and the layers of settings.
+//! The proxy's participation in policies: it requests leases, and applies the policies that it holds a lease for, or the fallback
+//! policy without a lease (`docs/design-policy.md`). `rushquay_policy` makes the decisions; this module connects it to the clock, the
+//! messages of the control service and the layers of settings.
 
 use crate::api::Nanos;
 use crate::proxy::config::layers::{ConfigLayers, PolicyLayer};
@@ -18,40 +19,41 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Retry-After for a request that a policy rejects, as far as the settings allow it.
-const WAIT: Duration = Duration::from_secs(1);
+/// Advised wait of a request that a policy rejects, unless the maximum in the settings is lower.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What an incumbent hands over to its successor.
+/// The policy state that an incumbent hands over to its successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PolicyHandover {
     member: rushquay_policy::MemberSnapshot,
-    /// The broadcast that is applied, as it was received.
+    /// The applied broadcast, as it was received.
     holding: Option<String>,
 }
 
 impl PolicyHandover {
-    /// The message as JSON.
+    /// Serializes the state as JSON.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Parses it; one that cannot be parsed is ignored: the control service sends everything again.
+    /// Parses the state. One that cannot be parsed is logged and ignored: the control service sends everything again.
     pub fn read(text: &str) -> Option<Self> {
         let read = serde_json::from_str(text);
-        read.map_err(|e| crate::proxy::log(format_args!("the old process's policy is not taken: {e}"))).ok()
+        read.map_err(|e| crate::proxy::log(format_args!("ignoring the policy of the old process: {e}"))).ok()
     }
 }
 
+/// The lease state of this process and the broadcasts that it has received.
 struct State {
     member: Member,
-    /// The broadcast that is applied.
-    held: Option<PolicyBroadcast>,
-    /// The last broadcast received, or its revision and why it cannot be applied.
-    came: Option<Result<PolicyBroadcast, (Revision, String)>>,
-    /// A lease grant whose policies have not been received yet.
-    waits: Option<LeaseGrant>,
-    /// What was last passed to the layers.
-    said: Option<(ActivePolicy, Option<PolicySet>)>,
+    /// The applied broadcast.
+    applied: Option<PolicyBroadcast>,
+    /// The last received broadcast, or its revision and why it cannot be applied.
+    received: Option<Result<PolicyBroadcast, (Revision, String)>>,
+    /// A lease grant for policies that have not been received yet.
+    pending_grant: Option<LeaseGrant>,
+    /// The policies last passed to the layers of settings.
+    last_passed: Option<(ActivePolicy, Option<PolicySet>)>,
 }
 
 /// This process as a member of policies.
@@ -60,48 +62,49 @@
     layers: Rc<ConfigLayers>,
     clocks: Clocks,
     state: RefCell<State>,
-    /// Nothing expires before this time.
-    until: Cell<Nanos>,
-    /// A lease request is due.
-    due: Cell<bool>,
+    /// The active policy does not expire before this time.
+    valid_until: Cell<Nanos>,
+    /// Whether a lease request is due.
+    request_due: Cell<bool>,
     news: Arc<Notify>,
     lease_granted: Notify,
 }
 
 impl PolicyClient {
-    /// Starts on what the incumbent applied, without its lease, or on nothing yet.
+    /// Creates a client that starts with the incumbent's policies, but without its lease, or without any policy.
     pub fn new(
         source: PolicySource,
         layers: Rc<ConfigLayers>,
         clocks: Clocks,
-        handed: Option<PolicyHandover>,
+        inherited: Option<PolicyHandover>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let (boot, now) = (Incarnation(layers.engine().now()), (clocks.steady)());
-        let holding = |text: &str| {
+        let parse_broadcast = |text: &str| {
             let read = PolicyBroadcast::read(text);
-            read.map_err(|e| crate::proxy::log(format_args!("the old process's policy is not taken: {e}")))
+            read.map_err(|e| crate::proxy::log(format_args!("ignoring the policy of the old process: {e}")))
                 .ok()
         };
         let fresh = Member::new(boot, source.unanswered, now);
-        let (member, held) = match handed {
+        let (member, applied) = match inherited {
             None => (fresh, None),
             Some(PolicyHandover { member, holding: None }) => {
                 (Member::take_over(boot, source.unanswered, member, now), None)
             }
-            Some(PolicyHandover { member, holding: Some(text) }) => match holding(&text) {
+            Some(PolicyHandover { member, holding: Some(text) }) => match parse_broadcast(&text) {
                 Some(held) => (Member::take_over(boot, source.unanswered, member, now), Some(held)),
                 None => (fresh, None),
             },
         };
-        let state = RefCell::new(State { member, held, came: None, waits: None, said: None });
+        let state =
+            RefCell::new(State { member, applied, received: None, pending_grant: None, last_passed: None });
         let policy = Rc::new(PolicyClient {
             source,
             layers,
             clocks,
             state,
-            until: Cell::new(0),
-            due: Cell::new(true),
+            valid_until: Cell::new(0),
+            request_due: Cell::new(true),
             news,
             lease_granted: Notify::new(),
         });
@@ -113,31 +116,31 @@
         (self.clocks.steady)()
     }
 
-    /// The incarnation of this process.
+    /// Returns the incarnation of this process.
     pub fn boot(&self) -> u64 {
         self.state.borrow().member.boot().0
     }
 
-    /// Interval between lease requests.
+    /// Returns the interval between lease requests.
     pub fn request_interval(&self) -> Duration {
         self.source.every
     }
 
     /// Sends a lease request as soon as possible.
     pub fn request_lease_now(&self) {
-        self.due.set(true);
+        self.request_due.set(true);
         self.news.notify_one();
-        // The stream may be down; what is due by the clock is done anyway.
+        // Leases expire by the clock even if the stream is down.
         self.refresh();
     }
 
-    /// The lease request that is due.
+    /// Returns the lease request, if one is due.
     pub fn due_lease_request(&self) -> Option<String> {
         let now = self.now();
-        self.due.replace(false).then(|| self.state.borrow_mut().member.ask(now).text())
+        self.request_due.replace(false).then(|| self.state.borrow_mut().member.ask(now).text())
     }
 
-    /// Whether any request may be served.
+    /// Returns whether any request may be served.
     pub fn permits_serving(&self) -> bool {
         self.refresh();
         !self.layers.rejects_all()
@@ -150,127 +153,136 @@
         }
     }
 
-    /// What a successor has to know.
+    /// Returns the state to hand over to a successor.
     pub fn handover(&self) -> PolicyHandover {
         let state = self.state.borrow();
         PolicyHandover {
             member: state.member.snapshot(),
-            holding: state.held.as_ref().map(PolicyBroadcast::text),
+            holding: state.applied.as_ref().map(PolicyBroadcast::text),
         }
     }
 
-    /// Applies what there is a lease for now. Danger: a timer may fire late, and a process that was stopped continues with a request
-    /// before its timers.
+    /// Applies the policies that are active now, if the last ones may have expired. Danger: a timer may fire late, and a process that was
+    /// stopped may handle a request before its timers fire, so each request calls this.
     pub fn refresh(&self) {
-        if self.now() >= self.until.get() {
-            self.act();
+        if self.now() >= self.valid_until.get() {
+            self.apply_active();
         }
     }
 
-    /// Whether the active policies reject a class, with the advised wait.
+    /// Returns the `Retry-After` of a class if the active policies reject it.
     pub fn rejects(&self, class: usize) -> Option<Duration> {
-        let most = self.layers.engine().acting().settings.max_retry_after;
-        self.layers.rejects(class).then(|| WAIT.min(Duration::from_nanos(most)))
+        let max = self.layers.engine().acting().settings.max_retry_after;
+        self.layers.rejects(class).then(|| RETRY_AFTER.min(Duration::from_nanos(max)))
     }
 
-    /// Handles messages of the control service.
+    /// Handles messages from the control service.
     pub fn on_messages(&self, texts: &[PolicyMessage]) {
         for text in texts {
             match text {
-                PolicyMessage::Broadcast(text) => self.holds(text),
+                PolicyMessage::Broadcast(text) => self.on_broadcast(text),
                 PolicyMessage::LeaseGrant(text) => match LeaseGrant::read(text) {
-                    Ok(grant) => self.granted(&grant),
-                    Err(e) => crate::proxy::log(format_args!("a leave is not taken: {e}")),
+                    Ok(grant) => self.on_lease_grant(&grant),
+                    Err(e) => crate::proxy::log(format_args!("ignoring a policy lease grant: {e}")),
                 },
             }
         }
     }
 
-    fn holds(&self, text: &str) {
-        let came = match PolicyBroadcast::read(text) {
-            Ok(holding) => Ok(holding),
+    /// Handles a broadcast of policies.
+    fn on_broadcast(&self, text: &str) {
+        let received = match PolicyBroadcast::read(text) {
+            Ok(broadcast) => Ok(broadcast),
             Err(BroadcastError::Beyond { revision, why }) => Err((revision, why)),
-            // This process never joins the revision, and is fenced in time.
-            Err(e) => return crate::proxy::log(format_args!("what holds of policies is not taken: {e}")),
+            // This process never joins the revision, and is fenced once its lease expires.
+            Err(e) => return crate::proxy::log(format_args!("ignoring a policy broadcast: {e}")),
         };
-        self.state.borrow_mut().came = Some(came);
-        let waits = self.state.borrow_mut().waits.take();
-        waits.iter().for_each(|grant| self.granted(grant));
-        // The leader that waits for this process learns the sooner.
+        self.state.borrow_mut().received = Some(received);
+        let pending_grant = self.state.borrow_mut().pending_grant.take();
+        pending_grant.iter().for_each(|grant| self.on_lease_grant(grant));
+        // The leader may be waiting for this process to receive the broadcast.
         self.request_lease_now();
     }
 
-    fn granted(&self, grant: &LeaseGrant) {
+    /// Handles a lease grant.
+    fn on_lease_grant(&self, grant: &LeaseGrant) {
         let new = {
             let state = &mut *self.state.borrow_mut();
-            let came = match &state.came {
-                Some(Ok(holding)) => Some(holding.revision),
+            let received = match &state.received {
+                Some(Ok(broadcast)) => Some(broadcast.revision),
                 Some(Err((revision, _))) => Some(*revision),
                 None => None,
             };
-            if grant.revision > state.member.revision() && came < Some(grant.revision) {
-                // The policies that it grants are still on their way.
-                state.waits = Some(*grant);
+            if grant.revision > state.member.revision() && received < Some(grant.revision) {
+                // The broadcast of the granted policies has not arrived yet.
+                state.pending_grant = Some(*grant);
                 return;
             }
-            let (layers, begin_by, came) = (&self.layers, &self.source.floor, &state.came);
-            let new = state.member.granted(grant, |told| match came {
+            let (layers, fallback, received) = (&self.layers, &self.source.floor, &state.received);
+            let new = state.member.granted(grant, |policy_set| match received {
                 Some(Err((revision, why))) if *revision == grant.revision => Err(why.clone()),
-                Some(Ok(holding)) if holding.revision == grant.revision && holding.told == told => {
-                    could(layers, holding, begin_by)
+                Some(Ok(broadcast))
+                    if broadcast.revision == grant.revision && broadcast.told == policy_set =>
+                {
+                    check_broadcast(layers, broadcast, fallback)
                 }
-                _ => Err(format!("revision {} was never told here", grant.revision.0)),
+                _ => Err(format!("revision {} was never received by this process", grant.revision.0)),
             });
             if new {
-                state.held = state.came.clone().and_then(Result::ok);
+                state.applied = state.received.clone().and_then(Result::ok);
             }
             new
         };
-        self.act();
+        self.apply_active();
         if new {
-            // The leader that waits for this process is told immediately.
+            // The leader may be waiting for this process to apply the policies.
             self.request_lease_now();
         }
         self.lease_granted.notify_one();
     }
 
-    /// Applies what there is a lease for now.
-    fn act(&self) {
+    /// Applies the policies that are active now.
+    fn apply_active(&self) {
         let state = &mut *self.state.borrow_mut();
         let (leave, until) = state.member.standing(self.now());
         let last = state.member.told();
-        self.until.set(until);
-        if state.said == Some((leave, last)) {
+        self.valid_until.set(until);
+        if state.last_passed == Some((leave, last)) {
             return;
         }
-        state.said = Some((leave, last));
+        state.last_passed = Some((leave, last));
         let policies: BTreeMap<PolicyNumber, Body> =
-            state.held.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
-        let say = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
+            state.applied.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
+        let layer = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
         let revision = state.member.revision().0;
-        match self.layers.apply_policy(say) {
+        match self.layers.apply_policy(layer) {
             Ok(()) => {
-                crate::proxy::log(format_args!("policy: acting by {} (revision {revision})", words(leave)));
+                crate::proxy::log(format_args!(
+                    "policy: acting by {} (revision {revision})",
+                    describe(leave)
+                ));
             }
-            // It was validated before it was accepted; a fallback policy may still name a class that this proxy does not have.
+            // Policies were validated before the lease was accepted, but a fallback policy may name a class that this proxy does not
+            // have.
             Err(why) => {
                 crate::proxy::log(format_args!(
-                    "policy: {} can't be obeyed: {why}; nobody is served",
-                    words(leave)
+                    "policy: {} cannot be applied: {why}; all requests are rejected",
+                    describe(leave)
                 ));
-                let nobody = PolicyLayer {
+                let reject_all = PolicyLayer {
                     leave: ActivePolicy::Denied,
                     last,
                     policies: BTreeMap::new(),
                     begin_by: FallbackPolicy::Nobody,
                 };
-                let _ = self.layers.apply_policy(nobody);
+                let _ = self.layers.apply_policy(reject_all);
             }
         }
     }
 }
 
-fn words(leave: ActivePolicy) -> String {
+/// Describes the active policies for the log.
+fn describe(leave: ActivePolicy) -> String {
     match leave {
         ActivePolicy::Leased(PolicySet::Pure(one)) => format!("policy {} alone", one.0),
         ActivePolicy::Leased(PolicySet::Joint(old, new)) => {
@@ -281,35 +293,40 @@
     }
 }
 
-/// Checks that every policy of a broadcast can be applied here, and is no stricter than this proxy's own fallback policy.
-fn could(layers: &ConfigLayers, holding: &PolicyBroadcast, begin_by: &FallbackPolicy) -> Result<(), String> {
-    for (number, body) in &holding.policies {
-        let paths = begin_by.looser(&body.settings);
+/// Checks that every policy of a broadcast can be applied by this proxy, and that this proxy's own fallback policy is no looser than any
+/// of them.
+fn check_broadcast(
+    layers: &ConfigLayers,
+    broadcast: &PolicyBroadcast,
+    fallback: &FallbackPolicy,
+) -> Result<(), String> {
+    for (number, body) in &broadcast.policies {
+        let paths = fallback.looser(&body.settings);
         if !paths.is_empty() {
             return Err(format!(
-                "the floor of its own file is looser than policy {} in {}",
+                "the floor in this proxy's own settings is looser than policy {} in {}",
                 number.0,
                 paths.join(", ")
             ));
         }
-        // Each alone, with its fallback policy, and their intersection.
-        let told = Some(PolicySet::Pure(*number));
+        // Each policy is checked alone and with its fallback policy. Their intersection is checked below.
+        let policy_set = Some(PolicySet::Pure(*number));
         for leave in [ActivePolicy::Leased(PolicySet::Pure(*number)), ActivePolicy::Fallback] {
-            let say = PolicyLayer {
+            let layer = PolicyLayer {
                 leave,
-                last: told,
-                policies: holding.policies.clone(),
-                begin_by: begin_by.clone(),
+                last: policy_set,
+                policies: broadcast.policies.clone(),
+                begin_by: fallback.clone(),
             };
-            layers.check_policy(&say)?;
+            layers.check_policy(&layer)?;
         }
     }
-    let leave = ActivePolicy::Leased(holding.told);
-    let policies = holding.policies.clone();
+    let leave = ActivePolicy::Leased(broadcast.told);
+    let policies = broadcast.policies.clone();
     layers.check_policy(&PolicyLayer {
         leave,
-        last: Some(holding.told),
+        last: Some(broadcast.told),
         policies,
-        begin_by: begin_by.clone(),
+        begin_by: fallback.clone(),
     })
 }
--- a/src/proxy/control/rollout_client.rs
+++ b/src/proxy/control/rollout_client.rs
@@ -1,5 +1,5 @@
-//! The proxy's part in rollouts: it applies the config version that the control service assigns to it, completely or not at all, and
-//! reports which version is active and how its requests fare.
+//! The proxy's participation in rollouts: it applies the config version that the control service assigns to it, completely or not at
+//! all, and reports the active version with statistics of its requests.
 
 use crate::proxy::config::layers::ConfigLayers;
 use crate::proxy::control::rollout_metrics::RolloutMetrics;
@@ -16,210 +16,217 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Interval of the probes of its own clock, and by how much a probe must be overdue to count as late.
+/// Interval of the event loop probes, and how overdue a probe must be to count as late.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 const LATE_PROBE_AFTER: Duration = Duration::from_millis(10);
 
-/// Counts probes of the process's own clock, and those that were late.
+/// Counts timer probes of the process's event loop, and those that fired late.
 #[derive(Default)]
-struct ClockProbe {
-    all: Cell<u64>,
+struct LoopProbe {
+    total: Cell<u64>,
     late: Cell<u64>,
 }
 
-impl ClockProbe {
+impl LoopProbe {
     /// Probes for as long as the process runs.
     async fn count(self: Rc<Self>) {
         loop {
             let due = Instant::now() + PROBE_INTERVAL;
             sleep_until(due).await;
-            self.all.set(self.all.get() + 1);
+            self.total.set(self.total.get() + 1);
             self.late.set(self.late.get() + u64::from(due.elapsed() > LATE_PROBE_AFTER));
         }
     }
 }
 
+/// The state that reports describe.
 struct State {
+    /// Sequence number of the last report.
     seq: u64,
-    acting: Digest,
+    active: Digest,
     change: u64,
-    refused: Option<RejectedConfig>,
-    /// The assignment that is applied, as it was received.
-    given: Option<String>,
-    /// The last assignment if only another program can apply it, which the supervisor is to start.
-    next: Option<String>,
+    rejected: Option<RejectedConfig>,
+    /// The applied assignment, as it was received.
+    applied: Option<String>,
+    /// The last assignment, if it needs another program, which the supervisor has to start.
+    waiting: Option<String>,
 }
 
 /// This process as a member of rollouts.
 pub struct RolloutClient {
     source: RolloutSource,
-    hosted: Option<Supervised>,
-    boot: u64,
+    supervised: Option<Supervised>,
+    incarnation: u64,
     engine: Rc<Engine>,
     layers: Rc<ConfigLayers>,
-    ledger: Arc<RequestMetrics>,
-    /// Counts how its requests end.
+    metrics: Arc<RequestMetrics>,
+    /// Counts request outcomes for the analysis of a rollout.
     pub request_metrics: RolloutMetrics,
     state: RefCell<State>,
-    beats: Rc<ClockProbe>,
-    leaving: Cell<bool>,
-    /// Notified when there is something to report immediately.
+    loop_probe: Rc<LoopProbe>,
+    shutting_down: Cell<bool>,
+    /// Notified when a report should be sent immediately.
     pub news: Arc<Notify>,
 }
 
 impl RolloutClient {
-    /// Starts on the settings of its own file.
+    /// Creates a client that starts on the process's own settings, or on the assignment that the supervisor passed.
     pub fn new(
         source: RolloutSource,
-        hosted: Option<Supervised>,
+        supervised: Option<Supervised>,
         layers: Rc<ConfigLayers>,
-        ledger: Arc<RequestMetrics>,
+        metrics: Arc<RequestMetrics>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let engine = layers.engine().clone();
-        let tally = RolloutMetrics::new(engine.acting().names.classes.len());
+        let rollout_metrics = RolloutMetrics::new(engine.acting().names.classes.len());
         let base = ConfigVersion::base();
-        // Danger: a process that reports the base version while it is another program than the base has would be taken for rolled back.
-        let acting = match &hosted {
-            Some(hosted) if !hosted.is(&base) => base.with_program(hosted.runs).digest(),
+        // Danger: a process that reports the base version while it runs another program than the base version names would count as
+        // rolled back.
+        let active = match &supervised {
+            Some(supervised) if !supervised.is(&base) => base.with_program(supervised.runs).digest(),
             _ => base.digest(),
         };
-        let state = State { seq: 0, acting, change: 0, refused: None, given: None, next: None };
-        let (boot, state) = (engine.now(), RefCell::new(state));
-        let leaving = Cell::new(false);
-        let given = hosted.as_ref().and_then(|h| h.given.clone());
-        let beats = Rc::new(ClockProbe::default());
-        tokio::task::spawn_local(beats.clone().count());
+        let state = State { seq: 0, active, change: 0, rejected: None, applied: None, waiting: None };
+        let (incarnation, state) = (engine.now(), RefCell::new(state));
+        let shutting_down = Cell::new(false);
+        let assignment = supervised.as_ref().and_then(|h| h.given.clone());
+        let loop_probe = Rc::new(LoopProbe::default());
+        tokio::task::spawn_local(loop_probe.clone().count());
         let rollout = Rc::new(RolloutClient {
             source,
-            hosted,
-            boot,
+            supervised,
+            incarnation,
             engine,
             layers,
-            ledger,
-            request_metrics: tally,
+            metrics,
+            request_metrics: rollout_metrics,
             state,
-            beats,
-            leaving,
+            loop_probe,
+            shutting_down,
             news,
         });
-        given.iter().for_each(|given| rollout.inherit(given));
+        assignment.iter().for_each(|text| rollout.inherit(text));
         rollout
     }
 
-    /// Whether this process is the program that a config version names.
-    fn is(&self, generation: &ConfigVersion) -> bool {
-        match &self.hosted {
-            Some(hosted) => hosted.is(generation),
-            None => generation.program().is_none(),
+    /// Returns whether this process runs the program that a config version names.
+    fn runs(&self, version: &ConfigVersion) -> bool {
+        match &self.supervised {
+            Some(supervised) => supervised.is(version),
+            None => version.program().is_none(),
         }
     }
 
-    /// Interval between reports.
+    /// Returns the interval between reports.
     pub fn report_interval(&self) -> Duration {
         self.source.every
     }
 
-    /// Graceful shutdown has begun; it is reported immediately.
+    /// Reports immediately that graceful shutdown has begun.
     pub fn begin_shutdown(&self) {
-        self.leaving.set(true);
+        self.shutting_down.set(true);
         self.news.notify_one();
     }
 
-    /// Whether this proxy can apply an assignment. The reason why not goes into the next report.
-    pub fn can_apply(&self, given: &ConfigAssignment) -> Result<(), String> {
-        let alone = self.hosted.is_none() && given.generation.program().is_some();
-        let checked = match alone {
-            true => Err("settings.program: no host runs this proxy, and none can replace it".into()),
-            // Whether another program can apply it is for that program to report, once it runs.
-            false if !self.is(&given.generation) => Ok(()),
-            false => self.layers.check_version(&given.generation),
+    /// Checks whether this proxy can apply an assignment. A rejection is included in the next report.
+    ///
+    /// # Errors
+    /// Why it cannot.
+    pub fn can_apply(&self, assignment: &ConfigAssignment) -> Result<(), String> {
+        let needs_supervisor = self.supervised.is_none() && assignment.generation.program().is_some();
+        let checked = match needs_supervisor {
+            true => Err("settings.program: this proxy runs without a supervisor, which is needed to replace its program".into()),
+            // The other program reports whether it can apply the assignment once it runs.
+            false if !self.runs(&assignment.generation) => Ok(()),
+            false => self.layers.check_version(&assignment.generation),
         };
         if let Err(why) = &checked {
-            let generation = given.generation.digest();
+            let generation = assignment.generation.digest();
             crate::proxy::log(format_args!(
-                "settings {generation:?} of change {} are refused: {why}",
-                given.change
+                "settings {generation:?} of change {} are rejected: {why}",
+                assignment.change
             ));
             let mut state = self.state.borrow_mut();
-            state.change = given.change;
-            state.refused = Some(RejectedConfig { generation, why: why.chars().take(500).collect() });
+            state.change = assignment.change;
+            state.rejected = Some(RejectedConfig { generation, why: why.chars().take(500).collect() });
             self.news.notify_one();
         }
         checked
     }
 
-    /// The assignment that is applied, or that waits for the supervisor: for a successor.
+    /// Returns the assignment for a successor: the one that waits for the supervisor, or else the applied one.
     pub fn assignment_text(&self) -> Option<String> {
         let state = self.state.borrow();
-        state.next.clone().or_else(|| state.given.clone())
+        state.waiting.clone().or_else(|| state.applied.clone())
     }
 
-    /// Takes over the incumbent's assignment. One that cannot be read or applied is ignored: the control service sends it again.
-    pub fn inherit(&self, given: &str) {
-        match ConfigAssignment::read(given) {
-            // An assignment for another program is left to that program.
-            Ok(given) if self.is(&given.generation) && self.can_apply(&given).is_ok() => self.apply(&given),
+    /// Takes over the incumbent's assignment. One that cannot be parsed or applied is ignored: the control service sends it again.
+    pub fn inherit(&self, text: &str) {
+        match ConfigAssignment::read(text) {
+            Ok(given) if self.runs(&given.generation) && self.can_apply(&given).is_ok() => self.apply(&given),
+            // It needs another program, or cannot be applied.
             Ok(_) => {}
-            Err(e) => crate::proxy::log(format_args!("the old process's settings are not taken: {e}")),
+            Err(e) => crate::proxy::log(format_args!("ignoring the settings of the old process: {e}")),
         }
     }
 
-    /// Applies an assignment from the next request on.
-    pub fn apply(&self, given: &ConfigAssignment) {
-        let digest = given.generation.digest();
+    /// Applies an assignment, effective from the next request.
+    pub fn apply(&self, assignment: &ConfigAssignment) {
+        let digest = assignment.generation.digest();
         let mut state = self.state.borrow_mut();
-        (state.change, state.refused) = (given.change, None);
-        if !self.is(&given.generation) {
-            // Danger: settings that are meant for the next program would be applied without it. Everything stays as it is until that runs.
-            state.next = Some(given.text());
+        (state.change, state.rejected) = (assignment.change, None);
+        if !self.runs(&assignment.generation) {
+            // Danger: settings that are meant for another program must not be applied by this one. Nothing changes until that program
+            // runs.
+            state.waiting = Some(assignment.text());
             self.news.notify_one();
             return;
         }
-        (state.given, state.next) = (Some(given.text()), None);
-        if digest != state.acting {
-            // It was validated before it was acknowledged.
-            if self.layers.apply_version(&given.generation).is_err() {
+        (state.applied, state.waiting) = (Some(assignment.text()), None);
+        if digest != state.active {
+            // The version was validated before the assignment was acknowledged.
+            if self.layers.apply_version(&assignment.generation).is_err() {
                 return;
             }
-            state.acting = digest;
-            crate::proxy::log(format_args!("acting by settings {digest:?} of change {}", given.change));
+            state.active = digest;
+            crate::proxy::log(format_args!("acting by settings {digest:?} of change {}", assignment.change));
         }
         self.news.notify_one();
     }
 
-    /// The next report of this process.
+    /// Builds the next report of this process.
     pub fn report(&self) -> String {
         let mut state = self.state.borrow_mut();
         state.seq += 1;
-        let (memory, descriptors) = held();
+        let (memory, descriptors) = process_usage();
         let classes = self.request_metrics.figures(&self.engine.acting().names.classes);
         let report = Report {
             form: FORM,
-            boot: self.boot,
+            boot: self.incarnation,
             seq: state.seq,
             zone: self.source.zone.clone(),
             version: env!("CARGO_PKG_VERSION").into(),
-            program: self.hosted.as_ref().map(|h| h.runs),
-            acting: state.acting,
+            program: self.supervised.as_ref().map(|h| h.runs),
+            acting: state.active,
             change: state.change,
-            refused: state.refused.clone(),
-            leaving: self.leaving.get(),
+            refused: state.rejected.clone(),
+            leaving: self.shutting_down.get(),
             figures: ProxyStats {
                 classes,
-                attempts: self.ledger.attempts.get(),
+                attempts: self.metrics.attempts.get(),
                 memory,
                 descriptors,
-                beats: self.beats.all.get(),
-                late_beats: self.beats.late.get(),
+                beats: self.loop_probe.total.get(),
+                late_beats: self.loop_probe.late.get(),
             },
         };
         report.text()
     }
 }
 
-/// Resident memory in bytes and open descriptors of this process; 0 if the system does not report them.
-fn held() -> (u64, u64) {
+/// Returns the resident memory in bytes and the number of open descriptors of this process; 0 if the system does not report them.
+fn process_usage() -> (u64, u64) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let kilobytes =
         status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().split(' ').next()?.parse().ok());
--- a/src/proxy/control/rollout_metrics.rs
+++ b/src/proxy/control/rollout_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters for the analysis of a rollout: how requests ended, by class, and how long they took.
+//! Counters for the analysis of a rollout: outcomes and durations of requests, by class.
 
 use crate::proxy::config::active_config::ActiveConfig;
 use rushquay_admin::RequestOutcome;
@@ -17,25 +17,25 @@
         RolloutMetrics { classes: RefCell::new(vec![ClassStats::default(); classes]) }
     }
 
-    /// Counts a request of a class that started under these settings, with its outcome and duration.
-    pub fn count(&self, under: &ActiveConfig, class: usize, end: RequestOutcome, took: Duration) {
+    /// Counts a request by its class, outcome and duration. `config` is the configuration that it started with.
+    pub fn count(&self, config: &ActiveConfig, class: usize, outcome: RequestOutcome, duration: Duration) {
         let mut classes = self.classes.borrow_mut();
-        let Some(figures) = classes.get_mut(class) else { return };
-        let took = took.as_nanos() as u64;
-        match end {
+        let Some(stats) = classes.get_mut(class) else { return };
+        let nanos = duration.as_nanos() as u64;
+        match outcome {
             RequestOutcome::Completed => {
-                figures.took(took);
-                match took > under.aim(class) {
-                    true => figures.late += 1,
-                    false => figures.served += 1,
+                stats.took(nanos);
+                match nanos > config.aim(class) {
+                    true => stats.late += 1,
+                    false => stats.served += 1,
                 }
             }
-            RequestOutcome::Rejected => figures.refused += 1,
-            RequestOutcome::Failed => figures.failed += 1,
+            RequestOutcome::Rejected => stats.refused += 1,
+            RequestOutcome::Failed => stats.failed += 1,
         }
     }
 
-    /// All counters by the names of the classes.
+    /// Returns all counters by class name.
     pub fn figures(&self, names: &[String]) -> BTreeMap<String, ClassStats> {
         names.iter().cloned().zip(self.classes.borrow().iter().cloned()).collect()
     }
--- a/src/proxy/control/subscription.rs
+++ b/src/proxy/control/subscription.rs
@@ -1,5 +1,5 @@
-//! The subscription to a control service, if one is configured. It adds to the proxy's own discovery and replaces none of it: while the
-//! control service is unreachable, the proxy goes on with what it has.
+//! The optional subscription to a control service. It supplements the proxy's own discovery and does not replace it: while the control
+//! service is unreachable, the proxy continues with the state that it has.
 
 use crate::proxy::config::Config;
 use crate::proxy::control::policy_client::PolicyClient;
@@ -18,23 +18,24 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Descriptors that it may hold: one connection, and one that is just closing.
+/// Descriptors reserved for the subscription: one connection, and old ones that are still closing.
 pub const DESCRIPTORS: usize = 4;
-/// Interval at which overrides are expired, also while the control service is unreachable: well within a second of their time.
-const TICK: Duration = Duration::from_millis(250);
-/// A stream without a response for this long has delivered its complete state. Danger: the state may arrive in many responses; if it
-/// were taken for complete after the first, a stale control service would be believed with the second.
+/// Interval at which overrides are expired, also while the control service is unreachable. They must end within a second of their
+/// time.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
+/// A stream without a response for this long counts as having delivered its complete state. Danger: the state may arrive in many
+/// responses. If it counted as complete after the first, the second response of a stale control service would be trusted.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
-/// Longest response in bytes; five thousand inline endpoints take a quarter of it.
-const ANSWER_MOST: usize = 8 << 20;
+/// Maximum size of a response in bytes; five thousand inline endpoints take a quarter of it.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// What a subscription carries besides endpoints.
+/// The other clients that share the subscription's stream.
 pub struct Parts {
-    /// The proxy's part in rollouts.
+    /// The rollout client, if rollouts are configured.
     pub rollout: Option<Rc<RolloutClient>>,
-    /// The proxy's part in policies.
+    /// The policy client, if policies are configured.
     pub policy: Option<Rc<PolicyClient>>,
-    /// Notified when one of them has something to send immediately.
+    /// Notified when one of them has a message to send immediately.
     pub news: Arc<Notify>,
 }
 
@@ -46,38 +47,44 @@
 }
 
 impl ControlSubscription {
-    /// The subscription that the configuration names; `None`: there is none.
+    /// Returns the configured subscription; `None` if the configuration has none.
     pub fn of(config: &Config) -> Option<Self> {
         let source = config.control.clone()?;
         Some(ControlSubscription { source, name: config.name.clone(), seed: config.seed })
     }
 
-    /// Limits of the merged endpoint list.
+    /// Returns the limits of the merged endpoint list.
     pub fn limits(&self) -> MergeLimits {
         MergeLimits { hold: self.source.hold_s.saturating_mul(1_000_000_000), ..MergeLimits::default() }
     }
 
-    /// Follows the control service for as long as the process runs.
-    pub async fn follow(self, nodes: Rc<EndpointFeed>, parts: Parts) {
+    /// Runs the subscription for as long as the process runs.
+    pub async fn follow(self, feed: Rc<EndpointFeed>, parts: Parts) {
         let tls = match self.source.tls.as_ref().map(read_tls).transpose() {
             Ok(tls) => tls,
-            // The proxy's own discovery goes on; without TLS nothing is requested.
-            Err(e) => return crate::proxy::log(format_args!("no control service is followed: {e}")),
+            // The subscription never runs without the configured TLS. The proxy's own discovery continues.
+            Err(e) => {
+                return crate::proxy::log(format_args!("control service subscription is disabled: {e}"))
+            }
         };
         let options = self.client_options(tls, &parts);
         let mut follower = self.follower(&parts);
-        let chance = jitter(self.seed);
-        let events =
-            Events { nodes: &nodes, parts: &parts, quiet: Cell::new(None), outage: RefCell::default() };
-        let following = run(
+        let random = jitter(self.seed);
+        let events = EventHandler {
+            feed: &feed,
+            parts: &parts,
+            quiet_since: Cell::new(None),
+            outage: RefCell::default(),
+        };
+        let stream = run(
             options,
             &mut follower,
-            chance,
-            || nodes.now(),
+            random,
+            || feed.now(),
             |_: &ControlFollower, event| events.on_event(event),
         );
         tokio::select! {
-            () = following => {}
+            () = stream => {}
             () = events.tick() => {}
             () = wake_for_reports(&parts) => {}
             () = request_leases(&parts) => {}
@@ -85,19 +92,19 @@
     }
 
     fn client_options(&self, tls: Option<(Tls, String)>, parts: &Parts) -> ClientOptions {
-        let speaks = parts.rollout.is_some() || parts.policy.is_some();
+        let sends_messages = parts.rollout.is_some() || parts.policy.is_some();
         ClientOptions {
             addresses: self.source.addresses.clone(),
             node: self.name.clone(),
             cluster: self.source.clusters[0].clone(),
             tls,
-            message: ANSWER_MOST,
+            message: MAX_RESPONSE_BYTES,
             identity: None,
-            wake: speaks.then(|| parts.news.clone()),
+            wake: sends_messages.then(|| parts.news.clone()),
         }
     }
 
-    /// What reads the stream, and what it says of this process.
+    /// Creates the follower that reads the stream and sends this process's reports and lease requests.
     fn follower(&self, parts: &Parts) -> ControlFollower {
         let nanos = |ms: u64| ms.saturating_mul(1_000_000);
         let mut follower = ControlFollower::new(FollowerConfig {
@@ -109,7 +116,7 @@
         });
         if let Some(rollout) = &parts.rollout {
             let (checks, reports) = (rollout.clone(), rollout.clone());
-            let can_apply = move |given: &_| checks.can_apply(given);
+            let can_apply = move |assignment: &_| checks.can_apply(assignment);
             follower.settings(&self.name, can_apply, move || Some(reports.report()));
         }
         if let Some(policy) = &parts.policy {
@@ -120,13 +127,13 @@
     }
 }
 
-/// Reads the files of mutual TLS, with the name that the server's certificate has to bear.
-fn read_tls(told: &ControlTls) -> Result<(Tls, String), TlsError> {
-    let files = TlsFiles { cert: told.cert.clone(), key: told.key.clone(), ca: told.ca.clone() };
-    Ok((Tls::read(&files)?, told.server_name.clone()))
+/// Reads the files for mutual TLS. Returns the TLS settings with the expected name in the server's certificate.
+fn read_tls(tls: &ControlTls) -> Result<(Tls, String), TlsError> {
+    let files = TlsFiles { cert: tls.cert.clone(), key: tls.key.clone(), ca: tls.ca.clone() };
+    Ok((Tls::read(&files)?, tls.server_name.clone()))
 }
 
-/// Random numbers from 0 to 1 for the waits between connections (a linear congruential generator: any will do).
+/// Returns a generator of random numbers in [0, 1) for reconnect jitter. A linear congruential generator is good enough for this.
 fn jitter(seed: u64) -> impl FnMut() -> f64 {
     let mut random = seed ^ 0x5851_f42d_4c95_7f2d;
     move || {
@@ -135,38 +142,38 @@
     }
 }
 
-/// What comes of the stream's events.
-struct Events<'a> {
-    nodes: &'a EndpointFeed,
+/// Handles the events of the stream.
+struct EventHandler<'a> {
+    feed: &'a EndpointFeed,
     parts: &'a Parts,
-    /// Since when the stream has delivered nothing; `None`: it is not open, or has settled.
-    quiet: Cell<Option<Instant>>,
+    /// When the stream last delivered a response or was opened; `None`: it is not open, or its state is complete.
+    quiet_since: Cell<Option<Instant>>,
     outage: RefCell<Outage>,
 }
 
-impl Events<'_> {
+impl EventHandler<'_> {
     fn on_event(&self, event: ClientEvent<FollowerEvent>) {
         match event {
             ClientEvent::Connected(addr) => self.connected(addr),
-            ClientEvent::News(said) => self.delivered(said),
-            ClientEvent::Ahead(ahead, error) => self.nodes.measured(ahead, error),
+            ClientEvent::News(event) => self.delivered(event),
+            ClientEvent::Ahead(ahead, error) => self.feed.on_clock_measurement(ahead, error),
             ClientEvent::Refused(why) => {
-                crate::proxy::log(format_args!("control service: refused an answer: {why}"));
+                crate::proxy::log(format_args!("control service: rejected a response: {why}"));
             }
             ClientEvent::Lost(addr, why) => {
                 if let Some(n) = self.outage.borrow_mut().failed(&format!("{addr}: {why}")) {
                     crate::proxy::log(format_args!(
-                        "control service at {addr}: {why}; the list stays as it is (failure {n})"
+                        "control service at {addr}: {why}; the endpoint list is kept (failure {n})"
                     ));
                 }
-                self.quiet.set(None);
-                self.nodes.control_lost();
+                self.quiet_since.set(None);
+                self.feed.control_lost();
             }
         }
     }
 
     fn connected(&self, addr: SocketAddr) {
-        // Danger: what was requested on the stream before may never be answered.
+        // Danger: a lease request on the previous stream may never be answered, so another is sent.
         self.parts.policy.iter().for_each(|policy| policy.request_lease_now());
         match self.outage.borrow_mut().over() {
             None => crate::proxy::log(format_args!("control service at {addr}: connected")),
@@ -174,35 +181,35 @@
                 crate::proxy::log(format_args!("control service at {addr}: connected after {n} failures"));
             }
         }
-        self.quiet.set(Some(Instant::now()));
+        self.quiet_since.set(Some(Instant::now()));
     }
 
-    fn delivered(&self, said: FollowerEvent) {
-        if let Some(news) = said.nodes {
-            self.nodes.controlled(&said.process, news);
+    fn delivered(&self, event: FollowerEvent) {
+        if let Some(endpoints) = event.nodes {
+            self.feed.on_control_event(&event.process, endpoints);
         }
-        if let (Some(given), Some(rollout)) = (said.settings, &self.parts.rollout) {
-            rollout.apply(&given);
+        if let (Some(assignment), Some(rollout)) = (event.settings, &self.parts.rollout) {
+            rollout.apply(&assignment);
         }
-        self.parts.policy.iter().for_each(|policy| policy.on_messages(&said.policy));
-        self.quiet.set(self.quiet.get().map(|_| Instant::now()));
+        self.parts.policy.iter().for_each(|policy| policy.on_messages(&event.policy));
+        self.quiet_since.set(self.quiet_since.get().map(|_| Instant::now()));
     }
 
-    /// Expires what holds for a time alone, and takes the stream's view for complete once it has been quiet.
+    /// Expires entries with a time limit, and confirms the stream's state as complete once the stream has been quiet; never ends.
     async fn tick(&self) {
-        let mut tick = interval(TICK);
+        let mut tick = interval(EXPIRY_INTERVAL);
         loop {
             tick.tick().await;
-            self.nodes.tick();
-            if self.quiet.get().is_some_and(|since| since.elapsed() >= SETTLED_AFTER) {
-                self.quiet.set(None);
-                self.nodes.control_confirmed();
+            self.feed.tick();
+            if self.quiet_since.get().is_some_and(|since| since.elapsed() >= SETTLED_AFTER) {
+                self.quiet_since.set(None);
+                self.feed.control_confirmed();
             }
         }
     }
 }
 
-/// Has the stream send a report at each interval; never ends.
+/// Wakes the stream at each interval to send a report; never ends.
 async fn wake_for_reports(parts: &Parts) {
     let Some(rollout) = &parts.rollout else { return std::future::pending().await };
     let mut tick = interval(rollout.report_interval());
--- a/src/proxy/discovery/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of this proxy: its own discovery's alone, or merged with a control service's.
+//! The endpoint list of this proxy: discovery's list alone, or merged with a control service's.
 
 use crate::api::{server_id, ListKind, ServerId};
 use crate::proxy::engine::Engine;
@@ -11,100 +11,104 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Receives watch events from the sources and passes one merged list to the engine.
+/// Receives endpoint lists from their sources and passes one merged list to the engine.
 pub struct EndpointFeed {
     engine: Rc<Engine>,
-    /// The merger, if there is a subscription to a control service.
-    merge: Option<RefCell<EndpointMerger>>,
-    /// How far the control service's clock is ahead: its timestamps are on that clock.
+    /// Merges the lists; `None` without a subscription to a control service.
+    merger: Option<RefCell<EndpointMerger>>,
+    /// How far the control service's clock is ahead of this process's. Override times are on the control service's clock.
     skew: Cell<Skew>,
+    /// The pins that the engine was last given.
     pins: RefCell<Vec<(Pin, ServerId)>>,
-    /// Discovery's list, for a successor.
-    roll: RefCell<ListAssembler>,
-    /// Start times of endpoints on this process's clock.
+    /// Discovery's complete list, for a successor.
+    discovered: RefCell<ListAssembler>,
+    /// Converts endpoints' start times to this process's clock.
     starts: RefCell<StartTimes>,
-    /// Unix time at the start, and the machine's steady clock then.
-    start: (Nanos, Nanos),
+    /// Unix time at the start of the process, and the reading of the machine's steady clock at that moment.
+    clock_origin: (Nanos, Nanos),
 }
 
 impl EndpointFeed {
-    /// With `limits` discovery's list is merged with a control service's; without, it is passed on unchanged.
+    /// Creates a feed. With `limits`, discovery's list is merged with a control service's; without, it is passed on unchanged. `known` is
+    /// the list that the engine was started with.
     pub fn new(engine: Rc<Engine>, limits: Option<MergeLimits>, known: Option<&EndpointList>) -> Rc<Self> {
-        let merge = limits.map(|limits| {
-            let mut merge = EndpointMerger::new(limits);
+        let merger = limits.map(|limits| {
+            let mut merger = EndpointMerger::new(limits);
             if let Some(known) = known {
-                // The engine has it from the configuration.
-                let _ = merge.list(Source::Known, known, MergeTime::without_overrides(engine.now()));
+                // The engine already has this list, so the changes are dropped.
+                let _ = merger.list(Source::Known, known, MergeTime::without_overrides(engine.now()));
             }
-            RefCell::new(merge)
+            RefCell::new(merger)
         });
-        let start = (engine.now(), steady());
-        let mut roll = ListAssembler::default();
-        known.iter().for_each(|known| roll.take(known));
-        let (skew, pins, roll) = (Cell::default(), RefCell::default(), RefCell::new(roll));
+        let clock_origin = (engine.now(), steady());
+        let mut discovered = ListAssembler::default();
+        known.iter().for_each(|known| discovered.take(known));
+        let (skew, pins, discovered) = (Cell::default(), RefCell::default(), RefCell::new(discovered));
         let starts = RefCell::default();
-        Rc::new(EndpointFeed { engine, merge, skew, pins, roll, starts, start })
+        Rc::new(EndpointFeed { engine, merger, skew, pins, discovered, starts, clock_origin })
     }
 
-    /// Unix time by this process's clock, which never steps.
+    /// Returns Unix time by this process's clock, which never steps.
     pub fn now(&self) -> Nanos {
-        self.start.0 + steady().saturating_sub(self.start.1)
+        self.clock_origin.0 + steady().saturating_sub(self.clock_origin.1)
     }
 
-    /// The present moment: spans by this process's clock, overrides by the control service's, as far as that is known.
+    /// Returns the current time: on this process's clock for intervals, and for overrides on the control service's clock as far as its
+    /// offset is known.
     fn merge_time(&self) -> MergeTime {
         let now = self.now();
-        let by_control_service = now.saturating_add_signed(self.skew.get().ahead());
+        let control_service_now = now.saturating_add_signed(self.skew.get().ahead());
         MergeTime {
             monotonic: MonotonicTime::from_nanos(now),
-            overrides: OverrideTime::from_unix_nanos(by_control_service),
+            overrides: OverrideTime::from_unix_nanos(control_service_now),
         }
     }
 
-    /// The control service's clock was measured against this one.
-    pub fn measured(&self, ahead: i64, error: Nanos) {
+    /// Handles a measurement of the control service's clock against this process's.
+    pub fn on_clock_measurement(&self, ahead: i64, error: Nanos) {
         let mut skew = self.skew.get();
         let before = skew.ahead();
         if skew.measured(ahead, error, steady()) && ahead.abs_diff(before) > SECOND / 2 {
             crate::proxy::log(format_args!(
-                "control service: its clock is {:+.3} s from this one, within {:.3} s; overrides end by it",
+                "control service: clock offset {:+.3} s, within {:.3} s; overrides expire by that clock",
                 ahead as f64 / SECOND as f64,
                 error as f64 / SECOND as f64
             ));
         }
         self.skew.set(skew);
-        // What the clock before had ended, or had in force, may not be so by this one.
+        // By the new offset, overrides may have expired or not yet have expired.
         self.tick();
     }
 
-    /// Discovery's complete list.
-    pub fn whole(&self) -> Option<EndpointList> {
-        self.roll.borrow().whole()
+    /// Returns discovery's complete list.
+    pub fn discovered_list(&self) -> Option<EndpointList> {
+        self.discovered.borrow().whole()
     }
 
-    /// Discovery delivered the complete list, or changes to it.
-    pub fn discovered(&self, list: EndpointList) {
-        self.roll.borrow_mut().take(&list);
+    /// Handles the complete list from discovery, or changes to it.
+    pub fn on_discovery_list(&self, list: EndpointList) {
+        self.discovered.borrow_mut().take(&list);
         let mut list = list;
         self.starts.borrow_mut().take(&mut list.servers, self.engine.now());
         let list = &list;
-        let Some(merge) = &self.merge else {
+        let Some(merger) = &self.merger else {
             let kind = if list.full { ListKind::Full } else { ListKind::Delta };
             return self.engine.list(kind, &list.servers);
         };
-        let merge = &mut *merge.borrow_mut();
-        let changes = merge.list(Source::Discovery, list, self.merge_time());
+        let merger = &mut *merger.borrow_mut();
+        let changes = merger.list(Source::Discovery, list, self.merge_time());
         if list.full {
-            let all: Vec<Endpoint> = merge.nodes().map(|v| self.begun(v.member.clone())).collect();
+            let all: Vec<Endpoint> =
+                merger.nodes().map(|v| self.with_capped_start(v.member.clone())).collect();
             self.engine.list(ListKind::Full, &all);
         } else {
-            // Also if nothing changed: the module learns that discovery answers.
-            self.changed(changes);
+            // Passed on even if nothing changed, so that the module learns that discovery responds.
+            self.apply_changes(changes);
         }
     }
 
-    /// Discovery's response has this Unix time, by its own clock.
-    pub fn dated(&self, date: Nanos) {
+    /// Handles the Unix time of a response from discovery, by discovery's clock.
+    pub fn on_response_date(&self, date: Nanos) {
         let mut starts = self.starts.borrow_mut();
         if starts.dated(date, self.engine.now()) {
             crate::proxy::log(format_args!(
@@ -114,74 +118,76 @@
         }
     }
 
-    /// Discovery is unreachable; its list stays in use.
-    pub fn failed(&self) {
-        if let Some(merge) = &self.merge {
-            merge.borrow_mut().lost(Source::Discovery);
+    /// Handles that discovery is unreachable. Its list stays in use.
+    pub fn on_discovery_failure(&self) {
+        if let Some(merger) = &self.merger {
+            merger.borrow_mut().lost(Source::Discovery);
         }
         self.engine.list(ListKind::Failed, &[]);
     }
 
-    /// The named incarnation of the control service delivered an event.
-    pub fn controlled(&self, process: &str, news: WatchEvent) {
-        self.with_merge(|merge, now| merge.control(process, news, now));
+    /// Handles an event from the control service. `process` identifies the control service's process.
+    pub fn on_control_event(&self, process: &str, event: WatchEvent) {
+        self.update_merge(|merger, now| merger.control(process, event, now));
     }
 
-    /// The control service is unreachable; its list stays in use.
+    /// Handles that the control service is unreachable. Its list stays in use.
     pub fn control_lost(&self) {
-        self.with_merge(|merge, _| {
-            merge.lost(Source::Control);
+        self.update_merge(|merger, _| {
+            merger.lost(Source::Control);
             Changes::default()
         });
     }
 
-    /// The control service has delivered its complete state on this stream.
+    /// Handles that the control service has delivered its complete state on the current stream.
     pub fn control_confirmed(&self) {
-        self.with_merge(|merge, _| {
-            merge.confirm();
+        self.update_merge(|merger, _| {
+            merger.confirm();
             Changes::default()
         });
     }
 
-    /// Expires what holds for a time.
+    /// Expires overrides, pins and other entries with a time limit.
     pub fn tick(&self) {
-        self.with_merge(EndpointMerger::tick);
+        self.update_merge(EndpointMerger::tick);
     }
 
-    fn with_merge(&self, change: impl FnOnce(&mut EndpointMerger, MergeTime) -> Changes) {
-        let Some(merge) = &self.merge else { return };
-        let changes = change(&mut merge.borrow_mut(), self.merge_time());
-        self.pin(&merge.borrow());
+    /// Applies a change to the merger, if there is one, and passes the result on to the engine.
+    fn update_merge(&self, change: impl FnOnce(&mut EndpointMerger, MergeTime) -> Changes) {
+        let Some(merger) = &self.merger else { return };
+        let changes = change(&mut merger.borrow_mut(), self.merge_time());
+        self.update_pins(&merger.borrow());
         if !changes.is_empty() {
-            self.changed(changes);
+            self.apply_changes(changes);
         }
     }
 
-    /// Limits start times to the present. Danger: by a clock that is ahead of this one an endpoint may have started in the future, and
-    /// would count as cold until then and for its whole slow start.
-    fn begun(&self, member: Endpoint) -> Endpoint {
+    /// Caps the start time at the current time. Danger: by a clock that is ahead of this one an endpoint may have started in the future,
+    /// and would count as cold until then and during its whole slow start.
+    fn with_capped_start(&self, member: Endpoint) -> Endpoint {
         Endpoint { started: member.started.min(self.engine.now()), ..member }
     }
 
-    /// Passes on the operators' pins if they changed.
-    fn pin(&self, merge: &EndpointMerger) {
-        let mut now: Vec<(Pin, ServerId)> =
-            merge.pins().map(|(id, pin)| (self.by_own_clock(pin), server_id(id))).collect();
-        now.sort_by_key(|(pin, _)| pin.number);
-        if *self.pins.borrow() != now {
-            self.engine.pin(Pins::new(now.iter().cloned()));
-            *self.pins.borrow_mut() = now;
+    /// Passes operators' pins on to the engine if they changed.
+    fn update_pins(&self, merger: &EndpointMerger) {
+        let mut pins: Vec<(Pin, ServerId)> =
+            merger.pins().map(|(id, pin)| (self.with_own_clock(pin), server_id(id))).collect();
+        pins.sort_by_key(|(pin, _)| pin.number);
+        if *self.pins.borrow() != pins {
+            self.engine.pin(Pins::new(pins.iter().cloned()));
+            *self.pins.borrow_mut() = pins;
         }
     }
 
-    /// The engine's clock is this machine's.
-    fn by_own_clock(&self, pin: &Pin) -> Pin {
+    /// Converts a pin's end from the control service's clock to the engine's, which is this process's.
+    fn with_own_clock(&self, pin: &Pin) -> Pin {
         Pin { until: pin.until.saturating_add_signed(-self.skew.get().ahead()), ..pin.clone() }
     }
 
-    fn changed(&self, changes: Changes) {
+    /// Passes changes of the merged list on to the engine.
+    fn apply_changes(&self, changes: Changes) {
         let gone = changes.gone.into_iter().map(|m| Endpoint { state: EndpointState::Gone, ..m });
-        let entries: Vec<Endpoint> = gone.chain(changes.upserts).map(|m| self.begun(m)).collect();
+        let entries: Vec<Endpoint> = gone.chain(changes.upserts).map(|m| self.with_capped_start(m)).collect();
         self.engine.list(ListKind::Delta, &entries);
     }
 }
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list at discovery: one call after another, each when [`WatchSchedule`] says.
+//! Watches the endpoint list at discovery with one call after another, on the schedule of a [`WatchSchedule`].
 
 pub(crate) mod endpoint_list;
 
@@ -23,47 +23,47 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Timeout of a connect.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Descriptors that it may hold: one connection, and old ones that are just closing.
+/// Connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Descriptors reserved for discovery: one connection, and old ones that are still closing.
 pub const DESCRIPTORS: usize = 4;
-/// Longest list in bytes; a thousand entries take a fifth of it.
-const LIST_MOST: usize = 1 << 20;
+/// Maximum size of a list in bytes; a thousand entries take a fifth of it.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// The result of a call.
-struct ListAnswer {
+/// The response to a call.
+struct ListResponse {
     members: EndpointList,
-    /// The response's date, in Unix time by discovery's clock; `None`: it has none.
+    /// The `Date` header: Unix time in nanoseconds by discovery's clock; `None`: it is missing or invalid.
     date: Option<u64>,
 }
 
-/// A date of HTTP as Unix time in nanoseconds.
-fn unix(date: &str) -> Option<u64> {
+/// Parses an HTTP date to Unix time in nanoseconds.
+fn parse_http_date(date: &str) -> Option<u64> {
     let date = jiff::fmt::rfc2822::DateTimeParser::new().parse_timestamp(date).ok()?;
     u64::try_from(date.as_nanosecond()).ok()
 }
 
-/// Why a call returned no list.
-struct Failed {
-    how: CallFailure,
-    why: String,
+/// The failure of a call.
+struct CallError {
+    failure: CallFailure,
+    reason: String,
 }
 
-impl Failed {
-    fn broken(what: &str, why: impl fmt::Display) -> Self {
-        Failed { how: CallFailure::Broken, why: format!("{what}: {why}") }
+impl CallError {
+    fn broken(what: &str, reason: impl fmt::Display) -> Self {
+        CallError { failure: CallFailure::Broken, reason: format!("{what}: {reason}") }
     }
 
-    fn refused(why: impl fmt::Display) -> Self {
-        Failed { how: CallFailure::Refused, why: why.to_string() }
+    fn refused(reason: impl fmt::Display) -> Self {
+        CallError { failure: CallFailure::Refused, reason: reason.to_string() }
     }
 
-    fn silent(why: &str) -> Self {
-        Failed { how: CallFailure::Silent, why: why.into() }
+    fn silent(reason: &str) -> Self {
+        CallError { failure: CallFailure::Silent, reason: reason.into() }
     }
 
-    fn kind(&self) -> Kind {
-        match self.how {
+    fn stats_kind(&self) -> Kind {
+        match self.failure {
             CallFailure::Refused => Kind::ListRefused,
             CallFailure::Silent => Kind::ListSilent,
             CallFailure::Broken => Kind::ListBroken,
@@ -71,137 +71,149 @@
     }
 }
 
+/// The client that watches discovery's endpoint list.
 pub struct Discovery {
     addr: SocketAddr,
-    /// What to request next.
+    /// The position in the list that the next request starts from.
     cursor: ListCursor,
-    /// When to request it.
-    follow: WatchSchedule,
-    /// Danger: if these descriptors came from the clients' budget, a flood of clients would cut the proxy off from the endpoint list.
+    /// When the next request is due.
+    schedule: WatchSchedule,
+    /// Danger: if these descriptors came out of the clients' budget, a flood of clients would cut the proxy off from the endpoint list.
     descriptors: Rc<Descriptors>,
+    /// The connection that is kept for the next call.
     sender: Option<SendRequest<Body>>,
     outage: Outage,
 }
 
 impl Discovery {
-    /// `version`: of the list that is held.
-    pub fn new(addr: SocketAddr, version: Option<u64>, manner: WatchMode) -> Self {
+    /// Creates a client. `version` is the version of the list that the proxy already has.
+    pub fn new(addr: SocketAddr, version: Option<u64>, mode: WatchMode) -> Self {
         Discovery {
             addr,
             cursor: ListCursor::at(version),
-            follow: WatchSchedule::new(manner),
+            schedule: WatchSchedule::new(mode),
             descriptors: Descriptors::new(DESCRIPTORS),
             sender: None,
             outage: Outage::default(),
         }
     }
 
-    /// Watches the list for as long as the process runs. An address from `moved` replaces the present one.
-    pub async fn follow(mut self, nodes: Rc<EndpointFeed>, mut moved: mpsc::UnboundedReceiver<SocketAddr>) {
+    /// Watches the list for as long as the process runs. An address from `new_addresses` replaces the current one.
+    pub async fn follow(
+        mut self,
+        feed: Rc<EndpointFeed>,
+        mut new_addresses: mpsc::UnboundedReceiver<SocketAddr>,
+    ) {
         loop {
-            let step = self.follow.next(fastrand::f64);
-            // Danger: a watch at the old address stays silent for many seconds before it fails.
-            let called = tokio::select! {
+            let next_call = self.schedule.next(fastrand::f64);
+            // Danger: a watch at the old address may take many seconds to fail, so it is abandoned.
+            let result = tokio::select! {
                 biased;
-                Some(addr) = moved.recv() => {
+                Some(addr) = new_addresses.recv() => {
                     self.move_to(addr);
                     continue;
                 }
-                called = self.call(step) => called,
+                result = self.call(next_call) => result,
             };
-            match called {
-                Ok(answer) => self.took(answer, &nodes),
-                Err(failed) => self.failed(&failed, &nodes),
+            match result {
+                Ok(response) => self.on_list(response, &feed),
+                Err(error) => self.on_failure(&error, &feed),
             }
         }
     }
 
-    fn took(&mut self, answer: ListAnswer, nodes: &EndpointFeed) {
-        let ListAnswer { members, date } = answer;
-        date.into_iter().for_each(|date| nodes.dated(date));
+    /// Passes a list on to the feed. A list that does not follow the current one is dropped, and the full list requested.
+    fn on_list(&mut self, response: ListResponse, feed: &EndpointFeed) {
+        let ListResponse { members, date } = response;
+        date.into_iter().for_each(|date| feed.on_response_date(date));
         if self.cursor.saw(&members) == CursorUpdate::Doubted {
             fleet_stats::count(Kind::ListBroken, 1);
             crate::proxy::log(format_args!(
-                "discovery at {}: a list of version {} with {} entries is no sequel to the one held, which stays; the \
-                 whole list is asked for",
+                "discovery at {}: list version {} with {} entries does not follow the current list, which is kept; \
+                 requesting the full list",
                 self.addr,
                 members.version,
                 members.servers.len()
             ));
-            return self.follow.doubted();
+            return self.schedule.doubted();
         }
-        self.follow.answered();
+        self.schedule.answered();
         if let Some(n) = self.outage.over() {
-            crate::proxy::log(format_args!("discovery at {} answers after {n} failures", self.addr));
+            crate::proxy::log(format_args!("discovery at {} responds again after {n} failures", self.addr));
         }
         fleet_stats::count(Kind::ListLines, members.servers.len() as u64);
-        nodes.discovered(members);
+        feed.on_discovery_list(members);
     }
 
-    fn failed(&mut self, failed: &Failed, nodes: &EndpointFeed) {
-        fleet_stats::count(failed.kind(), 1);
-        if let Some(n) = self.outage.failed(&failed.why) {
-            crate::proxy::log(format_args!("discovery at {}: {} (failure {n})", self.addr, failed.why));
+    /// Records a failed call, and tells the feed if discovery counts as unreachable.
+    fn on_failure(&mut self, error: &CallError, feed: &EndpointFeed) {
+        fleet_stats::count(error.stats_kind(), 1);
+        if let Some(n) = self.outage.failed(&error.reason) {
+            crate::proxy::log(format_args!("discovery at {}: {} (failure {n})", self.addr, error.reason));
         }
         self.sender = None;
-        if self.follow.failed(failed.how) {
-            nodes.failed();
+        if self.schedule.failed(error.failure) {
+            feed.on_discovery_failure();
         }
     }
 
-    /// Continues at this address with the complete list: its versions may differ.
+    /// Continues at another address with the full list: versions there may differ.
     fn move_to(&mut self, addr: SocketAddr) {
         crate::proxy::log(format_args!("discovery is now at {addr}"));
         (self.addr, self.sender) = (addr, None);
         self.cursor.reset();
-        self.follow.moved();
+        self.schedule.moved();
     }
 
-    async fn call(&mut self, step: NextCall) -> Result<ListAnswer, Failed> {
-        tokio::time::sleep(Duration::from_nanos(step.wait)).await;
-        let called = tokio::time::timeout(Duration::from_nanos(step.limit), self.exchange(step.hold)).await;
-        called.unwrap_or_else(|_| Err(Failed::silent("no answer in time")))
+    /// Waits until the call is due and makes it, within its time limit.
+    async fn call(&mut self, next_call: NextCall) -> Result<ListResponse, CallError> {
+        tokio::time::sleep(Duration::from_nanos(next_call.wait)).await;
+        let result =
+            tokio::time::timeout(Duration::from_nanos(next_call.limit), self.exchange(next_call.hold)).await;
+        result.unwrap_or_else(|_| Err(CallError::silent("timed out waiting for a response")))
     }
 
-    async fn exchange(&mut self, hold: u64) -> Result<ListAnswer, Failed> {
-        let kept = match self.sender.take() {
-            // A reused connection that was closed meanwhile says nothing about discovery.
+    /// Requests the list, or changes to it that occur within `hold` nanoseconds, on the kept or a new connection.
+    async fn exchange(&mut self, hold: u64) -> Result<ListResponse, CallError> {
+        let idle_sender = match self.sender.take() {
+            // A kept connection that was closed in the meantime is no failure of discovery.
             Some(mut sender) => sender.ready().await.is_ok().then_some(sender),
             None => None,
         };
-        let mut sender = match kept {
+        let mut sender = match idle_sender {
             Some(sender) => sender,
             None => self.connect().await?,
         };
         let path = self.cursor.path(u128::from(hold / 1_000_000));
         fleet_stats::count(self.cursor.version().map_or(Kind::ListWhole, |_| Kind::ListWatch), 1);
         let request = Request::get(path).header(HOST, self.addr.to_string()).body(Body::default());
-        let response = sender.send_request(request.map_err(Failed::refused)?).await;
-        let (head, body) = response.map_err(|e| Failed::broken("no answer", e))?.into_parts();
-        let body = Limited::new(body, LIST_MOST).collect().await;
-        let body = body.map_err(|e| Failed::broken("broken answer", e))?;
+        let response = sender.send_request(request.map_err(CallError::refused)?).await;
+        let (head, body) = response.map_err(|e| CallError::broken("no response", e))?.into_parts();
+        let body = Limited::new(body, MAX_LIST_BYTES).collect().await;
+        let body = body.map_err(|e| CallError::broken("invalid response body", e))?;
         self.sender = Some(sender);
         if head.status != StatusCode::OK {
-            return Err(Failed::refused(format_args!("answered {}", head.status.as_u16())));
+            return Err(CallError::refused(format_args!("answered {}", head.status.as_u16())));
         }
-        let date = head.headers.get(DATE).and_then(|date| unix(date.to_str().ok()?));
+        let date = head.headers.get(DATE).and_then(|date| parse_http_date(date.to_str().ok()?));
         match serde_json::from_slice(&body.to_bytes()) {
-            Ok(members) => Ok(ListAnswer { members, date }),
+            Ok(members) => Ok(ListResponse { members, date }),
             Err(e) => {
                 self.cursor.spoilt();
-                Err(Failed::refused(format_args!("not a list: {e}")))
+                Err(CallError::refused(format_args!("invalid endpoint list: {e}")))
             }
         }
     }
 
-    async fn connect(&self) -> Result<SendRequest<Body>, Failed> {
-        let permit = self.descriptors.take().ok_or_else(|| Failed::refused("no descriptor left"))?;
-        let connecting = tokio::time::timeout(CONNECT, connect(self.addr)).await;
-        let stream = connecting.map_err(|_| Failed::silent("no connection in time"))?;
-        let stream = stream.map_err(|e| Failed::broken("no connection", e.source()))?;
+    async fn connect(&self) -> Result<SendRequest<Body>, CallError> {
+        let permit =
+            self.descriptors.take().ok_or_else(|| CallError::refused("no file descriptor available"))?;
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(self.addr)).await;
+        let stream = connecting.map_err(|_| CallError::silent("connect timed out"))?;
+        let stream = stream.map_err(|e| CallError::broken("connect failed", e.source()))?;
         let io = TokioIo::new(Io(Socket::new(stream, permit)));
         let (sender, connection) =
-            http1::handshake(io).await.map_err(|e| Failed::broken("no connection", e))?;
+            http1::handshake(io).await.map_err(|e| CallError::broken("connect failed", e))?;
         tokio::task::spawn_local(connection);
         Ok(sender)
     }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -32,7 +32,7 @@
     pub fn list(&self) -> Value {
         match self {
             // Serializing an endpoint list cannot fail.
-            Backend::One { nodes, .. } => serde_json::to_value(nodes.whole()).unwrap_or_default(),
+            Backend::One { nodes, .. } => serde_json::to_value(nodes.discovered_list()).unwrap_or_default(),
             Backend::Pools(_) => Value::Null,
         }
     }
