--- a/crates/adapters/etcd/tests/shared_state.rs
+++ b/crates/adapters/etcd/tests/shared_state.rs
@@ -48,7 +48,7 @@
         weight: 1.0,
         started: 7,
     };
-    SourcedEndpoint { member, listed: 41, shared: true, imposed: Default::default() }
+    SourcedEndpoint { member, list_version: 41, is_from_discovery: true, imposed: Default::default() }
 }
 
 fn live_override(id: u64) -> Override {
--- a/crates/adapters/state/src/record.rs
+++ b/crates/adapters/state/src/record.rs
@@ -129,8 +129,8 @@
             state: endpoint.state.as_str().to_owned(),
             weight: endpoint.weight,
             started_ns: endpoint.started,
-            listed: sourced.listed,
-            shared: sourced.shared,
+            listed: sourced.list_version,
+            shared: sourced.is_from_discovery,
         }
     }
 }
@@ -143,12 +143,17 @@
             zone: stored.zone,
             kind: stored.kind,
             cell: stored.cell,
-            state: EndpointState::from_word(&stored.state),
+            state: EndpointState::from_text(&stored.state),
             weight: stored.weight,
             started: stored.started_ns,
         };
         // Overrides are stored in tables of their own.
-        SourcedEndpoint { member, listed: stored.listed, shared: stored.shared, imposed: Default::default() }
+        SourcedEndpoint {
+            member,
+            list_version: stored.listed,
+            is_from_discovery: stored.shared,
+            imposed: Default::default(),
+        }
     }
 }
 
--- a/crates/adapters/state/tests/crash_recovery.rs
+++ b/crates/adapters/state/tests/crash_recovery.rs
@@ -132,7 +132,7 @@
         weight: 1.5,
         started: 1_700_000_000_123_456_789,
     };
-    SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
+    SourcedEndpoint { member, list_version: listed, is_from_discovery: true, imposed: Default::default() }
 }
 
 /// The changes of a run: endpoints are added, change, drain and are removed.
--- a/crates/core/admission/src/lib.rs
+++ b/crates/core/admission/src/lib.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evidence {
     /// Number of complete requests received.
-    pub asked: u64,
+    pub complete_requests: u64,
     /// Whether a request has been received in part.
-    pub begun: bool,
+    pub has_partial_request: bool,
     /// When it was accepted, or had its last response.
     pub since: Nanos,
     /// When bytes were last received or sent on it.
-    pub moved: Nanos,
+    pub last_io_at: Nanos,
 }
 
 /// The activity of a connection.
@@ -54,8 +54,8 @@
     /// The connection's activity at `now`.
     pub fn activity(&self, now: Nanos) -> ConnectionActivity {
         let elapsed = |since: Nanos| now.saturating_sub(since);
-        match (self.begun, self.asked) {
-            (true, _) if elapsed(self.moved) < STOPPED_AFTER => ConnectionActivity::Writing,
+        match (self.has_partial_request, self.complete_requests) {
+            (true, _) if elapsed(self.last_io_at) < STOPPED_AFTER => ConnectionActivity::Writing,
             (true, _) => ConnectionActivity::Stopped,
             (false, 0) if elapsed(self.since) < FRESH_PERIOD => ConnectionActivity::Fresh,
             (false, 0) => ConnectionActivity::Mute,
@@ -65,7 +65,9 @@
 
     /// Whether it was accepted within [`EVICTION_GRACE`] and its first request may still be in flight.
     fn is_just_accepted(&self, now: Nanos) -> bool {
-        self.asked == 0 && !self.begun && now.saturating_sub(self.since) < EVICTION_GRACE
+        self.complete_requests == 0
+            && !self.has_partial_request
+            && now.saturating_sub(self.since) < EVICTION_GRACE
     }
 }
 
@@ -73,9 +75,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotRequest {
     /// A new connection has arrived and no slot is free.
-    Place,
+    NewConnection,
     /// Most slots are taken: one is freed in advance if a connection is mute, stopped or idle.
-    Slack,
+    InAdvance,
 }
 
 /// Returns the indexes of all candidates for eviction, in the order of eviction. `places` is the number of slots for clients.
@@ -93,7 +95,7 @@
     let is_flood = count(&[ConnectionActivity::Mute, ConnectionActivity::Stopped, ConnectionActivity::Fresh])
         > places / FLOOD_DIVISOR;
     let are_writers_crowding = count(&[ConnectionActivity::Writing]) > places / WRITING_DIVISOR;
-    if want == SlotRequest::Slack && is_flood {
+    if want == SlotRequest::InAdvance && is_flood {
         return Vec::new();
     }
     let rank = |index: usize| match activities[index] {
@@ -105,13 +107,13 @@
         ConnectionActivity::Writing => 4,
     };
     let is_spared = |index: usize| {
-        want == SlotRequest::Slack
+        want == SlotRequest::InAdvance
             && matches!(activities[index], ConnectionActivity::Fresh | ConnectionActivity::Writing)
     };
     let mut candidates: Vec<usize> = (0..connections.len()).filter(|index| !is_spared(*index)).collect();
     candidates.sort_by_key(|&index| {
         let evidence = &connections[index];
-        (rank(index), evidence.moved.max(evidence.since), index)
+        (rank(index), evidence.last_io_at.max(evidence.since), index)
     });
     candidates
 }
@@ -122,7 +124,12 @@
 /// Danger: if each new connection were evicted for the next one, which has shown no more activity, all of them would be closed
 /// before their first requests arrive. If no connection may be evicted, the new one has to wait: for at most
 /// [`EVICTION_GRACE`], unless there are no candidates at all.
-pub fn giving_way(connections: &[Evidence], now: Nanos, places: usize, want: SlotRequest) -> Vec<usize> {
+pub fn evictable_connections(
+    connections: &[Evidence],
+    now: Nanos,
+    places: usize,
+    want: SlotRequest,
+) -> Vec<usize> {
     let mut evictable = eviction_order(connections, now, places, want);
     if let Some(first_spared) = evictable.iter().position(|index| connections[*index].is_just_accepted(now)) {
         evictable.truncate(first_spared);
--- a/crates/core/admission/tests/admission.rs
+++ b/crates/core/admission/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rushquay_admission::{
-    eviction_order, giving_way, ConnectionActivity, Evidence, Nanos, SlotRequest, EVICTION_GRACE,
+    evictable_connections, eviction_order, ConnectionActivity, Evidence, Nanos, SlotRequest, EVICTION_GRACE,
     FRESH_PERIOD, STOPPED_AFTER,
 };
 
@@ -10,15 +10,15 @@
 const NOW: Nanos = 100_000 * MILLISECOND;
 
 fn mute(age: Nanos) -> Evidence {
-    Evidence { asked: 0, begun: false, since: NOW - age, moved: NOW - age }
+    Evidence { complete_requests: 0, has_partial_request: false, since: NOW - age, last_io_at: NOW - age }
 }
 
 fn idle(age: Nanos) -> Evidence {
-    Evidence { asked: 3, ..mute(age) }
+    Evidence { complete_requests: 3, ..mute(age) }
 }
 
 fn writing(age: Nanos, silent: Nanos) -> Evidence {
-    Evidence { begun: true, moved: NOW - silent, ..mute(age) }
+    Evidence { has_partial_request: true, last_io_at: NOW - silent, ..mute(age) }
 }
 
 #[test]
@@ -29,7 +29,7 @@
         (idle(0), ConnectionActivity::Idle),
         (writing(3000 * MILLISECOND, STOPPED_AFTER - 1), ConnectionActivity::Writing),
         (writing(3000 * MILLISECOND, STOPPED_AFTER), ConnectionActivity::Stopped),
-        (Evidence { asked: 9, ..writing(0, 0) }, ConnectionActivity::Writing),
+        (Evidence { complete_requests: 9, ..writing(0, 0) }, ConnectionActivity::Writing),
     ] {
         assert_eq!(evidence.activity(NOW), activity, "{evidence:?}");
     }
@@ -44,9 +44,9 @@
         mute(900 * MILLISECOND),
         writing(3000 * MILLISECOND, 2000 * MILLISECOND),
     ];
-    assert_eq!(eviction_order(&all, NOW, 100, SlotRequest::Place), [4, 3, 2, 1, 0]);
+    assert_eq!(eviction_order(&all, NOW, 100, SlotRequest::NewConnection), [4, 3, 2, 1, 0]);
     // Fresh and writing connections are not evicted in advance.
-    assert_eq!(eviction_order(&all, NOW, 100, SlotRequest::Slack), [4, 3, 2]);
+    assert_eq!(eviction_order(&all, NOW, 100, SlotRequest::InAdvance), [4, 3, 2]);
 }
 
 #[test]
@@ -55,25 +55,25 @@
     for flood in [1, 30] {
         let mut all = vec![writing(300 * MILLISECOND, 50 * MILLISECOND), idle(5000 * MILLISECOND)];
         all.extend(std::iter::repeat_n(just_accepted, flood));
-        let evicted = giving_way(&all, NOW, 100, SlotRequest::Place);
+        let evicted = evictable_connections(&all, NOW, 100, SlotRequest::NewConnection);
         assert_eq!(evicted, if flood == 1 { vec![1] } else { vec![] }, "{flood}");
-        let later = giving_way(&all, NOW + 1, 100, SlotRequest::Place);
-        assert_eq!(later, eviction_order(&all, NOW + 1, 100, SlotRequest::Place));
+        let later = evictable_connections(&all, NOW + 1, 100, SlotRequest::NewConnection);
+        assert_eq!(later, eviction_order(&all, NOW + 1, 100, SlotRequest::NewConnection));
     }
     // Stopped and mute connections that rank before the just accepted one may still be evicted.
     let all = [just_accepted, mute(EVICTION_GRACE), writing(3000 * MILLISECOND, STOPPED_AFTER), idle(0)];
-    assert_eq!(giving_way(&all, NOW, 4, SlotRequest::Place), [2, 1]);
+    assert_eq!(evictable_connections(&all, NOW, 4, SlotRequest::NewConnection), [2, 1]);
 }
 
 #[test]
 fn connections_of_a_flood_evict_one_another() {
     let mut all = vec![idle(60_000 * MILLISECOND), writing(1500 * MILLISECOND, 300 * MILLISECOND)];
     all.extend((0..30).map(|n| mute(n * MILLISECOND)));
-    let ranked = eviction_order(&all, NOW, 100, SlotRequest::Place);
+    let ranked = eviction_order(&all, NOW, 100, SlotRequest::NewConnection);
     // The oldest connection of the flood, though fresh, is evicted before an idle one of a minute and one that is still sending.
     assert_eq!((ranked[0], &ranked[ranked.len() - 2..]), (31, &[0, 1][..]));
     assert!(
-        eviction_order(&all, NOW, 100, SlotRequest::Slack).is_empty(),
+        eviction_order(&all, NOW, 100, SlotRequest::InAdvance).is_empty(),
         "evicting in advance does not help against a flood"
     );
 }
@@ -82,7 +82,7 @@
 fn crowding_writers_are_evicted_before_idle_clients() {
     let mut all: Vec<Evidence> = (0..60).map(|n| writing(2000 * MILLISECOND, n * 10 * MILLISECOND)).collect();
     all.push(idle(60_000 * MILLISECOND));
-    let ranked = eviction_order(&all, NOW, 100, SlotRequest::Place);
+    let ranked = eviction_order(&all, NOW, 100, SlotRequest::NewConnection);
     assert_eq!((ranked[0], ranked[60]), (59, 60), "the writer silent for longest is evicted first");
 }
 
@@ -99,7 +99,7 @@
             let now = NOW + step * 10 * MILLISECOND;
             table.iter_mut().filter(|(_, complete_at)| complete_at.is_some()).for_each(|(e, _)| {
                 if (now - e.since).is_multiple_of(250 * MILLISECOND) {
-                    (e.begun, e.moved) = (true, now);
+                    (e.has_partial_request, e.last_io_at) = (true, now);
                 }
             });
             let before = table.len();
@@ -109,11 +109,12 @@
             let is_genuine = step.is_multiple_of(50);
             if table.len() == SLOTS {
                 let evidence: Vec<Evidence> = table.iter().map(|(e, _)| *e).collect();
-                let evicted = eviction_order(&evidence, now, SLOTS, SlotRequest::Place)[0];
+                let evicted = eviction_order(&evidence, now, SLOTS, SlotRequest::NewConnection)[0];
                 lost += usize::from(table.remove(evicted).1.is_some());
             }
             let begun = is_genuine || sends_half;
-            let accepted = Evidence { asked: 0, begun, since: now, moved: now };
+            let accepted =
+                Evidence { complete_requests: 0, has_partial_request: begun, since: now, last_io_at: now };
             table.push((accepted, is_genuine.then_some(now + 2000 * MILLISECOND)));
         }
         assert!(
@@ -125,10 +126,10 @@
 
 fn evidence() -> impl Strategy<Value = Evidence> {
     (0u64..3, any::<bool>(), 0u64..5000, 0u64..5000).prop_map(|(asked, begun, since, moved)| Evidence {
-        asked,
-        begun,
+        complete_requests: asked,
+        has_partial_request: begun,
         since: NOW - since.max(moved) * MILLISECOND,
-        moved: NOW - moved * MILLISECOND,
+        last_io_at: NOW - moved * MILLISECOND,
     })
 }
 
@@ -141,14 +142,14 @@
         all in prop::collection::vec(evidence(), 1..80),
         places in 1usize..100,
     ) {
-        let evictable = giving_way(&all, NOW, places, SlotRequest::Place);
-        let all_candidates = eviction_order(&all, NOW, places, SlotRequest::Place);
+        let evictable = evictable_connections(&all, NOW, places, SlotRequest::NewConnection);
+        let all_candidates = eviction_order(&all, NOW, places, SlotRequest::NewConnection);
         prop_assert_eq!(&evictable[..], &all_candidates[..evictable.len()]);
         let is_just_accepted = |evidence: &Evidence| {
             evidence.activity(NOW) == ConnectionActivity::Fresh && NOW - evidence.since < EVICTION_GRACE
         };
         prop_assert!(evictable.iter().all(|n| !is_just_accepted(&all[*n])));
-        prop_assert!(!giving_way(&all, NOW + EVICTION_GRACE, places, SlotRequest::Place).is_empty());
+        prop_assert!(!evictable_connections(&all, NOW + EVICTION_GRACE, places, SlotRequest::NewConnection).is_empty());
     }
 
     /// Danger: a full table without candidates for eviction locks out every new client.
@@ -157,7 +158,7 @@
         all in prop::collection::vec(evidence(), 1..80),
         places in 1usize..100,
     ) {
-        let mut ranked = eviction_order(&all, NOW, places, SlotRequest::Place);
+        let mut ranked = eviction_order(&all, NOW, places, SlotRequest::NewConnection);
         prop_assert_eq!(ranked.len(), all.len());
         let first = all[ranked[0]].activity(NOW);
         // A writer is evicted first only if there are no others, or if writers occupy more than half of the slots.
--- a/crates/core/config-version/src/assignment.rs
+++ b/crates/core/config-version/src/assignment.rs
@@ -6,15 +6,15 @@
 
 /// Format version of assignments and reports. It is incremented when the meaning of an existing field changes, not when fields are
 /// added.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// The config version that a proxy is to apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigAssignment {
     /// The rollout that the assignment belongs to; 0 if there has been none.
-    pub change: u64,
+    pub rollout: u64,
     /// The config version.
-    pub generation: ConfigVersion,
+    pub version: ConfigVersion,
 }
 
 /// Why an assignment is rejected. The proxy keeps the version that it applies.
@@ -24,7 +24,7 @@
     #[error("not an assignment: {0}")]
     Malformed(String),
     /// The assignment has another format version.
-    #[error("unsupported format version {0}; this program reads version {FORM}: upgrade it first")]
+    #[error("unsupported format version {0}; this program reads version {FORMAT_VERSION}: upgrade it first")]
     UnsupportedFormat(u32),
     /// A field of the settings is invalid.
     #[error(transparent)]
@@ -53,8 +53,9 @@
 impl ConfigAssignment {
     /// The assignment as JSON text.
     pub fn text(&self) -> String {
-        let (generation, settings) = (self.generation.digest(), self.generation.document());
-        let document = AssignmentDocument { format_version: FORM, change: self.change, generation, settings };
+        let (generation, settings) = (self.version.digest(), self.version.document());
+        let document =
+            AssignmentDocument { format_version: FORMAT_VERSION, change: self.rollout, generation, settings };
         // Serialising plain fields to JSON cannot fail.
         serde_json::to_string(&document).unwrap_or_default()
     }
@@ -67,13 +68,13 @@
         let malformed = |error: serde_json::Error| AssignmentError::Malformed(error.to_string());
         let value: Value = serde_json::from_str(text).map_err(malformed)?;
         // Danger: in another format version the same fields may have a different meaning.
-        if let Some(version) = value["form"].as_u64().filter(|f| *f != u64::from(FORM)) {
+        if let Some(version) = value["form"].as_u64().filter(|f| *f != u64::from(FORMAT_VERSION)) {
             return Err(AssignmentError::UnsupportedFormat(version as u32));
         }
         let document: AssignmentDocument = serde_json::from_value(value).map_err(malformed)?;
         let generation = ConfigVersion::read(&document.settings)?;
         match generation.digest() == document.generation {
-            true => Ok(ConfigAssignment { change: document.change, generation }),
+            true => Ok(ConfigAssignment { rollout: document.change, version: generation }),
             false => Err(AssignmentError::DigestMismatch {
                 expected: document.generation,
                 actual: generation.digest(),
--- a/crates/core/config-version/src/lib.rs
+++ b/crates/core/config-version/src/lib.rs
@@ -15,7 +15,7 @@
 mod check;
 mod digest;
 
-pub use assignment::{AssignmentError, ConfigAssignment, FORM};
+pub use assignment::{AssignmentError, ConfigAssignment, FORMAT_VERSION};
 pub use check::FieldError;
 pub use digest::{Digest, ParseDigestError};
 
--- a/crates/core/config-version/tests/config_version.rs
+++ b/crates/core/config-version/tests/config_version.rs
@@ -78,7 +78,7 @@
 #[test]
 fn an_assignment_is_decoded_whole_or_rejected() {
     let generation = ConfigVersion::read(&json!({"over_share_worth": 0.25})).expect("valid");
-    let sent = ConfigAssignment { change: 7, generation };
+    let sent = ConfigAssignment { rollout: 7, version: generation };
     assert_eq!(ConfigAssignment::read(&sent.text()), Ok(sent.clone()));
     // A later program may add fields.
     let with_added_field = sent.text().replacen('{', "{\"by\":\"later\",", 1);
--- a/crates/core/control-state/src/lib.rs
+++ b/crates/core/control-state/src/lib.rs
@@ -6,4 +6,4 @@
 mod state;
 
 pub use config::{ConfigError, ControlConfig};
-pub use state::{ControlState, EndpointChange, ListOutcome, NodeView, Origin};
+pub use state::{ControlState, EndpointChange, ListOutcome, ListSource, NodeView};
--- a/crates/core/control-state/src/state.rs
+++ b/crates/core/control-state/src/state.rs
@@ -10,7 +10,7 @@
 
 /// The source of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum ListSource {
     /// Discovery, whose versions mean the same to all instances that follow it.
     Discovery,
     /// A file, whose versions are meaningful only to this instance.
@@ -23,13 +23,13 @@
     /// New or changed endpoints, by cluster: cache nodes, origin.
     pub changed: [Vec<SourcedEndpoint>; 2],
     /// Removed endpoints in their last state, by cluster as in `changed`.
-    pub gone: [Vec<SourcedEndpoint>; 2],
+    pub removed: [Vec<SourcedEndpoint>; 2],
 }
 
 impl EndpointChange {
     /// Whether there is no change.
     pub fn is_empty(&self) -> bool {
-        self.changed.iter().chain(&self.gone).all(Vec::is_empty)
+        self.changed.iter().chain(&self.removed).all(Vec::is_empty)
     }
 }
 
@@ -41,7 +41,7 @@
     /// The changes, if any.
     Changed(EndpointChange),
     /// A full list without live endpoints, although endpoints were declared. It is ignored.
-    EmptyRefused,
+    EmptyListIgnored,
 }
 
 /// An endpoint for the admin page.
@@ -50,15 +50,15 @@
     /// Name of its cluster.
     pub cluster: String,
     /// The endpoint, with the declared weight.
-    pub stated: SourcedEndpoint,
+    pub endpoint: SourcedEndpoint,
     /// When its state or process start time last changed, by the caller's clock.
-    pub since: Nanos,
+    pub changed_at: Nanos,
 }
 
 /// The endpoints that the control service declares, and what they are derived from.
 pub struct ControlState {
     config: ControlConfig,
-    origin: Origin,
+    origin: ListSource,
     merger: EndpointMerger,
     /// The declared endpoints by cluster (cache nodes, origin) and endpoint ID.
     clusters: [BTreeMap<String, SourcedEndpoint>; 2],
@@ -78,7 +78,7 @@
 
 impl ControlState {
     /// A state without an endpoint list. It declares nothing until the first list arrives.
-    pub fn new(config: ControlConfig, origin: Origin) -> Self {
+    pub fn new(config: ControlConfig, origin: ListSource) -> Self {
         let hold = config.hold_s.saturating_mul(1_000_000_000);
         let merger = EndpointMerger::new(MergeLimits { hold, remembered: config.removals });
         ControlState {
@@ -110,7 +110,7 @@
     }
 
     /// The names of the clusters: cache nodes, origin.
-    pub fn names(&self) -> [&str; 2] {
+    pub fn cluster_names(&self) -> [&str; 2] {
         [&self.config.cluster, &self.config.origin_cluster]
     }
 
@@ -120,29 +120,29 @@
             let since = |s: &SourcedEndpoint| self.changed_at.get(&s.member.id).copied().unwrap_or(0);
             let view = |s: &SourcedEndpoint| NodeView {
                 cluster: cluster.into(),
-                stated: s.clone(),
-                since: since(s),
+                endpoint: s.clone(),
+                changed_at: since(s),
             };
             nodes.values().map(view).collect::<Vec<_>>()
         };
-        self.names().into_iter().zip(self.clusters()).flat_map(view).collect()
+        self.cluster_names().into_iter().zip(self.clusters()).flat_map(view).collect()
     }
 
     /// Processes an endpoint list, full or incremental.
-    pub fn list(&mut self, list: &EndpointList, now: Nanos) -> ListOutcome {
+    pub fn process_list(&mut self, list: &EndpointList, now: Nanos) -> ListOutcome {
         let is_live = |m: &&Endpoint| m.state != EndpointState::Gone;
         let endpoints_before = self.clusters.iter().map(BTreeMap::len).sum::<usize>();
         // Danger: a discovery process that has just started may respond before it knows any endpoints. Its list would remove every
         // endpoint from every proxy at once.
         if list.full && endpoints_before > 0 && list.servers.iter().filter(is_live).count() == 0 {
-            return ListOutcome::EmptyRefused;
+            return ListOutcome::EmptyListIgnored;
         }
         let is_first = self.version.is_none();
         if is_first && !list.full {
             // An incremental list cannot be interpreted without an earlier full one.
             return ListOutcome::Changed(EndpointChange::default());
         }
-        let changes = self.merger.list(Source::Discovery, list, MergeTime::without_overrides(now));
+        let changes = self.merger.apply_list(Source::Discovery, list, MergeTime::without_overrides(now));
         self.version = Some(list.version);
         let change = self.apply(changes, list.version, now);
         match is_first {
@@ -153,7 +153,12 @@
 
     /// Replaces the overrides by those that are live at this Unix time. `cold_after` is the outage after which an endpoint returns with a
     /// cold cache.
-    pub fn impose(&mut self, overrides: Vec<Override>, unix_now: Nanos, cold_after: Nanos) -> EndpointChange {
+    pub fn set_overrides(
+        &mut self,
+        overrides: Vec<Override>,
+        unix_now: Nanos,
+        cold_after: Nanos,
+    ) -> EndpointChange {
         (self.overrides, self.unix_now, self.cold_after) = (overrides, unix_now, cold_after);
         let mut change = EndpointChange::default();
         for cluster in 0..self.clusters.len() {
@@ -197,7 +202,7 @@
     }
 
     /// The cache nodes with their capacities, for the check that overrides leave enough capacity.
-    pub fn fleet(&self) -> Vec<FleetCapacity> {
+    pub fn cache_capacities(&self) -> Vec<FleetCapacity> {
         let capacity = |s: &SourcedEndpoint| FleetCapacity {
             id: s.member.id.clone(),
             kind: s.member.kind.clone(),
@@ -212,20 +217,20 @@
     /// as changed and be sent to every subscriber again, and a drain that discovery has forgotten would end.
     pub fn restore(&mut self, version: u64, nodes: Vec<SourcedEndpoint>, now: Nanos) {
         let listed: BTreeMap<String, (u64, bool)> =
-            nodes.iter().map(|s| (s.member.id.clone(), (s.listed, s.shared))).collect();
+            nodes.iter().map(|s| (s.member.id.clone(), (s.list_version, s.is_from_discovery))).collect();
         let changes =
             self.merger.restore(Source::Discovery, version, nodes, MergeTime::without_overrides(now));
         self.version = Some(version);
         self.apply(changes, version, now);
         for endpoint in self.clusters.iter_mut().flat_map(BTreeMap::values_mut) {
             if let Some((listed, shared)) = listed.get(&endpoint.member.id) {
-                (endpoint.listed, endpoint.shared) = (*listed, *shared);
+                (endpoint.list_version, endpoint.is_from_discovery) = (*listed, *shared);
             }
         }
     }
 
     /// The endpoints to store for a restart, with the weights of the endpoint list instead of the declared ones.
-    pub fn kept(&self) -> Vec<SourcedEndpoint> {
+    pub fn stored_endpoints(&self) -> Vec<SourcedEndpoint> {
         let with_listed_weight = |member: &Endpoint| {
             let cluster = usize::from(member.kind == self.config.origin_kind);
             let declared = self.clusters[cluster].get(&member.id)?;
@@ -238,8 +243,8 @@
     }
 
     /// The current endpoint list, for another instance to continue from; `None` before the first list.
-    pub fn followed(&self) -> Option<EndpointList> {
-        let servers = self.kept().into_iter().map(|s| s.member).collect();
+    pub fn current_list(&self) -> Option<EndpointList> {
+        let servers = self.stored_endpoints().into_iter().map(|s| s.member).collect();
         Some(EndpointList { version: self.version?, full: true, servers })
     }
 
@@ -253,7 +258,7 @@
     fn apply(&mut self, changes: Changes, version: u64, now: Nanos) -> EndpointChange {
         let mut change = EndpointChange::default();
         for gone in changes.gone {
-            for (nodes, gone_here) in self.clusters.iter_mut().zip(&mut change.gone) {
+            for (nodes, gone_here) in self.clusters.iter_mut().zip(&mut change.removed) {
                 gone_here.extend(nodes.remove(&gone.id));
             }
             self.changed_at.remove(&gone.id);
@@ -274,20 +279,20 @@
         let imposed = self.effect_on(&member, before);
         let declared = SourcedEndpoint {
             member: Endpoint { weight, ..member },
-            listed: version,
-            shared: self.origin == Origin::Discovery,
+            list_version: version,
+            is_from_discovery: self.origin == ListSource::Discovery,
             imposed,
         };
         let id = declared.member.id.clone();
         let moved_from = self.clusters[1 - cluster].remove(&id);
-        change.gone[1 - cluster].extend(moved_from);
+        change.removed[1 - cluster].extend(moved_from);
         let state_and_start = |s: &SourcedEndpoint| (s.member.state, s.member.started);
         let before = self.clusters[cluster].insert(id.clone(), declared.clone());
         if before.as_ref().map(state_and_start) != Some(state_and_start(&declared)) {
             self.changed_at.insert(id, now);
         }
         // An endpoint that moved to another zone is declared under another resource name, so the former one is removed.
-        change.gone[cluster].extend(before.filter(|b| b.member.zone != declared.member.zone));
+        change.removed[cluster].extend(before.filter(|b| b.member.zone != declared.member.zone));
         change.changed[cluster].push(declared);
     }
 }
--- a/crates/core/control-state/tests/overrides_on_changing_list.rs
+++ b/crates/core/control-state/tests/overrides_on_changing_list.rs
@@ -1,7 +1,7 @@
 //! Checks overrides during random changes of the endpoint list against a simple model of the live overrides and the declared endpoints.
 
 use proptest::prelude::*;
-use rushquay_control_state::{ControlConfig, ControlState, Origin};
+use rushquay_control_state::{ControlConfig, ControlState, ListSource};
 use rushquay_endpoints::{EndpointList, EndpointState};
 use rushquay_overrides::{
     Effect, Override, OverrideLimits, OverrideRequest, OverrideSet, OverrideTime, Scope, SECOND,
@@ -82,8 +82,8 @@
 
     #[test]
     fn overrides_are_declared_exactly_while_the_list_changes(steps in prop::collection::vec(step(), 1..60)) {
-        let mut control = ControlState::new(ControlConfig::default(), Origin::Discovery);
-        let mut overrides = OverrideSet::new(OverrideLimits { stay: 0.0, ..OverrideLimits::default() });
+        let mut control = ControlState::new(ControlConfig::default(), ListSource::Discovery);
+        let mut overrides = OverrideSet::new(OverrideLimits { min_weight_in_service: 0.0, ..OverrideLimits::default() });
         let mut list: BTreeMap<usize, (bool, u64)> = [(9, (true, 0))].into();
         let (mut version, mut now) = (1, 1000 * SECOND);
         let member = |n: usize, ready: bool, start: u64| {
@@ -95,7 +95,7 @@
             let document = serde_json::json!({"version": version, "full": full, "servers": servers});
             serde_json::from_value(document).expect("a list")
         };
-        control.list(&members(version, true, vec![member(9, true, 0)]), now);
+        control.process_list(&members(version, true, vec![member(9, true, 0)]), now);
         let mut model: Vec<Override> = Vec::new();
         for step in steps {
             match step {
@@ -104,24 +104,24 @@
                     // The start time of a listed endpoint never decreases.
                     let start = list.get(&n).map_or(start, |(_, s)| start.max(*s));
                     list.insert(n, (ready, start));
-                    control.list(&members(version, false, vec![member(n, ready, start)]), now);
+                    control.process_list(&members(version, false, vec![member(n, ready, start)]), now);
                 }
                 Step::Gone(n) => {
                     version += 1;
                     list.remove(&n);
                     let gone = serde_json::json!({"id": id(n), "addr": "", "zone": zone(n), "kind": "k", "state": "gone"});
-                    control.list(&members(version, false, vec![gone]), now);
+                    control.process_list(&members(version, false, vec![gone]), now);
                 }
                 Step::Full => {
                     version += 1;
                     let all = list.iter().map(|(n, (ready, start))| member(*n, *ready, *start)).collect();
-                    control.list(&members(version, true, all), now);
+                    control.process_list(&members(version, true, all), now);
                 }
                 Step::Set(scope_index, tenths, span) => {
                     let effect = if tenths == 0 { Effect::Out } else { Effect::Weight(tenths as f64 / 10.0) };
                     let request = OverrideRequest { scope: scope(scope_index), effect, until: now + span * SECOND, author: "a".into(),
                                     reason: "r".into(), force: true };
-                    model.push(overrides.set(request, &control.fleet(), now, None).expect("set"));
+                    model.push(overrides.set(request, &control.cache_capacities(), now, None).expect("set"));
                 }
                 Step::Lift => {
                     let first = overrides.live().next().map(|o| o.id);
@@ -136,7 +136,7 @@
                     model.retain(|o| o.until > now);
                 }
             }
-            control.impose(overrides.live().cloned().collect(), now, 60 * SECOND);
+            control.set_overrides(overrides.live().cloned().collect(), now, 60 * SECOND);
             // The live overrides are those that were set and neither lifted nor expired.
             prop_assert_eq!(overrides.live().cloned().collect::<Vec<_>>(), model.clone());
             // Each endpoint of the list is declared with the effect of the overrides, and no other endpoint is declared.
--- a/crates/core/endpoints/src/cursor.rs
+++ b/crates/core/endpoints/src/cursor.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CursorUpdate {
     /// The response was accepted.
-    Taken,
+    Accepted,
     /// The response does not continue the list in use. That list stays in use, and the whole list has to be requested.
-    Doubted,
+    Rejected,
 }
 
 impl ListCursor {
@@ -47,19 +47,19 @@
     /// Danger: an instance of discovery that lags behind would restore endpoints that are gone, and one that has just
     /// started knows no endpoints. After a rejected response the whole list is requested once more, and the response to
     /// that is accepted unconditionally: discovery may have restarted its versions, and all endpoints may be gone.
-    pub fn saw(&mut self, list: &EndpointList) -> CursorUpdate {
+    pub fn accept(&mut self, list: &EndpointList) -> CursorUpdate {
         let is_older = self.current.is_some_and(|current| list.version < current);
         let is_emptied = list.full && list.servers.is_empty() && self.current.is_some();
         if (is_older || is_emptied) && !self.was_rejected {
             (self.version, self.was_rejected) = (None, true);
-            return CursorUpdate::Doubted;
+            return CursorUpdate::Rejected;
         }
         *self = ListCursor::at(Some(list.version));
-        CursorUpdate::Taken
+        CursorUpdate::Accepted
     }
 
     /// Requests the whole list next, because an incremental update could not be parsed and would be sent again unchanged.
-    pub fn spoilt(&mut self) {
+    pub fn request_whole_list(&mut self) {
         self.version = None;
     }
 
--- a/crates/core/endpoints/src/endpoint.rs
+++ b/crates/core/endpoints/src/endpoint.rs
@@ -27,7 +27,7 @@
     }
 
     /// Parses the wire format. An unknown state counts as draining, so that the endpoint gets no new requests.
-    pub fn from_word(text: &str) -> Self {
+    pub fn from_text(text: &str) -> Self {
         match text {
             "ready" => EndpointState::Ready,
             "gone" => EndpointState::Gone,
@@ -107,7 +107,7 @@
             zone: text_or_empty(wire.zone),
             kind: text_or_empty(wire.kind),
             cell: wire.cell.unwrap_or(0),
-            state: EndpointState::from_word(&wire.state),
+            state: EndpointState::from_text(&wire.state),
             weight: wire.weight.unwrap_or(1.0),
             started: (wire.started_ms.unwrap_or(0.0) * 1e6) as Nanos,
             id: wire.id,
--- a/crates/core/endpoints/src/list_assembler.rs
+++ b/crates/core/endpoints/src/list_assembler.rs
@@ -12,7 +12,7 @@
 
 impl ListAssembler {
     /// Applies a whole list or an incremental update.
-    pub fn take(&mut self, list: &EndpointList) {
+    pub fn apply(&mut self, list: &EndpointList) {
         self.version = list.version;
         if list.full {
             self.endpoints.clear();
@@ -26,7 +26,7 @@
     }
 
     /// The whole list; `None` if it has no endpoints.
-    pub fn whole(&self) -> Option<EndpointList> {
+    pub fn whole_list(&self) -> Option<EndpointList> {
         let servers: Vec<Endpoint> = self.endpoints.values().cloned().collect();
         (!servers.is_empty()).then_some(EndpointList { version: self.version, full: true, servers })
     }
--- a/crates/core/endpoints/src/merge.rs
+++ b/crates/core/endpoints/src/merge.rs
@@ -29,7 +29,7 @@
     /// The proxy's own discovery. Addresses may differ between proxies, so those from here take precedence.
     Discovery,
     /// The list in the configuration at startup; discarded on discovery's first whole list.
-    Known,
+    Configured,
     /// The control service. It decides weights, so its weights take precedence.
     Control,
 }
@@ -45,9 +45,9 @@
     /// The endpoint.
     pub member: Endpoint,
     /// The version of the last list that contained this entry; 0: unknown.
-    pub listed: u64,
+    pub list_version: u64,
     /// Whether that list came from discovery, so that its version can be compared between sources.
-    pub shared: bool,
+    pub is_from_discovery: bool,
     /// The overrides in effect for it.
     pub imposed: Imposed,
 }
@@ -126,23 +126,28 @@
 
     /// Applies a list in discovery's format, from discovery or from the configuration. A list with a lower version than the
     /// previous one breaks the continuity of the view: the list is outdated, or discovery has restarted its versions.
-    pub fn list(&mut self, source: Source, list: &EndpointList, now: MergeTime) -> Changes {
+    pub fn apply_list(&mut self, source: Source, list: &EndpointList, now: MergeTime) -> Changes {
         let table = &mut self.tables[source as usize];
         table.view_number += u64::from(list.version < table.version);
         table.version = list.version;
         let stated = |m: &Endpoint| {
             let imposed = Imposed::default();
-            SourcedEndpoint { member: m.clone(), listed: list.version, shared: true, imposed }
+            SourcedEndpoint {
+                member: m.clone(),
+                list_version: list.version,
+                is_from_discovery: true,
+                imposed,
+            }
         };
         let all: Vec<SourcedEndpoint> = list.servers.iter().map(stated).collect();
         let event = if list.full { WatchEvent::Whole(all) } else { WatchEvent::Changed(all, Vec::new()) };
         let mut changes = self.apply_event(source, event, now);
         if source == Source::Discovery
             && list.full
-            && !self.tables[Source::Known as usize].statements.is_empty()
+            && !self.tables[Source::Configured as usize].statements.is_empty()
         {
             let ids: BTreeSet<String> =
-                self.tables[Source::Known as usize].statements.drain().map(|(id, _)| id).collect();
+                self.tables[Source::Configured as usize].statements.drain().map(|(id, _)| id).collect();
             let further_changes = self.recompute(ids);
             changes.upserts.extend(further_changes.upserts);
             changes.gone.extend(further_changes.gone);
@@ -165,7 +170,7 @@
 
     /// Applies an event from the control service, whose process is identified by `incarnation`. The view is continuous
     /// while the incarnation is the same.
-    pub fn control(&mut self, incarnation: &str, event: WatchEvent, now: MergeTime) -> Changes {
+    pub fn apply_control_event(&mut self, incarnation: &str, event: WatchEvent, now: MergeTime) -> Changes {
         let table = &mut self.tables[Source::Control as usize];
         if table.incarnation != incarnation {
             incarnation.clone_into(&mut table.incarnation);
@@ -176,7 +181,7 @@
 
     /// Marks the statements of the control service as confirmed by its present process, which has sent its whole state
     /// without changing them. Unconfirmed statements stay unconfirmed.
-    pub fn confirm(&mut self) {
+    pub fn confirm_control(&mut self) {
         let table = &mut self.tables[Source::Control as usize];
         table
             .statements
@@ -186,7 +191,7 @@
     }
 
     /// Marks a source as unreachable.
-    pub fn lost(&mut self, source: Source) {
+    pub fn mark_lost(&mut self, source: Source) {
         self.tables[source as usize].is_lost = true;
     }
 
@@ -300,7 +305,7 @@
 
     /// Applies the rules to the statements about an endpoint; `None`: it is not in the merged list.
     fn resolve(&self, id: &str) -> Option<(Endpoint, Source)> {
-        let order = [Source::Discovery, Source::Known, Source::Control];
+        let order = [Source::Discovery, Source::Configured, Source::Control];
         let statements: Vec<(Source, &Statement)> =
             order.iter().filter_map(|s| Some((*s, self.tables[*s as usize].statements.get(id)?))).collect();
         // Rule 1.
--- a/crates/core/endpoints/src/merge/source_table.rs
+++ b/crates/core/endpoints/src/merge/source_table.rs
@@ -38,7 +38,7 @@
 impl Statement {
     pub(super) fn new(stated: SourcedEndpoint, stated_at: MonotonicTime, view_number: u64) -> Self {
         let is_named = stated.member.state != EndpointState::Gone;
-        let SourcedEndpoint { member, listed, shared, imposed } = stated;
+        let SourcedEndpoint { member, list_version: listed, is_from_discovery: shared, imposed } = stated;
         Statement { member, listed, shared, imposed, stated_at, view_number, is_named, unconfirmed: None }
     }
 }
@@ -52,7 +52,7 @@
             return;
         };
         let is_continuous = old.view_number == view_number;
-        let is_newer = new.listed > old.listed && old.listed > 0;
+        let is_newer = new.list_version > old.listed && old.listed > 0;
         let is_accepted = if new.member.started == old.member.started {
             new.member.state >= old.member.state || is_newer || is_continuous
         } else {
--- a/crates/core/endpoints/src/start_times.rs
+++ b/crates/core/endpoints/src/start_times.rs
@@ -39,7 +39,7 @@
 impl StartTimes {
     /// Records that discovery dated a response with this Unix time of its own clock. Returns whether the difference
     /// between the two clocks has changed.
-    pub fn dated(&mut self, date: Nanos, now: Nanos) -> bool {
+    pub fn record_response_date(&mut self, date: Nanos, now: Nanos) -> bool {
         let ahead = now as i64 - date as i64;
         let ahead = if ahead.unsigned_abs() < MIN_CLOCK_STEP { 0 } else { ahead };
         let has_changed = ahead.abs_diff(self.ahead) >= MIN_CLOCK_STEP;
@@ -55,7 +55,7 @@
     }
 
     /// Converts the start times of a list, whole or incremental, in place.
-    pub fn take(&mut self, endpoints: &mut [Endpoint], now: Nanos) {
+    pub fn convert(&mut self, endpoints: &mut [Endpoint], now: Nanos) {
         for endpoint in endpoints {
             endpoint.started = self.local_start(&endpoint.id, endpoint.started, now);
         }
--- a/crates/core/endpoints/src/watch_schedule.rs
+++ b/crates/core/endpoints/src/watch_schedule.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
     /// From a discovery that serves the whole fleet and has to be polled.
-    Asked {
+    Polled {
         /// Maximum interval between requests for the list, in nanoseconds; 0: not specified.
         within: Nanos,
     },
@@ -60,11 +60,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// No response arrived within the timeout.
-    Silent,
+    TimedOut,
     /// The connection failed, or could not be established.
     Broken,
     /// The response was an error, or not a list.
-    Refused,
+    Rejected,
 }
 
 /// The state of the connection to discovery.
@@ -86,11 +86,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NextCall {
     /// The delay before the call.
-    pub wait: Nanos,
+    pub delay: Nanos,
     /// How long discovery may hold the call until there is a change; 0: it answers at once.
     pub hold: Nanos,
     /// The timeout of the call.
-    pub limit: Nanos,
+    pub timeout: Nanos,
 }
 
 /// Schedules the calls to discovery, whose address may change.
@@ -114,34 +114,34 @@
             initial.saturating_mul(1 << attempt.min(MAX_DOUBLINGS)).min(max)
         };
         match (self.state, self.mode) {
-            (State::NewAddress(0), _) => NextCall { wait: 0, hold: 0, limit: NEW_ADDRESS_TIMEOUT },
+            (State::NewAddress(0), _) => NextCall { delay: 0, hold: 0, timeout: NEW_ADDRESS_TIMEOUT },
             (State::NewAddress(n), _) => NextCall {
-                wait: backoff(NEW_ADDRESS_INITIAL_BACKOFF, n - 1, NEW_ADDRESS_MAX_BACKOFF),
+                delay: backoff(NEW_ADDRESS_INITIAL_BACKOFF, n - 1, NEW_ADDRESS_MAX_BACKOFF),
                 hold: 0,
-                limit: NEW_ADDRESS_TIMEOUT,
+                timeout: NEW_ADDRESS_TIMEOUT,
             },
-            (State::Starting, WatchMode::Asked { .. }) => {
-                NextCall { wait: jittered(INITIAL_BACKOFF, MIN_JITTER, random()), ..self.watch(random()) }
+            (State::Starting, WatchMode::Polled { .. }) => {
+                NextCall { delay: jittered(INITIAL_BACKOFF, MIN_JITTER, random()), ..self.watch(random()) }
             }
             (State::Following, _) => self.watch(random()),
-            (State::Rechecking, WatchMode::Asked { .. }) => NextCall {
-                wait: jittered(MAX_RENEWAL_DELAY, 0.0, random()),
+            (State::Rechecking, WatchMode::Polled { .. }) => NextCall {
+                delay: jittered(MAX_RENEWAL_DELAY, 0.0, random()),
                 hold: 0,
-                limit: RESPONSE_TIMEOUT,
+                timeout: RESPONSE_TIMEOUT,
             },
-            (State::Lost(n), WatchMode::Asked { .. }) => NextCall {
-                wait: jittered(backoff(INITIAL_BACKOFF, n, MAX_BACKOFF), MIN_JITTER, random()),
+            (State::Lost(n), WatchMode::Polled { .. }) => NextCall {
+                delay: jittered(backoff(INITIAL_BACKOFF, n, MAX_BACKOFF), MIN_JITTER, random()),
                 hold: 0,
-                limit: RESPONSE_TIMEOUT,
+                timeout: RESPONSE_TIMEOUT,
             },
             (State::Starting | State::Rechecking, WatchMode::Pushed { grace }) => {
-                NextCall { wait: 0, hold: 0, limit: grace / 5 * 2 }
+                NextCall { delay: 0, hold: 0, timeout: grace / 5 * 2 }
             }
             (State::Lost(n), WatchMode::Pushed { grace }) => {
                 // Danger: an agent on an overloaded machine might never answer within the short timeout, so every fourth
                 // call has a longer one.
                 let limit = if n % 4 == 0 { grace / 5 * 4 } else { grace / 5 * 2 };
-                NextCall { wait: grace / 10, hold: 0, limit }
+                NextCall { delay: grace / 10, hold: 0, timeout: limit }
             }
         }
     }
@@ -149,12 +149,12 @@
     /// The next watch, without a delay.
     fn watch(&self, random: f64) -> NextCall {
         let (hold, grace_after_hold) = match self.mode {
-            WatchMode::Asked { within: 0 } => (MAX_HOLD, WATCH_GRACE),
-            WatchMode::Asked { within } => ((within / 2).clamp(MIN_HOLD, MAX_HOLD), WATCH_GRACE),
+            WatchMode::Polled { within: 0 } => (MAX_HOLD, WATCH_GRACE),
+            WatchMode::Polled { within } => ((within / 2).clamp(MIN_HOLD, MAX_HOLD), WATCH_GRACE),
             WatchMode::Pushed { grace } => (AGENT_HOLD, grace / 5 * 2),
         };
         let hold = (hold as f64 * (1.0 - HOLD_JITTER * random)) as Nanos;
-        NextCall { wait: 0, hold, limit: hold + grace_after_hold }
+        NextCall { delay: 0, hold, timeout: hold + grace_after_hold }
     }
 
     /// Records that a call was answered with a list.
@@ -164,15 +164,15 @@
 
     /// Records that a call was answered with a list that does not continue the one in use, so that the whole list is
     /// requested next.
-    pub fn doubted(&mut self) {
+    pub fn list_rejected(&mut self) {
         self.state = State::Rechecking;
     }
 
     /// Records that a call has failed. Returns whether discovery counts as lost.
     pub fn failed(&mut self, failure: CallFailure) -> bool {
         self.state = match (self.state, failure) {
-            (State::Following, CallFailure::Silent | CallFailure::Broken)
-            | (State::Starting, CallFailure::Silent) => State::Rechecking,
+            (State::Following, CallFailure::TimedOut | CallFailure::Broken)
+            | (State::Starting, CallFailure::TimedOut) => State::Rechecking,
             (State::Starting | State::Following | State::Rechecking, _) => State::Lost(1),
             (State::Lost(n), _) => State::Lost(n.saturating_add(1)),
             (State::NewAddress(n), _) => State::NewAddress(n.saturating_add(1)),
@@ -181,7 +181,7 @@
     }
 
     /// Records that discovery has a new address.
-    pub fn moved(&mut self) {
+    pub fn address_changed(&mut self) {
         self.state = State::NewAddress(0);
     }
 }
--- a/crates/core/endpoints/tests/endpoint_merger.rs
+++ b/crates/core/endpoints/tests/endpoint_merger.rs
@@ -36,7 +36,7 @@
 }
 
 fn sourced(member: Endpoint, listed: u64) -> SourcedEndpoint {
-    SourcedEndpoint { member, listed, shared: true, imposed: Default::default() }
+    SourcedEndpoint { member, list_version: listed, is_from_discovery: true, imposed: Default::default() }
 }
 
 fn state(m: &EndpointMerger, id: &str) -> Option<EndpointState> {
@@ -52,8 +52,8 @@
 /// Both sources list `a` as ready; the control service as process `c1`, from discovery's list 40.
 fn both_sources() -> EndpointMerger {
     let mut m = merger();
-    m.list(Source::Discovery, &list(40, true, &[node("a", Ready, 7)]), at(0));
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 40)], vec![]), at(0));
+    m.apply_list(Source::Discovery, &list(40, true, &[node("a", Ready, 7)]), at(0));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 40)], vec![]), at(0));
     m
 }
 
@@ -61,8 +61,12 @@
 fn the_more_restrictive_source_wins() {
     for (by_control, by_discovery) in [(Draining, Ready), (Ready, Draining), (Gone, Ready), (Ready, Gone)] {
         let mut m = both_sources();
-        m.list(Source::Discovery, &list(41, false, &[node("a", by_discovery, 7)]), at(1));
-        m.control("c1", WatchEvent::Changed(vec![sourced(node("a", by_control, 7), 41)], vec![]), at(1));
+        m.apply_list(Source::Discovery, &list(41, false, &[node("a", by_discovery, 7)]), at(1));
+        m.apply_control_event(
+            "c1",
+            WatchEvent::Changed(vec![sourced(node("a", by_control, 7), 41)], vec![]),
+            at(1),
+        );
         let strictest = by_control.max(by_discovery);
         assert_eq!(state(&m, "a"), Some(strictest).filter(|s| *s != Gone), "{by_control:?} {by_discovery:?}");
     }
@@ -72,55 +76,75 @@
 fn an_endpoint_gets_requests_only_while_a_list_names_it() {
     let mut m = both_sources();
     assert!(
-        m.control("c1", WatchEvent::Changed(vec![sourced(node("b", Ready, 1), 41)], vec![]), at(1))
-            .upserts
-            .len()
+        m.apply_control_event(
+            "c1",
+            WatchEvent::Changed(vec![sourced(node("b", Ready, 1), 41)], vec![]),
+            at(1)
+        )
+        .upserts
+        .len()
             == 1
     );
     assert_eq!(state(&m, "b"), Some(Ready), "listed by the control service");
-    let changes = m.control("c1", WatchEvent::Changed(vec![], vec!["b".into()]), at(2));
+    let changes = m.apply_control_event("c1", WatchEvent::Changed(vec![], vec!["b".into()]), at(2));
     assert_eq!((changes.gone.len(), state(&m, "b")), (1, None));
     // An outdated list of discovery still contains the removed incarnation.
-    m.list(Source::Discovery, &list(42, false, &[node("b", Ready, 1)]), at(3));
+    m.apply_list(Source::Discovery, &list(42, false, &[node("b", Ready, 1)]), at(3));
     assert_eq!(state(&m, "b"), None);
     // It returns as a new incarnation.
-    m.list(Source::Discovery, &list(43, false, &[node("b", Ready, 9)]), at(4));
+    m.apply_list(Source::Discovery, &list(43, false, &[node("b", Ready, 9)]), at(4));
     assert_eq!(state(&m, "b"), Some(Ready));
 }
 
 #[test]
 fn statements_about_an_older_incarnation_do_not_apply_to_a_newer_one() {
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]), at(1));
-    m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 8)]), at(2));
+    m.apply_control_event(
+        "c1",
+        WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]),
+        at(1),
+    );
+    m.apply_list(Source::Discovery, &list(42, false, &[node("a", Ready, 8)]), at(2));
     assert_eq!(state(&m, "a"), Some(Ready));
     // Repeating the older statement changes nothing.
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]), at(3));
+    m.apply_control_event(
+        "c1",
+        WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 41)], vec![]),
+        at(3),
+    );
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn a_restarted_control_service_with_an_old_list_does_not_undo_a_drain() {
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(1));
-    m.lost(Source::Control);
+    m.apply_control_event(
+        "c1",
+        WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]),
+        at(1),
+    );
+    m.mark_lost(Source::Control);
     // Restarted without state, it reads an instance of discovery that still serves list 41, like this process's own.
-    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(2));
+    m.apply_control_event("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(2));
     assert_eq!(state(&m, "a"), Some(Draining));
-    m.confirm();
-    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(3));
+    m.confirm_control();
+    m.apply_control_event("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 41)], vec![]), at(3));
     assert_eq!(state(&m, "a"), Some(Draining), "repeating the statement does not confirm it");
     // A list from after the drain is accepted.
-    m.control("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 44)], vec![]), at(4));
+    m.apply_control_event("c2", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 44)], vec![]), at(4));
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn repeated_restarts_with_versions_starting_over_do_not_undo_a_drain_before_the_hold_ends() {
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(SECOND));
+    m.apply_control_event(
+        "c1",
+        WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]),
+        at(SECOND),
+    );
     for process in ["c2", "c3"] {
-        m.control(
+        m.apply_control_event(
             process,
             WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 1)], vec![]),
             at(2 * SECOND),
@@ -138,12 +162,12 @@
     const HOUR: Nanos = 3_600 * SECOND;
     for clock in [0, 2 * HOUR, 9 * HOUR] {
         let mut m = both_sources();
-        m.control(
+        m.apply_control_event(
             "c1",
             WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]),
             at_both(SECOND, 4 * HOUR),
         );
-        m.control(
+        m.apply_control_event(
             "c2",
             WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 1)], vec![]),
             at_both(2 * SECOND, clock),
@@ -160,56 +184,60 @@
 fn a_step_of_the_control_services_clock_does_not_forget_a_removal() {
     const HOUR: Nanos = 3_600 * SECOND;
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![], vec!["a".into()]), at_both(SECOND, HOUR));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![], vec!["a".into()]), at_both(SECOND, HOUR));
     m.tick(at_both(2 * SECOND, 9 * HOUR));
-    m.list(Source::Discovery, &list(41, true, &[node("a", Ready, 7)]), at_both(3 * SECOND, 9 * HOUR));
+    m.apply_list(Source::Discovery, &list(41, true, &[node("a", Ready, 7)]), at_both(3 * SECOND, 9 * HOUR));
     assert_eq!(state(&m, "a"), None);
 }
 
 #[test]
 fn the_process_that_drained_may_withdraw_the_drain() {
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 0)], vec![]), at(1));
-    m.lost(Source::Control);
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 0)], vec![]), at(2));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 0)], vec![]), at(1));
+    m.mark_lost(Source::Control);
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(node("a", Ready, 7), 0)], vec![]), at(2));
     assert_eq!(state(&m, "a"), Some(Ready));
 }
 
 #[test]
 fn an_outdated_control_service_does_not_remove_newer_endpoints() {
     let mut m = both_sources();
-    m.list(Source::Discovery, &list(45, false, &[node("new", Ready, 9)]), at(1));
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(1));
+    m.apply_list(Source::Discovery, &list(45, false, &[node("new", Ready, 9)]), at(1));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(1));
     // A different process that has been suspended since list 30 resumes.
-    m.control("old", WatchEvent::Changed(vec![], vec!["new".into()]), at(2));
+    m.apply_control_event("old", WatchEvent::Changed(vec![], vec!["new".into()]), at(2));
     assert_eq!(state(&m, "new"), Some(Ready));
     // The process whose view is continuous can remove it.
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(3));
-    m.control("c1", WatchEvent::Changed(vec![], vec!["new".into()]), at(4));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(node("new", Ready, 9), 45)], vec![]), at(3));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![], vec!["new".into()]), at(4));
     assert_eq!(state(&m, "new"), None);
 }
 
 #[test]
 fn a_drain_survives_another_process_that_omits_the_endpoint() {
     let mut m = both_sources();
-    m.control("c1", WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]), at(1));
-    m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
+    m.apply_control_event(
+        "c1",
+        WatchEvent::Changed(vec![sourced(node("a", Draining, 7), 43)], vec![]),
+        at(1),
+    );
+    m.apply_control_event("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
     assert_eq!(state(&m, "a"), Some(Draining));
 }
 
 #[test]
 fn statements_confirmed_by_a_new_process_may_be_removed_by_it() {
     let mut m = both_sources();
-    m.control("c2", WatchEvent::Changed(vec![], vec![]), at(1));
-    m.confirm();
-    m.control("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
+    m.apply_control_event("c2", WatchEvent::Changed(vec![], vec![]), at(1));
+    m.confirm_control();
+    m.apply_control_event("c2", WatchEvent::Changed(vec![], vec!["a".into()]), at(2));
     assert_eq!(state(&m, "a"), None, "removed by the process that had confirmed it");
 }
 
 #[test]
 fn losing_the_control_service_changes_nothing_and_newer_statements_replace_its_own() {
     let mut m = both_sources();
-    m.control(
+    m.apply_control_event(
         "c1",
         WatchEvent::Changed(
             vec![sourced(node("a", Draining, 7), 43), sourced(node("b", Ready, 1), 43)],
@@ -218,11 +246,11 @@
         at(1),
     );
     let before: Vec<Endpoint> = m.nodes().map(|v| v.member.clone()).collect();
-    assert!(m.control("c1", WatchEvent::Lost, at(2)).is_empty());
+    assert!(m.apply_control_event("c1", WatchEvent::Lost, at(2)).is_empty());
     assert_eq!(m.nodes().map(|v| v.member.clone()).collect::<Vec<_>>(), before, "no flap");
-    m.list(Source::Discovery, &list(42, false, &[node("a", Ready, 7)]), at(3));
+    m.apply_list(Source::Discovery, &list(42, false, &[node("a", Ready, 7)]), at(3));
     assert_eq!(state(&m, "a"), Some(Draining), "older than the drain");
-    m.list(Source::Discovery, &list(44, false, &[node("a", Ready, 7)]), at(4));
+    m.apply_list(Source::Discovery, &list(44, false, &[node("a", Ready, 7)]), at(4));
     assert_eq!(
         state(&m, "a"),
         Some(Ready),
@@ -233,9 +261,9 @@
 #[test]
 fn configured_endpoints_are_used_until_discovery_responds() {
     let mut m = merger();
-    m.list(Source::Known, &list(3, true, &[node("a", Ready, 0), node("b", Ready, 0)]), at(0));
+    m.apply_list(Source::Configured, &list(3, true, &[node("a", Ready, 0), node("b", Ready, 0)]), at(0));
     assert_eq!(m.nodes().count(), 2);
-    m.list(Source::Discovery, &list(9, true, &[node("a", Ready, 0)]), at(1));
+    m.apply_list(Source::Discovery, &list(9, true, &[node("a", Ready, 0)]), at(1));
     assert_eq!((state(&m, "a"), state(&m, "b")), (Some(Ready), None));
 }
 
@@ -247,7 +275,7 @@
         weight: 0.25,
         ..node("a", Ready, 7)
     };
-    m.control("c1", WatchEvent::Changed(vec![sourced(from_control, 41)], vec![]), at(1));
+    m.apply_control_event("c1", WatchEvent::Changed(vec![sourced(from_control, 41)], vec![]), at(1));
     let a = m.nodes().next().expect("a node").member.clone();
     assert_eq!((a.addr, a.weight), (node("a", Ready, 7).addr, 0.25));
 }
@@ -257,11 +285,19 @@
     let mut m = merger();
     for i in 0..1000u64 {
         let id = format!("n{i}");
-        m.control("c1", WatchEvent::Changed(vec![sourced(node(&id, Ready, 1), i + 1)], vec![]), at(i));
-        m.control("c1", WatchEvent::Changed(vec![], vec![id]), at(i));
+        m.apply_control_event(
+            "c1",
+            WatchEvent::Changed(vec![sourced(node(&id, Ready, 1), i + 1)], vec![]),
+            at(i),
+        );
+        m.apply_control_event("c1", WatchEvent::Changed(vec![], vec![id]), at(i));
     }
     // The oldest are evicted, so that discovery may list them again.
-    m.list(Source::Discovery, &list(1, true, &[node("n0", Ready, 1), node("n999", Ready, 1)]), at(2000));
+    m.apply_list(
+        Source::Discovery,
+        &list(1, true, &[node("n0", Ready, 1), node("n999", Ready, 1)]),
+        at(2000),
+    );
     assert_eq!((state(&m, "n0"), state(&m, "n999")), (Some(Ready), None));
 }
 
@@ -304,15 +340,15 @@
                 Step::Discovery(version, full, nodes) => {
                     let servers: Vec<Endpoint> = members(nodes).collect();
                     named.extend(servers.iter().map(|m| m.id.clone()));
-                    m.list(Source::Discovery, &EndpointList { version, full, servers }, at(now))
+                    m.apply_list(Source::Discovery, &EndpointList { version, full, servers }, at(now))
                 }
                 Step::Control(process, nodes, gone) => {
                     let all: Vec<SourcedEndpoint> = members(nodes).map(|m| sourced(m, i as u64)).collect();
                     named.extend(all.iter().map(|s| s.member.id.clone()));
                     let gone = gone.iter().map(u8::to_string).collect();
-                    m.control(&process.to_string(), WatchEvent::Changed(all, gone), at(now))
+                    m.apply_control_event(&process.to_string(), WatchEvent::Changed(all, gone), at(now))
                 }
-                Step::Lost => { m.lost(Source::Control); Changes::default() }
+                Step::Lost => { m.mark_lost(Source::Control); Changes::default() }
                 Step::Tick => m.tick(at(now)),
             };
             for gone in changes.gone { from_changes.remove(&gone.id); }
@@ -339,39 +375,39 @@
     };
     let sourced = |imposed: Imposed| SourcedEndpoint {
         member: list("ready").servers[0].clone(),
-        listed: 1,
-        shared: true,
+        list_version: 1,
+        is_from_discovery: true,
         imposed,
     };
-    merge.list(Source::Discovery, &list("ready"), at(S));
+    merge.apply_list(Source::Discovery, &list("ready"), at(S));
     let imposed = Imposed {
         out: (S, 100 * S),
         weights: vec![(50 * S, 0.5), (200 * S, 0.25)],
         cold_after: 60 * S,
         ..Imposed::default()
     };
-    let changes = merge.control("one", WatchEvent::Whole(vec![sourced(imposed)]), at(2 * S));
+    let changes = merge.apply_control_event("one", WatchEvent::Whole(vec![sourced(imposed)]), at(2 * S));
     let first_upsert = |changes: &rushquay_endpoints::Changes| {
         changes.upserts.first().map(|m| (m.state, m.weight, m.started))
     };
     assert_eq!(first_upsert(&changes), Some((EndpointState::Draining, 1.0, 0)));
     // The control service is unreachable from here on.
-    merge.lost(Source::Control);
+    merge.mark_lost(Source::Control);
     assert!(merge.tick(at(49 * S)).is_empty());
     assert_eq!(first_upsert(&merge.tick(at(50 * S))), Some((EndpointState::Draining, 0.5, 0)));
     // A new list and a restart of the endpoint do not end the override.
     let mut restarted = list("ready");
     restarted.servers[0].started = 70 * S;
-    merge.list(Source::Discovery, &restarted, at(71 * S));
+    merge.apply_list(Source::Discovery, &restarted, at(71 * S));
     assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
     // In service again after 99 s, with a cold cache and therefore a slow start.
     assert_eq!(first_upsert(&merge.tick(at(100 * S))), Some((EndpointState::Ready, 0.5, 100 * S)));
     assert_eq!(first_upsert(&merge.tick(at(200 * S))), Some((EndpointState::Ready, 2.0, 100 * S)));
     // The end of an override does not make a draining endpoint ready.
     let mut merge = EndpointMerger::new(MergeLimits::default());
-    merge.list(Source::Discovery, &list("draining"), at(S));
+    merge.apply_list(Source::Discovery, &list("draining"), at(S));
     let short_outage = Imposed { out: (S, 9 * S), ..Imposed::default() };
-    merge.control("one", WatchEvent::Whole(vec![sourced(short_outage)]), at(2 * S));
+    merge.apply_control_event("one", WatchEvent::Whole(vec![sourced(short_outage)]), at(2 * S));
     merge.tick(at(10 * S));
     assert!(merge.nodes().all(|v| v.member.state == EndpointState::Draining));
 }
@@ -394,7 +430,7 @@
             let ahead = ahead * SECOND;
             let mut m = both_sources();
             m.tick(at_both(SECOND, SECOND + ahead));
-            m.control(
+            m.apply_control_event(
                 "c2",
                 WatchEvent::Changed(vec![entry.clone()], vec![]),
                 at_both(2 * SECOND, 2 * SECOND),
@@ -403,7 +439,7 @@
             // The override ends while the clock is ahead of its end, and applies again once the clock is back.
             m.tick(at_both(3 * SECOND, 3 * SECOND + ahead));
             assert_eq!(restricted(&m), 3 * SECOND + ahead < end, "clock {ahead} ns ahead");
-            m.list(Source::Discovery, &list(41, false, &[]), at_both(4 * SECOND, 4 * SECOND));
+            m.apply_list(Source::Discovery, &list(41, false, &[]), at_both(4 * SECOND, 4 * SECOND));
             assert!(restricted(&m), "clock {ahead} ns ahead before a list of discovery");
             m.tick(at_both(5 * SECOND, 5 * SECOND + ahead));
             m.tick(at_both(6 * SECOND, 6 * SECOND));
--- a/crates/core/endpoints/tests/list_assembler.rs
+++ b/crates/core/endpoints/tests/list_assembler.rs
@@ -11,11 +11,11 @@
         serde_json::from_str(&text).expect("a list")
     };
     let mut assembler = ListAssembler::default();
-    assert_eq!(assembler.whole(), None);
-    assembler.take(&list(3, true, &[("a", "ready"), ("b", "ready")]));
-    assembler.take(&list(4, false, &[("b", "draining"), ("c", "ready")]));
-    assembler.take(&list(5, false, &[("a", "gone")]));
-    assert_eq!(assembler.whole(), Some(list(5, true, &[("b", "draining"), ("c", "ready")])));
-    assembler.take(&list(6, true, &[("d", "ready")]));
-    assert_eq!(assembler.whole(), Some(list(6, true, &[("d", "ready")])));
+    assert_eq!(assembler.whole_list(), None);
+    assembler.apply(&list(3, true, &[("a", "ready"), ("b", "ready")]));
+    assembler.apply(&list(4, false, &[("b", "draining"), ("c", "ready")]));
+    assembler.apply(&list(5, false, &[("a", "gone")]));
+    assert_eq!(assembler.whole_list(), Some(list(5, true, &[("b", "draining"), ("c", "ready")])));
+    assembler.apply(&list(6, true, &[("d", "ready")]));
+    assert_eq!(assembler.whole_list(), Some(list(6, true, &[("d", "ready")])));
 }
--- a/crates/core/endpoints/tests/list_cursor.rs
+++ b/crates/core/endpoints/tests/list_cursor.rs
@@ -13,16 +13,20 @@
 fn after_an_outdated_list_the_whole_list_is_requested_and_accepted_unconditionally() {
     for outdated in [list(40, true, 1), list(40, false, 1), list(42, true, 0)] {
         let mut cursor = ListCursor::at(Some(41));
-        assert_eq!(cursor.saw(&outdated), CursorUpdate::Doubted);
+        assert_eq!(cursor.accept(&outdated), CursorUpdate::Rejected);
         assert_eq!(cursor.path(9), "/catalog/members", "the whole list is requested");
         let (mut gets_newer, mut gets_outdated) = (cursor, cursor);
-        assert_eq!(gets_newer.saw(&list(42, true, 1)), CursorUpdate::Taken);
+        assert_eq!(gets_newer.accept(&list(42, true, 1)), CursorUpdate::Accepted);
         assert_eq!(gets_newer.version(), Some(42));
-        assert_eq!(gets_outdated.saw(&outdated), CursorUpdate::Taken, "discovery has restarted its versions");
+        assert_eq!(
+            gets_outdated.accept(&outdated),
+            CursorUpdate::Accepted,
+            "discovery has restarted its versions"
+        );
         assert_eq!(gets_outdated.version(), Some(outdated.version));
         assert_eq!(
-            gets_outdated.saw(&list(outdated.version.saturating_sub(1), true, 1)),
-            CursorUpdate::Doubted
+            gets_outdated.accept(&list(outdated.version.saturating_sub(1), true, 1)),
+            CursorUpdate::Rejected
         );
     }
 }
@@ -30,9 +34,9 @@
 #[test]
 fn a_continuing_list_and_a_list_after_a_reset_are_accepted_at_once() {
     let mut cursor = ListCursor::at(Some(41));
-    assert_eq!(cursor.saw(&list(41, false, 0)), CursorUpdate::Taken, "no changes");
-    assert_eq!(cursor.saw(&list(43, true, 1)), CursorUpdate::Taken);
+    assert_eq!(cursor.accept(&list(41, false, 0)), CursorUpdate::Accepted, "no changes");
+    assert_eq!(cursor.accept(&list(43, true, 1)), CursorUpdate::Accepted);
     cursor.reset();
-    assert_eq!(cursor.saw(&list(1, true, 0)), CursorUpdate::Taken, "another discovery");
-    assert_eq!(ListCursor::default().saw(&list(0, true, 0)), CursorUpdate::Taken);
+    assert_eq!(cursor.accept(&list(1, true, 0)), CursorUpdate::Accepted, "another discovery");
+    assert_eq!(ListCursor::default().accept(&list(0, true, 0)), CursorUpdate::Accepted);
 }
--- a/crates/core/endpoints/tests/start_times.rs
+++ b/crates/core/endpoints/tests/start_times.rs
@@ -19,7 +19,7 @@
 /// The uptime of an endpoint according to its converted start time.
 fn age(starts: &mut StartTimes, id: &str, started: Nanos, local_now: Nanos) -> Nanos {
     let mut list = endpoints(&[(id, started)]);
-    starts.take(&mut list, local_now);
+    starts.convert(&mut list, local_now);
     local_now - list[0].started
 }
 
@@ -31,10 +31,10 @@
     let reported: Vec<(&str, Nanos)> =
         names.iter().zip(ages_s).map(|(n, age_s)| (*n, NOW - age_s * SECOND)).collect();
     let mut list = endpoints(&reported);
-    starts.take(&mut list, NOW);
+    starts.convert(&mut list, NOW);
     assert_eq!(list, endpoints(&reported));
     assert_eq!(age(&mut starts, "later", NOW + 8 * SECOND, NOW + 10 * SECOND), 2 * SECOND);
-    assert!(!starts.dated(NOW, NOW + SECOND));
+    assert!(!starts.record_response_date(NOW, NOW + SECOND));
     assert_eq!(starts.ahead(), 0);
 }
 
@@ -44,12 +44,15 @@
     for step in [HOUR, -HOUR] {
         let local = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
-        assert!(starts.dated(NOW, local(NOW)));
+        assert!(starts.record_response_date(NOW, local(NOW)));
         let mut list = endpoints(&[("cold", NOW - 3 * SECOND), ("warm", NOW - 3000 * SECOND)]);
-        starts.take(&mut list, local(NOW));
+        starts.convert(&mut list, local(NOW));
         let ages: Vec<Nanos> = list.iter().map(|m| local(NOW) - m.started).collect();
         assert_eq!(ages, [3 * SECOND, 3000 * SECOND]);
-        assert!(!starts.dated(NOW + SECOND, local(NOW)), "the same difference is reported only once");
+        assert!(
+            !starts.record_response_date(NOW + SECOND, local(NOW)),
+            "the same difference is reported only once"
+        );
     }
 }
 
@@ -59,7 +62,7 @@
     for step in [HOUR, -HOUR] {
         let local = |t: Nanos| t.saturating_add_signed(step);
         let mut starts = StartTimes::default();
-        starts.take(&mut endpoints(&[("old", 0)]), local(NOW));
+        starts.convert(&mut endpoints(&[("old", 0)]), local(NOW));
         let first_seen_at = NOW + 60 * SECOND;
         // It started two seconds ago, but counts as just started: a wrong clock makes endpoints seem colder, never warmer.
         assert_eq!(age(&mut starts, "new", first_seen_at - 2 * SECOND, local(first_seen_at)), 0);
@@ -80,7 +83,7 @@
 #[test]
 fn one_implausible_start_does_not_affect_other_endpoints() {
     let mut starts = StartTimes::default();
-    starts.take(&mut endpoints(&[("old", 0)]), NOW);
+    starts.convert(&mut endpoints(&[("old", 0)]), NOW);
     assert_eq!(age(&mut starts, "back", NOW - 3000 * SECOND, NOW + SECOND), 0);
     assert_eq!(starts.ahead(), 0);
     assert_eq!(age(&mut starts, "new", NOW, NOW + 2 * SECOND), 2 * SECOND);
--- a/crates/core/endpoints/tests/watch_fleet.rs
+++ b/crates/core/endpoints/tests/watch_fleet.rs
@@ -69,8 +69,8 @@
         let mut drawn = random_numbers.into_iter();
         let next_call = self.schedules[p].next(|| drawn.next().expect("two draws at most"));
         self.call_numbers[p] += 1;
-        self.call_limits[p] = (next_call.hold, next_call.limit);
-        self.add(now + next_call.wait, p, CallEvent::Begin);
+        self.call_limits[p] = (next_call.hold, next_call.timeout);
+        self.add(now + next_call.delay, p, CallEvent::Begin);
     }
 
     /// Begins a proxy's call, while discovery's list has this version.
@@ -158,10 +158,10 @@
                     self.schedules[p].answered();
                 }
                 CallEvent::Refused => {
-                    self.schedules[p].failed(CallFailure::Refused);
+                    self.schedules[p].failed(CallFailure::Rejected);
                 }
                 CallEvent::Silent => {
-                    self.schedules[p].failed(CallFailure::Silent);
+                    self.schedules[p].failed(CallFailure::TimedOut);
                 }
                 CallEvent::Broken => {
                     self.schedules[p].failed(CallFailure::Broken);
@@ -182,7 +182,7 @@
 fn three_hundred_proxies_learn_of_each_change_in_time_and_do_not_call_in_step() {
     for seed in 1..=5 {
         let mut fleet = Fleet {
-            schedules: vec![WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND }); PROXIES],
+            schedules: vec![WatchSchedule::new(WatchMode::Polled { within: 10 * SECOND }); PROXIES],
             known_versions: vec![0; PROXIES],
             known_at: vec![vec![None; PROXIES]; 4],
             call_numbers: vec![0; PROXIES],
--- a/crates/core/endpoints/tests/watch_schedule.rs
+++ b/crates/core/endpoints/tests/watch_schedule.rs
@@ -75,7 +75,7 @@
             return call;
         }
         let call = self.schedule.next(|| self.random.draw());
-        self.now += call.wait;
+        self.now += call.delay;
         call
     }
 
@@ -90,8 +90,8 @@
         let call = self.begin_call();
         let held = if self.known_version < self.version { 0 } else { call.hold };
         let duration = held + (self.max_latency as f64 * self.random.draw()) as Nanos;
-        if duration > call.limit {
-            return self.fail_call(self.now + call.limit, CallFailure::Silent);
+        if duration > call.timeout {
+            return self.fail_call(self.now + call.timeout, CallFailure::TimedOut);
         }
         self.now += duration;
         self.known_version = self.version;
@@ -101,7 +101,7 @@
     /// Makes a call that discovery rejects.
     fn call_rejected(&mut self) {
         self.begin_call();
-        self.fail_call(self.now + MS, CallFailure::Refused);
+        self.fail_call(self.now + MS, CallFailure::Rejected);
     }
 
     /// Changes the list; the change must be known within `allowed`.
@@ -115,7 +115,7 @@
             Fault::Silence { rejected_calls } => {
                 let call = self.begin_call();
                 self.change_list(self.now + MS, allowed);
-                self.fail_call(self.now + call.limit, CallFailure::Silent);
+                self.fail_call(self.now + call.timeout, CallFailure::TimedOut);
                 (0..rejected_calls).for_each(|_| self.call_rejected());
             }
             Fault::Down { duration, rejected_calls } => {
@@ -132,8 +132,8 @@
                     }
                     match self.random.draw() {
                         r if r < 0.3 => self.fail_call(self.now + MS, CallFailure::Broken),
-                        r if r < 0.6 => self.fail_call(self.now + MS, CallFailure::Refused),
-                        _ => self.fail_call(self.now + call.limit, CallFailure::Silent),
+                        r if r < 0.6 => self.fail_call(self.now + MS, CallFailure::Rejected),
+                        _ => self.fail_call(self.now + call.timeout, CallFailure::TimedOut),
                     }
                 }
                 (0..rejected_calls).for_each(|_| self.call_rejected());
@@ -203,7 +203,7 @@
 fn a_change_is_known_within_the_deadline_if_discovery_is_polled() {
     for within in [0, 2 * SECOND, 10 * SECOND, 60 * SECOND] {
         assert_known_within(
-            WatchMode::Asked { within },
+            WatchMode::Polled { within },
             NOTIFICATION_DEADLINE,
             300 * MS,
             fault_sequences(Some(2), 1),
@@ -215,7 +215,7 @@
 fn a_change_is_known_within_the_deadline_if_discovery_responds_late() {
     // Almost as late as the timeout of a call permits.
     assert_known_within(
-        WatchMode::Asked { within: 10 * SECOND },
+        WatchMode::Polled { within: 10 * SECOND },
         NOTIFICATION_DEADLINE,
         1_900 * MS,
         fault_sequences(Some(0), 0),
@@ -243,17 +243,17 @@
 
 #[test]
 fn after_a_silent_watch_the_next_call_does_not_wait() {
-    let mut schedule = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
+    let mut schedule = WatchSchedule::new(WatchMode::Polled { within: 10 * SECOND });
     schedule.answered();
     assert!(schedule.next(|| 0.5).hold > 0, "a watch");
-    assert!(!schedule.failed(CallFailure::Silent), "a silent watch does not mean that discovery is lost");
+    assert!(!schedule.failed(CallFailure::TimedOut), "a silent watch does not mean that discovery is lost");
     assert_eq!(schedule.next(|| 0.5).hold, 0);
-    assert!(schedule.failed(CallFailure::Refused));
+    assert!(schedule.failed(CallFailure::Rejected));
 }
 
 #[test]
 fn watches_that_begin_together_do_not_end_together() {
-    let mut schedule = WatchSchedule::new(WatchMode::Asked { within: 10 * SECOND });
+    let mut schedule = WatchSchedule::new(WatchMode::Polled { within: 10 * SECOND });
     schedule.answered();
     let (min_hold, max_hold) = (schedule.next(|| 1.0).hold, schedule.next(|| 0.0).hold);
     assert!(max_hold - min_hold >= max_hold / 5, "{min_hold} to {max_hold}");
--- a/crates/core/envoy/src/catalogue/settle.rs
+++ b/crates/core/envoy/src/catalogue/settle.rs
@@ -68,7 +68,7 @@
             let of = origin.as_ref().and_then(|o| self.clusters.get(o));
             let now: BTreeMap<Arc<str>, Node> = of
                 .into_iter()
-                .flat_map(|h| h.pool.told())
+                .flat_map(|h| h.pool.reported_nodes())
                 .map(|node| {
                     let id: Arc<str> =
                         format!("{}/{}", origin.as_deref().unwrap_or_default(), node.id).into();
@@ -214,7 +214,7 @@
         if !nodes.is_empty() {
             changes.push(Change::Nodes(name.clone(), nodes));
         }
-        let shed = (self.pool.effective().refused, self.pool.assignment().rules().overloads.clone());
+        let shed = (self.pool.effective().rejected, self.pool.assignment().rules().overloads.clone());
         if self.shed != shed {
             self.shed = shed.clone();
             changes.push(Change::Shed(name.clone(), shed.0, shed.1));
--- a/crates/core/envoy/src/cluster.rs
+++ b/crates/core/envoy/src/cluster.rs
@@ -24,7 +24,7 @@
 use prost::Message as _;
 use rushquay_load_assignment::dns::{Lookups, Rates};
 use rushquay_load_assignment::effective::Sharing;
-use rushquay_load_assignment::{Assignment, Budget, ClusterRules, Nanos, Thresholds};
+use rushquay_load_assignment::{Assignment, ClusterRules, Nanos, RetryBudget, Thresholds};
 use std::sync::Arc;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -220,7 +220,7 @@
         sharing.panic = percent.value.floor();
     }
     if let Some(window) = &common.update_merge_window {
-        rules.merge = nanos("common_lb_config.update_merge_window", window)?;
+        rules.merge_window = nanos("common_lb_config.update_merge_window", window)?;
     }
     match &common.locality_config_specifier {
         Some(LocalityConfigSpecifier::LocalityWeightedLbConfig(_)) => sharing.by_locality = true,
@@ -302,7 +302,7 @@
         if !(0.0..=100.0).contains(&percent) {
             return Err(Refused::at("retry_budget.budget_percent", "expected 0 to 100"));
         }
-        Ok(Budget { percent, least: value(&b.min_retry_concurrency, 3) })
+        Ok(RetryBudget { percent, min_concurrency: value(&b.min_retry_concurrency, 3) })
     });
     Ok(Thresholds {
         connections: value(&told.max_connections, usual.connections),
--- a/crates/core/envoy/src/route.rs
+++ b/crates/core/envoy/src/route.rs
@@ -21,10 +21,10 @@
 };
 use crate::wire::Refused;
 use regex::Regex;
-use rushquay_routing::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
+use rushquay_routing::text::{compile_full_match, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
 use rushquay_routing::{
-    Action, Append, Change, Clusters, Direct, Host, Importance, Matcher, Mutations, PathMatch, Retries,
-    Rewrite, Route, Table, Weighted,
+    Action, Append, Change, Clusters, Direct, Host, Matcher, Mutations, PathMatch, RetryRules, Rewrite,
+    Route, RoutePriority, Table, Weighted,
 };
 
 /// Headers that no route may change: who a request is from, what it is, and its body's bounds rest on them.
@@ -73,7 +73,7 @@
     })
 }
 
-fn route(told: &ProtoRoute, usual: Option<&Retries>) -> Read<Route> {
+fn route(told: &ProtoRoute, usual: Option<&RetryRules>) -> Read<Route> {
     let own = Own::of(told.metadata.as_ref(), &["class"])?;
     let matcher = told.r#match.as_ref().ok_or_else(|| Refused::at("match", "missing"))?;
     let matcher = matcher_of(matcher).map_err(|r| r.below("match"))?;
@@ -113,7 +113,7 @@
 }
 
 fn regex(told: &RegexMatcher) -> Read<Regex> {
-    whole(&told.regex).map_err(|why| Refused::at("regex", format!("{:?}: {why}", told.regex)))
+    compile_full_match(&told.regex).map_err(|why| Refused::at("regex", format!("{:?}: {why}", told.regex)))
 }
 
 fn matcher_of(told: &RouteMatch) -> Read<Matcher> {
@@ -137,10 +137,10 @@
     let fraction = told.runtime_fraction.as_ref().and_then(|f| f.default_value.as_ref());
     Ok(Matcher {
         path,
-        case: told.case_sensitive.as_ref().is_none_or(|c| c.value),
+        case_sensitive: told.case_sensitive.as_ref().is_none_or(|c| c.value),
         headers: each("headers", &told.headers, header)?,
         query: each("query_parameters", &told.query_parameters, query)?,
-        part: fraction.map(|f| part("runtime_fraction.default_value", f)).transpose()?,
+        fraction: fraction.map(|f| part("runtime_fraction.default_value", f)).transpose()?,
     })
 }
 
@@ -191,7 +191,7 @@
     Ok(QueryMatch { name: told.name.clone(), is })
 }
 
-fn forward(told: &RouteAction, usual: Option<&Retries>) -> Read<Action> {
+fn forward(told: &RouteAction, usual: Option<&RetryRules>) -> Read<Action> {
     use crate::pb::envoy::config::route::v3::route_action::HostRewriteSpecifier;
     let clusters = match &told.cluster_specifier {
         Some(ClusterSpecifier::Cluster(name)) if !name.is_empty() => Clusters::One(name.as_str().into()),
@@ -234,8 +234,8 @@
     // "The default is 15 s; 0 is none."
     let timeout = told.timeout.as_ref().map_or(Ok(15_000_000_000), |d| nanos("timeout", d))?;
     let importance = match RoutingPriority::try_from(told.priority) {
-        Ok(RoutingPriority::High) => Importance::High,
-        _ => Importance::Default,
+        Ok(RoutingPriority::High) => RoutePriority::High,
+        _ => RoutePriority::Default,
     };
     let own =
         told.retry_policy.as_ref().map(|p| retries(p).map_err(|r| r.below("retry_policy"))).transpose()?;
@@ -291,17 +291,17 @@
     Ok(Rewrite::Regex(compiled, to))
 }
 
-fn retries(told: &RetryPolicy) -> Read<Retries> {
+fn retries(told: &RetryPolicy) -> Read<RetryRules> {
     let mut on = 0;
     for name in told.retry_on.split(',').map(str::trim).filter(|n| !n.is_empty()) {
-        let bit = Retries::condition(name);
+        let bit = RetryRules::condition(name);
         on |= bit.ok_or_else(|| Refused::at("retry_on", format!("{name:?} is not known here")))?;
     }
     let code = |c: &u32| u16::try_from(*c).map_err(|_| Refused::at("retriable_status_codes", format!("{c}")));
-    Ok(Retries {
-        most: told.num_retries.as_ref().map_or(1, |n| n.value),
+    Ok(RetryRules {
+        max_retries: told.num_retries.as_ref().map_or(1, |n| n.value),
         per_try: told.per_try_timeout.as_ref().map_or(Ok(0), |d| nanos("per_try_timeout", d))?,
-        on,
+        conditions: on,
         codes: told.retriable_status_codes.iter().map(code).collect::<Read<_>>()?,
     })
 }
--- a/crates/core/envoy/tests/catalogue.rs
+++ b/crates/core/envoy/tests/catalogue.rs
@@ -6,7 +6,7 @@
 use rushquay_envoy::resource::{decode, message_of, Resource};
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::{bootstrap, Notes, Source};
-use rushquay_load_assignment::{NodeChange, Standing};
+use rushquay_load_assignment::{EndpointUse, NodeChange};
 use rushquay_xds::Kind;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -55,7 +55,7 @@
 struct World {
     catalogue: Catalogue,
     now: u64,
-    clusters: BTreeMap<String, BTreeMap<String, Standing>>,
+    clusters: BTreeMap<String, BTreeMap<String, EndpointUse>>,
     groups: BTreeMap<String, String>,
     splits: BTreeMap<String, Vec<(String, u32)>>,
     routes: Option<BTreeSet<String>>,
@@ -214,11 +214,11 @@
     world.tell(Kind::Endpoints, vec![resource(Kind::Endpoints, list)], &[]);
     let start = world.now;
     world.wait(start + 5 * SECOND - 1);
-    assert_eq!(world.clusters["a"]["127.0.0.1"], Standing::Serves);
+    assert_eq!(world.clusters["a"]["127.0.0.1"], EndpointUse::Serves);
     world.wait(start + 5 * SECOND);
-    assert_eq!(world.clusters["a"]["127.0.0.1"], Standing::Drains);
+    assert_eq!(world.clusters["a"]["127.0.0.1"], EndpointUse::Drains);
     world.tell(Kind::Endpoints, vec![resource(Kind::Endpoints, list)], &[]);
-    assert_eq!(world.clusters["a"]["127.0.0.1"], Standing::Serves);
+    assert_eq!(world.clusters["a"]["127.0.0.1"], EndpointUse::Serves);
 }
 
 #[test]
@@ -395,7 +395,7 @@
             .collect();
         let believed: BTreeMap<String, Vec<String>> = world.clusters.iter().map(|(n, l)| (n.clone(), l.keys().cloned().collect())).collect();
         prop_assert_eq!(believed, declared);
-        prop_assert!(world.clusters.values().flat_map(|c| c.values()).all(|s| *s == Standing::Serves));
+        prop_assert!(world.clusters.values().flat_map(|c| c.values()).all(|s| *s == EndpointUse::Serves));
         let routed: Vec<String> = routed.iter().map(|n| format!("c{n}")).collect();
         prop_assert_eq!(world.routed(), routed.iter().map(String::as_str).collect::<Vec<_>>());
     }
--- a/crates/core/fleet-budget/src/idle_timeout.rs
+++ b/crates/core/fleet-budget/src/idle_timeout.rs
@@ -23,19 +23,19 @@
 
 /// Controls the idle timeout by the outcomes of new connections.
 #[derive(Clone, Copy, Debug)]
-pub struct Jitter {
+pub struct IdleTimeout {
     max_timeout_ns: f64,
     timeout_ns: f64,
 }
 
-impl Jitter {
+impl IdleTimeout {
     /// Creates a controller. `max_timeout` is the idle timeout that endpoints allow, and `proxies` the number of proxies that share
     /// the endpoints. In a large fleet the initial timeout is shorter, in inverse proportion to the number of proxies. Danger:
     /// otherwise a hundred proxies that start within one second use up the connections of every endpoint before any of them
     /// has had a connection rejected.
     pub fn new(max_timeout: Nanos, proxies: u32) -> Self {
         let max_timeout_ns = max_timeout as f64;
-        Jitter {
+        IdleTimeout {
             max_timeout_ns,
             timeout_ns: max_timeout_ns
                 * (SMALL_FLEET_PROXIES / f64::from(proxies.max(1))).clamp(MIN_TIMEOUT_SHARE, 1.0),
@@ -43,27 +43,27 @@
     }
 
     /// Changes the maximum idle timeout and scales the current one in proportion.
-    pub fn limit(&mut self, max_timeout: Nanos) {
+    pub fn set_max(&mut self, max_timeout: Nanos) {
         let share = self.timeout_ns / self.max_timeout_ns.max(1.0);
         self.max_timeout_ns = max_timeout as f64;
         self.timeout_ns = self.max_timeout_ns * share;
     }
 
     /// Records that an endpoint accepted a new connection.
-    pub fn taken(&mut self) {
+    pub fn connection_accepted(&mut self) {
         let growth_factor = SHRINK_FACTOR.powf(-TARGET_REJECTED_SHARE / (1.0 - TARGET_REJECTED_SHARE));
         self.timeout_ns = (self.timeout_ns * growth_factor).min(self.max_timeout_ns);
     }
 
     /// Records that an endpoint rejected a new connection because its connection limit was reached.
-    pub fn turned_away(&mut self) {
+    pub fn connection_rejected(&mut self) {
         self.timeout_ns = (self.timeout_ns * SHRINK_FACTOR).max(self.max_timeout_ns * MIN_TIMEOUT_SHARE);
     }
 
     /// Returns the number of requests after which a connection is closed, even if it is never idle. Danger: at an endpoint that
     /// all proxies use often, a proxy with an open connection never opens another one. Without this limit it would never
     /// detect that connections are scarce, and the other proxies would get no connection for as long as the endpoint runs.
-    pub fn uses(&self) -> u32 {
+    pub fn max_requests(&self) -> u32 {
         if self.timeout_ns < self.max_timeout_ns {
             MAX_REQUESTS_WHEN_SCARCE
         } else {
@@ -72,7 +72,7 @@
     }
 
     /// Returns the current idle timeout.
-    pub fn span(&self) -> Nanos {
+    pub fn timeout(&self) -> Nanos {
         self.timeout_ns as Nanos
     }
 }
--- a/crates/core/fleet-budget/src/lib.rs
+++ b/crates/core/fleet-budget/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod idle_timeout;
 
-pub use idle_timeout::Jitter;
+pub use idle_timeout::IdleTimeout;
 
 /// A duration in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/fleet-budget/tests/idle_timeout.rs
+++ b/crates/core/fleet-budget/tests/idle_timeout.rs
@@ -1,13 +1,13 @@
 //! Simulates, in steps of virtual time, proxies that share endpoints with few connection slots.
 
 use proptest::prelude::*;
-use rushquay_fleet_budget::{Jitter, Nanos};
+use rushquay_fleet_budget::{IdleTimeout, Nanos};
 
 const MILLISECOND: Nanos = 1_000_000;
 const MAX_TIMEOUT: Nanos = 11_000 * MILLISECOND;
 
 struct Simulation {
-    timeouts: Vec<Jitter>,
+    timeouts: Vec<IdleTimeout>,
     /// When each proxy last used its connection to each endpoint; 0 if it has none.
     last_used: Vec<Vec<Nanos>>,
     /// Number of requests sent on that connection.
@@ -22,7 +22,7 @@
 
 impl Simulation {
     fn new(proxies: usize, nodes: usize, capacity: usize, seed: u64) -> Self {
-        let timeouts = vec![Jitter::new(MAX_TIMEOUT, proxies as u32); proxies];
+        let timeouts = vec![IdleTimeout::new(MAX_TIMEOUT, proxies as u32); proxies];
         let (last_used, open) = (vec![vec![0; nodes]; proxies], vec![0; nodes]);
         let uses = vec![vec![0; nodes]; proxies];
         Simulation {
@@ -51,7 +51,7 @@
             for other in 0..self.timeouts.len() {
                 let idle = self.now - self.last_used[other][node];
                 if self.last_used[other][node] > 0
-                    && idle > if adaptive { self.timeouts[other].span() } else { MAX_TIMEOUT }
+                    && idle > if adaptive { self.timeouts[other].timeout() } else { MAX_TIMEOUT }
                 {
                     self.last_used[other][node] = 0;
                     self.open[node] -= 1;
@@ -61,16 +61,16 @@
                 handshakes += 1;
                 if self.open[node] >= self.capacity {
                     rejected += 1;
-                    self.timeouts[proxy].turned_away();
+                    self.timeouts[proxy].connection_rejected();
                     continue;
                 }
-                self.timeouts[proxy].taken();
+                self.timeouts[proxy].connection_accepted();
                 self.open[node] += 1;
                 self.uses[proxy][node] = 0;
             }
             self.last_used[proxy][node] = self.now;
             self.uses[proxy][node] += 1;
-            if adaptive && self.uses[proxy][node] >= self.timeouts[proxy].uses() {
+            if adaptive && self.uses[proxy][node] >= self.timeouts[proxy].max_requests() {
                 self.last_used[proxy][node] = 0;
                 self.open[node] -= 1;
             }
@@ -113,17 +113,17 @@
     let mut simulation = Simulation::new(7, 45, 100, 2);
     let (_, _, rejected) = simulation.run(20_000 * MILLISECOND, 250, true);
     assert_eq!(rejected, 0);
-    assert!(simulation.timeouts.iter().all(|timeout| timeout.span() == MAX_TIMEOUT));
+    assert!(simulation.timeouts.iter().all(|timeout| timeout.timeout() == MAX_TIMEOUT));
 }
 
 #[test]
 fn the_idle_timeout_recovers_when_capacity_grows() {
     let mut simulation = Simulation::new(100, 60, 20, 3);
     simulation.run(20_000 * MILLISECOND, 16, true);
-    let longest_before = simulation.timeouts.iter().map(Jitter::span).max();
+    let longest_before = simulation.timeouts.iter().map(IdleTimeout::timeout).max();
     simulation.capacity = 100;
     simulation.run(60_000 * MILLISECOND, 16, true);
-    let shortest_after = simulation.timeouts.iter().map(Jitter::span).min();
+    let shortest_after = simulation.timeouts.iter().map(IdleTimeout::timeout).min();
     assert!(
         shortest_after > longest_before,
         "{longest_before:?} with capacity 20, {shortest_after:?} with capacity 100"
@@ -136,13 +136,13 @@
         proxies in 0u32..10_000,
         outcomes in prop::collection::vec(any::<bool>(), 0..400),
     ) {
-        let mut timeout = Jitter::new(MAX_TIMEOUT, proxies);
+        let mut timeout = IdleTimeout::new(MAX_TIMEOUT, proxies);
         for accepted in outcomes {
-            let before = timeout.span();
-            if accepted { timeout.taken() } else { timeout.turned_away() }
-            let is_ordered = if accepted { timeout.span() >= before } else { timeout.span() <= before };
+            let before = timeout.timeout();
+            if accepted { timeout.connection_accepted() } else { timeout.connection_rejected() }
+            let is_ordered = if accepted { timeout.timeout() >= before } else { timeout.timeout() <= before };
             prop_assert!(is_ordered);
-            prop_assert!((MAX_TIMEOUT / 200..=MAX_TIMEOUT).contains(&timeout.span()));
+            prop_assert!((MAX_TIMEOUT / 200..=MAX_TIMEOUT).contains(&timeout.timeout()));
         }
     }
 }
--- a/crates/core/invariants/src/close.rs
+++ b/crates/core/invariants/src/close.rs
@@ -43,7 +43,7 @@
 
 /// What the proxy must still deliver to the client, or wait for, before it closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owed {
+pub enum Outstanding {
     /// A response to a request that was read.
     Answer,
     /// The rest of a response.
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// The connection must not be closed yet; the error says what has to precede the close.
-pub fn may_close(facts: &ConnectionFacts, cause: CloseCause) -> Result<(), Owed> {
+pub fn may_close(facts: &ConnectionFacts, cause: CloseCause) -> Result<(), Outstanding> {
     if facts.peer_gone {
         return Ok(());
     }
@@ -65,16 +65,16 @@
         return Ok(());
     }
     if facts.answering || facts.read_behind {
-        return Err(Owed::Answer);
+        return Err(Outstanding::Answer);
     }
     if facts.unwritten {
-        return Err(Owed::RestOfAnswer);
+        return Err(Outstanding::RestOfAnswer);
     }
     // A partial head has a timeout of its own, and does not prevent the close if the slot is needed or the process exits.
     let may_finish_head =
         !matches!(cause, CloseCause::NoRequest | CloseCause::MadeRoom | CloseCause::ProcessEnd);
     if facts.head_begun && may_finish_head {
-        return Err(Owed::RestOfHead);
+        return Err(Outstanding::RestOfHead);
     }
     Ok(())
 }
--- a/crates/core/invariants/src/lib.rs
+++ b/crates/core/invariants/src/lib.rs
@@ -13,10 +13,10 @@
 mod serve;
 mod violation;
 
-pub use close::{check_closed, may_close, CloseCause, ConnectionFacts, Owed};
+pub use close::{check_closed, may_close, CloseCause, ConnectionFacts, Outstanding};
 pub use label::Label;
-pub use send::{check_sent, may_send, NodeStanding, RequestState, SendDenied, SendFacts, Sent};
-pub use serve::{check_said_serving, may_serve, NotReady, ServeFacts};
+pub use send::{check_sent, may_send, NodeStanding, RequestState, SendDenied, SendFacts, SentAttempt};
+pub use serve::{check_reported_serving, may_serve, NotReady, ServeFacts};
 pub use violation::Violation;
 
 /// A point in time or a duration, in nanoseconds.
--- a/crates/core/invariants/src/send.rs
+++ b/crates/core/invariants/src/send.rs
@@ -37,7 +37,7 @@
     pub deadline: Nanos,
     /// Time before which a retry has to begin, so that the endpoints still remember the earlier attempts and deduplicate it;
     /// `None`: the attempt is not a retry, or does not rely on deduplication.
-    pub repeat_by: Option<Nanos>,
+    pub retry_deadline: Option<Nanos>,
 }
 
 labels! {
@@ -72,7 +72,7 @@
     if facts.now >= facts.deadline {
         return Err(SendDenied::Late);
     }
-    if facts.repeat_by.is_some_and(|repeat_by| facts.now >= repeat_by) {
+    if facts.retry_deadline.is_some_and(|repeat_by| facts.now >= repeat_by) {
         return Err(SendDenied::RepeatWindow);
     }
     Ok(())
@@ -87,17 +87,17 @@
 
 /// An attempt as it was actually written.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     /// The facts when the first byte was written; `now` is the time of that write.
     pub facts: SendFacts,
     /// The time left until the deadline, as announced to the endpoint.
-    pub told_left: Nanos,
+    pub announced_time_left: Nanos,
 }
 
 /// Checks an attempt whose first byte has just been written. The rules are those of [`may_send`] with some slack, as the
 /// process may have been paused between the decision and the write.
-pub fn check_sent(sent: &Sent) -> Option<Violation> {
-    let SendFacts { now, request, node, deadline, repeat_by } = sent.facts;
+pub fn check_sent(sent: &SentAttempt) -> Option<Violation> {
+    let SendFacts { now, request, node, deadline, retry_deadline: repeat_by } = sent.facts;
     match request {
         RequestState::Answered(_) => return Some(Violation::SentAfterAnswer),
         RequestState::Abandoned(noticed_at) if now.saturating_sub(noticed_at) > ABANDONED_SLACK => {
@@ -112,5 +112,6 @@
         return Some(Violation::RepeatedPastWindow);
     }
     let time_left = deadline.saturating_sub(now);
-    (sent.told_left > time_left.saturating_add(TIME_LEFT_SLACK)).then_some(Violation::DeadlineOverstated)
+    (sent.announced_time_left > time_left.saturating_add(TIME_LEFT_SLACK))
+        .then_some(Violation::DeadlineOverstated)
 }
--- a/crates/core/invariants/src/serve.rs
+++ b/crates/core/invariants/src/serve.rs
@@ -45,6 +45,6 @@
 }
 
 /// Checks a report that this process serves, when it is sent to the recipient that then stops the incumbent.
-pub fn check_said_serving(facts: &ServeFacts) -> Option<Violation> {
+pub fn check_reported_serving(facts: &ServeFacts) -> Option<Violation> {
     may_serve(facts).is_err().then_some(Violation::SaidServingUnready)
 }
--- a/crates/core/invariants/tests/rules.rs
+++ b/crates/core/invariants/tests/rules.rs
@@ -16,17 +16,17 @@
         (SendFacts { request: RequestState::Abandoned(NOW), ..facts() }, SendDenied::Abandoned),
         (SendFacts { node: NodeStanding::Left, ..facts() }, SendDenied::NodeLeft),
         (SendFacts { deadline: NOW, ..facts() }, SendDenied::Late),
-        (SendFacts { repeat_by: Some(NOW), ..facts() }, SendDenied::RepeatWindow),
+        (SendFacts { retry_deadline: Some(NOW), ..facts() }, SendDenied::RepeatWindow),
     ];
     for (facts, denied) in cases {
         assert_eq!(may_send(&facts), Err(denied));
     }
-    assert_eq!(may_send(&SendFacts { repeat_by: Some(NOW + 1), ..facts() }), Ok(()));
+    assert_eq!(may_send(&SendFacts { retry_deadline: Some(NOW + 1), ..facts() }), Ok(()));
 }
 
 #[test]
 fn a_sent_attempt_is_a_violation_only_beyond_the_slack() {
-    let sent = |facts, told_left| check_sent(&Sent { facts, told_left });
+    let sent = |facts, told_left| check_sent(&SentAttempt { facts, announced_time_left: told_left });
     let left = 300 * MILLISECOND;
     assert_eq!(sent(facts(), left), None);
     assert_eq!(sent(facts(), left + 150 * MILLISECOND), None);
@@ -38,7 +38,7 @@
     assert_eq!(sent(answered, left), Some(Violation::SentAfterAnswer));
     let node = SendFacts { node: NodeStanding::Left, ..facts() };
     assert_eq!(sent(node, left), Some(Violation::SentToLeavingNode));
-    let repeat = |by| SendFacts { repeat_by: Some(by), ..facts() };
+    let repeat = |by| SendFacts { retry_deadline: Some(by), ..facts() };
     assert_eq!(sent(repeat(NOW - 50 * MILLISECOND), left), None);
     assert_eq!(sent(repeat(NOW - 51 * MILLISECOND), left), Some(Violation::RepeatedPastWindow));
 }
@@ -60,9 +60,11 @@
         for cause in CloseCause::ALL.iter().copied() {
             match may_close(&facts, cause) {
                 Ok(()) => assert_eq!(check_closed(&facts, cause), None, "{facts:?} {cause:?}"),
-                Err(Owed::Answer) => assert!(facts.answering || facts.read_behind, "{facts:?} {cause:?}"),
-                Err(Owed::RestOfAnswer) => assert!(facts.unwritten, "{facts:?} {cause:?}"),
-                Err(Owed::RestOfHead) => assert!(facts.head_begun, "{facts:?} {cause:?}"),
+                Err(Outstanding::Answer) => {
+                    assert!(facts.answering || facts.read_behind, "{facts:?} {cause:?}")
+                }
+                Err(Outstanding::RestOfAnswer) => assert!(facts.unwritten, "{facts:?} {cause:?}"),
+                Err(Outstanding::RestOfHead) => assert!(facts.head_begun, "{facts:?} {cause:?}"),
             }
         }
     }
@@ -102,7 +104,7 @@
         let ready = facts.node_known && facts.policy_permits && !facts.draining;
         assert_eq!(may_serve(&facts).is_ok(), ready, "{facts:?}");
         let violation = (!ready).then_some(Violation::SaidServingUnready);
-        assert_eq!(check_said_serving(&facts), violation, "{facts:?}");
+        assert_eq!(check_reported_serving(&facts), violation, "{facts:?}");
     }
 }
 
--- a/crates/core/lease/src/clock.rs
+++ b/crates/core/lease/src/clock.rs
@@ -39,7 +39,7 @@
     }
 
     /// Compares the two clocks; returns by how many nanoseconds the wall clock has jumped since the last check, if it has.
-    pub fn look(&mut self, reading: ClockReading) -> Option<i64> {
+    pub fn check_for_jump(&mut self, reading: ClockReading) -> Option<i64> {
         let offset = reading.wall as i64 - self.now(reading) as i64;
         let jump = offset - self.offset;
         self.offset = offset;
--- a/crates/core/lease/src/elector.rs
+++ b/crates/core/lease/src/elector.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// `ttl` is shorter than a second or longer than five minutes.
-    pub fn of(ttl: Nanos) -> Result<LeaseTerms, LeaseTermsError> {
+    pub fn from_ttl(ttl: Nanos) -> Result<LeaseTerms, LeaseTermsError> {
         if !(SECOND..=300 * SECOND).contains(&ttl) {
             return Err(LeaseTermsError(ttl / 1_000_000));
         }
@@ -84,7 +84,7 @@
     }
 
     /// The epoch of its lease if it may act as the leader at `now`.
-    pub fn leads(&self, now: Nanos) -> Option<Epoch> {
+    pub fn leader_epoch(&self, now: Nanos) -> Option<Epoch> {
         match self.role {
             Role::Leader { epoch, until } if now < until => Some(epoch),
             _ => None,
@@ -92,7 +92,7 @@
     }
 
     /// The action for `now`.
-    pub fn act(&self, now: Nanos) -> Action {
+    pub fn next_action(&self, now: Nanos) -> Action {
         match self.role {
             // Danger: after a pause the expiry has to be checked before any request; the store's response would arrive too late.
             Role::Leader { until, .. } if now >= until => Action::StepDown,
@@ -106,7 +106,7 @@
     }
 
     /// Records that the lease may be free, so that a standby campaigns without waiting for its next interval.
-    pub fn free(&mut self, now: Nanos) {
+    pub fn lease_released(&mut self, now: Nanos) {
         if matches!(self.role, Role::Standby { .. }) {
             self.next_request_at = self.next_request_at.min(now);
         }
@@ -114,7 +114,7 @@
 
     /// Records that a request sent at `sent` was granted the lease. Returns whether the lease is still valid at `now`: its time counts
     /// from `sent`, which precedes the grant.
-    pub fn won(&mut self, epoch: Epoch, sent: Nanos, now: Nanos) -> bool {
+    pub fn granted(&mut self, epoch: Epoch, sent: Nanos, now: Nanos) -> bool {
         let until = self.expiry(sent);
         if now >= until {
             self.next_request_at = now;
@@ -126,13 +126,13 @@
     }
 
     /// Records that another instance holds the lease.
-    pub fn beaten(&mut self, by: Option<String>, now: Nanos) {
+    pub fn lease_held_by_other(&mut self, by: Option<String>, now: Nanos) {
         self.role = Role::Standby { leader: by };
         self.next_request_at = now.saturating_add(self.terms.campaign_interval);
     }
 
     /// Records that the store renewed the lease in response to a request sent at `sent`.
-    pub fn renewed(&mut self, sent: Nanos) {
+    pub fn lease_renewed(&mut self, sent: Nanos) {
         let renewed_expiry = self.expiry(sent);
         if let Role::Leader { until, .. } = &mut self.role {
             *until = renewed_expiry.max(*until);
@@ -141,14 +141,14 @@
     }
 
     /// Records that the lease has expired or was released.
-    pub fn lost(&mut self, now: Nanos) {
+    pub fn lease_lost(&mut self, now: Nanos) {
         self.role = Role::Standby { leader: None };
         self.next_request_at = now.saturating_add(self.terms.campaign_interval);
     }
 
     /// Records that the store was unreachable or did not respond. A leader keeps its lease until it expires; the next request follows after
     /// a quarter of the usual interval.
-    pub fn unknown(&mut self, now: Nanos) {
+    pub fn store_unavailable(&mut self, now: Nanos) {
         self.next_request_at = now.saturating_add(self.terms.campaign_interval / 4);
     }
 
--- a/crates/core/lease/src/epoch.rs
+++ b/crates/core/lease/src/epoch.rs
@@ -16,7 +16,7 @@
     }
 
     /// Parses the epoch from a process name; 0 if the name has none.
-    pub fn of(name: &str) -> Epoch {
+    pub fn from_name(name: &str) -> Epoch {
         Epoch(name.rsplit_once('@').and_then(|(_, number)| number.parse().ok()).unwrap_or(0))
     }
 }
@@ -32,7 +32,7 @@
 #[error(
     "message from epoch {received}, but epoch {seen} was already seen: the sender is no longer the leader"
 )]
-pub struct Stale {
+pub struct StaleEpoch {
     /// The epoch of the message.
     pub received: Epoch,
     /// The highest epoch seen.
@@ -56,9 +56,9 @@
     ///
     /// # Errors
     /// A higher epoch was seen before.
-    pub fn pass(&mut self, received: Epoch) -> Result<(), Stale> {
+    pub fn check(&mut self, received: Epoch) -> Result<(), StaleEpoch> {
         if received < self.seen {
-            return Err(Stale { received, seen: self.seen });
+            return Err(StaleEpoch { received, seen: self.seen });
         }
         self.seen = received;
         Ok(())
--- a/crates/core/lease/src/lib.rs
+++ b/crates/core/lease/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use clock::{Clock, ClockReading};
 pub use elector::{Action, Elector, LeaseTerms, LeaseTermsError, Role};
-pub use epoch::{Epoch, Fence, Stale};
+pub use epoch::{Epoch, Fence, StaleEpoch};
 pub use skew::Skew;
 
 /// A point in time or a duration, in nanoseconds.
--- a/crates/core/lease/src/skew.rs
+++ b/crates/core/lease/src/skew.rs
@@ -24,7 +24,7 @@
 
 impl Skew {
     /// Adds a measurement made at this time of the monotonic clock; returns whether it replaces the estimate.
-    pub fn measured(&mut self, ahead: i64, error: Nanos, measured_at: Nanos) -> bool {
+    pub fn add_measurement(&mut self, ahead: i64, error: Nanos, measured_at: Nanos) -> bool {
         let new = Measurement { ahead, error, measured_at };
         // Danger: a measurement that contradicts the estimate shows that one of the clocks was corrected, however coarse it is.
         let contradicts = |old: &Measurement| ahead.abs_diff(old.ahead) > error + old.error_at(measured_at);
--- a/crates/core/lease/tests/epoch.rs
+++ b/crates/core/lease/tests/epoch.rs
@@ -1,16 +1,16 @@
 //! Fencing by epochs.
 
-use rushquay_lease::{Epoch, Fence, Stale};
+use rushquay_lease::{Epoch, Fence, StaleEpoch};
 
 #[test]
 fn an_earlier_epoch_is_rejected() {
     let mut fence = Fence::default();
-    let epoch_of = |name: &str| Epoch::of(name);
-    assert_eq!(fence.pass(epoch_of("rushquay-1")), Ok(()));
-    assert_eq!(fence.pass(epoch_of(&Epoch(7).name("rushquay-1"))), Ok(()));
-    assert_eq!(fence.pass(Epoch(7)), Ok(()));
-    assert_eq!(fence.pass(epoch_of("a@6")), Err(Stale { received: Epoch(6), seen: Epoch(7) }));
-    assert!(fence.pass(epoch_of("another program")).is_err());
-    assert_eq!(fence.pass(epoch_of("b@8")), Ok(()));
+    let epoch_of = |name: &str| Epoch::from_name(name);
+    assert_eq!(fence.check(epoch_of("rushquay-1")), Ok(()));
+    assert_eq!(fence.check(epoch_of(&Epoch(7).name("rushquay-1"))), Ok(()));
+    assert_eq!(fence.check(Epoch(7)), Ok(()));
+    assert_eq!(fence.check(epoch_of("a@6")), Err(StaleEpoch { received: Epoch(6), seen: Epoch(7) }));
+    assert!(fence.check(epoch_of("another program")).is_err());
+    assert_eq!(fence.check(epoch_of("b@8")), Ok(()));
     assert_eq!(fence.seen(), Epoch(8));
 }
--- a/crates/core/lease/tests/simulation.rs
+++ b/crates/core/lease/tests/simulation.rs
@@ -38,7 +38,7 @@
 /// Returns the number of leases granted, and the longest time without a leader.
 fn simulate(seed: u64) -> (u64, Nanos) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let terms = LeaseTerms::of(5 * SECOND).expect("terms");
+    let terms = LeaseTerms::from_ttl(5 * SECOND).expect("terms");
     let mut store = Store::default();
     let mut instances: Vec<Instance> = (0..3)
         .map(|_| Instance {
@@ -62,29 +62,29 @@
             let clock = instance.clock(now);
             if let Some((arrives_at, response)) = instance.response {
                 if now < arrives_at {
-                    if instance.elector.act(clock) == Action::StepDown {
-                        instance.elector.lost(clock);
+                    if instance.elector.next_action(clock) == Action::StepDown {
+                        instance.elector.lease_lost(clock);
                     }
                     continue;
                 }
                 instance.response = None;
                 match response {
-                    Response::Won(epoch, sent) => drop(instance.elector.won(Epoch(epoch), sent, clock)),
-                    Response::HeldByOther => instance.elector.beaten(None, clock),
-                    Response::Renewed(sent) => instance.elector.renewed(sent),
-                    Response::Fenced => instance.elector.lost(clock),
-                    Response::Lost => instance.elector.unknown(clock),
+                    Response::Won(epoch, sent) => drop(instance.elector.granted(Epoch(epoch), sent, clock)),
+                    Response::HeldByOther => instance.elector.lease_held_by_other(None, clock),
+                    Response::Renewed(sent) => instance.elector.lease_renewed(sent),
+                    Response::Fenced => instance.elector.lease_lost(clock),
+                    Response::Lost => instance.elector.store_unavailable(clock),
                 }
             }
             let is_free = store.holder.is_none_or(|(_, expires_at)| expires_at <= now);
             // Some requests and some responses are lost.
             let (request_arrives, response_arrives) = (random.u32(0..20) > 0, random.u32(0..20) > 0);
             let arrives_at = now + random.u64(0..SECOND);
-            let action = instance.elector.act(clock);
+            let action = instance.elector.next_action(clock);
             let response = match action {
                 Action::Wait(_) => continue,
                 Action::StepDown => {
-                    instance.elector.lost(clock);
+                    instance.elector.lease_lost(clock);
                     continue;
                 }
                 Action::Campaign if request_arrives && is_free => {
@@ -108,12 +108,12 @@
         let leaders: Vec<(usize, Epoch)> = instances
             .iter()
             .enumerate()
-            .filter_map(|(i, instance)| Some((i, instance.elector.leads(instance.clock(now))?)))
+            .filter_map(|(i, instance)| Some((i, instance.elector.leader_epoch(instance.clock(now))?)))
             .collect();
         assert!(leaders.len() <= 1, "seed {seed}: several leaders at {now}: {leaders:?}");
         match leaders.first() {
             Some((_, epoch)) => {
-                fence.pass(*epoch).unwrap_or_else(|e| panic!("seed {seed}: at {now}: {e}"));
+                fence.check(*epoch).unwrap_or_else(|e| panic!("seed {seed}: at {now}: {e}"));
                 last_led_at = now;
             }
             // No instance can lead while all are paused.
--- a/crates/core/load-assignment/src/breakers.rs
+++ b/crates/core/load-assignment/src/breakers.rs
@@ -8,7 +8,7 @@
 
 /// The priority of a route (`envoy.config.core.v3.RoutingPriority`); each has its own thresholds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Importance {
+pub enum RoutePriority {
     /// `DEFAULT`.
     #[default]
     Default,
@@ -18,11 +18,11 @@
 
 /// Retry budget: limits the retries in flight to a percentage of the requests in flight (`retry_budget`).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Percentage of the requests in flight; 20 by default (`budget_percent`).
     pub percent: f64,
     /// Number of retries that may always be in flight; 3 by default (`min_retry_concurrency`).
-    pub least: u32,
+    pub min_concurrency: u32,
 }
 
 /// Thresholds for one routing priority. The defaults are Envoy's and apply to fields that the configuration omits.
@@ -37,7 +37,7 @@
     /// Retries in flight; ignored if there is a retry budget.
     pub retries: u32,
     /// Retry budget.
-    pub budget: Option<Budget>,
+    pub budget: Option<RetryBudget>,
 }
 
 impl Default for Thresholds {
@@ -62,7 +62,7 @@
             None => self.retries,
             Some(budget) => {
                 let share = f64::from(requests) * budget.percent / 100.0;
-                (share as u32).max(budget.least)
+                (share as u32).max(budget.min_concurrency)
             }
         }
     }
@@ -70,7 +70,7 @@
 
 /// A limit that a circuit breaker enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trip {
+pub enum BreakerLimit {
     /// `max_requests`.
     Requests,
     /// `max_retries` or the retry budget.
@@ -100,10 +100,10 @@
 
 /// A slot acquired under a limit, released on drop.
 #[derive(Debug)]
-pub struct Hold {
+pub struct BreakerSlot {
     breakers: Breakers,
-    importance: Importance,
-    limit: Trip,
+    importance: RoutePriority,
+    limit: BreakerLimit,
 }
 
 impl Breakers {
@@ -121,30 +121,34 @@
     ///
     /// # Errors
     /// Returns the limit that has been reached.
-    pub fn take(&self, importance: Importance, limit: Trip) -> Result<Hold, Trip> {
+    pub fn acquire(
+        &self,
+        importance: RoutePriority,
+        limit: BreakerLimit,
+    ) -> Result<BreakerSlot, BreakerLimit> {
         let mut state = self.0.borrow_mut();
         let thresholds = state.limits[importance as usize];
         let in_flight = state.in_flight[importance as usize];
         let (current, max) = match limit {
-            Trip::Requests => (in_flight.requests, thresholds.requests),
-            Trip::Pending => (in_flight.pending, thresholds.pending),
-            Trip::Retries => (in_flight.retries, thresholds.max_retries(in_flight.requests)),
+            BreakerLimit::Requests => (in_flight.requests, thresholds.requests),
+            BreakerLimit::Pending => (in_flight.pending, thresholds.pending),
+            BreakerLimit::Retries => (in_flight.retries, thresholds.max_retries(in_flight.requests)),
         };
         if current >= max {
             state.trips[limit as usize] += 1;
             return Err(limit);
         }
         *state.in_flight[importance as usize].count_mut(limit) += 1;
-        Ok(Hold { breakers: self.clone(), importance, limit })
+        Ok(BreakerSlot { breakers: self.clone(), importance, limit })
     }
 
     /// Returns the limit of connections.
-    pub fn connections(&self, importance: Importance) -> u32 {
+    pub fn connections(&self, importance: RoutePriority) -> u32 {
         self.0.borrow().limits[importance as usize].connections
     }
 
     /// Returns the numbers of requests, retries and connecting attempts in flight.
-    pub fn out(&self, importance: Importance) -> [u32; 3] {
+    pub fn in_flight(&self, importance: RoutePriority) -> [u32; 3] {
         let in_flight = self.0.borrow().in_flight[importance as usize];
         [in_flight.requests, in_flight.retries, in_flight.pending]
     }
@@ -156,16 +160,16 @@
 }
 
 impl InFlight {
-    fn count_mut(&mut self, limit: Trip) -> &mut u32 {
+    fn count_mut(&mut self, limit: BreakerLimit) -> &mut u32 {
         match limit {
-            Trip::Requests => &mut self.requests,
-            Trip::Retries => &mut self.retries,
-            Trip::Pending => &mut self.pending,
+            BreakerLimit::Requests => &mut self.requests,
+            BreakerLimit::Retries => &mut self.retries,
+            BreakerLimit::Pending => &mut self.pending,
         }
     }
 }
 
-impl Drop for Hold {
+impl Drop for BreakerSlot {
     fn drop(&mut self) {
         let mut state = self.breakers.0.borrow_mut();
         *state.in_flight[self.importance as usize].count_mut(self.limit) -= 1;
--- a/crates/core/load-assignment/src/effective.rs
+++ b/crates/core/load-assignment/src/effective.rs
@@ -29,9 +29,9 @@
     pub levels: Vec<(Level, Load)>,
     /// For each endpoint in the order of [`Assignment::endpoints`]: its share of the load. The sum is 1, or 0 if no
     /// endpoint is eligible.
-    pub parts: Vec<f64>,
+    pub shares: Vec<f64>,
     /// The fraction of all requests to reject: the load of panicking priorities under `fail_on_panic`.
-    pub refused: f64,
+    pub rejected: f64,
 }
 
 /// Returns the health of an endpoint; in a stale assignment, available endpoints count as unhealthy.
@@ -104,7 +104,7 @@
     if sum > 0.0 {
         parts.iter_mut().for_each(|part| *part /= sum);
     }
-    Effective { levels: levels.into_iter().zip(loads).collect(), parts, refused }
+    Effective { levels: levels.into_iter().zip(loads).collect(), shares: parts, rejected: refused }
 }
 
 /// A locality with the index of its first endpoint in the order of [`Assignment::endpoints`].
--- a/crates/core/load-assignment/src/lib.rs
+++ b/crates/core/load-assignment/src/lib.rs
@@ -23,13 +23,13 @@
 pub mod effective;
 pub mod levels;
 mod pool;
-pub mod repeats;
+pub mod retry_safety;
 
 pub use assignment::{
     Assignment, AssignmentError, Endpoint, Health, Locality, LocalityName, Overload, Place, Rules,
 };
-pub use breakers::{Breakers, Budget, Hold, Importance, Thresholds, Trip};
-pub use pool::{ClusterRules, Node, NodeChange, Pool, Shown, Standing};
+pub use breakers::{BreakerLimit, BreakerSlot, Breakers, RetryBudget, RoutePriority, Thresholds};
+pub use pool::{ClusterRules, EndpointStatus, EndpointUse, Node, NodeChange, Pool};
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/load-assignment/src/pool.rs
+++ b/crates/core/load-assignment/src/pool.rs
@@ -11,7 +11,7 @@
 
 /// How an endpoint is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointUse {
     /// It receives its share of the load.
     Serves,
     /// It is eligible, but its priority or locality currently receives no load. Connections to it may stay open.
@@ -36,11 +36,11 @@
     /// Share of the load as a multiple of an equal share; greater than 0.
     pub weight: f64,
     /// How it is used.
-    pub standing: Standing,
+    pub standing: EndpointUse,
     /// When it started, or was first listed if the start time is unknown; 0: before the first assignment.
     pub started: Nanos,
     /// When its zone or cell last changed; 0: never. See [`crate::repeats`].
-    pub grouped: Nanos,
+    pub group_changed_at: Nanos,
     /// Whether it is the origin behind the cluster.
     pub origin: bool,
 }
@@ -60,7 +60,7 @@
     /// How the endpoints share the load.
     pub sharing: Sharing,
     /// Minimum interval between reports of changes that affect only weights (`update_merge_window`).
-    pub merge: Nanos,
+    pub merge_window: Nanos,
 }
 
 /// Envoy's default `update_merge_window`, in nanoseconds.
@@ -68,13 +68,13 @@
 
 impl Default for ClusterRules {
     fn default() -> Self {
-        ClusterRules { sharing: Sharing::default(), merge: DEFAULT_MERGE_WINDOW }
+        ClusterRules { sharing: Sharing::default(), merge_window: DEFAULT_MERGE_WINDOW }
     }
 }
 
 /// An endpoint as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct EndpointStatus {
     /// Current state.
     pub node: Node,
     /// Share of the load, from 0 to 1.
@@ -108,9 +108,9 @@
             kind: place.kind.clone(),
             cell: place.cell,
             weight: 1.0,
-            standing: Standing::StandsBy,
+            standing: EndpointUse::StandsBy,
             started,
-            grouped: 0,
+            group_changed_at: 0,
             origin: false,
         };
         TrackedNode { node, reported: None, listed_in: 0 }
@@ -122,7 +122,7 @@
         if (&node.zone, node.cell) != (&place.zone, place.cell) {
             // Danger: the endpoint has records only of the keyed requests sent to its former group, so it cannot
             // deduplicate a retry of a request sent to the new group before it joined.
-            node.grouped = now;
+            node.group_changed_at = now;
         }
         if let Some(started) = endpoint.started {
             node.started = started;
@@ -235,15 +235,15 @@
     fn recompute(&mut self, now: Nanos) {
         let stale = self.is_stale(now);
         self.effective = effective(&self.assignment, &self.rules.sharing, stale);
-        let serving = self.effective.parts.iter().filter(|part| **part > 0.0).count() as f64;
-        for ((_, endpoint), part) in self.assignment.endpoints().zip(&self.effective.parts) {
+        let serving = self.effective.shares.iter().filter(|part| **part > 0.0).count() as f64;
+        for ((_, endpoint), part) in self.assignment.endpoints().zip(&self.effective.shares) {
             let Some(tracked) = self.nodes.get_mut(&endpoint.id) else { continue };
             tracked.node.standing = match endpoint.health {
-                Health::Draining => Standing::Drains,
-                _ if *part > 0.0 => Standing::Serves,
-                Health::Unhealthy => Standing::Drains,
-                Health::Healthy | Health::Degraded if stale => Standing::Drains,
-                Health::Healthy | Health::Degraded => Standing::StandsBy,
+                Health::Draining => EndpointUse::Drains,
+                _ if *part > 0.0 => EndpointUse::Serves,
+                Health::Unhealthy => EndpointUse::Drains,
+                Health::Healthy | Health::Degraded if stale => EndpointUse::Drains,
+                Health::Healthy | Health::Degraded => EndpointUse::StandsBy,
             };
             if *part > 0.0 {
                 tracked.node.weight = part * serving;
@@ -255,7 +255,7 @@
     /// reported immediately.
     pub fn changes(&mut self, now: Nanos) -> Vec<NodeChange> {
         let is_window_over =
-            self.weights_reported_at.is_none_or(|at| now >= at.saturating_add(self.rules.merge));
+            self.weights_reported_at.is_none_or(|at| now >= at.saturating_add(self.rules.merge_window));
         let mut changes: Vec<NodeChange> = self.removed.drain(..).map(NodeChange::Gone).collect();
         let mut reports_weights = false;
         self.has_unreported_weights = false;
@@ -281,14 +281,14 @@
     }
 
     /// Returns all endpoints as last reported.
-    pub fn told(&self) -> impl Iterator<Item = &Node> {
+    pub fn reported_nodes(&self) -> impl Iterator<Item = &Node> {
         self.nodes.values().filter_map(|tracked| tracked.reported.as_ref())
     }
 
     /// Returns when the pool next needs a call: at the end of the merge window or when the assignment becomes stale.
     pub fn wake(&self, now: Nanos) -> Option<Nanos> {
         let reported_at = self.weights_reported_at.filter(|_| self.has_unreported_weights);
-        let merged = reported_at.map(|at| at.saturating_add(self.rules.merge).max(now));
+        let merged = reported_at.map(|at| at.saturating_add(self.rules.merge_window).max(now));
         let stale = self.stale_at.filter(|at| *at > now);
         merged.into_iter().chain(stale).min()
     }
@@ -304,10 +304,10 @@
     }
 
     /// Returns all endpoints as shown to operators.
-    pub fn shown(&self) -> Vec<Shown> {
-        let endpoints = self.assignment.endpoints().zip(&self.effective.parts);
+    pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
+        let endpoints = self.assignment.endpoints().zip(&self.effective.shares);
         let shown = endpoints.filter_map(|((locality, endpoint), part)| {
-            Some(Shown {
+            Some(EndpointStatus {
                 node: self.nodes.get(&endpoint.id)?.node.clone(),
                 part: *part,
                 health: endpoint.health,
--- a/crates/core/load-assignment/src/repeats.rs
+++ b/crates/core/load-assignment/src/retry_safety.rs
@@ -9,7 +9,7 @@
 
 /// An earlier attempt of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tried {
+pub struct EarlierAttempt {
     /// When the attempt was sent.
     pub sent: Nanos,
     /// Whether the attempt has executed, may have executed or may yet execute.
@@ -19,7 +19,11 @@
 /// Returns `true` if a further attempt may be sent to an endpoint: no attempt that may have executed was sent before the
 /// cluster got its current group (`group_since`) or before the endpoint joined that group (`node_since`,
 /// [`crate::Node::grouped`]).
-pub fn may_repeat(group_since: Nanos, node_since: Nanos, mut attempts: impl Iterator<Item = Tried>) -> bool {
+pub fn may_retry(
+    group_since: Nanos,
+    node_since: Nanos,
+    mut attempts: impl Iterator<Item = EarlierAttempt>,
+) -> bool {
     let since = group_since.max(node_since);
     attempts.all(|attempt| !attempt.may_have_run || attempt.sent >= since)
 }
--- a/crates/core/load-assignment/tests/pool.rs
+++ b/crates/core/load-assignment/tests/pool.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use rushquay_load_assignment::dns::{Lookups, Named, NamedLocality, Rates};
-use rushquay_load_assignment::repeats::{may_repeat, Tried};
+use rushquay_load_assignment::retry_safety::{may_retry, EarlierAttempt};
 use rushquay_load_assignment::*;
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
@@ -37,7 +37,7 @@
         count
     }
 
-    fn standing(&self, id: &str) -> Option<Standing> {
+    fn standing(&self, id: &str) -> Option<EndpointUse> {
         self.0.get(id).map(|n| n.standing)
     }
 }
@@ -98,13 +98,14 @@
     drained[7].health = Health::Draining;
     pool.assign(assignment_of(drained), now);
     observed.apply(pool.changes(now));
-    assert_eq!(observed.standing("n7"), Some(Standing::Drains));
+    assert_eq!(observed.standing("n7"), Some(EndpointUse::Drains));
     // The deferred weight changes are reported at the end of the window.
     let wake = pool.wake(now).expect("a wake-up for the waiting weight changes");
     assert!(wake <= now + SECOND);
     assert!(observed.apply(pool.changes(wake)) > 900);
     let mean_weight: f64 =
-        observed.0.values().filter(|n| n.standing == Standing::Serves).map(|n| n.weight).sum::<f64>() / 999.0;
+        observed.0.values().filter(|n| n.standing == EndpointUse::Serves).map(|n| n.weight).sum::<f64>()
+            / 999.0;
     assert!((mean_weight - 1.0).abs() < 1e-9, "{mean_weight}");
 }
 
@@ -161,7 +162,7 @@
 /// At every update, priority 0 crosses the threshold below which load spills over to priority 1.
 #[test]
 fn flapping_priority_does_not_restart_its_nodes() {
-    let mut pool = Pool::new(ClusterRules { merge: 0, ..ClusterRules::default() });
+    let mut pool = Pool::new(ClusterRules { merge_window: 0, ..ClusterRules::default() });
     let mut observed = ObservedNodes::default();
     let listed = |healthy: usize| {
         let endpoint_of = |p: u8, i: usize| {
@@ -176,21 +177,21 @@
         let healthy = 5 - (tick % 2) as usize;
         pool.assign(listed(healthy), tick * SECOND);
         observed.apply(pool.changes(tick * SECOND));
-        let lower_priority = if healthy == 5 { Standing::StandsBy } else { Standing::Serves };
+        let lower_priority = if healthy == 5 { EndpointUse::StandsBy } else { EndpointUse::Serves };
         assert_eq!(observed.standing("1-0"), Some(lower_priority), "at {tick}");
         assert_eq!(
             observed.standing("0-4"),
-            Some(if healthy == 5 { Standing::Serves } else { Standing::Drains })
+            Some(if healthy == 5 { EndpointUse::Serves } else { EndpointUse::Drains })
         );
         assert!(observed.0.values().all(|n| n.started == 0), "spillover is not a restart");
         let load: f64 = observed
             .0
             .iter()
-            .filter(|(id, n)| id.starts_with("1-") && n.standing == Standing::Serves)
+            .filter(|(id, n)| id.starts_with("1-") && n.standing == EndpointUse::Serves)
             .map(|(_, n)| n.weight)
             .sum();
         let total_load: f64 =
-            observed.0.values().filter(|n| n.standing == Standing::Serves).map(|n| n.weight).sum();
+            observed.0.values().filter(|n| n.standing == EndpointUse::Serves).map(|n| n.weight).sum();
         let expected = if healthy == 5 { 0.0 } else { 0.2 };
         assert!((load / total_load - expected).abs() < 1e-9, "{load} of {total_load}");
     }
@@ -208,16 +209,16 @@
     pool.assign(fresh(Health::Healthy), 0);
     let mut observed = ObservedNodes::default();
     observed.apply(pool.changes(0));
-    assert_eq!(observed.standing("1"), Some(Standing::StandsBy));
+    assert_eq!(observed.standing("1"), Some(EndpointUse::StandsBy));
     let wake = pool.wake(0).expect("a wake-up when the assignment becomes stale");
     assert_eq!(wake, 5 * SECOND);
     pool.tick(wake);
     observed.apply(pool.changes(wake));
     // All endpoints are unhealthy now, so all priorities panic and share the load.
-    assert_eq!(observed.standing("1"), Some(Standing::Serves));
+    assert_eq!(observed.standing("1"), Some(EndpointUse::Serves));
     pool.assign(fresh(Health::Healthy), 6 * SECOND);
     observed.apply(pool.changes(6 * SECOND));
-    assert_eq!(observed.standing("1"), Some(Standing::StandsBy));
+    assert_eq!(observed.standing("1"), Some(EndpointUse::StandsBy));
 }
 
 #[test]
@@ -233,12 +234,12 @@
     pool.assign(placed("rajkot"), 10 * SECOND);
     let changes = pool.changes(10 * SECOND);
     let [NodeChange::Put(node)] = changes.as_slice() else { panic!("{changes:?}") };
-    let tried = |sent, may_have_run| [Tried { sent, may_have_run }].into_iter();
-    assert!(!may_repeat(0, node.grouped, tried(9 * SECOND, true)), "sent before the node moved");
-    assert!(may_repeat(0, node.grouped, tried(9 * SECOND, false)), "never executed");
-    assert!(may_repeat(0, node.grouped, tried(11 * SECOND, true)));
+    let tried = |sent, may_have_run| [EarlierAttempt { sent, may_have_run }].into_iter();
+    assert!(!may_retry(0, node.group_changed_at, tried(9 * SECOND, true)), "sent before the node moved");
+    assert!(may_retry(0, node.group_changed_at, tried(9 * SECOND, false)), "never executed");
+    assert!(may_retry(0, node.group_changed_at, tried(11 * SECOND, true)));
     assert!(
-        !may_repeat(12 * SECOND, node.grouped, tried(11 * SECOND, true)),
+        !may_retry(12 * SECOND, node.group_changed_at, tried(11 * SECOND, true)),
         "sent before the group of the cluster changed"
     );
 }
@@ -247,27 +248,41 @@
 fn circuit_breakers_limit_requests_and_retry_budget_follows_them() {
     let budget = Thresholds {
         requests: 100,
-        budget: Some(Budget { percent: 20.0, least: 3 }),
+        budget: Some(RetryBudget { percent: 20.0, min_concurrency: 3 }),
         ..Thresholds::default()
     };
     let breakers = Breakers::new([budget, Thresholds { requests: 1, ..Thresholds::default() }]);
     let requests: Vec<_> = (0..100)
-        .map(|_| breakers.take(Importance::Default, Trip::Requests).expect("below the limit"))
+        .map(|_| breakers.acquire(RoutePriority::Default, BreakerLimit::Requests).expect("below the limit"))
         .collect();
-    assert_eq!(breakers.take(Importance::Default, Trip::Requests).err(), Some(Trip::Requests));
-    let high = breakers.take(Importance::High, Trip::Requests).expect("high priority has its own limits");
-    assert!(breakers.take(Importance::High, Trip::Requests).is_err());
+    assert_eq!(
+        breakers.acquire(RoutePriority::Default, BreakerLimit::Requests).err(),
+        Some(BreakerLimit::Requests)
+    );
+    let high = breakers
+        .acquire(RoutePriority::High, BreakerLimit::Requests)
+        .expect("high priority has its own limits");
+    assert!(breakers.acquire(RoutePriority::High, BreakerLimit::Requests).is_err());
     drop(high);
     let retries: Vec<_> = (0..20)
-        .map(|_| breakers.take(Importance::Default, Trip::Retries).expect("within 20 % of requests"))
+        .map(|_| {
+            breakers.acquire(RoutePriority::Default, BreakerLimit::Retries).expect("within 20 % of requests")
+        })
         .collect();
-    assert_eq!(breakers.take(Importance::Default, Trip::Retries).err(), Some(Trip::Retries));
+    assert_eq!(
+        breakers.acquire(RoutePriority::Default, BreakerLimit::Retries).err(),
+        Some(BreakerLimit::Retries)
+    );
     drop((retries, requests));
-    assert_eq!(breakers.out(Importance::Default), [0, 0, 0]);
+    assert_eq!(breakers.in_flight(RoutePriority::Default), [0, 0, 0]);
     let few: Vec<_> = (0..3)
-        .map(|_| breakers.take(Importance::Default, Trip::Retries).expect("minimum retry concurrency"))
+        .map(|_| {
+            breakers
+                .acquire(RoutePriority::Default, BreakerLimit::Retries)
+                .expect("minimum retry concurrency")
+        })
         .collect();
-    assert!(breakers.take(Importance::Default, Trip::Retries).is_err());
+    assert!(breakers.acquire(RoutePriority::Default, BreakerLimit::Retries).is_err());
     drop(few);
     assert_eq!(breakers.trips(), [2, 2, 0]);
 }
--- a/crates/core/load-assignment/tests/shares.rs
+++ b/crates/core/load-assignment/tests/shares.rs
@@ -161,14 +161,14 @@
         let sharing = Sharing { panic, fail_on_panic: false, by_locality };
         let now = effective(&assignment, &sharing, false);
         let reference = reference_shares(&declared, factor, panic, by_locality);
-        for (i, (ours, theirs)) in now.parts.iter().zip(&reference).enumerate() {
+        for (i, (ours, theirs)) in now.shares.iter().zip(&reference).enumerate() {
             prop_assert!((ours - theirs).abs() < 1e-9, "endpoint {i}: {ours}, reference {theirs}");
         }
         // A draining endpoint gets no load, even in panic mode; the shares add up to 1, or all are 0.
-        for ((_, e), part) in assignment.endpoints().zip(&now.parts) {
+        for ((_, e), part) in assignment.endpoints().zip(&now.shares) {
             prop_assert!(e.health != Health::Draining || *part == 0.0);
         }
-        let sum: f64 = now.parts.iter().sum();
+        let sum: f64 = now.shares.iter().sum();
         prop_assert!(sum == 0.0 || (sum - 1.0).abs() < 1e-9, "{sum}");
     }
 }
@@ -205,7 +205,7 @@
 fn extreme_weights_keep_their_ratio() {
     let declared: Declaration = vec![(0, None, vec![(0, 1), (0, u32::MAX - 1)])];
     let now = effective(&assignment(&declared, 140), &Sharing::default(), false);
-    assert!((now.parts[0] * f64::from(u32::MAX) - 1.0).abs() < 1e-6, "{:?}", now.parts);
+    assert!((now.shares[0] * f64::from(u32::MAX) - 1.0).abs() < 1e-6, "{:?}", now.shares);
 }
 
 /// The load of a panicking priority under `fail_on_panic` is rejected, not moved to other priorities.
@@ -217,9 +217,9 @@
     ];
     let sharing = Sharing { fail_on_panic: true, ..Sharing::default() };
     let now = effective(&assignment(&declared, 140), &sharing, false);
-    assert!((now.refused - 1.0).abs() < 1e-9, "{now:?}");
+    assert!((now.rejected - 1.0).abs() < 1e-9, "{now:?}");
     let calm = effective(&assignment(&declared, 140), &Sharing { panic: 0.0, ..sharing }, false);
-    assert_eq!(calm.refused, 0.0);
+    assert_eq!(calm.rejected, 0.0);
 }
 
 /// The availability of few healthy endpoints among thousands rounds to zero percent.
@@ -227,5 +227,5 @@
 fn few_healthy_endpoints_among_thousands_get_requests_without_panic() {
     let declared: Declaration = vec![(0, None, (0..2000).map(|i| (if i < 2 { 0 } else { 2 }, 1)).collect())];
     let now = effective(&assignment(&declared, 140), &Sharing { panic: 0.0, ..Sharing::default() }, false);
-    assert_eq!((now.parts[0], now.parts[1], now.parts[2]), (0.5, 0.5, 0.0));
+    assert_eq!((now.shares[0], now.shares[1], now.shares[2]), (0.5, 0.5, 0.0));
 }
--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -13,7 +13,7 @@
     Member, MemberRecord, MemberStatus, Membership, MembershipTimeouts, PreviousIncarnation, ReportOutcome,
 };
 pub use report::{RejectedConfig, Report, ReportError};
-pub use stats::{bucket, upper, ClassStats, ProxyStats, BUCKETS};
+pub use stats::{bucket, bucket_upper_edge, ClassStats, ProxyStats, BUCKETS};
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -57,7 +57,7 @@
     /// Time without a report after which a member is retired.
     pub retire: Nanos,
     /// Maximum number of members.
-    pub most: usize,
+    pub max_members: usize,
 }
 
 impl Default for MembershipTimeouts {
@@ -66,7 +66,7 @@
             late: 4 * SECOND,
             restart: 15 * SECOND,
             retire: 24 * 3600 * SECOND,
-            most: 20_000,
+            max_members: 20_000,
         }
     }
 }
@@ -112,11 +112,11 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Its stored record.
-    pub told: MemberRecord,
+    pub record: MemberRecord,
     /// The statistics of its present process since that started.
     pub figures: ProxyStats,
     /// When this control service received its last report; `None`: it has received none yet.
-    pub heard: Option<Nanos>,
+    pub last_report_at: Option<Nanos>,
     /// Sequence number of its last report.
     last_seq: u64,
     /// When this control service learned of it, from a report or a stored record.
@@ -186,7 +186,7 @@
     }
 
     /// The members, by name.
-    pub fn instances(&self) -> impl Iterator<Item = &Member> {
+    pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Processes a report that arrived on a stream. Streams are numbered in the order in which they were opened.
-    pub fn hear(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> ReportOutcome {
+    pub fn process_report(&mut self, name: &str, report: Report, stream: u64, now: Nanos) -> ReportOutcome {
         let Some(member) = self.members.get_mut(name) else {
             if !self.has_capacity(now) {
                 return ReportOutcome::Full;
@@ -217,24 +217,24 @@
             return ReportOutcome::New;
         };
         let late = self.timeouts.late;
-        if report.boot != member.told.boot {
-            if report.boot < member.told.boot && !member.is_replaced_by(&report, now, late) {
+        if report.boot != member.record.boot {
+            if report.boot < member.record.boot && !member.is_replaced_by(&report, now, late) {
                 return ReportOutcome::Stale;
             }
-            member.told = report.record(name, Some(&member.told));
+            member.record = report.record(name, Some(&member.record));
             member.accept(report, stream, now, 0);
             return ReportOutcome::Restarted;
         }
-        if member.heard.is_some() && report.seq <= member.last_seq {
+        if member.last_report_at.is_some() && report.seq <= member.last_seq {
             return ReportOutcome::Stale;
         }
         let record = MemberRecord {
-            restarts: member.told.restarts,
-            before: member.told.before.clone(),
+            restarts: member.record.restarts,
+            before: member.record.before.clone(),
             ..report.record(name, None)
         };
-        let has_changed = record != member.told;
-        member.told = record;
+        let has_changed = record != member.record;
+        member.record = record;
         member.accept(report, stream, now, late);
         if has_changed {
             ReportOutcome::Changed
@@ -244,18 +244,18 @@
     }
 
     /// Records that a stream of a member has ended. Only the end of the stream that carried its last report counts.
-    pub fn ended(&mut self, name: &str, stream: u64, now: Nanos) {
+    pub fn stream_ended(&mut self, name: &str, stream: u64, now: Nanos) {
         if let Some(member) =
-            self.members.get_mut(name).filter(|m| m.last_stream == stream && m.heard.is_some())
+            self.members.get_mut(name).filter(|m| m.last_stream == stream && m.last_report_at.is_some())
         {
             member.ended_at.get_or_insert(now);
         }
     }
 
     /// The status of a member at `now`.
-    pub fn standing(&self, member: &Member, now: Nanos) -> MemberStatus {
+    pub fn status(&self, member: &Member, now: Nanos) -> MemberStatus {
         let since = |then: Nanos| now.saturating_sub(then);
-        let Some(heard) = member.heard else {
+        let Some(heard) = member.last_report_at else {
             return if since(member.known_since) < self.timeouts.retire {
                 MemberStatus::Unheard
             } else {
@@ -272,9 +272,9 @@
     }
 
     /// Removes retired members; returns their names.
-    pub fn forget(&mut self, now: Nanos) -> Vec<String> {
-        let is_retired = |m: &&Member| self.standing(m, now) == MemberStatus::Retired;
-        let names: Vec<String> = self.instances().filter(is_retired).map(|m| m.told.name.clone()).collect();
+    pub fn remove_retired(&mut self, now: Nanos) -> Vec<String> {
+        let is_retired = |m: &&Member| self.status(m, now) == MemberStatus::Retired;
+        let names: Vec<String> = self.members().filter(is_retired).map(|m| m.record.name.clone()).collect();
         names.iter().for_each(|n| drop(self.members.remove(n)));
         names
     }
@@ -282,21 +282,22 @@
     /// Whether another member can be added, after retired ones were removed if necessary. Danger: without the bound, a proxy with a new
     /// name at each start would fill the store.
     fn has_capacity(&mut self, now: Nanos) -> bool {
-        if self.members.len() >= self.timeouts.most {
-            self.forget(now);
+        if self.members.len() >= self.timeouts.max_members {
+            self.remove_retired(now);
         }
-        self.members.len() < self.timeouts.most
+        self.members.len() < self.timeouts.max_members
     }
 }
 
 impl Member {
     /// A member that has not reported yet.
     fn from_record(record: MemberRecord, now: Nanos) -> Self {
-        let (figures, heard, last_seq, ended_at, last_stream) = (ProxyStats::default(), None, 0, None, 0);
+        let (figures, last_report_at, last_seq, ended_at, last_stream) =
+            (ProxyStats::default(), None, 0, None, 0);
         Member {
-            told: record,
+            record,
             figures,
-            heard,
+            last_report_at,
             last_seq,
             known_since: now,
             uninterrupted_since: now,
@@ -313,13 +314,13 @@
 
     /// Takes over the state of an accepted report. `late` is the interval between reports that counts as a gap.
     fn accept(&mut self, report: Report, stream: u64, now: Nanos, late: Nanos) {
-        let has_gap = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
+        let has_gap = self.last_report_at.is_none_or(|heard| now.saturating_sub(heard) >= late);
         if has_gap || stream != self.last_stream {
             self.uninterrupted_since = now;
         }
         self.last_seq = report.seq;
         self.figures = report.figures;
-        self.heard = Some(now);
+        self.last_report_at = Some(now);
         self.last_stream = stream;
         self.lower_incarnation = LowerIncarnation::default();
         self.ended_at = if report.leaving { self.ended_at.or(Some(now)) } else { None };
@@ -327,7 +328,7 @@
 
     /// Records a report from a process with a lower incarnation; returns whether that process replaces the present one.
     fn is_replaced_by(&mut self, report: &Report, now: Nanos, late: Nanos) -> bool {
-        let is_silent = self.heard.is_none_or(|heard| now.saturating_sub(heard) >= late);
+        let is_silent = self.last_report_at.is_none_or(|heard| now.saturating_sub(heard) >= late);
         let LowerIncarnation { boot, last_seq, reports } = self.lower_incarnation;
         let has_advanced = boot == report.boot && report.seq > last_seq;
         self.lower_incarnation = match (is_silent, has_advanced) {
--- a/crates/core/membership/src/report.rs
+++ b/crates/core/membership/src/report.rs
@@ -1,7 +1,7 @@
 //! The report that each proxy sends about itself, about once a second.
 
 use crate::ProxyStats;
-use rushquay_config_version::{Digest, FORM};
+use rushquay_config_version::{Digest, FORMAT_VERSION};
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of a report, in bytes.
@@ -59,7 +59,7 @@
     #[error("malformed report: {0}")]
     Malformed(String),
     /// The report has a different format version.
-    #[error("report has format version {0}, but this control service supports only {FORM}: upgrade the control service first")]
+    #[error("report has format version {0}, but this control service supports only {FORMAT_VERSION}: upgrade the control service first")]
     UnsupportedFormat(u32),
     /// The report, or a part of it, exceeds its maximum size.
     #[error("{0} exceeds the maximum")]
@@ -85,7 +85,7 @@
             serde_json::from_str(text).map_err(|error| ReportError::Malformed(error.to_string()))?;
         let are_texts_short = [&report.zone, &report.version].iter().all(|t| t.len() <= MAX_TEXT_BYTES);
         match report {
-            r if r.form != FORM => Err(ReportError::UnsupportedFormat(r.form)),
+            r if r.form != FORMAT_VERSION => Err(ReportError::UnsupportedFormat(r.form)),
             _ if !are_texts_short => Err(ReportError::TooLarge("length of the zone or the version")),
             r if r.figures.classes.len() > MAX_CLASSES => Err(ReportError::TooLarge("number of classes")),
             r if r.figures.classes.values().any(|c| c.times.len() > crate::BUCKETS) => {
--- a/crates/core/membership/src/stats.rs
+++ b/crates/core/membership/src/stats.rs
@@ -16,7 +16,7 @@
 }
 
 /// The upper edge of the bucket with this index; times up to and including it belong to the bucket.
-pub fn upper(bucket: usize) -> Nanos {
+pub fn bucket_upper_edge(bucket: usize) -> Nanos {
     (FIRST_BUCKET_EDGE_NS * (bucket as f64 / 4.0).exp2()) as Nanos
 }
 
@@ -38,12 +38,12 @@
 
 impl ClassStats {
     /// The number of completed requests.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.served.saturating_add(self.late).saturating_add(self.refused).saturating_add(self.failed)
     }
 
     /// Adds the response time of a served request to the histogram.
-    pub fn took(&mut self, time: Nanos) {
+    pub fn record_response_time(&mut self, time: Nanos) {
         let index = bucket(time);
         if self.times.len() <= index {
             self.times.resize(index + 1, 0);
@@ -52,7 +52,7 @@
     }
 
     /// The number of served requests that took longer than the upper edge of the bucket with this index.
-    pub fn slower(&self, bucket_index: usize) -> u64 {
+    pub fn count_slower_than(&self, bucket_index: usize) -> u64 {
         self.times.iter().skip(bucket_index + 1).sum()
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// The number of completed requests of all classes.
-    pub fn all(&self) -> u64 {
-        self.classes.values().map(ClassStats::all).sum()
+    pub fn total(&self) -> u64 {
+        self.classes.values().map(ClassStats::total).sum()
     }
 }
--- a/crates/core/overrides/src/capacity_guard.rs
+++ b/crates/core/overrides/src/capacity_guard.rs
@@ -86,7 +86,7 @@
         total_weight,
         weight_now: weight_in_service(live.clone(), fleet, now),
         weight_after: weight_in_service(live.chain(std::iter::once(new)), fleet, now),
-        min_weight: total_weight * limits.stay,
+        min_weight: total_weight * limits.min_weight_in_service,
     };
     if calculation.weight_after < calculation.min_weight && calculation.weight_after < calculation.weight_now
     {
--- a/crates/core/overrides/src/override_set.rs
+++ b/crates/core/overrides/src/override_set.rs
@@ -46,7 +46,7 @@
     Field(&'static str, String),
     /// The remaining endpoints cannot carry the load.
     #[error("{0}; say force to set it anyway")]
-    TooMuch(CapacityCalculation),
+    InsufficientCapacity(CapacityCalculation),
     /// The maximum number of overrides or pins is reached.
     #[error("{0} overrides are already set; lift some first")]
     Full(usize),
@@ -139,7 +139,7 @@
     }
 
     /// Returns the limits.
-    pub fn policy(&self) -> &OverrideLimits {
+    pub fn limits(&self) -> &OverrideLimits {
         &self.limits
     }
 
@@ -167,8 +167,8 @@
         if request.until <= now {
             return invalid_field("until", "is in the past");
         }
-        if request.until - now > self.limits.longest {
-            let hours = self.limits.longest as f64 / (3600.0 * SECOND as f64);
+        if request.until - now > self.limits.max_duration {
+            let hours = self.limits.max_duration as f64 / (3600.0 * SECOND as f64);
             return invalid_field("until", &format!("expected at most {hours:.1} hours from now"));
         }
         self.validate_effect(request)?;
@@ -185,7 +185,7 @@
                 );
             }
         }
-        if self.live.len() >= self.limits.most {
+        if self.live.len() >= self.limits.max_overrides {
             return Err(OverrideError::Full(self.live.len()));
         }
         Ok(())
@@ -245,7 +245,7 @@
         let new = Override { id: self.next, scope, effect, since: now, until, author, reason };
         let capacity = check_capacity(self.live.values(), &new, fleet, &self.limits, now);
         let kind = match capacity {
-            Err(calculation) if !force => return Err(OverrideError::TooMuch(calculation)),
+            Err(calculation) if !force => return Err(OverrideError::InsufficientCapacity(calculation)),
             Err(_) => EventKind::Forced,
             Ok(_) => EventKind::Set,
         };
--- a/crates/core/overrides/src/types.rs
+++ b/crates/core/overrides/src/types.rs
@@ -123,15 +123,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverrideLimits {
     /// Maximum duration of an override, in nanoseconds.
-    pub longest: Nanos,
+    pub max_duration: Nanos,
     /// The fraction of the fleet's weight that must stay in service, from 0 to 1.
-    pub stay: f64,
+    pub min_weight_in_service: f64,
     /// How long before its expiry an override is announced, in nanoseconds.
     pub announce: Nanos,
     /// Time out of service after which the cache of an endpoint counts as cold, in nanoseconds.
     pub cold_after: Nanos,
     /// Maximum number of overrides.
-    pub most: usize,
+    pub max_overrides: usize,
     /// Maximum length of the event history; the oldest events are dropped first.
     pub history: usize,
 }
@@ -139,11 +139,11 @@
 impl Default for OverrideLimits {
     fn default() -> Self {
         OverrideLimits {
-            longest: 12 * 3600 * SECOND,
-            stay: 0.67,
+            max_duration: 12 * 3600 * SECOND,
+            min_weight_in_service: 0.67,
             announce: 600 * SECOND,
             cold_after: 60 * SECOND,
-            most: 10_000,
+            max_overrides: 10_000,
             history: 100_000,
         }
     }
--- a/crates/core/overrides/tests/override_set.rs
+++ b/crates/core/overrides/tests/override_set.rs
@@ -118,7 +118,10 @@
         .expect("capacity is not reduced");
     // A weight reduces capacity as well.
     let lower_weight = request(Scope::Node("cache-02".into()), Effect::Weight(0.1), 100);
-    assert!(matches!(overrides.set(lower_weight, &nodes, 0, None), Err(OverrideError::TooMuch(_))));
+    assert!(matches!(
+        overrides.set(lower_weight, &nodes, 0, None),
+        Err(OverrideError::InsufficientCapacity(_))
+    ));
 }
 
 #[test]
--- a/crates/core/policy/examples/policy_figures.rs
+++ b/crates/core/policy/examples/policy_figures.rs
@@ -89,7 +89,7 @@
     }
 
     fn ask(&mut self, m: usize) {
-        let request = self.members[m].ask(self.now);
+        let request = self.members[m].next_request(self.now);
         if self.unreachable[m] {
             return;
         }
@@ -113,7 +113,7 @@
             Event::Leads => {}
             Event::ReceiveGrant(m, number) => {
                 let grant = self.grants[number as usize];
-                if !self.unreachable[m] && self.members[m].granted(&grant, |_| Ok(())) {
+                if !self.unreachable[m] && self.members[m].process_grant(&grant, |_| Ok(())) {
                     // The member reports what it applies at once.
                     self.ask(m);
                 }
@@ -124,14 +124,14 @@
                 if let Some(record) = coordinator.step(when) {
                     self.writes += 1;
                     self.now += WRITE_LATENCY;
-                    coordinator.kept(record, self.now);
+                    coordinator.adopt_record(record, self.now);
                     self.broadcast();
                 }
                 let Some(coordinator) = &mut self.coordinator else { return };
                 let waiting = std::mem::take(&mut self.waiting);
                 let grants = waiting.iter().map(|(m, number)| {
                     let request = &self.requests[*number as usize];
-                    (*m, coordinator.hear(&format!("p{m}"), request, self.now).expect("a lease"))
+                    (*m, coordinator.grant_lease(&format!("p{m}"), request, self.now).expect("a lease"))
                 });
                 let granted: Vec<(usize, LeaseGrant)> = grants.collect();
                 for (m, grant) in granted {
@@ -147,10 +147,14 @@
 
 /// Seconds to the decision, seconds until the last proxy applies the new policy, and the messages and writes meanwhile.
 fn measure_change(proxies: usize, fault: Fault, seed: u64) -> (f64, f64, u64, u64) {
-    let terms =
-        LeaseTerms { span: 10 * SECOND, drift_ppm: 10_000, limit: 120 * SECOND, floor: 3600 * SECOND };
+    let terms = LeaseTerms {
+        lease_duration: 10 * SECOND,
+        drift_ppm: 10_000,
+        change_timeout: 120 * SECOND,
+        fallback_duration: 3600 * SECOND,
+    };
     let members =
-        (0..proxies).map(|m| Member::new(Incarnation(m as u64 + 1), StartupPolicy::Waits, 0)).collect();
+        (0..proxies).map(|m| Member::new(Incarnation(m as u64 + 1), StartupPolicy::ServeNobody, 0)).collect();
     let mut simulation = Simulation {
         now: 0,
         events: BinaryHeap::new(),
@@ -195,7 +199,7 @@
             }
             simulation.coordinator = Some(Coordinator::lead(terms, proposed, simulation.now));
         }
-        _ => simulation.coordinator.as_mut().expect("a leader is in office").kept(proposed, from),
+        _ => simulation.coordinator.as_mut().expect("a leader is in office").adopt_record(proposed, from),
     }
     simulation.broadcast();
     let mut decided = None;
@@ -205,7 +209,7 @@
         if decided.is_none() && matches!(record.last, Some((_, ChangeOutcome::Committed))) {
             decided = Some(simulation.now);
         }
-        let new = ActivePolicy::Leased(PolicySet::Pure(record.holds));
+        let new = ActivePolicy::Leased(PolicySet::Pure(record.in_force));
         let all_apply_new = (0..proxies)
             .all(|m| simulation.unreachable[m] || simulation.members[m].acting(simulation.now) == new);
         if let (Some(decided), true) = (decided, all_apply_new) {
--- a/crates/core/policy/src/archive.rs
+++ b/crates/core/policy/src/archive.rs
@@ -38,7 +38,7 @@
 
 /// Why a policy cannot be proposed now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UnfitPolicy {
+pub enum ProposalError {
     /// It is not a valid policy.
     #[error(transparent)]
     Policy(#[from] PolicyError),
@@ -109,22 +109,27 @@
     }
 
     /// Updates the archive after a change of the record.
-    pub fn moved(&mut self, record: &PolicyRecord) {
-        self.ever_in_force.insert(record.holds);
+    pub fn record_changed(&mut self, record: &PolicyRecord) {
+        self.ever_in_force.insert(record.in_force);
     }
 
     /// Registers that a process was granted a lease for the policy set of the record.
     pub fn granted(&mut self, name: &str, request: &LeaseRequest, record: &PolicyRecord, now: Nanos) {
-        let leases = self.leases.entry((name.to_owned(), request.boot)).or_default();
+        let leases = self.leases.entry((name.to_owned(), request.incarnation)).or_default();
         // A process never returns to a revision before the one it applies, nor to the fallback policy of an earlier lease.
         leases.retain(|revision, _| *revision >= request.acting);
-        leases.insert(record.revision, GrantedLease { policy: record.holds, granted_at: now });
+        leases.insert(record.revision, GrantedLease { policy: record.in_force, granted_at: now });
     }
 
     /// Removes the leases whose fallback policy can no longer be applied. Returns the policies that can be removed: those that are
     /// neither in the current policy set nor applied by any proxy as a fallback. The oldest are removed first, and a minimum number of
     /// policies always remains.
-    pub fn useless(&mut self, record: &PolicyRecord, terms: &LeaseTerms, now: Nanos) -> Vec<PolicyNumber> {
+    pub fn unused_policies(
+        &mut self,
+        record: &PolicyRecord,
+        terms: &LeaseTerms,
+        now: Nanos,
+    ) -> Vec<PolicyNumber> {
         let expiry = terms.fallback_expiry();
         self.leases.retain(|_, leases| {
             leases.retain(|_, lease| now.saturating_sub(lease.granted_at) <= expiry);
@@ -170,7 +175,7 @@
         // Any proxy that holds a lease may lose it now and apply the fallback policy in force. For former policies, the leases granted
         // by previous leaders count until they are certain to have expired.
         let predecessors_expired_at = self.leading_since.saturating_add(expiry);
-        if number == record.holds {
+        if number == record.in_force {
             users.until = now.saturating_add(expiry);
         } else if now <= predecessors_expired_at {
             users.until = users.until.max(predecessors_expired_at);
@@ -182,31 +187,31 @@
     ///
     /// # Errors
     /// See [`UnfitPolicy`].
-    pub fn fit(
+    pub fn validate_proposal(
         &self,
         settings: &Value,
         floor: Option<&Value>,
         (record, terms): (&PolicyRecord, &LeaseTerms),
         now: Nanos,
-    ) -> Result<Policy, UnfitPolicy> {
+    ) -> Result<Policy, ProposalError> {
         let floor = match floor.filter(|f| !f.is_null()) {
             Some(document) => FallbackPolicy::read(document)?,
-            None => self.get(record.holds).map_or(FallbackPolicy::Nobody, |p| p.floor.clone()),
+            None => self.get(record.in_force).map_or(FallbackPolicy::Nobody, |p| p.fallback.clone()),
         };
-        let policy = Policy::of(settings, floor)?;
+        let policy = Policy::validated(settings, floor)?;
         for number in &self.ever_in_force {
             let Some(former) = self.get(*number) else { continue };
-            let paths = former.floor.looser(&policy.settings);
+            let paths = former.fallback.looser_paths(&policy.settings);
             if paths.is_empty() {
                 continue;
             }
             if let Some(users) = self.users(*number, record, terms, now) {
-                let proxies = match *number == record.holds {
+                let proxies = match *number == record.in_force {
                     true => vec!["any proxy that loses its lease".into()],
                     false => users.names.into_iter().collect(),
                 };
                 let remaining_s = users.until.saturating_sub(now).div_ceil(1_000_000_000);
-                return Err(UnfitPolicy::StricterThanFallback {
+                return Err(ProposalError::StricterThanFallback {
                     policy: number.0,
                     paths,
                     proxies,
--- a/crates/core/policy/src/broadcast.rs
+++ b/crates/core/policy/src/broadcast.rs
@@ -15,7 +15,7 @@
     /// Revision of the stored record.
     pub revision: Revision,
     /// The policy set of that revision.
-    pub told: PolicySet,
+    pub policy_set: PolicySet,
     /// The policies of the set.
     pub policies: BTreeMap<PolicyNumber, Policy>,
 }
@@ -28,7 +28,7 @@
     Malformed(String),
     /// The broadcast contains something that this program does not support.
     #[error("{why}")]
-    Beyond {
+    Unsupported {
         /// The revision that this program cannot apply.
         revision: Revision,
         /// The reason.
@@ -53,7 +53,7 @@
         let document = BroadcastDocument {
             format_version: FORMAT_VERSION,
             revision: self.revision,
-            policy_set: self.told,
+            policy_set: self.policy_set,
             policies,
         };
         serde_json::to_string(&document).unwrap_or_default()
@@ -68,7 +68,7 @@
         let malformed = |error: serde_json::Error| BroadcastError::Malformed(error.to_string());
         let value: Value = serde_json::from_str(text).map_err(malformed)?;
         let revision = Revision::deserialize(&value["revision"]).map_err(malformed)?;
-        let unsupported = |why: String| BroadcastError::Beyond { revision, why };
+        let unsupported = |why: String| BroadcastError::Unsupported { revision, why };
         if let Some(version) = value["form"].as_u64().filter(|f| *f != u64::from(FORMAT_VERSION)) {
             return Err(unsupported(format!(
                 "unsupported format version {version}; this program reads version {FORMAT_VERSION}: upgrade it first"
@@ -80,10 +80,10 @@
         let policies: Result<_, PolicyError> = document.policies.iter().map(read).collect();
         let broadcast = PolicyBroadcast {
             revision,
-            told: document.policy_set,
+            policy_set: document.policy_set,
             policies: policies.map_err(|e| unsupported(e.to_string()))?,
         };
-        match broadcast.told.numbers().find(|n| !broadcast.policies.contains_key(n)) {
+        match broadcast.policy_set.numbers().find(|n| !broadcast.policies.contains_key(n)) {
             Some(missing) => Err(unsupported(format!(
                 "policy {} is in the policy set and missing from the broadcast",
                 missing.0
--- a/crates/core/policy/src/coordinator.rs
+++ b/crates/core/policy/src/coordinator.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
     /// Duration of a lease, by the member's clock.
-    pub span: Nanos,
+    pub lease_duration: Nanos,
     /// Maximum drift of a clock in either direction, in parts per million; below 500,000.
     pub drift_ppm: u64,
     /// A pending change is aborted after this time, counted from when this leader learned of the change.
-    pub limit: Nanos,
+    pub change_timeout: Nanos,
     /// How long a member may apply the fallback policy after its lease expires, by the member's clock.
-    pub floor: Nanos,
+    pub fallback_duration: Nanos,
 }
 
 impl LeaseTerms {
@@ -24,12 +24,12 @@
     /// the member's clock is slow and this one fast, both by the drift d: a lease of duration S lasts S/(1-d) of true time, during which
     /// this clock advances by S*(1+d)/(1-d).
     pub fn lease_expiry(&self) -> Nanos {
-        self.worst_case_duration(self.span)
+        self.worst_case_duration(self.lease_duration)
     }
 
     /// The time by this leader's clock after which no process still applies the fallback policy of a granted lease.
     pub fn fallback_expiry(&self) -> Nanos {
-        self.worst_case_duration(self.span.saturating_add(self.floor))
+        self.worst_case_duration(self.lease_duration.saturating_add(self.fallback_duration))
     }
 
     fn worst_case_duration(&self, span: Nanos) -> Nanos {
@@ -96,39 +96,39 @@
 
     /// Adopts a record that has been persisted. Danger: if a record were adopted before it is persisted, members could learn of a
     /// decision that the next leader does not find in the store.
-    pub fn kept(&mut self, record: PolicyRecord, now: Nanos) {
+    pub fn adopt_record(&mut self, record: PolicyRecord, now: Nanos) {
         self.record = record;
         self.change_since = now;
     }
 
     /// The member that has seen a revision which the store does not have, and that revision: the store was lost or replaced by an older
     /// copy. The leader cannot know then what other members apply, so it grants no lease and decides nothing.
-    pub fn behind(&self) -> Option<(&str, Revision)> {
+    pub fn member_ahead_of_store(&self) -> Option<(&str, Revision)> {
         let ahead_of_store =
             self.ahead_of_store.as_ref().filter(|(_, revision)| *revision > self.record.revision);
         ahead_of_store.map(|(name, revision)| (name.as_str(), *revision))
     }
 
     /// The time by this leader's clock at which all leases granted by previous leaders have expired.
-    pub fn alone_from(&self) -> Nanos {
+    pub fn previous_leases_expire_at(&self) -> Nanos {
         self.leading_since.saturating_add(self.terms.lease_expiry())
     }
 
     /// Answers the request of a member; returns `None` if no lease is granted. The caller must hold the leader lease, by its own clock,
     /// when it calls this.
-    pub fn hear(&mut self, name: &str, request: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
+    pub fn grant_lease(&mut self, name: &str, request: &LeaseRequest, now: Nanos) -> Option<LeaseGrant> {
         // Danger: if leases were granted from a store that is behind, a proxy that has just started would apply the stored policy while
         // other proxies still apply one that the store has lost.
-        if request.heard
+        if request.newest_seen
             > self.ahead_of_store.as_ref().map_or(self.record.revision, |(_, revision)| *revision)
         {
-            self.ahead_of_store = Some((name.to_owned(), request.heard));
+            self.ahead_of_store = Some((name.to_owned(), request.newest_seen));
         }
-        if self.behind().is_some() {
+        if self.member_ahead_of_store().is_some() {
             return None;
         }
         let lease_expiry = self.terms.lease_expiry();
-        let process = self.processes.entry((name.to_owned(), request.boot)).or_default();
+        let process = self.processes.entry((name.to_owned(), request.incarnation)).or_default();
         // A delayed request may report an older revision than is already known; a process never returns to an earlier revision.
         process.applied = process.applied.max(request.acting);
         if request.refused.as_ref().map(|r| r.0) > process.rejected.as_ref().map(|r| r.0) {
@@ -137,16 +137,23 @@
         process.leases.retain(|_, granted| now.saturating_sub(*granted) <= lease_expiry);
         process.leases.insert(self.record.revision, now);
         let (revision, told) = (self.record.revision, self.record.policy_set());
-        let LeaseTerms { span, floor, .. } = self.terms;
-        Some(LeaseGrant { boot: request.boot, seq: request.seq, revision, told, span, floor })
+        let LeaseTerms { lease_duration: span, fallback_duration: floor, .. } = self.terms;
+        Some(LeaseGrant {
+            incarnation: request.incarnation,
+            seq: request.seq,
+            revision,
+            policy_set: told,
+            lease_duration: span,
+            fallback_duration: floor,
+        })
     }
 
     /// The members that may still apply a revision older than the current one.
-    pub fn holdups(&self, now: Nanos) -> Vec<BlockingMember> {
+    pub fn blocking_members(&self, now: Nanos) -> Vec<BlockingMember> {
         let lease_expiry = self.terms.lease_expiry();
         let mut blocked = Vec::new();
         // Danger: until the end of their leadership, previous leaders may have granted leases to members that this one does not know.
-        let predecessors_expired_at = self.alone_from();
+        let predecessors_expired_at = self.previous_leases_expire_at();
         if now <= predecessors_expired_at {
             blocked.push(BlockingMember {
                 name: String::new(),
@@ -177,7 +184,7 @@
             process.leases.values().any(|granted| now.saturating_sub(*granted) <= lease_expiry)
         });
         let Phase::Joint(_) = self.record.phase else { return None };
-        if self.behind().is_some() {
+        if self.member_ahead_of_store().is_some() {
             return None;
         }
         let revision = self.record.revision;
@@ -186,11 +193,11 @@
                 process.rejected.as_ref().filter(|(rejected_revision, _)| *rejected_revision == revision)?;
             Some(ChangeOutcome::Refused { name: name.clone(), why: why.clone() })
         });
-        let blocked = self.holdups(now);
+        let blocked = self.blocking_members(now);
         let outcome = match (refused, blocked.is_empty()) {
             (Some(refused), _) => refused,
             (None, true) => ChangeOutcome::Committed,
-            (None, false) if now.saturating_sub(self.change_since) > self.terms.limit => {
+            (None, false) if now.saturating_sub(self.change_since) > self.terms.change_timeout => {
                 let name = |member: &BlockingMember| {
                     if member.name.is_empty() {
                         "a leader that has only just begun".into()
@@ -216,7 +223,7 @@
     }
 
     /// The latest time, by this leader's clock, at which the pending change is aborted.
-    pub fn gives_up(&self) -> Nanos {
-        self.change_since.saturating_add(self.terms.limit)
+    pub fn change_deadline(&self) -> Nanos {
+        self.change_since.saturating_add(self.terms.change_timeout)
     }
 }
--- a/crates/core/policy/src/document.rs
+++ b/crates/core/policy/src/document.rs
@@ -19,7 +19,7 @@
     /// Settings applied over a proxy's own.
     pub settings: ConfigVersion,
     /// What a proxy without a lease applies.
-    pub floor: FallbackPolicy,
+    pub fallback: FallbackPolicy,
 }
 
 /// Why a policy is invalid.
@@ -78,7 +78,7 @@
     }
 
     /// The paths of the fields in which this fallback policy is looser than the settings `than`, or incomparable with them.
-    pub fn looser(&self, than: &ConfigVersion) -> Vec<String> {
+    pub fn looser_paths(&self, than: &ConfigVersion) -> Vec<String> {
         match self {
             FallbackPolicy::Nobody => Vec::new(),
             FallbackPolicy::Settings(own) => crate::looser_paths(&own.document(), &than.document()),
@@ -88,15 +88,15 @@
 
 impl Policy {
     /// The empty policy, under which each proxy applies its own settings, with this fallback policy.
-    pub fn base(floor: FallbackPolicy) -> Self {
-        Policy { settings: ConfigVersion::base(), floor }
+    pub fn base(fallback: FallbackPolicy) -> Self {
+        Policy { settings: ConfigVersion::base(), fallback }
     }
 
     /// Validates a proposed policy.
     ///
     /// # Errors
     /// See [`PolicyError`].
-    pub fn of(settings: &Value, floor: FallbackPolicy) -> Result<Self, PolicyError> {
+    pub fn validated(settings: &Value, floor: FallbackPolicy) -> Result<Self, PolicyError> {
         let field = |error| PolicyError::Field { part: "policy", error };
         let settings = ConfigVersion::read(settings).map_err(field)?;
         if settings.program().is_some() {
@@ -110,11 +110,11 @@
             let expected = format!("fractions that add up to 1 at most, not {total_share}");
             return Err(field(FieldError { path: "customers".into(), expected }));
         }
-        let looser = floor.looser(&settings);
+        let looser = floor.looser_paths(&settings);
         if !looser.is_empty() {
             return Err(PolicyError::LooserFallback(looser));
         }
-        Ok(Policy { settings, floor })
+        Ok(Policy { settings, fallback: floor })
     }
 
     /// Reads a policy as [`Policy::document`] writes it. The combination of settings and fallback policy was validated when the policy
@@ -127,12 +127,12 @@
             PolicyDocument::deserialize(value).map_err(|error| PolicyError::NotAPolicy(error.to_string()))?;
         let field = |error| PolicyError::Field { part: "policy", error };
         let settings = ConfigVersion::read(&document.settings).map_err(field)?;
-        Ok(Policy { settings, floor: FallbackPolicy::read(&document.floor)? })
+        Ok(Policy { settings, fallback: FallbackPolicy::read(&document.floor)? })
     }
 
     /// The policy as a JSON document, as it is stored and broadcast.
     pub fn document(&self) -> Value {
-        let document = PolicyDocument { settings: self.settings.document(), floor: self.floor.document() };
+        let document = PolicyDocument { settings: self.settings.document(), floor: self.fallback.document() };
         // Serialising plain fields to JSON cannot fail.
         serde_json::to_value(document).unwrap_or_default()
     }
--- a/crates/core/policy/src/intersection.rs
+++ b/crates/core/policy/src/intersection.rs
@@ -26,7 +26,7 @@
     /// The settings to apply, with the tenants in the order of their names.
     pub settings: Value,
     /// The request classes that the proxy rejects.
-    pub stops: BTreeSet<RejectedClass>,
+    pub rejected_classes: BTreeSet<RejectedClass>,
 }
 
 /// The stricter of two values or, for sets, their intersection; `None` if they have nothing in common.
@@ -152,7 +152,7 @@
         class: rejected.class.filter(|c| !c.is_empty()),
         ..rejected
     };
-    Intersection { settings, stops: builder.stops.into_iter().map(without_empty_class).collect() }
+    Intersection { settings, rejected_classes: builder.stops.into_iter().map(without_empty_class).collect() }
 }
 
 /// The paths of fields in which `one` is looser than `than`, or incomparable with it.
--- a/crates/core/policy/src/lib.rs
+++ b/crates/core/policy/src/lib.rs
@@ -19,7 +19,7 @@
 mod record;
 mod strictness;
 
-pub use archive::{PolicyArchive, UnfitPolicy};
+pub use archive::{PolicyArchive, ProposalError};
 pub use broadcast::{BroadcastError, PolicyBroadcast};
 pub use coordinator::{BlockingMember, Coordinator, LeaseTerms};
 pub use document::{FallbackPolicy, Policy, PolicyError};
--- a/crates/core/policy/src/member.rs
+++ b/crates/core/policy/src/member.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StartupPolicy {
     /// It serves nobody.
-    Waits,
+    ServeNobody,
     /// It serves nobody for this time, then applies the fallback policy of its own settings file.
-    FloorAfter(Nanos),
+    FallbackAfter(Nanos),
 }
 
 /// The state that a process passes to its successor. Both run on the same machine, so times refer to the same clock.
@@ -38,16 +38,16 @@
 pub struct MemberSnapshot {
     /// The newest revision that it has received.
     #[serde(rename = "heard")]
-    pub heard: Revision,
+    pub newest_seen: Revision,
     /// The revision and policy set that it applies.
     #[serde(rename = "told")]
-    pub told: Option<(Revision, PolicySet)>,
+    pub applied_set: Option<(Revision, PolicySet)>,
     /// When its lease for that policy set expires.
     #[serde(rename = "until")]
-    pub until: Nanos,
+    pub lease_expires_at: Nanos,
     /// How long it may apply the fallback policy after the lease expires.
     #[serde(rename = "floor")]
-    pub floor: Nanos,
+    pub fallback_duration: Nanos,
 }
 
 /// A proxy as a member of the lease protocol.
@@ -93,10 +93,10 @@
     /// The state to pass to the successor of this process.
     pub fn snapshot(&self) -> MemberSnapshot {
         MemberSnapshot {
-            heard: self.newest_seen,
-            told: self.received,
-            until: self.lease_expires_at,
-            floor: self.fallback_span,
+            newest_seen: self.newest_seen,
+            applied_set: self.received,
+            lease_expires_at: self.lease_expires_at,
+            fallback_duration: self.fallback_span,
         }
     }
 
@@ -110,7 +110,12 @@
         incumbent: MemberSnapshot,
         now: Nanos,
     ) -> Self {
-        let MemberSnapshot { heard, told, until, floor } = incumbent;
+        let MemberSnapshot {
+            newest_seen: heard,
+            applied_set: told,
+            lease_expires_at: until,
+            fallback_duration: floor,
+        } = incumbent;
         Member {
             newest_seen: heard,
             received: told,
@@ -122,11 +127,11 @@
 
     /// What it applies now. A caller that handles a request reads this once, and completes the request by that result.
     pub fn acting(&self, now: Nanos) -> ActivePolicy {
-        self.standing(now).0
+        self.active_policy_until(now).0
     }
 
     /// What it applies now, and until when if no further grant arrives.
-    pub fn standing(&self, now: Nanos) -> (ActivePolicy, Nanos) {
+    pub fn active_policy_until(&self, now: Nanos) -> (ActivePolicy, Nanos) {
         match self.received {
             Some((_, set)) if now < self.lease_expires_at => {
                 (ActivePolicy::Leased(set), self.lease_expires_at)
@@ -136,8 +141,8 @@
                 _ => (ActivePolicy::Denied, Nanos::MAX),
             },
             None => match self.startup {
-                StartupPolicy::Waits => (ActivePolicy::Denied, Nanos::MAX),
-                StartupPolicy::FloorAfter(wait) => match self.started_at.saturating_add(wait) {
+                StartupPolicy::ServeNobody => (ActivePolicy::Denied, Nanos::MAX),
+                StartupPolicy::FallbackAfter(wait) => match self.started_at.saturating_add(wait) {
                     fallback_from if now < fallback_from => (ActivePolicy::Denied, fallback_from),
                     _ => (ActivePolicy::Fallback, Nanos::MAX),
                 },
@@ -151,22 +156,22 @@
     }
 
     /// When its lease expires.
-    pub fn until(&self) -> Nanos {
+    pub fn lease_expires_at(&self) -> Nanos {
         self.lease_expires_at
     }
 
     /// The policy set that it applied last, whether or not it still holds a lease for it.
-    pub fn told(&self) -> Option<PolicySet> {
+    pub fn last_policy_set(&self) -> Option<PolicySet> {
         self.received.map(|(_, set)| set)
     }
 
     /// Its incarnation.
-    pub fn boot(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
     /// Returns the next request, to be sent now.
-    pub fn ask(&mut self, now: Nanos) -> LeaseRequest {
+    pub fn next_request(&mut self, now: Nanos) -> LeaseRequest {
         self.seq += 1;
         self.pending.push_back((self.seq, now));
         while self.pending.len() > MAX_PENDING_REQUESTS {
@@ -174,39 +179,39 @@
         }
         let acting = if now < self.lease_expires_at { self.revision() } else { Revision(0) };
         LeaseRequest {
-            boot: self.incarnation,
+            incarnation: self.incarnation,
             seq: self.seq,
             acting,
-            heard: self.newest_seen,
+            newest_seen: self.newest_seen,
             refused: self.rejected.clone(),
         }
     }
 
     /// Processes a grant. `apply` applies a policy set, or returns the reason why this proxy cannot. Returns whether the applied policy set
     /// has changed.
-    pub fn granted(
+    pub fn process_grant(
         &mut self,
         grant: &LeaseGrant,
         apply: impl FnOnce(PolicySet) -> Result<(), String>,
     ) -> bool {
-        if grant.boot != self.incarnation || grant.revision < self.newest_seen {
+        if grant.incarnation != self.incarnation || grant.revision < self.newest_seen {
             return false;
         }
         let Some(index) = self.pending.iter().position(|(seq, _)| *seq == grant.seq) else { return false };
         let (_, sent) = self.pending[index];
         // Danger: the lease counts from when the request was sent. If it counted from when the grant arrives, a grant that was delayed, or
         // whose sender paused, would make it last past the time at which the coordinator considers it expired.
-        let until = sent.saturating_add(grant.span);
-        self.fallback_span = grant.floor;
+        let until = sent.saturating_add(grant.lease_duration);
+        self.fallback_span = grant.fallback_duration;
         if grant.revision > self.newest_seen {
             self.newest_seen = grant.revision;
-            if let Err(reason) = apply(grant.told) {
+            if let Err(reason) = apply(grant.policy_set) {
                 // The member keeps applying the previous policy set until its lease for that expires.
                 self.rejected = Some((grant.revision, reason));
                 return false;
             }
             self.rejected = None;
-            self.received = Some((grant.revision, grant.told));
+            self.received = Some((grant.revision, grant.policy_set));
             self.lease_expires_at = until;
             return true;
         }
--- a/crates/core/policy/src/messages.rs
+++ b/crates/core/policy/src/messages.rs
@@ -9,7 +9,7 @@
 pub struct LeaseRequest {
     /// The process that sends the request.
     #[serde(rename = "boot")]
-    pub boot: Incarnation,
+    pub incarnation: Incarnation,
     /// Sequence number; incremented with each request of the process.
     pub seq: u64,
     /// The revision that the process applies; 0 if it applies none.
@@ -17,7 +17,7 @@
     /// The newest revision that the process has ever received. Absent (0) in requests of programs older than this field.
     #[serde(default)]
     #[serde(rename = "heard")]
-    pub heard: Revision,
+    pub newest_seen: Revision,
     /// The newest revision, if the process cannot apply it, and the reason.
     pub refused: Option<(Revision, String)>,
 }
@@ -27,7 +27,7 @@
 pub struct LeaseGrant {
     /// The process that sent the request.
     #[serde(rename = "boot")]
-    pub boot: Incarnation,
+    pub incarnation: Incarnation,
     /// Sequence number of the request that is answered. Danger: the lease counts from when that request was sent, so a grant that
     /// matches no pending request must be ignored.
     pub seq: u64,
@@ -35,13 +35,13 @@
     pub revision: Revision,
     /// The policy set of that revision.
     #[serde(rename = "told")]
-    pub told: PolicySet,
+    pub policy_set: PolicySet,
     /// Duration of the lease, by the member's clock, counted from when the request was sent.
     #[serde(rename = "span")]
-    pub span: Nanos,
+    pub lease_duration: Nanos,
     /// How long the member may apply the fallback policy after the lease expires.
     #[serde(rename = "floor")]
-    pub floor: Nanos,
+    pub fallback_duration: Nanos,
 }
 
 /// Format version of requests and grants. It is incremented when the meaning of an existing field changes, not when fields are added.
--- a/crates/core/policy/src/overlay.rs
+++ b/crates/core/policy/src/overlay.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Overlay {
     /// Serve with these settings and reject the listed classes.
-    By(Intersection),
+    Settings(Intersection),
     /// Serve nobody.
     Nobody,
 }
@@ -39,31 +39,34 @@
     };
     let settings_of_set = |set: PolicySet| {
         Ok(match set {
-            PolicySet::Pure(one) => Intersection { settings: settings_of(one)?, stops: BTreeSet::new() },
+            PolicySet::Pure(one) => {
+                Intersection { settings: settings_of(one)?, rejected_classes: BTreeSet::new() }
+            }
             PolicySet::Joint(old, new) => intersect(&settings_of(old)?, &settings_of(new)?),
         })
     };
     Ok(match (acting, last) {
         (ActivePolicy::Denied, _) => Overlay::Nobody,
-        (ActivePolicy::Leased(leased), _) => Overlay::By(settings_of_set(leased)?),
+        (ActivePolicy::Leased(leased), _) => Overlay::Settings(settings_of_set(leased)?),
         (ActivePolicy::Fallback, None) => match startup_fallback {
             FallbackPolicy::Nobody => Overlay::Nobody,
-            FallbackPolicy::Settings(fallback) => {
-                Overlay::By(Intersection { settings: fallback.over(own)?, stops: BTreeSet::new() })
-            }
+            FallbackPolicy::Settings(fallback) => Overlay::Settings(Intersection {
+                settings: fallback.over(own)?,
+                rejected_classes: BTreeSet::new(),
+            }),
         },
         (ActivePolicy::Fallback, Some(last)) => {
             // During a change, the fallback policy of the old policy applies: a policy can be proposed only if no fallback policy in use
             // is looser than it.
-            let fallback = last.numbers().next().and_then(|n| policies.get(&n)).map(|p| &p.floor);
+            let fallback = last.numbers().next().and_then(|n| policies.get(&n)).map(|p| &p.fallback);
             match fallback {
                 None | Some(FallbackPolicy::Nobody) => Overlay::Nobody,
                 Some(FallbackPolicy::Settings(fallback)) => {
                     // Fields that the fallback policy does not set stay as strict as in the last policy set.
                     let last = settings_of_set(last)?;
                     let mut overlay = intersect(&fallback.over(own)?, &last.settings);
-                    overlay.stops.extend(last.stops);
-                    Overlay::By(overlay)
+                    overlay.rejected_classes.extend(last.rejected_classes);
+                    Overlay::Settings(overlay)
                 }
             }
         }
--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -110,7 +110,7 @@
     pub next: PolicyNumber,
     /// The policy in force; while a change is pending, the old one.
     #[serde(rename = "holds")]
-    pub holds: PolicyNumber,
+    pub in_force: PolicyNumber,
     /// The phase: whether a change is pending, and which.
     pub phase: Phase,
     /// The last change that ended, and its outcome.
@@ -124,7 +124,7 @@
         PolicyRecord {
             revision: Revision(1),
             next: PolicyNumber(1),
-            holds: PolicyNumber(0),
+            in_force: PolicyNumber(0),
             phase: Phase::Settled,
             last: None,
             events: VecDeque::new(),
@@ -136,8 +136,8 @@
     /// The policy set that members are to apply.
     pub fn policy_set(&self) -> PolicySet {
         match &self.phase {
-            Phase::Settled => PolicySet::Pure(self.holds),
-            Phase::Joint(change) => PolicySet::Joint(self.holds, change.to),
+            Phase::Settled => PolicySet::Pure(self.in_force),
+            Phase::Joint(change) => PolicySet::Joint(self.in_force, change.to),
         }
     }
 
@@ -193,7 +193,7 @@
         let Phase::Joint(change) = &self.phase else { return None };
         let mut next = self.clone();
         if outcome == ChangeOutcome::Committed {
-            next.holds = change.to;
+            next.in_force = change.to;
         }
         next.phase = Phase::Settled;
         next.last = Some((change.to, outcome.clone()));
--- a/crates/core/policy/tests/archive.rs
+++ b/crates/core/policy/tests/archive.rs
@@ -2,7 +2,7 @@
 
 use rushquay_policy::{
     ChangeOutcome, FallbackPolicy, Incarnation, LeaseRequest, LeaseTerms, Policy, PolicyArchive,
-    PolicyNumber, PolicyRecord, Revision, UnfitPolicy,
+    PolicyNumber, PolicyRecord, ProposalError, Revision,
 };
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -10,7 +10,12 @@
 const SECOND: u64 = 1_000_000_000;
 
 fn terms() -> LeaseTerms {
-    LeaseTerms { span: 10 * SECOND, drift_ppm: 0, limit: 60 * SECOND, floor: 90 * SECOND }
+    LeaseTerms {
+        lease_duration: 10 * SECOND,
+        drift_ppm: 0,
+        change_timeout: 60 * SECOND,
+        fallback_duration: 90 * SECOND,
+    }
 }
 
 fn attempts(n: u64) -> Value {
@@ -18,7 +23,7 @@
 }
 
 fn lease_request(boot: u64, acting: Revision) -> LeaseRequest {
-    LeaseRequest { boot: Incarnation(boot), seq: 1, acting, heard: acting, refused: None }
+    LeaseRequest { incarnation: Incarnation(boot), seq: 1, acting, newest_seen: acting, refused: None }
 }
 
 struct Fixture {
@@ -32,8 +37,8 @@
         Fixture { archive: PolicyArchive::lead(BTreeMap::new(), FallbackPolicy::Nobody, &record, 0), record }
     }
 
-    fn fit(&self, settings: &Value, floor: Option<&Value>, now: u64) -> Result<Policy, UnfitPolicy> {
-        self.archive.fit(settings, floor, (&self.record, &terms()), now)
+    fn fit(&self, settings: &Value, floor: Option<&Value>, now: u64) -> Result<Policy, ProposalError> {
+        self.archive.validate_proposal(settings, floor, (&self.record, &terms()), now)
     }
 
     /// Proposes and commits a policy; each process in `processes` gets a lease for every step and applies the result.
@@ -48,11 +53,11 @@
         self.record = self.record.propose(("a", "b"), None).expect("proposed");
         let number = self.record.policy_set().numbers().nth(1).expect("a joint policy set");
         self.archive.put(number, policy);
-        self.archive.moved(&self.record);
+        self.archive.record_changed(&self.record);
         for revision in [self.record.revision, Revision(self.record.revision.0 + 1)] {
             if revision != self.record.revision {
                 self.record = self.record.conclude(ChangeOutcome::Committed).expect("a change is pending");
-                self.archive.moved(&self.record);
+                self.archive.record_changed(&self.record);
             }
             for boot in processes {
                 self.archive.granted(&format!("p{boot}"), &lease_request(*boot, revision), &self.record, now);
@@ -73,7 +78,7 @@
         Some(&json!("nobody")),
         now,
     ) {
-        Err(UnfitPolicy::StricterThanFallback { policy, proxies, remaining_s, .. }) => {
+        Err(ProposalError::StricterThanFallback { policy, proxies, remaining_s, .. }) => {
             Some((policy, proxies, remaining_s))
         }
         Err(other) => panic!("{other}"),
@@ -112,8 +117,8 @@
         [1, 2].map(|n| (PolicyNumber(n), fixture.archive.get(PolicyNumber(n)).expect("persisted").clone()));
     let successor =
         PolicyArchive::lead(BTreeMap::from(persisted), FallbackPolicy::Nobody, &fixture.record, 200 * SECOND);
-    let fits = |now: u64| successor.fit(&attempts(2), None, (&fixture.record, &terms()), now);
-    assert!(matches!(fits(300 * SECOND), Err(UnfitPolicy::StricterThanFallback { policy: 1, .. })));
+    let fits = |now: u64| successor.validate_proposal(&attempts(2), None, (&fixture.record, &terms()), now);
+    assert!(matches!(fits(300 * SECOND), Err(ProposalError::StricterThanFallback { policy: 1, .. })));
     assert!(fits(300 * SECOND + 1).is_ok());
 }
 
@@ -125,10 +130,10 @@
     let policy = fixture.fit(&attempts(9), Some(&attempts(8)), late).expect("the policy is accepted");
     fixture.record = fixture.record.propose(("a", "b"), None).expect("proposed");
     fixture.archive.put(PolicyNumber(1), policy);
-    fixture.archive.moved(&fixture.record);
+    fixture.archive.record_changed(&fixture.record);
     fixture.archive.granted("p1", &lease_request(1, Revision(0)), &fixture.record, late);
     fixture.record = fixture.record.withdraw("a", None).expect("withdrawn");
-    fixture.archive.moved(&fixture.record);
+    fixture.archive.record_changed(&fixture.record);
     assert!(fixture.fit(&attempts(2), Some(&json!("nobody")), late).is_ok());
 }
 
@@ -136,7 +141,7 @@
 fn a_fallback_looser_than_its_policy_is_rejected() {
     let fixture = Fixture::new();
     let looser = |settings: &Value, floor: &Value| match fixture.fit(settings, Some(floor), 0) {
-        Err(UnfitPolicy::Policy(why)) => why.to_string(),
+        Err(ProposalError::Policy(why)) => why.to_string(),
         other => panic!("{other:?}"),
     };
     assert!(looser(&attempts(3), &attempts(4)).contains("caps.attempts_cap"));
@@ -154,7 +159,8 @@
     for n in 0..12u64 {
         fixture.commit_policy(&attempts(9), &attempts(1), n, &[1]);
     }
-    let unused = |fixture: &mut Fixture, now: u64| fixture.archive.useless(&fixture.record, &terms(), now);
+    let unused =
+        |fixture: &mut Fixture, now: u64| fixture.archive.unused_policies(&fixture.record, &terms(), now);
     assert_eq!(unused(&mut fixture, 50 * SECOND), [], "the leadership has only just begun");
     let removed = unused(&mut fixture, 300 * SECOND);
     assert_eq!(removed, [1, 2, 3, 4].map(PolicyNumber));
--- a/crates/core/policy/tests/intersection.rs
+++ b/crates/core/policy/tests/intersection.rs
@@ -61,16 +61,16 @@
         prop_assert_eq!(&one, &two);
         let repeated = intersect(&one.settings, &one.settings);
         prop_assert_eq!(&repeated.settings, &one.settings);
-        prop_assert!(repeated.stops.is_empty());
+        prop_assert!(repeated.rejected_classes.is_empty());
         // Only rejected fields may be looser than either policy.
         for policy in [&a, &b] {
             let loose = looser_paths(&one.settings, policy);
-            let rejected = rejected_paths(&one.stops);
+            let rejected = rejected_paths(&one.rejected_classes);
             prop_assert!(loose.iter().all(|path| rejected.contains(&path.as_str())), "{:?} of {} and {}: {}", loose, a, b, one.settings);
         }
         // The operation is associative if nothing is rejected.
         let (left, right) = (intersect(&one.settings, &c), intersect(&a, &intersect(&b, &c).settings));
-        if one.stops.is_empty() && left.stops.is_empty() && right.stops.is_empty() && intersect(&b, &c).stops.is_empty() {
+        if one.rejected_classes.is_empty() && left.rejected_classes.is_empty() && right.rejected_classes.is_empty() && intersect(&b, &c).rejected_classes.is_empty() {
             prop_assert_eq!(left.settings, right.settings);
         }
     }
@@ -85,7 +85,7 @@
                    "customers": [{"name": "hostels", "quota_rps": 70.0}],
                    "caps": {"attempts_cap": 2, "second_copies": false, "max_retry_after_ns": 7}});
     let intersection = intersect(&a, &b);
-    assert!(intersection.stops.is_empty(), "{:?}", intersection.stops);
+    assert!(intersection.rejected_classes.is_empty(), "{:?}", intersection.rejected_classes);
     let plan = &intersection.settings["categories"][0];
     assert_eq!(
         *plan,
@@ -103,7 +103,7 @@
     let class =
         |zones: Value| json!({"categories": [{"name": "plan", "allowed_in": zones}, {"name": "read"}]});
     let intersection = intersect(&class(json!([0, 1])), &class(json!([2])));
-    let messages: Vec<String> = intersection.stops.iter().map(|s| s.to_string()).collect();
+    let messages: Vec<String> = intersection.rejected_classes.iter().map(|s| s.to_string()).collect();
     assert_eq!(
         messages,
         ["plan is refused until it is decided: the two have nothing in common in categories.allowed_in"]
@@ -111,16 +111,19 @@
     // A conflict in a field without an order rejects every request that the field concerns.
     let intersection = intersect(&json!({"worth_by": "request"}), &json!({"worth_by": "time"}));
     assert_eq!(
-        intersection.stops.into_iter().collect::<Vec<_>>(),
+        intersection.rejected_classes.into_iter().collect::<Vec<_>>(),
         [RejectedClass { class: None, path: "worth_by".into() }]
     );
     // So does a conflict in an unknown field.
     let intersection = intersect(&json!({"rules": {"new": 1}}), &json!({"rules": {"new": 2}}));
-    assert_eq!(intersection.stops.into_iter().next().map(|s| s.path).as_deref(), Some("rules.new"));
+    assert_eq!(
+        intersection.rejected_classes.into_iter().next().map(|s| s.path).as_deref(),
+        Some("rules.new")
+    );
     let intersection =
         intersect(&json!({"categories": [{"name": "a"}]}), &json!({"categories": [{"name": "b"}]}));
     assert_eq!(
-        intersection.stops.into_iter().next().map(|s| (s.class, s.path)),
+        intersection.rejected_classes.into_iter().next().map(|s| (s.class, s.path)),
         Some((None, "categories".into()))
     );
 }
