--- a/crates/core/policy/tests/messages.rs
+++ b/crates/core/policy/tests/messages.rs
@@ -13,12 +13,12 @@
     let floor = FallbackPolicy::Settings(
         ConfigVersion::read(&json!({"caps": {"attempts_cap": 1}})).expect("a fallback policy"),
     );
-    let second = Policy::of(&settings, floor).expect("a policy");
+    let second = Policy::validated(&settings, floor).expect("a policy");
     let policies =
         BTreeMap::from([(PolicyNumber(0), Policy::base(FallbackPolicy::Nobody)), (PolicyNumber(2), second)]);
     PolicyBroadcast {
         revision: Revision(4),
-        told: PolicySet::Joint(PolicyNumber(0), PolicyNumber(2)),
+        policy_set: PolicySet::Joint(PolicyNumber(0), PolicyNumber(2)),
         policies,
     }
 }
@@ -28,20 +28,20 @@
     assert_eq!(PolicyBroadcast::read(&broadcast().text()), Ok(broadcast()));
     let refused = Some((Revision(3), "categories[0].name".to_owned()));
     let request = LeaseRequest {
-        boot: Incarnation(u64::MAX),
+        incarnation: Incarnation(u64::MAX),
         seq: 9,
         acting: Revision(2),
-        heard: Revision(3),
+        newest_seen: Revision(3),
         refused,
     };
     assert_eq!(LeaseRequest::read(&request.text()), Ok(request));
     let grant = LeaseGrant {
-        boot: Incarnation(7),
+        incarnation: Incarnation(7),
         seq: 9,
         revision: Revision(4),
-        told: PolicySet::Pure(PolicyNumber(2)),
-        span: 5,
-        floor: 6,
+        policy_set: PolicySet::Pure(PolicyNumber(2)),
+        lease_duration: 5,
+        fallback_duration: 6,
     };
     assert_eq!(LeaseGrant::read(&grant.text()), Ok(grant));
 }
@@ -49,8 +49,13 @@
 /// Unknown fields are ignored, another format version is rejected, and a field that is absent in an older message gets its default.
 #[test]
 fn messages_of_adjacent_versions_are_decoded() {
-    let request =
-        LeaseRequest { boot: Incarnation(1), seq: 1, acting: Revision(0), heard: Revision(5), refused: None };
+    let request = LeaseRequest {
+        incarnation: Incarnation(1),
+        seq: 1,
+        acting: Revision(0),
+        newest_seen: Revision(5),
+        refused: None,
+    };
     let decode_edited = |change: fn(&mut Value)| {
         let mut message: Value = serde_json::from_str(&request.text()).expect("JSON");
         change(&mut message);
@@ -59,7 +64,7 @@
     assert_eq!(decode_edited(|m| m["color"] = json!("blue")), Ok(request.clone()));
     assert_eq!(decode_edited(|m| m["form"] = json!(2)), Err(MessageError::UnsupportedFormat(2)));
     let earlier = decode_edited(|m| drop(m.as_object_mut().expect("fields").remove("heard")));
-    assert_eq!(earlier, Ok(LeaseRequest { heard: Revision(0), ..request.clone() }));
+    assert_eq!(earlier, Ok(LeaseRequest { newest_seen: Revision(0), ..request.clone() }));
     assert!(matches!(LeaseRequest::read("GET /"), Err(MessageError::Malformed(_))));
 }
 
@@ -72,7 +77,7 @@
         PolicyBroadcast::read(&message.to_string())
     };
     let unsupported = |read: Result<PolicyBroadcast, BroadcastError>| match read {
-        Err(BroadcastError::Beyond { revision: Revision(4), why }) => why,
+        Err(BroadcastError::Unsupported { revision: Revision(4), why }) => why,
         other => panic!("{other:?}"),
     };
     assert!(unsupported(decode_edited(&|m| m["form"] = json!(2))).contains("upgrade it first"));
--- a/crates/core/policy/tests/protocol.rs
+++ b/crates/core/policy/tests/protocol.rs
@@ -9,18 +9,23 @@
 const SECOND: u64 = 1_000_000_000;
 
 fn terms() -> LeaseTerms {
-    LeaseTerms { span: 5 * SECOND, drift_ppm: 10_000, limit: 60 * SECOND, floor: 100 * SECOND }
+    LeaseTerms {
+        lease_duration: 5 * SECOND,
+        drift_ppm: 10_000,
+        change_timeout: 60 * SECOND,
+        fallback_duration: 100 * SECOND,
+    }
 }
 
 fn new_member(boot: u64) -> Member {
-    Member::new(Incarnation(boot), StartupPolicy::Waits, 0)
+    Member::new(Incarnation(boot), StartupPolicy::ServeNobody, 0)
 }
 
 /// Exchanges one request and its grant, at these times by the coordinator's clock and the member's.
 fn exchange(c: &mut Coordinator, m: &mut Member, name: &str, (leader_time, member_time): (u64, u64)) {
-    let request = m.ask(member_time);
-    if let Some(grant) = c.hear(name, &request, leader_time) {
-        m.granted(&grant, |_| Ok(()));
+    let request = m.next_request(member_time);
+    if let Some(grant) = c.grant_lease(name, &request, leader_time) {
+        m.process_grant(&grant, |_| Ok(()));
     }
 }
 
@@ -40,12 +45,12 @@
             let mut m = new_member(1);
             exchange(&mut c, &mut m, "p0", (clock(granted, leader), clock(granted, member)));
             let proposed = c.record().propose(("a", "b"), None).expect("proposed");
-            c.kept(proposed, clock(granted, leader));
+            c.adopt_record(proposed, clock(granted, leader));
             // The first time, in steps of a millisecond, at which no member blocks the change.
             let unblocked_at = (0..10_000u64).map(|ms| granted + ms * 1_000_000);
             let unblocked_at = unblocked_at
                 .into_iter()
-                .find(|t| c.holdups(clock(*t, leader)).is_empty())
+                .find(|t| c.blocking_members(clock(*t, leader)).is_empty())
                 .expect("the change is unblocked");
             matches!(m.acting(clock(unblocked_at, member)), ActivePolicy::Leased(_))
         })
@@ -69,7 +74,7 @@
     assert_eq!(m.acting(105 * SECOND - 1), ActivePolicy::Fallback);
     assert_eq!(m.acting(105 * SECOND), ActivePolicy::Denied);
     // A process that is configured to start with its own fallback policy applies it after its wait.
-    let started = Member::new(Incarnation(2), StartupPolicy::FloorAfter(3 * SECOND), 0);
+    let started = Member::new(Incarnation(2), StartupPolicy::FallbackAfter(3 * SECOND), 0);
     assert_eq!(
         (started.acting(3 * SECOND - 1), started.acting(3 * SECOND)),
         (ActivePolicy::Denied, ActivePolicy::Fallback)
@@ -84,27 +89,27 @@
         exchange(&mut c, m.1, m.0, (0, 0));
     }
     let proposed = c.record().propose(("ravi", "less for hostels"), Some(Revision(1))).expect("proposed");
-    c.kept(proposed, SECOND);
+    c.adopt_record(proposed, SECOND);
     exchange(&mut c, &mut able, "able", (SECOND, SECOND));
     assert_eq!(able.acting(SECOND), ActivePolicy::Leased(PolicySet::Joint(PolicyNumber(0), PolicyNumber(1))));
-    let request = older.ask(SECOND);
-    let grant = c.hear("older", &request, SECOND).expect("a lease");
-    older.granted(&grant, |_| Err("caps.attempts_cap: not known here".into()));
+    let request = older.next_request(SECOND);
+    let grant = c.grant_lease("older", &request, SECOND).expect("a lease");
+    older.process_grant(&grant, |_| Err("caps.attempts_cap: not known here".into()));
     assert_eq!(
         older.acting(SECOND),
         ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(0))),
         "it keeps applying the previous policy set"
     );
     // A grant for a revision that it cannot apply does not extend its lease.
-    let request = older.ask(2 * SECOND);
-    let grant = c.hear("older", &request, 2 * SECOND).expect("a lease");
-    older.granted(&grant, |_| Ok(()));
-    assert_eq!(older.until(), 5 * SECOND);
+    let request = older.next_request(2 * SECOND);
+    let grant = c.grant_lease("older", &request, 2 * SECOND).expect("a lease");
+    older.process_grant(&grant, |_| Ok(()));
+    assert_eq!(older.lease_expires_at(), 5 * SECOND);
     let record = c.step(2 * SECOND).expect("the change ends");
     let why = "caps.attempts_cap: not known here".to_owned();
     assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Refused { name: "older".into(), why })));
-    assert_eq!((record.holds, &record.phase), (PolicyNumber(0), &Phase::Settled));
-    c.kept(record, 2 * SECOND);
+    assert_eq!((record.in_force, &record.phase), (PolicyNumber(0), &Phase::Settled));
+    c.adopt_record(record, 2 * SECOND);
     exchange(&mut c, &mut able, "able", (2 * SECOND, 2 * SECOND));
     assert_eq!(
         able.acting(2 * SECOND),
@@ -123,19 +128,19 @@
     }
     let now = 3 * SECOND;
     let proposed = c.record().propose(("ravi", "b"), None).expect("proposed");
-    c.kept(proposed, now);
+    c.adopt_record(proposed, now);
     exchange(&mut c, &mut healthy, "healthy", (now, now));
     let mut committed = None;
     for tenth in 30..200u64 {
         let now = tenth * SECOND / 10;
-        c.hear("deaf", &deaf.ask(now), now);
+        c.grant_lease("deaf", &deaf.next_request(now), now);
         exchange(&mut c, &mut healthy, "healthy", (now, now));
         if let Some(record) = c.step(now) {
             assert_eq!(record.last, Some((PolicyNumber(1), ChangeOutcome::Committed)));
             committed = Some(now);
             break;
         }
-        let names: Vec<String> = c.holdups(now).into_iter().map(|h| h.name).collect();
+        let names: Vec<String> = c.blocking_members(now).into_iter().map(|h| h.name).collect();
         assert!(names.contains(&"down".to_owned()) && names.contains(&"deaf".to_owned()), "{names:?}");
     }
     let committed = committed.expect("it is committed");
@@ -182,13 +187,13 @@
             .conclude(ChangeOutcome::Committed)
             .expect("a change was pending");
     }
-    c.kept(record.clone(), 0);
+    c.adopt_record(record.clone(), 0);
     exchange(&mut c, &mut old, "old", (0, 0));
     assert_eq!(old.acting(0), ActivePolicy::Leased(PolicySet::Pure(PolicyNumber(3))));
     // The next leader finds an empty store.
     let mut c = Coordinator::lead(terms(), PolicyRecord::default(), SECOND);
     exchange(&mut c, &mut old, "old", (SECOND, SECOND));
-    assert_eq!(c.behind(), Some(("old", Revision(7))));
+    assert_eq!(c.member_ahead_of_store(), Some(("old", Revision(7))));
     exchange(&mut c, &mut young, "young", (SECOND, SECOND));
     assert_eq!(
         young.acting(SECOND),
@@ -205,8 +210,8 @@
         (resumed.revision, resumed.policy_set()),
         (Revision(8), PolicySet::Joint(PolicyNumber(0), PolicyNumber(7)))
     );
-    c.kept(resumed, 10 * SECOND);
-    assert_eq!(c.behind(), None);
+    c.adopt_record(resumed, 10 * SECOND);
+    assert_eq!(c.member_ahead_of_store(), None);
     for (name, m) in [("old", &mut old), ("young", &mut young)] {
         exchange(&mut c, m, name, (10 * SECOND, 10 * SECOND));
         assert_eq!(
--- a/crates/core/policy/tests/state_exploration.rs
+++ b/crates/core/policy/tests/state_exploration.rs
@@ -125,11 +125,16 @@
 }
 
 fn terms() -> LeaseTerms {
-    LeaseTerms { span: LEASE_TICKS, drift_ppm: 0, limit: CHANGE_TIMEOUT_TICKS, floor: FALLBACK_TICKS }
+    LeaseTerms {
+        lease_duration: LEASE_TICKS,
+        drift_ppm: 0,
+        change_timeout: CHANGE_TIMEOUT_TICKS,
+        fallback_duration: FALLBACK_TICKS,
+    }
 }
 
 fn member(boot: u64, now: u64) -> Member {
-    Member::new(Incarnation(boot), StartupPolicy::Waits, now)
+    Member::new(Incarnation(boot), StartupPolicy::ServeNobody, now)
 }
 
 fn initial_world() -> World {
@@ -251,7 +256,7 @@
             }
         }
         if self.store.phase == Phase::Settled {
-            self.ever_in_force.insert(self.store.holds);
+            self.ever_in_force.insert(self.store.in_force);
         }
         true
     }
@@ -262,14 +267,16 @@
         let epoch = leader.epoch;
         if removed == Removed::PersistBeforeGranting && crashes {
             // Leases are granted for the record, which never reaches the store.
-            return leader.coordinator.kept(record, self.now);
+            return leader.coordinator.adopt_record(record, self.now);
         }
         if crashes {
             self.pending_write = Some((epoch, record));
             self.leaders[l] = None;
         } else if self.store(epoch, record.clone(), removed) {
             let now = self.now;
-            self.leaders[l].iter_mut().for_each(|leader| leader.coordinator.kept(record.clone(), now));
+            self.leaders[l]
+                .iter_mut()
+                .for_each(|leader| leader.coordinator.adopt_record(record.clone(), now));
         } else {
             self.leaders[l] = None;
         }
@@ -302,17 +309,17 @@
                 }
             }
             Step::Exchange(m, l) => {
-                let request = self.members[m].ask(now);
+                let request = self.members[m].next_request(now);
                 self.last_requests[m] = Some((request.clone(), now));
                 let Some(leader) = &mut self.leaders[l] else { return };
-                if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
+                if let Some(grant) = leader.coordinator.grant_lease(NAMES[m], &request, now) {
                     self.send_grant(m, grant, now);
                 }
             }
             Step::Duplicate(m, l) => {
                 let Some((request, requested_at)) = self.last_requests[m].clone() else { return };
                 let Some(leader) = &mut self.leaders[l] else { return };
-                if let Some(grant) = leader.coordinator.hear(NAMES[m], &request, now) {
+                if let Some(grant) = leader.coordinator.grant_lease(NAMES[m], &request, now) {
                     self.send_grant(m, grant, requested_at);
                 }
             }
@@ -323,17 +330,17 @@
                 }
                 let member = &mut self.members[m];
                 if removed == Removed::LeaseStartAtRequest {
-                    grant.span += now - requested_at;
+                    grant.lease_duration += now - requested_at;
                 }
                 if removed == Removed::RequestMatching {
                     // The grant is accepted as if it answered a request that this process sends now.
-                    let request = member.ask(now);
-                    (grant.boot, grant.seq) = (request.boot, request.seq);
+                    let request = member.next_request(now);
+                    (grant.incarnation, grant.seq) = (request.incarnation, request.seq);
                 }
                 if removed == Removed::RevisionOrder {
                     grant.revision = Revision(grant.revision.0.max(member.revision().0 + 1));
                 }
-                member.granted(&grant, |_| Ok(()));
+                member.process_grant(&grant, |_| Ok(()));
             }
             Step::Decide(l, crashes) => {
                 let Some(leader) = &mut self.leaders[l] else { return };
@@ -343,7 +350,7 @@
                     }
                     Removed::WaitAfterTakeover => {
                         // The leader ignores that leases of previous leaders may not have expired.
-                        let blocking = leader.coordinator.holdups(now);
+                        let blocking = leader.coordinator.blocking_members(now);
                         let only_predecessors = blocking.iter().all(|member| member.name.is_empty());
                         if only_predecessors {
                             leader.coordinator.record().conclude(ChangeOutcome::Committed)
@@ -415,7 +422,7 @@
                 if removed != Removed::SeparateSuccessorLease {
                     self.members[0] = Member::take_over(
                         Incarnation(self.incarnations),
-                        StartupPolicy::Waits,
+                        StartupPolicy::ServeNobody,
                         old.snapshot(),
                         now,
                     );
@@ -493,7 +500,7 @@
             }
         }
         let active: Vec<ActivePolicy> = world.members.iter().map(|m| m.acting(world.now)).collect();
-        let expected = ActivePolicy::Leased(PolicySet::Pure(world.store.holds));
+        let expected = ActivePolicy::Leased(PolicySet::Pure(world.store.in_force));
         if world.store.phase != Phase::Settled || active.iter().any(|a| *a != expected) {
             return Err(format!("the change does not end: {:?} and {active:?}", world.store.phase));
         }
--- a/crates/core/rollout/examples/sim/mod.rs
+++ b/crates/core/rollout/examples/sim/mod.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Poisson};
 use rand_pcg::Pcg64Mcg;
-use rushquay_config_version::{Digest, FORM};
+use rushquay_config_version::{Digest, FORMAT_VERSION};
 use rushquay_membership::{ClassStats, MemberStatus, Membership, MembershipTimeouts, ProxyStats, Report};
 use rushquay_rollout::{
     Analysis, Bounds, FleetView, HoldReason, Phase, PlanText, RollbackReason, RolloutRegistry,
@@ -114,7 +114,7 @@
     mut observe: impl FnMut(&RolloutRegistry, &[FleetView<'_>]),
 ) -> SimulationResult {
     let mut random = Pcg64Mcg::seed_from_u64(world.seed);
-    let timeouts = MembershipTimeouts { most: world.proxies * 2, ..MembershipTimeouts::default() };
+    let timeouts = MembershipTimeouts { max_members: world.proxies * 2, ..MembershipTimeouts::default() };
     let (mut membership, mut registry) = (Membership::new(timeouts), RolloutRegistry::default());
     let mut analysis = Analysis::new(Bounds::default());
     let base = registry.record().holds;
@@ -146,15 +146,15 @@
                 reason: "r".into(),
                 displace: false,
             };
-            registry.start(request, None, analysis.usual(), now).expect("started");
-            analysis.begin(4);
+            registry.start(request, None, analysis.baseline_rates(), now).expect("started");
+            analysis.begin_stage(4);
         }
         let to = registry.record().change.as_ref().map_or(base, |c| c.to);
         let problem =
             world.fleet_problem.filter(|(from, to, _)| (*from..*to).contains(&second)).map_or(0.0, |t| t.2);
         for p in &mut proxies {
             // Proxies apply the assignments of the previous second.
-            p.acting = registry.given(&p.name).1.digest();
+            p.acting = registry.assigned_version(&p.name).1.digest();
             let is_new = p.acting == to && to != base;
             p.tried |= is_new;
             result.harmed += serve(world, p, is_new, problem, &mut random);
@@ -163,7 +163,7 @@
                 continue;
             }
             let report = Report {
-                form: FORM,
+                form: FORMAT_VERSION,
                 boot: 1,
                 seq: p.seq,
                 zone: p.zone.clone(),
@@ -175,29 +175,31 @@
                 leaving: false,
                 figures: p.figures.clone(),
             };
-            membership.hear(&p.name, report, 1, now);
+            membership.process_report(&p.name, report, 1, now);
         }
-        let serving = membership.instances().filter(|i| membership.standing(i, now) == MemberStatus::Serving);
+        let serving = membership.members().filter(|i| membership.status(i, now) == MemberStatus::Serving);
         let fleet: Vec<FleetView<'_>> = membership
-            .instances()
+            .members()
             .map(|i| FleetView {
-                name: &i.told.name,
-                zone: &i.told.zone,
-                standing: membership.standing(i, now),
-                acting: i.told.acting,
+                name: &i.record.name,
+                zone: &i.record.zone,
+                status: membership.status(i, now),
+                applied_version: i.record.acting,
                 since: i.since(),
-                quiet: now - i.heard.unwrap_or(0),
+                since_last_report: now - i.last_report_at.unwrap_or(0),
                 refused: None,
             })
             .collect();
         let Some(change) = registry.running() else {
-            analysis.look(serving, |_| false, (base, base), SECOND);
+            analysis.observe_interval(serving, |_| false, (base, base), SECOND);
             continue;
         };
         let (from, to) = (change.from, change.to);
-        analysis.look(serving, |name| change.moved.contains_key(name), (from, to), SECOND);
+        analysis.observe_interval(serving, |name| change.moved.contains_key(name), (from, to), SECOND);
         let verdict = match change.stage() {
-            Some(stage) => analysis.verdict(change.plan.stage(stage).soak, change.plan.last(stage), now),
+            Some(stage) => {
+                analysis.verdict(change.plan.stage(stage).soak, change.plan.is_last_stage(stage), now)
+            }
             None => Verdict::Waiting(String::new()),
         };
         let before = change.phase.clone();
@@ -207,13 +209,13 @@
             match change.phase {
                 Phase::Moving { .. }
                     if matches!(before, Phase::Held { why: HoldReason::Silent { .. }, .. }) => {}
-                Phase::Moving { .. } => analysis.begin(change.plan.stages().len()),
-                Phase::Soaking { .. } => analysis.soak(now),
+                Phase::Moving { .. } => analysis.begin_stage(change.plan.stages().len()),
+                Phase::Soaking { .. } => analysis.begin_soak(now),
                 _ => {}
             }
         }
         let in_transit =
-            fleet.iter().filter(|s| change.assigned_version(s.name) == to && s.acting != to).count();
+            fleet.iter().filter(|s| change.assigned_version(s.name) == to && s.applied_version != to).count();
         result.max_in_transit = result.max_in_transit.max(in_transit);
         observe(&registry, &fleet);
         result.seconds = second - BASELINE_SECONDS;
@@ -253,7 +255,7 @@
                 figures.refused += 1;
                 harmed += f64::from(u8::from(draw >= usual_share));
             } else {
-                figures.took((times.sample(random) * 1e6) as u64);
+                figures.record_response_time((times.sample(random) * 1e6) as u64);
                 figures.served += 1;
             }
         }
--- a/crates/core/rollout/src/analysis.rs
+++ b/crates/core/rollout/src/analysis.rs
@@ -134,13 +134,13 @@
     }
 
     /// Sets whether the rollout replaces the program. If it does, the restart of a process into the new program does not count as a failure.
-    pub fn replaces(&mut self, replaces: bool) {
+    pub fn set_replaces_program(&mut self, replaces: bool) {
         self.replaces_program = replaces;
     }
 
     /// Begins a stage; `stages` is the number of stages of the rollout. The evidence of earlier stages is dropped; the baseline before the
     /// rollout is kept until the rollout is over.
-    pub fn begin(&mut self, stages: usize) {
+    pub fn begin_stage(&mut self, stages: usize) {
         self.is_baseline_frozen = true;
         for (class, stats) in &self.baseline_times {
             if let Some(buckets) = slow_buckets(stats) {
@@ -154,12 +154,12 @@
     }
 
     /// Starts the soak time: all members of the stage apply the new version.
-    pub fn soak(&mut self, now: Nanos) {
+    pub fn begin_soak(&mut self, now: Nanos) {
         (self.checks, self.soaking_since) = (0, Some(now));
     }
 
     /// Resets the analysis after a rollout: a new baseline is learned.
-    pub fn rest(&mut self) {
+    pub fn end_rollout(&mut self) {
         if self.is_baseline_frozen {
             *self = Analysis {
                 last_reports: std::mem::take(&mut self.last_reports),
@@ -169,12 +169,12 @@
     }
 
     /// The baseline before the rollout: bad outcomes and attempts, each per request; `None`: too few requests were observed.
-    pub fn usual(&self) -> Option<[f64; 2]> {
+    pub fn baseline_rates(&self) -> Option<[f64; 2]> {
         self.baseline.rates_before()
     }
 
     /// Sets the baseline of a previous leader, which is used while this one has none.
-    pub fn told_usual(&mut self, usual: Option<[f64; 2]>) {
+    pub fn set_inherited_baseline(&mut self, usual: Option<[f64; 2]>) {
         self.baseline.set_inherited(usual);
     }
 }
--- a/crates/core/rollout/src/analysis/comparison.rs
+++ b/crates/core/rollout/src/analysis/comparison.rs
@@ -100,10 +100,10 @@
         let buckets = self.slow_buckets.get(class).copied();
         // Bad and all outcomes of one member; `None`: it is not known yet which answers are slow.
         let counts_of = |stats: &ClassStats| match measure {
-            Measure::SlowHalf => buckets.map(|b| (stats.slower(b[0]), stats.served + stats.late)),
-            Measure::SlowTenth => buckets.map(|b| (stats.slower(b[1]), stats.served + stats.late)),
-            Measure::Failed => Some((stats.failed, stats.all())),
-            _ => Some((stats.refused + stats.failed + stats.late, stats.all())),
+            Measure::SlowHalf => buckets.map(|b| (stats.count_slower_than(b[0]), stats.served + stats.late)),
+            Measure::SlowTenth => buckets.map(|b| (stats.count_slower_than(b[1]), stats.served + stats.late)),
+            Measure::Failed => Some((stats.failed, stats.total())),
+            _ => Some((stats.refused + stats.failed + stats.late, stats.total())),
         };
         let counts = |i: usize| {
             cohorts[i].classes.get(class).into_iter().flatten().filter_map(counts_of).collect::<Vec<_>>()
--- a/crates/core/rollout/src/analysis/samples.rs
+++ b/crates/core/rollout/src/analysis/samples.rs
@@ -37,7 +37,7 @@
 impl<'m, M: Fn(&str) -> bool> CohortSelector<'m, M> {
     fn new(serving: &[&'m Member], is_moved: M, (from, to): (Digest, Digest)) -> Self {
         let zones = |matches: &dyn Fn(&MemberRecord) -> bool| {
-            let records = serving.iter().map(|member| &member.told);
+            let records = serving.iter().map(|member| &member.record);
             records.filter(|record| matches(record)).map(|record| record.zone.as_str()).collect()
         };
         let moved_zones = zones(&|record| is_moved(&record.name));
@@ -78,7 +78,7 @@
     /// Adds the reports of all serving members for an interval of length `elapsed`. `versions` are the old and the new config version.
     /// Members for which `is_moved` is true and that apply the new version are the new cohort. Members for which it is false and that
     /// apply the old version are the old cohort, but only in data centres with moved members.
-    pub fn look<'i>(
+    pub fn observe_interval<'i>(
         &mut self,
         serving: impl Iterator<Item = &'i Member>,
         is_moved: impl Fn(&str) -> bool,
@@ -107,7 +107,7 @@
         elapsed: Nanos,
         interval: &mut Interval,
     ) {
-        let record = &member.told;
+        let record = &member.record;
         let previous = self.last_reports.get(&record.name);
         let has_restarted = previous.is_some_and(|(boot, _)| *boot != record.boot);
         let stats = stats_since(previous, member);
@@ -143,7 +143,7 @@
             // The process ended while it applied the new version, and the next process has not received its assignment yet.
             interval.zones.entry(record.zone.clone()).or_default()[NEW].restarts += 1;
         }
-        if member.figures.all() > 0 || member.figures.memory > 0 {
+        if member.figures.total() > 0 || member.figures.memory > 0 {
             self.last_reports.insert(record.name.clone(), (record.boot, member.figures.clone()));
         }
     }
@@ -161,7 +161,7 @@
 
     /// Removes state of absent members and of processes that have warmed up.
     fn forget_absent(&mut self, serving: &[&Member]) {
-        let names: BTreeSet<&str> = serving.iter().map(|member| member.told.name.as_str()).collect();
+        let names: BTreeSet<&str> = serving.iter().map(|member| member.record.name.as_str()).collect();
         // Danger: if the reports of absent members were dropped at once, a member that is absent between two processes would return as
         // unknown, and its restart would not be counted. The number of retained reports is bounded, though.
         if self.last_reports.len() > 2 * names.len() + MAX_RETAINED_REPORTS {
@@ -172,7 +172,7 @@
     }
 
     /// Requests of the new and the old cohort in the last interval, by class, in the data centres that the rollout has reached.
-    pub fn last(&self) -> &BTreeMap<String, [Sample; 2]> {
+    pub fn last_interval(&self) -> &BTreeMap<String, [Sample; 2]> {
         &self.last_samples
     }
 
@@ -183,9 +183,10 @@
             for (class, members) in &cohort.classes {
                 let sample = &mut samples.entry(class.clone()).or_default()[index];
                 for stats in members {
-                    sample.all += stats.all();
+                    sample.all += stats.total();
                     sample.bad += stats.refused + stats.failed + stats.late;
-                    sample.slow += self.slow_buckets.get(class).map_or(0, |[_, tenth]| stats.slower(*tenth));
+                    sample.slow +=
+                        self.slow_buckets.get(class).map_or(0, |[_, tenth]| stats.count_slower_than(*tenth));
                 }
             }
         }
@@ -196,7 +197,7 @@
 /// A member's statistics since its previous report.
 fn stats_since(previous: Option<&(u64, ProxyStats)>, member: &Member) -> ProxyStats {
     match previous {
-        Some((boot, before)) if *boot == member.told.boot => member.figures.since(before),
+        Some((boot, before)) if *boot == member.record.boot => member.figures.since(before),
         // The first report: the process's counters also cover the time before this interval.
         None => ProxyStats {
             memory: member.figures.memory,
--- a/crates/core/rollout/src/analysis/verdict.rs
+++ b/crates/core/rollout/src/analysis/verdict.rs
@@ -64,7 +64,7 @@
             return Verdict::Worse(finding);
         }
         if let Some(problem) = &self.baseline.problem {
-            return Verdict::Trouble(problem.clone());
+            return Verdict::FleetProblem(problem.clone());
         }
         let Some(since) = self.soaking_since else {
             return Verdict::Waiting("not all proxies of the stage apply the new version yet".into());
--- a/crates/core/rollout/src/cohorts.rs
+++ b/crates/core/rollout/src/cohorts.rs
@@ -42,7 +42,7 @@
     }
 
     pub fn requests(&self) -> u64 {
-        self.classes.values().flatten().map(ClassStats::all).sum()
+        self.classes.values().flatten().map(ClassStats::total).sum()
     }
 }
 
--- a/crates/core/rollout/src/finding.rs
+++ b/crates/core/rollout/src/finding.rs
@@ -79,5 +79,5 @@
     /// The new cohort is worse.
     Worse(Finding),
     /// There is a fleet-wide problem, for which the rollout is not blamed; the text describes it.
-    Trouble(String),
+    FleetProblem(String),
 }
--- a/crates/core/rollout/src/fleet_baseline.rs
+++ b/crates/core/rollout/src/fleet_baseline.rs
@@ -30,7 +30,7 @@
     pub fn add_member(&mut self, stats: &ProxyStats) {
         for class in stats.classes.values() {
             self.bad += (class.refused + class.failed + class.late) as f64;
-            self.all += class.all() as f64;
+            self.all += class.total() as f64;
         }
         self.attempts += stats.attempts as f64;
     }
--- a/crates/core/rollout/src/fleet_view.rs
+++ b/crates/core/rollout/src/fleet_view.rs
@@ -12,13 +12,13 @@
     /// Its data centre.
     pub zone: &'a str,
     /// Its membership status.
-    pub standing: MemberStatus,
+    pub status: MemberStatus,
     /// The config version that it applies.
-    pub acting: Digest,
+    pub applied_version: Digest,
     /// Since when its reports have arrived without a gap.
     pub since: Nanos,
     /// How long ago its last report arrived.
-    pub quiet: Nanos,
+    pub since_last_report: Nanos,
     /// A config version that it cannot apply, and why.
     pub refused: Option<(Digest, &'a str)>,
 }
--- a/crates/core/rollout/src/phase.rs
+++ b/crates/core/rollout/src/phase.rs
@@ -134,7 +134,7 @@
     }
 
     /// Whether the rollout has ended.
-    pub fn over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         matches!(self, Phase::Done | Phase::RolledBack { .. })
     }
 
--- a/crates/core/rollout/src/plan.rs
+++ b/crates/core/rollout/src/plan.rs
@@ -206,7 +206,7 @@
     }
 
     /// Whether this is the index of the last stage.
-    pub fn last(&self, index: usize) -> bool {
+    pub fn is_last_stage(&self, index: usize) -> bool {
         index + 1 >= self.stages.len()
     }
 }
--- a/crates/core/rollout/src/preview.rs
+++ b/crates/core/rollout/src/preview.rs
@@ -22,9 +22,9 @@
 /// Simulates a plan on the serving members. `id` is the number that the rollout would have; the order of the members depends on it.
 pub fn preview(plan: &Plan, members: &[FleetView<'_>], id: u64) -> Vec<PreviewStage> {
     let (from, to) = (Digest::of(b"before"), Digest::of(b"after"));
-    let serving = members.iter().filter(|s| s.standing == MemberStatus::Serving);
+    let serving = members.iter().filter(|s| s.status == MemberStatus::Serving);
     let mut fleet: Vec<FleetView<'_>> =
-        serving.map(|s| FleetView { acting: from, refused: None, since: 0, ..*s }).collect();
+        serving.map(|s| FleetView { applied_version: from, refused: None, since: 0, ..*s }).collect();
     let mut rollout = Rollout::new(id, (from, to), plan.clone(), (String::new(), String::new()), 0);
     let mut stages: Vec<PreviewStage> = Vec::new();
     let mut now: Nanos = 0;
@@ -40,8 +40,8 @@
             }
         }
         for member in &mut fleet {
-            if rollout.assigned_version(member.name) == to && member.acting != to {
-                member.acting = to;
+            if rollout.assigned_version(member.name) == to && member.applied_version != to {
+                member.applied_version = to;
                 if let Some(last) = stages.last_mut() {
                     last.names.push(member.name.to_owned());
                 }
--- a/crates/core/rollout/src/registry.rs
+++ b/crates/core/rollout/src/registry.rs
@@ -147,17 +147,17 @@
     }
 
     /// Whether a rollout was ever started. Before the first one no member gets an assignment.
-    pub fn begun(&self) -> bool {
+    pub fn has_started_any(&self) -> bool {
         self.record.next > 1
     }
 
     /// The running rollout.
     pub fn running(&self) -> Option<&Rollout> {
-        self.record.change.as_ref().filter(|c| !c.phase.over())
+        self.record.change.as_ref().filter(|c| !c.phase.has_ended())
     }
 
     /// The number of the rollout that assigned a member its config version, and that version.
-    pub fn given(&self, name: &str) -> (u64, &ConfigVersion) {
+    pub fn assigned_version(&self, name: &str) -> (u64, &ConfigVersion) {
         let running = self.running();
         let digest = running.map_or(self.record.holds, |c| c.assigned_version(name));
         let by = running.map_or(self.record.by, |c| c.id);
@@ -167,7 +167,7 @@
     }
 
     /// A config version that the record names.
-    pub fn generation(&self, digest: &Digest) -> Option<&ConfigVersion> {
+    pub fn config_version(&self, digest: &Digest) -> Option<&ConfigVersion> {
         self.config_versions.get(digest)
     }
 
@@ -227,7 +227,7 @@
         }
         let (id, from, to) = (self.record.next, self.record.holds, config_version.digest());
         let mut left_behind = Vec::new();
-        if let Some(running) = self.record.change.as_mut().filter(|c| !c.phase.over()) {
+        if let Some(running) = self.record.change.as_mut().filter(|c| !c.phase.has_ended()) {
             left_behind = running.moved.keys().chain(running.returned.keys()).cloned().collect();
             let (number, why) = (running.id, RollbackReason::Displaced { by: id });
             running.phase = Phase::RolledBack { why };
@@ -265,7 +265,7 @@
             return Err(RegistryError::Field("by", "a name of at most 200 bytes"));
         }
         let phase_text = self.record.change.as_ref().map_or("there is none".into(), |c| c.phase.to_string());
-        let Some(change) = self.record.change.as_mut().filter(|c| !c.phase.over()) else {
+        let Some(change) = self.record.change.as_mut().filter(|c| !c.phase.has_ended()) else {
             return Err(RegistryError::WrongPhase(what, phase_text));
         };
         let id = change.id;
@@ -296,7 +296,7 @@
     ///
     /// # Errors
     /// See [`RegistryError`].
-    pub fn back(&mut self, by: &str, expected: Option<u64>, now: Nanos) -> Result<(), RegistryError> {
+    pub fn roll_back(&mut self, by: &str, expected: Option<u64>, now: Nanos) -> Result<(), RegistryError> {
         let roll_back = |c: &mut Rollout| {
             let is_not_rolled_back = c.phase.rollback_reason().is_none();
             c.begin_rollback(RollbackReason::Operator { by: by.to_owned() });
@@ -321,7 +321,7 @@
             true => self.record.revision += 1,
             false => self.push_event(id, phase.to_string(), now),
         }
-        if phase.over() {
+        if phase.has_ended() {
             self.prune();
         }
         true
--- a/crates/core/rollout/src/state_machine.rs
+++ b/crates/core/rollout/src/state_machine.rs
@@ -111,7 +111,7 @@
 
     /// Begins a rollback, unless the rollout has ended or is already being rolled back.
     pub fn begin_rollback(&mut self, why: RollbackReason) {
-        if !self.phase.over() && self.phase.rollback_reason().is_none() {
+        if !self.phase.has_ended() && self.phase.rollback_reason().is_none() {
             self.phase = Phase::RollingBack { why };
             self.returned.clear();
         }
@@ -133,14 +133,14 @@
 
     /// Members that are assigned the new version and do not apply it yet.
     fn in_transit<'s>(&self, fleet: &'s [FleetView<'s>]) -> Vec<&'s FleetView<'s>> {
-        fleet.iter().filter(|s| self.moved.contains_key(s.name) && s.acting != self.to).collect()
+        fleet.iter().filter(|s| self.moved.contains_key(s.name) && s.applied_version != self.to).collect()
     }
 
     /// Makes at most one transition. Returns true if the rollout has changed and must be persisted.
     pub fn step(&mut self, fleet: &[FleetView<'_>], verdict: &Verdict, now: Nanos) -> bool {
         let elapsed = now.saturating_sub(self.stepped);
         self.stepped = now;
-        if self.phase.over() {
+        if self.phase.has_ended() {
             return false;
         }
         self.ran = self.ran.saturating_add(if elapsed <= MAX_STEP_GAP { elapsed } else { 0 });
@@ -154,12 +154,13 @@
         // Danger: if a third of all reports are lost, some member is always late, and a hold for each would never end. So an absent member
         // causes a hold only after the time that a member may take to apply its assignment.
         let is_absent =
-            |s: &&FleetView<'_>| self.moved.contains_key(s.name) && s.standing != MemberStatus::Serving;
-        let silent = fleet.iter().filter(is_absent).filter(|s| s.quiet > self.plan.confirm_timeout);
+            |s: &&FleetView<'_>| self.moved.contains_key(s.name) && s.status != MemberStatus::Serving;
+        let silent =
+            fleet.iter().filter(is_absent).filter(|s| s.since_last_report > self.plan.confirm_timeout);
         let silent = first_names(silent.map(|s| s.name));
         let absent = fleet.iter().filter(is_absent).count();
         match (self.phase.clone(), verdict) {
-            (Phase::Moving { stage } | Phase::Soaking { stage, .. }, Verdict::Trouble(what)) => {
+            (Phase::Moving { stage } | Phase::Soaking { stage, .. }, Verdict::FleetProblem(what)) => {
                 self.enter_hold(stage, HoldReason::FleetProblem { what: what.clone() }, now)
             }
             (Phase::Moving { stage } | Phase::Soaking { stage, .. }, _) if !silent.is_empty() => {
@@ -172,7 +173,7 @@
             (Phase::Held { stage, why, .. }, verdict) => {
                 let is_over = match why {
                     HoldReason::Operator { .. } => false,
-                    HoldReason::FleetProblem { .. } => !matches!(verdict, Verdict::Trouble(_)),
+                    HoldReason::FleetProblem { .. } => !matches!(verdict, Verdict::FleetProblem(_)),
                     HoldReason::Silent { .. } => silent.is_empty(),
                     HoldReason::NoCandidates => self.candidates(stage, fleet).next().is_some(),
                 };
@@ -197,12 +198,13 @@
         // At most a tenth of the moved members may be absent, and so none if there are fewer than ten.
         let are_enough_serving = absent * 10 <= self.moved.len();
         let has_soaked = now.saturating_sub(since) >= self.plan.stage(stage).soak;
-        let is_serving = |s: &&FleetView<'_>| s.standing == MemberStatus::Serving;
+        let is_serving = |s: &&FleetView<'_>| s.status == MemberStatus::Serving;
         if !has_soaked || !are_enough_serving || self.in_transit(fleet).iter().any(is_serving) {
             return false;
         }
         self.in_stage = 0;
-        self.phase = if self.plan.last(stage) { Phase::Done } else { Phase::Moving { stage: stage + 1 } };
+        self.phase =
+            if self.plan.is_last_stage(stage) { Phase::Done } else { Phase::Moving { stage: stage + 1 } };
         true
     }
 
@@ -230,7 +232,7 @@
         let late = assigned().filter(|(s, at)| {
             // A member that was absent in between, or whose process is new, has to receive its assignment again first.
             let is_timed_out = now.saturating_sub((*at).max(s.since)) > self.plan.confirm_timeout;
-            is_timed_out && s.acting != self.to && s.standing == MemberStatus::Serving
+            is_timed_out && s.applied_version != self.to && s.status == MemberStatus::Serving
         });
         let late = first_names(late.map(|(s, _)| s.name));
         if !late.is_empty() {
@@ -261,7 +263,7 @@
         let zone = self.plan.stage(stage).zone.clone();
         let in_zone = move |s: &&FleetView<'_>| zone.as_deref().is_none_or(|zone| zone == s.zone);
         let is_candidate =
-            |s: &&FleetView<'_>| s.standing == MemberStatus::Serving && !self.moved.contains_key(s.name);
+            |s: &&FleetView<'_>| s.status == MemberStatus::Serving && !self.moved.contains_key(s.name);
         fleet.iter().filter(in_zone).filter(is_candidate)
     }
 
@@ -273,7 +275,8 @@
         if in_transit.is_empty() && (remaining == 0 || candidates == 0) {
             // Danger: if no member has moved, there is nothing to compare, and a stage with half of its members absent would count as
             // complete. The last stage may end without absent members: they get the version in force when they return.
-            let is_empty_or_incomplete = remaining > 0 && !self.plan.last(stage) || self.moved.is_empty();
+            let is_empty_or_incomplete =
+                remaining > 0 && !self.plan.is_last_stage(stage) || self.moved.is_empty();
             if is_empty_or_incomplete {
                 return self.enter_hold(stage, HoldReason::NoCandidates, now);
             }
@@ -297,8 +300,9 @@
     /// Advances a rollback: assigns the old version to members that have the new one, a few at a time, all of one data centre.
     fn step_rollback(&mut self, fleet: &[FleetView<'_>], now: Nanos) -> bool {
         let Some(why) = self.phase.rollback_reason().cloned() else { return false };
-        let is_serving = |s: &&FleetView<'_>| s.standing == MemberStatus::Serving;
-        let is_returning = |s: &&FleetView<'_>| !self.moved.contains_key(s.name) && s.acting == self.to;
+        let is_serving = |s: &&FleetView<'_>| s.status == MemberStatus::Serving;
+        let is_returning =
+            |s: &&FleetView<'_>| !self.moved.contains_key(s.name) && s.applied_version == self.to;
         let in_transit: Vec<&FleetView<'_>> = fleet.iter().filter(is_serving).filter(is_returning).collect();
         let candidates = fleet.iter().filter(is_serving).filter(|s| self.moved.contains_key(s.name));
         let next =
@@ -312,7 +316,8 @@
         }
         // Danger: a leader that has just taken over has received no reports yet, and without this wait would treat the whole fleet as
         // absent.
-        let is_unheard = |s: &FleetView<'_>| s.standing == MemberStatus::Unheard && s.acting == self.to;
+        let is_unheard =
+            |s: &FleetView<'_>| s.status == MemberStatus::Unheard && s.applied_version == self.to;
         if fleet.iter().any(|s| is_unheard(s) && now.saturating_sub(s.since) <= self.plan.confirm_timeout) {
             return false;
         }
--- a/crates/core/rollout/tests/analysis.rs
+++ b/crates/core/rollout/tests/analysis.rs
@@ -1,6 +1,6 @@
 //! Verdicts of the analysis on a fleet of three data centres with three proxies each, which differ in their outcomes.
 
-use rushquay_config_version::{ConfigVersion, Digest, FORM};
+use rushquay_config_version::{ConfigVersion, Digest, FORMAT_VERSION};
 use rushquay_membership::{MemberStatus, Membership, MembershipTimeouts, ProxyStats, Report};
 use rushquay_rollout::{Analysis, Bounds, Finding, Measure, Verdict, SECOND};
 use serde_json::json;
@@ -34,7 +34,7 @@
         let stats = vec![ProxyStats::default(); 9];
         let mut fleet = Fleet { membership, analysis, stats, new: BTreeSet::new(), elapsed_seconds: 0 };
         (0..60).for_each(|_| fleet.simulate_second(|_, _| (40, 0)));
-        assert!(fleet.analysis.usual().is_some());
+        assert!(fleet.analysis.baseline_rates().is_some());
         fleet
     }
 
@@ -49,9 +49,9 @@
             let class = stats.classes.entry("plan".to_owned()).or_default();
             class.refused += bad;
             class.served += all - bad;
-            (bad..all).for_each(|_| class.took(30_000_000));
+            (bad..all).for_each(|_| class.record_response_time(30_000_000));
             let report = Report {
-                form: FORM,
+                form: FORMAT_VERSION,
                 boot: 1,
                 seq: self.elapsed_seconds,
                 zone: zone(n).into(),
@@ -63,12 +63,12 @@
                 leaving: false,
                 figures: self.stats[n].clone(),
             };
-            self.membership.hear(&format!("p{n}"), report, 1, now);
+            self.membership.process_report(&format!("p{n}"), report, 1, now);
         }
         let new: BTreeSet<String> = self.new.iter().map(|n| format!("p{n}")).collect();
         let serving =
-            self.membership.instances().filter(|i| self.membership.standing(i, now) == MemberStatus::Serving);
-        self.analysis.look(serving, |name| new.contains(name), (from, to), SECOND);
+            self.membership.members().filter(|i| self.membership.status(i, now) == MemberStatus::Serving);
+        self.analysis.observe_interval(serving, |name| new.contains(name), (from, to), SECOND);
     }
 
     fn verdict(&mut self) -> Verdict {
@@ -77,9 +77,9 @@
 
     /// Begins a stage and its soak time; these proxies apply the new version.
     fn begin_stage(&mut self, new: &[usize]) {
-        self.analysis.begin(4);
+        self.analysis.begin_stage(4);
         self.new.extend(new);
-        self.analysis.soak(self.elapsed_seconds * SECOND);
+        self.analysis.begin_soak(self.elapsed_seconds * SECOND);
     }
 
     /// The first verdict other than `Waiting`, or the last one if none is given within `seconds`.
@@ -150,7 +150,7 @@
         fleet.simulate_second(|n, new| (5, if new && n >= 6 { 1 + (n as u64 - 6) } else { 0 }));
         verdicts.push(fleet.verdict());
     }
-    assert!(!verdicts.iter().any(|v| matches!(v, Verdict::Trouble(_))), "{verdicts:?}");
+    assert!(!verdicts.iter().any(|v| matches!(v, Verdict::FleetProblem(_))), "{verdicts:?}");
     assert!(matches!(verdicts.last(), Some(Verdict::Worse(_))), "{verdicts:?}");
 }
 
@@ -159,10 +159,10 @@
     let mut fleet = Fleet::new();
     fleet.begin_stage(&[6]);
     let verdict = fleet.first_decision(20, |_, _| (40, 13));
-    assert!(matches!(verdict, Verdict::Trouble(_)), "{verdict:?}");
+    assert!(matches!(verdict, Verdict::FleetProblem(_)), "{verdict:?}");
     // All proxies of one data centre are new, so no old one is left there to compare with. A third of all requests fail.
     let mut fleet = Fleet::new();
     fleet.begin_stage(&[6, 7, 8]);
     let verdict = fleet.first_decision(20, |_, new| (40, if new { 40 } else { 0 }));
-    assert!(matches!(verdict, Verdict::Trouble(_)), "{verdict:?}");
+    assert!(matches!(verdict, Verdict::FleetProblem(_)), "{verdict:?}");
 }
--- a/crates/core/rollout/tests/fleet.rs
+++ b/crates/core/rollout/tests/fleet.rs
@@ -18,8 +18,10 @@
 fn simulate_checked(world: &World) -> sim::SimulationResult {
     let result = simulate(world, 3000, |registry, fleet| {
         let Some(active) = registry.running().filter(|c| c.phase.rollback_reason().is_none()) else { return };
-        let in_transit: Vec<_> =
-            fleet.iter().filter(|s| active.moved.contains_key(s.name) && s.acting != active.to).collect();
+        let in_transit: Vec<_> = fleet
+            .iter()
+            .filter(|s| active.moved.contains_key(s.name) && s.applied_version != active.to)
+            .collect();
         let zones: BTreeSet<&str> = in_transit.iter().map(|s| s.zone).collect();
         assert!(in_transit.len() <= 7 && zones.len() <= 1, "{} in transit in {zones:?}", in_transit.len());
     });
--- a/crates/core/rollout/tests/registry.rs
+++ b/crates/core/rollout/tests/registry.rs
@@ -45,10 +45,10 @@
     let view = |n: &'static str| FleetView {
         name: n,
         zone: "z",
-        standing: MemberStatus::Serving,
-        acting: base,
+        status: MemberStatus::Serving,
+        applied_version: base,
         since: 0,
-        quiet: 0,
+        since_last_report: 0,
         refused: None,
     };
     let fleet = [view("p0"), view("p1")];
@@ -57,7 +57,11 @@
     assert_eq!(moved.len(), 1);
     let displacing = RolloutRequest { displace: true, ..request(settings_with_share(0.2)) };
     assert_eq!(registry.start(displacing, None, None, 2 * SECOND), Ok(moved.clone()));
-    assert_eq!(registry.given(&moved[0]).1.digest(), base, "members of a displaced rollout return at once");
+    assert_eq!(
+        registry.assigned_version(&moved[0]).1.digest(),
+        base,
+        "members of a displaced rollout return at once"
+    );
     assert!(registry
         .record()
         .events
@@ -115,10 +119,10 @@
     let view = |acting| FleetView {
         name: "p0",
         zone: "z",
-        standing: MemberStatus::Serving,
-        acting,
+        status: MemberStatus::Serving,
+        applied_version: acting,
         since: 0,
-        quiet: 0,
+        since_last_report: 0,
         refused: None,
     };
     let wait = Verdict::Waiting(String::new());
--- a/crates/core/rollout/tests/state_exploration.rs
+++ b/crates/core/rollout/tests/state_exploration.rs
@@ -108,7 +108,15 @@
         let acting = if p.applies_new { to } else { from };
         // An absent proxy counts as absent for longer than any timeout.
         let quiet = if p.is_up { 0 } else { 100 * SECOND };
-        FleetView { name: NAMES[n], zone: ZONES[n], standing, acting, since: 0, quiet, refused: None }
+        FleetView {
+            name: NAMES[n],
+            zone: ZONES[n],
+            status: standing,
+            applied_version: acting,
+            since: 0,
+            since_last_report: quiet,
+            refused: None,
+        }
     };
     (0..3).map(view).collect()
 }
@@ -165,7 +173,7 @@
                 all.push(crashed);
             }
             for verdict in
-                [Verdict::Waiting(String::new()), Verdict::Passed, worse(), Verdict::Trouble("t".into())]
+                [Verdict::Waiting(String::new()), Verdict::Passed, worse(), Verdict::FleetProblem("t".into())]
             {
                 all.extend(self.stepped(i, leader, &verdict, removed, violations));
             }
@@ -233,7 +241,7 @@
                 next.ever_moved[n] |= rollout.moved.contains_key(*name) || rollout.phase == Phase::Done;
             }
             if self.store.phase.rollback_reason().is_some() && rollout.phase.rollback_reason().is_none()
-                || self.store.phase.over()
+                || self.store.phase.has_ended()
             {
                 violations
                     .push(format!("the stored phase changed from {} to {}", self.store.phase, rollout.phase));
@@ -315,7 +323,7 @@
             }
             let applies_result =
                 |p: usize| world.proxies[p].applies_new == (world.store.phase == Phase::Done);
-            if world.store.phase.over() && (0..3).all(applies_result) {
+            if world.store.phase.has_ended() && (0..3).all(applies_result) {
                 return Ok(());
             }
         }
@@ -334,7 +342,8 @@
     let newly_moved: Vec<&str> =
         after.moved.keys().filter(|n| !before.moved.contains_key(*n)).map(String::as_str).collect();
     if !newly_moved.is_empty() {
-        let is_in_transit = |s: &&FleetView<'_>| after.moved.contains_key(s.name) && s.acting != after.to;
+        let is_in_transit =
+            |s: &&FleetView<'_>| after.moved.contains_key(s.name) && s.applied_version != after.to;
         let in_transit: Vec<&FleetView<'_>> = fleet.iter().filter(is_in_transit).collect();
         let zones: HashSet<&str> = in_transit.iter().map(|s| s.zone).collect();
         if in_transit.len() > after.plan.max_in_transit || zones.len() > 1 {
@@ -346,7 +355,8 @@
         if to > from && *verdict != Verdict::Passed {
             violations.push(format!("stage {from} ended for stage {to} with the verdict {verdict:?}"));
         }
-        let is_incomplete = fleet.iter().any(|s| before.moved.contains_key(s.name) && s.acting != before.to);
+        let is_incomplete =
+            fleet.iter().any(|s| before.moved.contains_key(s.name) && s.applied_version != before.to);
         if to > from && is_incomplete {
             violations
                 .push(format!("stage {from} ended while one of its proxies does not apply the new version"));
--- a/crates/core/routing/src/index.rs
+++ b/crates/core/routing/src/index.rs
@@ -20,7 +20,7 @@
         let mut index = Index::default();
         for (position, route) in (0..).zip(routes) {
             match &route.matcher.path {
-                _ if !route.matcher.case => index.unindexed.push(position),
+                _ if !route.matcher.case_sensitive => index.unindexed.push(position),
                 PathMatch::Regex(_) => index.unindexed.push(position),
                 PathMatch::Exact(path) => index.exact.entry(path.clone()).or_default().push(position),
                 PathMatch::Prefix(prefix) | PathMatch::Under(prefix) => {
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -20,8 +20,10 @@
 pub mod text;
 
 pub use headers::{Append, Change, Mutations};
-pub use retry::{Ended, Retries};
-pub use route::{Action, Clusters, Direct, Found, Importance, Matcher, PathMatch, Rewrite, Route, Weighted};
+pub use retry::{RetryRules, RetryTrigger};
+pub use route::{
+    Action, Clusters, Direct, Found, Matcher, PathMatch, Rewrite, Route, RoutePriority, Weighted,
+};
 pub use table::{DomainError, Host, Table};
 
 /// A point in time or a duration, in nanoseconds.
--- a/crates/core/routing/src/retry.rs
+++ b/crates/core/routing/src/retry.rs
@@ -5,7 +5,7 @@
 
 /// The outcome of an attempt, as far as retry conditions distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RetryTrigger {
     /// No connection was established, or it was lost before the request was written.
     ConnectFailure,
     /// The connection was lost, or the response could not be parsed.
@@ -20,18 +20,18 @@
 
 /// The conditions under which a further attempt may be made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Retries {
+pub struct RetryRules {
     /// Maximum number of attempts after the first (`num_retries`; 1 if the policy does not set it).
-    pub most: u32,
+    pub max_retries: u32,
     /// Timeout of one attempt; 0: limited only by the timeout of the request.
     pub per_try: Nanos,
     /// Retry conditions as a bit set of [`Retries::RESET`] and the other constants.
-    pub on: u32,
+    pub conditions: u32,
     /// Status codes to retry on under [`Retries::CODES`] (`retriable_status_codes`).
     pub codes: Vec<u16>,
 }
 
-impl Retries {
+impl RetryRules {
     /// `connect-failure`: the outcome [`Ended::ConnectFailure`].
     pub const CONNECT_FAILURE: u32 = 1;
     /// `reset`: no response at all was received.
@@ -66,25 +66,27 @@
 
     /// Returns `true` if a further attempt may be made after `attempts` attempts. `last` is the outcome of the attempt that
     /// finished last; `None` if none has finished, in which case the further attempt is a hedged request.
-    pub fn allow(&self, attempts: u32, last: Option<Ended>) -> bool {
-        if attempts > self.most {
+    pub fn allow(&self, attempts: u32, last: Option<RetryTrigger>) -> bool {
+        if attempts > self.max_retries {
             return false;
         }
-        let retries_on = |conditions: u32| self.on & conditions != 0;
+        let retries_on = |conditions: u32| self.conditions & conditions != 0;
         match last {
             None => true,
-            Some(Ended::ConnectFailure) => retries_on(
+            Some(RetryTrigger::ConnectFailure) => retries_on(
                 Self::CONNECT_FAILURE
                     | Self::RESET_BEFORE_REQUEST
                     | Self::RESET
                     | Self::ANY_5XX
                     | Self::GATEWAY_ERROR,
             ),
-            Some(Ended::Reset | Ended::TimedOut) => {
+            Some(RetryTrigger::Reset | RetryTrigger::TimedOut) => {
                 retries_on(Self::RESET | Self::ANY_5XX | Self::GATEWAY_ERROR)
             }
-            Some(Ended::Overloaded) => retries_on(Self::REFUSED_STREAM | Self::ANY_5XX | Self::GATEWAY_ERROR),
-            Some(Ended::Status(status)) => {
+            Some(RetryTrigger::Overloaded) => {
+                retries_on(Self::REFUSED_STREAM | Self::ANY_5XX | Self::GATEWAY_ERROR)
+            }
+            Some(RetryTrigger::Status(status)) => {
                 (500..600).contains(&status) && retries_on(Self::ANY_5XX)
                     || (502..=504).contains(&status) && retries_on(Self::GATEWAY_ERROR)
                     || status == 409 && retries_on(Self::RETRIABLE_4XX)
--- a/crates/core/routing/src/route.rs
+++ b/crates/core/routing/src/route.rs
@@ -1,7 +1,7 @@
 //! A single route: what it matches and what it does with a matching request.
 
 use crate::headers::Mutations;
-use crate::retry::Retries;
+use crate::retry::RetryRules;
 use crate::text::{HeaderMatch, QueryMatch};
 use crate::{Head, Nanos};
 use regex::Regex;
@@ -27,13 +27,13 @@
     /// The path.
     pub path: PathMatch,
     /// Whether the path is compared case-sensitively.
-    pub case: bool,
+    pub case_sensitive: bool,
     /// Header matchers.
     pub headers: Vec<HeaderMatch>,
     /// Query parameter matchers.
     pub query: Vec<QueryMatch>,
     /// The fraction of otherwise matching requests that match, from 0 to 1 (`runtime_fraction`).
-    pub part: Option<f64>,
+    pub fraction: Option<f64>,
 }
 
 impl Matcher {
@@ -41,14 +41,14 @@
     pub fn other_conditions_match(&self, head: &dyn Head, random: f64) -> bool {
         self.headers.iter().all(|header| header.matches(head))
             && self.query.iter().all(|parameter| parameter.matches(head))
-            && self.part.is_none_or(|fraction| random < fraction)
+            && self.fraction.is_none_or(|fraction| random < fraction)
     }
 
     /// Returns `true` if the path matches.
     pub fn path_matches(&self, path: &str) -> bool {
         let has_prefix = |prefix: &str| {
             let start = path.as_bytes().get(..prefix.len());
-            start.is_some_and(|start| match self.case {
+            start.is_some_and(|start| match self.case_sensitive {
                 true => start == prefix.as_bytes(),
                 false => start.eq_ignore_ascii_case(prefix.as_bytes()),
             })
@@ -111,7 +111,7 @@
 
 /// The priority of a route, which selects the circuit breaker thresholds of its cluster (`RoutingPriority`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Importance {
+pub enum RoutePriority {
     /// `DEFAULT`.
     #[default]
     Default,
@@ -135,9 +135,9 @@
         /// Timeout for all attempts together; `None`: the timeout of the request class.
         timeout: Option<Nanos>,
         /// Retry policy; `None`: the route adds no limits to those of the decision module.
-        retries: Option<Retries>,
+        retries: Option<RetryRules>,
         /// Selects the circuit breaker thresholds.
-        importance: Importance,
+        importance: RoutePriority,
     },
     /// Responds directly.
     Direct(Direct),
--- a/crates/core/routing/src/table.rs
+++ b/crates/core/routing/src/table.rs
@@ -156,7 +156,7 @@
         let (host, index) = &self.hosts[self.host_index(head.authority())?];
         let matches = |position: u32| {
             let matcher = &host.routes[position as usize].matcher;
-            let fraction = if matcher.part.is_some() { random() } else { 0.0 };
+            let fraction = if matcher.fraction.is_some() { random() } else { 0.0 };
             matcher.path_matches(head.path()) && matcher.other_conditions_match(head, fraction)
         };
         let route = &host.routes[index.first(head.path(), matches)? as usize];
--- a/crates/core/routing/src/text.rs
+++ b/crates/core/routing/src/text.rs
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// Returns the last line of the error message of the `regex` crate if the expression is invalid or too large.
-pub fn whole(expression: &str) -> Result<Regex, String> {
+pub fn compile_full_match(expression: &str) -> Result<Regex, String> {
     let anchored = format!("^(?:{expression})$");
     let compiled = regex::RegexBuilder::new(&anchored).size_limit(MAX_COMPILED_REGEX_BYTES).build();
     compiled.map_err(|error| error.to_string().lines().last().unwrap_or_default().trim().to_owned())
--- a/crates/core/routing/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_routing::text::{whole, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
+use rushquay_routing::text::{compile_full_match, HeaderIs, HeaderMatch, QueryMatch, Text, TextMatch};
 use rushquay_routing::*;
 
 #[derive(Clone, Default)]
@@ -40,12 +40,12 @@
 }
 
 fn forward(clusters: Clusters, rewrite: Option<Rewrite>) -> Action {
-    let (not_found, importance) = (503, Importance::Default);
+    let (not_found, importance) = (503, RoutePriority::Default);
     Action::Forward { clusters, not_found, rewrite, host: None, timeout: None, retries: None, importance }
 }
 
 fn route(path: PathMatch, action: Action) -> Route {
-    let matcher = Matcher { path, case: true, headers: vec![], query: vec![], part: None };
+    let matcher = Matcher { path, case_sensitive: true, headers: vec![], query: vec![], fraction: None };
     Route {
         name: String::new(),
         matcher,
@@ -101,10 +101,10 @@
                 0 => PathMatch::Prefix(text.clone()),
                 1 => PathMatch::Exact(text.clone()),
                 2 => PathMatch::Under(text.trim_end_matches('/').to_owned()),
-                _ => PathMatch::Regex(whole(&format!("{text}[ab]*")).expect("valid expression")),
+                _ => PathMatch::Regex(compile_full_match(&format!("{text}[ab]*")).expect("valid expression")),
             };
             let mut route = route(path, forward_to(&i.to_string()));
-            route.matcher.case = *case;
+            route.matcher.case_sensitive = *case;
             route
         }).collect();
         let table = Table::new("t", vec![host(&["*"], routes.clone())]).expect("valid table");
@@ -183,7 +183,8 @@
     );
     let joined = header(text(Text::Exact("a,b".into()), false), false, false);
     assert!(matches(&joined, &["a", "b"]));
-    let expression = header(text(Text::Regex(whole("a|b").expect("valid expression")), false), false, false);
+    let expression =
+        header(text(Text::Regex(compile_full_match("a|b").expect("valid expression")), false), false, false);
     assert!(
         matches(&expression, &["b"]) && !matches(&expression, &["ab"]),
         "the expression must match the whole value"
@@ -210,7 +211,7 @@
 #[test]
 fn runtime_fraction_matches_its_share_of_requests() {
     let mut trial = route(PathMatch::Prefix("/".into()), forward_to("trial"));
-    trial.matcher.part = Some(0.25);
+    trial.matcher.fraction = Some(0.25);
     let table = Table::new(
         "t",
         vec![host(&["*"], vec![trial, route(PathMatch::Prefix("/".into()), forward_to("rest"))])],
@@ -264,30 +265,30 @@
 
 #[test]
 fn retry_policy_allows_only_its_conditions_and_count() {
-    let policy = |on, most| Retries { most, per_try: 0, on, codes: vec![418] };
+    let policy = |on, most| RetryRules { max_retries: most, per_try: 0, conditions: on, codes: vec![418] };
     let all = [
-        Ended::ConnectFailure,
-        Ended::Reset,
-        Ended::TimedOut,
-        Ended::Overloaded,
-        Ended::Status(500),
-        Ended::Status(503),
-        Ended::Status(409),
-        Ended::Status(418),
+        RetryTrigger::ConnectFailure,
+        RetryTrigger::Reset,
+        RetryTrigger::TimedOut,
+        RetryTrigger::Overloaded,
+        RetryTrigger::Status(500),
+        RetryTrigger::Status(503),
+        RetryTrigger::Status(409),
+        RetryTrigger::Status(418),
     ];
     let allowed = |on| all.map(|e| policy(on, 9).allow(1, Some(e)));
-    assert_eq!(allowed(Retries::CONNECT_FAILURE), [true, false, false, false, false, false, false, false]);
-    assert_eq!(allowed(Retries::RESET), [true, true, true, false, false, false, false, false]);
-    assert_eq!(allowed(Retries::ANY_5XX), [true, true, true, true, true, true, false, false]);
-    assert_eq!(allowed(Retries::GATEWAY_ERROR), [true, true, true, true, false, true, false, false]);
+    assert_eq!(allowed(RetryRules::CONNECT_FAILURE), [true, false, false, false, false, false, false, false]);
+    assert_eq!(allowed(RetryRules::RESET), [true, true, true, false, false, false, false, false]);
+    assert_eq!(allowed(RetryRules::ANY_5XX), [true, true, true, true, true, true, false, false]);
+    assert_eq!(allowed(RetryRules::GATEWAY_ERROR), [true, true, true, true, false, true, false, false]);
     assert_eq!(
-        allowed(Retries::RETRIABLE_4XX | Retries::CODES),
+        allowed(RetryRules::RETRIABLE_4XX | RetryRules::CODES),
         [false, false, false, false, false, false, true, true]
     );
     assert_eq!(allowed(0), [false; 8]);
     assert!(
-        policy(Retries::ANY_5XX, 2).allow(2, Some(Ended::Reset))
-            && !policy(Retries::ANY_5XX, 2).allow(3, Some(Ended::Reset))
+        policy(RetryRules::ANY_5XX, 2).allow(2, Some(RetryTrigger::Reset))
+            && !policy(RetryRules::ANY_5XX, 2).allow(3, Some(RetryTrigger::Reset))
     );
     assert!(policy(0, 1).allow(1, None), "a hedged request is not a retry of a failed attempt");
 }
--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -8,7 +8,7 @@
 mod pace;
 mod replay;
 
-pub use pace::{Pace, Patience};
+pub use pace::{ProgressLimits, ProgressTracker};
 pub use replay::Replay;
 
 /// A point in time or a duration, in nanoseconds.
--- a/crates/core/stream-progress/src/replay.rs
+++ b/crates/core/stream-progress/src/replay.rs
@@ -29,7 +29,7 @@
 
     /// Claims the part beyond the buffered beginning for an attempt; returns whether the claim is granted. Of concurrent
     /// attempts, only the first is granted it.
-    pub fn past(&mut self) -> bool {
+    pub fn claim_rest(&mut self) -> bool {
         let is_granted = *self == Replay::Beginning;
         if is_granted {
             *self = Replay::Spent;
--- a/crates/core/supervisor/src/state_machine.rs
+++ b/crates/core/supervisor/src/state_machine.rs
@@ -133,10 +133,10 @@
             return false;
         }
         self.record.epoch = epoch;
-        let named = given.generation.program();
+        let named = given.version.program();
         let target = Target {
             program: named.unwrap_or(self.own.program),
-            generation: given.generation.digest(),
+            generation: given.version.digest(),
             given: Some(given.text()),
         };
         // A target that failed may be retried at once under another config version.
@@ -151,14 +151,14 @@
     /// Whether an assignment may be applied though it can't be persisted: it leads to a program that has served well
     /// here. Danger: a full disk must not hold a machine at a bad version.
     pub fn known_good(&self, given: &ConfigAssignment) -> bool {
-        let program = given.generation.program().unwrap_or(self.own.program);
+        let program = given.version.program().unwrap_or(self.own.program);
         let served = [Some(&self.record.good), self.record.before.as_ref(), Some(&self.own)];
         served.into_iter().flatten().any(|t| t.program == program)
     }
 
     /// Records that an assignment could not be persisted and so is not applied.
     pub fn not_kept(&mut self, given: &ConfigAssignment, why: &str) {
-        self.unpersisted = Some((given.generation.digest(), truncate(why)));
+        self.unpersisted = Some((given.version.digest(), truncate(why)));
     }
 
     /// Sets or clears the error on this machine.
--- a/crates/core/supervisor/tests/simulated_machine.rs
+++ b/crates/core/supervisor/tests/simulated_machine.rs
@@ -61,7 +61,7 @@
 fn wants(program: usize, change: u64) -> ConfigAssignment {
     let settings = serde_json::json!({"over_share_worth": change as f64 / 1e6});
     let generation = ConfigVersion::read(&settings).expect("good").with_program(digest(program));
-    ConfigAssignment { change, generation }
+    ConfigAssignment { rollout: change, version: generation }
 }
 
 impl World {
@@ -223,7 +223,7 @@
         world.run(13);
         assert!(world.serves().contains(&0), "{kind:?}: {:?}", world.lives);
         let (generation, said) = world.host.report(1, 1).refused.expect("told");
-        assert!(said.contains(why) && generation == wants(1, 1).generation.digest(), "{kind:?}: {said}");
+        assert!(said.contains(why) && generation == wants(1, 1).version.digest(), "{kind:?}: {said}");
         // It is retried, but ever less often.
         let before = world.starts;
         world.run(2000);
--- a/crates/core/xds-resources/src/decode.rs
+++ b/crates/core/xds-resources/src/decode.rs
@@ -160,7 +160,7 @@
     };
     let metadata = ProjectMetadata::of(message.metadata.as_ref());
     // With overrides, the health status is for clients that do not know them.
-    let state = metadata.text("state").map_or(state, EndpointState::from_word);
+    let state = metadata.text("state").map_or(state, EndpointState::from_text);
     let weight = match (metadata.number("weight"), &message.load_balancing_weight) {
         (Some(exact), _) if exact > 0.0 && exact.is_finite() => exact,
         (Some(_), _) => return Err(field_error(field_path("metadata.rushquay.weight"), "not over 0")),
@@ -195,7 +195,12 @@
     };
     let imposed = imposed(&metadata)
         .map_err(|name| field_error(field_path(&format!("metadata.rushquay.{name}")), "not as expected"))?;
-    Ok(SourcedEndpoint { member, listed: nanos("listed")?, shared: metadata.flag("shared"), imposed })
+    Ok(SourcedEndpoint {
+        member,
+        list_version: nanos("listed")?,
+        is_from_discovery: metadata.flag("shared"),
+        imposed,
+    })
 }
 
 /// The overrides; the error is the name of an invalid field.
--- a/crates/core/xds-resources/src/encode.rs
+++ b/crates/core/xds-resources/src/encode.rs
@@ -121,8 +121,8 @@
         state_text(endpoint.state),
         endpoint.weight,
         endpoint.started,
-        node.listed,
-        node.shared,
+        node.list_version,
+        node.is_from_discovery,
         // The text of an endpoint without overrides is the same as before there were overrides.
         if node.imposed.is_empty() { String::new() } else { format!(" {}", overrides_text(&node.imposed)) }
     )
@@ -174,8 +174,8 @@
         ("weight", value::Kind::NumberValue(m.weight)),
         // Danger: numbers here are doubles, which can't represent Unix time in nanoseconds.
         ("started_ns", text(&m.started.to_string())),
-        ("listed", text(&node.listed.to_string())),
-        ("shared", value::Kind::BoolValue(node.shared)),
+        ("listed", text(&node.list_version.to_string())),
+        ("shared", value::Kind::BoolValue(node.is_from_discovery)),
     ];
     let overrides = override_fields(&node.imposed);
     // Clients of this project take the state in the metadata for the list's, and expire overrides by themselves.
--- a/crates/core/xds-resources/src/follower.rs
+++ b/crates/core/xds-resources/src/follower.rs
@@ -147,7 +147,7 @@
     /// Rejects answers of epochs before this one.
     pub fn since_epoch(&mut self, epoch: Epoch) {
         // The first epoch always passes.
-        let _ = self.fence.pass(epoch);
+        let _ = self.fence.check(epoch);
     }
 
     /// The highest epoch received.
@@ -214,7 +214,7 @@
             // An endpoint that moved has two names until the old one is removed: its newer entry wins, and of equals
             // the more restrictive.
             let newer = |old: &SourcedEndpoint| {
-                let rank = |s: &SourcedEndpoint| (s.member.started, s.listed, s.member.state);
+                let rank = |s: &SourcedEndpoint| (s.member.started, s.list_version, s.member.state);
                 rank(endpoint) >= rank(old)
             };
             if now.get(&endpoint.member.id).is_none_or(newer) {
@@ -276,7 +276,7 @@
     fn answer(&mut self, answer: ServerAnswer) -> Taken<Self::News> {
         // Danger: an instance that was the leader before a pause of minutes sends its state from then, over any
         // stream that is still open.
-        if let Err(stale) = self.fence.pass(Epoch::of(&answer.control_plane)) {
+        if let Err(stale) = self.fence.check(Epoch::from_name(&answer.control_plane)) {
             return Taken { asks: Vec::new(), news: None, refused: None, leave: Some(stale.to_string()) };
         }
         let settings = &self.settings;
--- a/crates/core/xds-resources/tests/control_follower.rs
+++ b/crates/core/xds-resources/tests/control_follower.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_control_state::{ControlConfig, ControlState, EndpointChange, ListOutcome, Origin};
+use rushquay_control_state::{ControlConfig, ControlState, EndpointChange, ListOutcome, ListSource};
 use rushquay_endpoints::{
     Endpoint, EndpointList, EndpointMerger, EndpointState, MergeLimits, MergeTime, WatchEvent,
 };
@@ -60,7 +60,7 @@
         let mut w = World {
             version: 100,
             truth: BTreeMap::new(),
-            control: ControlState::new(ControlConfig::default(), Origin::Discovery),
+            control: ControlState::new(ControlConfig::default(), ListSource::Discovery),
             store: Store::new("p0", 16),
             processes: 0,
             stream: None,
@@ -81,7 +81,8 @@
     /// Applies the whole list at the control service.
     fn whole(&mut self) {
         let servers = self.truth.values().cloned().collect();
-        let taken = self.control.list(&EndpointList { version: self.version, full: true, servers }, 0);
+        let taken =
+            self.control.process_list(&EndpointList { version: self.version, full: true, servers }, 0);
         self.taken(taken);
     }
 
@@ -92,7 +93,7 @@
             _ => drop(self.truth.insert(changed.id.clone(), changed.clone())),
         }
         let list = EndpointList { version: self.version, full: false, servers: vec![changed] };
-        let taken = self.control.list(&list, 0);
+        let taken = self.control.process_list(&list, 0);
         self.taken(taken);
     }
 
@@ -103,13 +104,13 @@
                 declare(&mut self.store, &shape, self.control.clusters(), 0);
                 self.store.open();
             }
-            ListOutcome::Changed(EndpointChange { changed, gone }) => {
+            ListOutcome::Changed(EndpointChange { changed, removed: gone }) => {
                 for i in 0..2 {
-                    let (name, nodes) = (self.control.names()[i], self.control.clusters()[i]);
+                    let (name, nodes) = (self.control.cluster_names()[i], self.control.clusters()[i]);
                     declare_changed(&mut self.store, name, nodes, &changed[i], &gone[i], 0);
                 }
             }
-            ListOutcome::EmptyRefused => panic!("there is always a node"),
+            ListOutcome::EmptyListIgnored => panic!("there is always a node"),
         }
         if !self.has_collections {
             // A server that has only the plain form.
@@ -122,7 +123,7 @@
     fn restart(&mut self) {
         self.cut();
         self.processes += 1;
-        self.control = ControlState::new(ControlConfig::default(), Origin::Discovery);
+        self.control = ControlState::new(ControlConfig::default(), ListSource::Discovery);
         self.store = Store::new(&format!("p{}", self.processes), 16);
         self.whole();
     }
@@ -130,7 +131,7 @@
     fn cut(&mut self) {
         if self.stream.take().is_some() {
             self.follow.ended(Ended::Broken, 0.5);
-            self.merge.control("", WatchEvent::Lost, MergeTime::default());
+            self.merge.apply_control_event("", WatchEvent::Lost, MergeTime::default());
         }
         self.to_server.clear();
         self.to_client.clear();
@@ -196,7 +197,7 @@
         self.to_server.extend(taken.asks);
         self.refusals += u32::from(taken.refused.is_some());
         if let Some(said) = taken.news {
-            self.merge.control(
+            self.merge.apply_control_event(
                 &said.process,
                 said.nodes.expect("nodes alone are followed"),
                 MergeTime::default(),
@@ -390,8 +391,8 @@
 fn answers_from_an_earlier_epoch_are_rejected() {
     let node_of = |state| node(1, 0, 1, state, 1, 1.0);
     let told = |process: &str, state| {
-        let mut control = ControlState::new(ControlConfig::default(), Origin::Discovery);
-        control.list(&EndpointList { version: 1, full: true, servers: vec![node_of(state)] }, 0);
+        let mut control = ControlState::new(ControlConfig::default(), ListSource::Discovery);
+        control.process_list(&EndpointList { version: 1, full: true, servers: vec![node_of(state)] }, 0);
         let mut store = Store::new(process, 16);
         let shape = ClusterNames { cluster: "cache-nodes".into(), origin: "origin".into() };
         declare(&mut store, &shape, control.clusters(), 0);
--- a/crates/services/control-service/src/discovery.rs
+++ b/crates/services/control-service/src/discovery.rs
@@ -98,7 +98,7 @@
         let response = timeout(hold + RESPONSE_TIMEOUT, request_list(sender, addr, cursor)).await;
         let list = response.map_err(|_| WatchError::ResponseTimeout)??;
         backoff.worked();
-        if cursor.saw(&list) == CursorUpdate::Doubted {
+        if cursor.accept(&list) == CursorUpdate::Rejected {
             continue;
         }
         if events.send(SourceEvent::EndpointList(list)).await.is_err() {
--- a/crates/services/control-service/src/error.rs
+++ b/crates/services/control-service/src/error.rs
@@ -2,7 +2,7 @@
 
 use crate::durable_store::{PersistError, PersistFailure};
 use rushquay_overrides::OverrideError;
-use rushquay_policy::{RecordError, UnfitPolicy};
+use rushquay_policy::{ProposalError, RecordError};
 use rushquay_rollout::RegistryError;
 
 /// Why an operator's command was rejected.
@@ -49,7 +49,7 @@
     Record(#[from] RecordError),
     /// It is no valid policy, or can't hold now.
     #[error(transparent)]
-    Unfit(#[from] UnfitPolicy),
+    Unfit(#[from] ProposalError),
     /// The store lacks a revision that was already broadcast.
     #[error(
         "the store stands at revision {store_revision}, and {proxy} has heard of {known_revision}: \
--- a/crates/services/control-service/src/http/metrics.rs
+++ b/crates/services/control-service/src/http/metrics.rs
@@ -79,7 +79,7 @@
     let nodes = service.endpoints.nodes();
     let states = [EndpointState::Ready, EndpointState::Draining].map(EndpointState::as_str);
     let listed =
-        |state: &str| nodes.iter().filter(|n| n.stated.member.state.as_str() == state).count() as i64;
+        |state: &str| nodes.iter().filter(|n| n.endpoint.member.state.as_str() == state).count() as i64;
     scrape.family(("nodes", "Nodes declared, by state", "state"), states.into_iter(), listed);
     let subscribers = service.leader.hub.subscribers();
     scrape.gauge("subscribers", "Open streams", subscribers.len() as i64);
--- a/crates/services/control-service/src/http/overrides.rs
+++ b/crates/services/control-service/src/http/overrides.rs
@@ -65,7 +65,7 @@
     let statuses: Vec<(u64, OverrideStatus)> =
         fleet.iter().flat_map(|node| effective_overrides(set.live(), &node.node(), now).1).collect();
     let pins = masked_pins(set.live(), now);
-    let announce = set.policy().announce;
+    let announce = set.limits().announce;
     let all: Vec<Value> =
         set.live().map(|o| override_json(o, &effect(o.id, &statuses, &pins), now, announce)).collect();
     let revision = set.revision();
--- a/crates/services/control-service/src/http/rejection.rs
+++ b/crates/services/control-service/src/http/rejection.rs
@@ -46,7 +46,7 @@
     match error {
         OverrideError::Changed { .. } => StatusCode::PRECONDITION_FAILED,
         OverrideError::Field(..) => StatusCode::UNPROCESSABLE_ENTITY,
-        OverrideError::TooMuch(_) => StatusCode::CONFLICT,
+        OverrideError::InsufficientCapacity(_) => StatusCode::CONFLICT,
         OverrideError::Full(_) => StatusCode::INSUFFICIENT_STORAGE,
         OverrideError::Unknown(_) => StatusCode::NOT_FOUND,
     }
--- a/crates/services/control-service/src/http/rollout.rs
+++ b/crates/services/control-service/src/http/rollout.rs
@@ -95,7 +95,7 @@
             controller(service)?.command(&service.leader, |registry, _, now| match action.as_str() {
                 "hold" => registry.hold(&by, expected, now),
                 "resume" => registry.resume(&by, expected, now),
-                "back" => registry.back(&by, expected, now),
+                "back" => registry.roll_back(&by, expected, now),
                 _ => Err(RegistryError::Field("path", "hold, resume or back")),
             });
         let ((), revision) = steered?;
--- a/crates/services/control-service/src/http/status.rs
+++ b/crates/services/control-service/src/http/status.rs
@@ -20,11 +20,11 @@
 }
 
 fn node_json(node: NodeView, source_name: &str, now: Nanos) -> Value {
-    let mut json = json!(node.stated.member);
+    let mut json = json!(node.endpoint.member);
     json["cluster"] = json!(node.cluster);
-    json["listed"] = json!(node.stated.listed);
+    json["listed"] = json!(node.endpoint.list_version);
     json["from"] = json!(source_name);
-    json["state_for_s"] = json!(millis(now.saturating_sub(node.since)) / 1000.0);
+    json["state_for_s"] = json!(millis(now.saturating_sub(node.changed_at)) / 1000.0);
     json
 }
 
--- a/crates/services/control-service/src/leadership_loop.rs
+++ b/crates/services/control-service/src/leadership_loop.rs
@@ -70,7 +70,7 @@
             return;
         }
         let now = self.now();
-        match self.elector.act(now) {
+        match self.elector.next_action(now) {
             Action::Wait(until) => self.wait(until.saturating_sub(now)),
             Action::StepDown => self.step_down("the lease has expired"),
             Action::Renew => self.renew(),
@@ -88,7 +88,7 @@
         let timeout = Duration::from_nanos(nanos).min(MAX_WAIT);
         if matches!(self.elector.role(), Role::Standby { .. }) {
             self.leadership.store.wait(timeout);
-            self.elector.free(self.now());
+            self.elector.lease_released(self.now());
             return;
         }
         let start = self.now();
@@ -98,7 +98,7 @@
     }
 
     fn renew(&mut self) {
-        let Some(held) = self.held else { return self.elector.lost(self.now()) };
+        let Some(held) = self.held else { return self.elector.lease_lost(self.now()) };
         let requested_at = self.now();
         let renewed = self.leadership.store.renew(held);
         self.timing.sent_at = requested_at;
@@ -106,7 +106,7 @@
         match renewed {
             Ok(()) => {
                 self.on_store_reached();
-                self.elector.renewed(requested_at);
+                self.elector.lease_renewed(requested_at);
             }
             Err(SharedError::Fenced(_)) => self.step_down("another instance holds the lease"),
             Err(error) => self.on_store_unreachable(&error),
@@ -120,11 +120,11 @@
             Ok(Campaign::Taken { by }) => {
                 self.on_store_reached();
                 leadership.on_other_leader(&by);
-                self.elector.beaten(Some(by), self.now());
+                self.elector.lease_held_by_other(Some(by), self.now());
             }
             Ok(Campaign::Won(held)) => {
                 self.on_store_reached();
-                if self.elector.won(Epoch(held.epoch), requested_at, self.now()) {
+                if self.elector.granted(Epoch(held.epoch), requested_at, self.now()) {
                     self.take_over(held);
                 }
             }
@@ -142,12 +142,12 @@
                 error!(epoch = held.epoch, %error, "stored state unreadable; lease resigned");
                 let _ = leadership.store.resign(held);
                 leadership.set_store_error(Some(&error));
-                return self.elector.lost(self.now());
+                return self.elector.lease_lost(self.now());
             }
         };
         // Reading took its time; nothing is published under a lease that has expired.
         if !self.confirm(held) {
-            return self.elector.lost(self.now());
+            return self.elector.lease_lost(self.now());
         }
         self.held = Some(held);
         let store = Arc::new(LeasedStore { store: leadership.store.clone(), held });
@@ -157,7 +157,7 @@
 
     /// Reads what the last leader persisted.
     fn load(&self) -> Result<(StoredState, OverrideSet, Records), SharedError> {
-        let limits = *self.service.overrides.set().policy();
+        let limits = *self.service.overrides.set().limits();
         let (stored, overrides) = self.leadership.store.load(limits)?;
         Ok((stored, overrides, self.leadership.store.load_records()?))
     }
@@ -166,11 +166,11 @@
     fn confirm(&mut self, held: HeldLease) -> bool {
         let requested_at = self.now();
         match self.leadership.store.renew(held) {
-            Ok(()) => self.elector.renewed(requested_at),
+            Ok(()) => self.elector.lease_renewed(requested_at),
             Err(SharedError::Fenced(_)) => return false,
             Err(error) => self.on_store_unreachable(&error),
         }
-        self.elector.leads(self.now()).is_some()
+        self.elector.leader_epoch(self.now()).is_some()
     }
 
     fn step_down(&mut self, reason: &str) {
@@ -183,7 +183,7 @@
             warn!(epoch = held.epoch, reason, sent_ms_ago, took_ms, woke_late_ms, "stepped down");
         }
         self.leadership.on_step_down();
-        self.elector.lost(self.now());
+        self.elector.lease_lost(self.now());
     }
 
     fn on_store_reached(&mut self) {
@@ -198,6 +198,6 @@
             warn!(%error, failure, "lease store unreachable");
         }
         self.leadership.set_store_error(Some(error));
-        self.elector.unknown(self.now());
+        self.elector.store_unavailable(self.now());
     }
 }
--- a/crates/services/control-service/src/policy/controller.rs
+++ b/crates/services/control-service/src/policy/controller.rs
@@ -125,7 +125,8 @@
             let mut guard = lock(&self.state);
             let state = &mut *guard;
             state.log_blocked_by(now);
-            let unused = state.archive.useless(state.coordinator.record(), &self.settings.terms(), now);
+            let unused =
+                state.archive.unused_policies(state.coordinator.record(), &self.settings.terms(), now);
             (state.coordinator.step(now), unused)
         };
         if let Some(record) = decided {
@@ -220,11 +221,11 @@
         let terms = self.settings.terms();
         let policy = state
             .archive
-            .fit(&proposal.settings, proposal.fallback.as_ref(), (record, &terms), now)
+            .validate_proposal(&proposal.settings, proposal.fallback.as_ref(), (record, &terms), now)
             .map_err(PolicyCommandError::from)?;
         // Where proxies report, a class that none has is a mistake that need not be tried on all of them.
         require_known_classes(&policy, &rollout.map(|r| r.classes()).unwrap_or_default())?;
-        let comparison = state.compare(record.holds, &policy);
+        let comparison = state.compare(record.in_force, &policy);
         let base = state.proposal_base(proposal.anew, now)?;
         // The expected revision is that of the store, not of the base.
         if let Some(expected) = expected_revision.filter(|e| *e != record.revision.0) {
--- a/crates/services/control-service/src/policy/leases.rs
+++ b/crates/services/control-service/src/policy/leases.rs
@@ -25,12 +25,12 @@
         }
         let mut grants = Vec::new();
         for (name, request) in requests {
-            state.history.record(&name, request.boot, request.acting, unix_now);
-            let Some(grant) = state.coordinator.hear(&name, &request, now) else { continue };
+            state.history.record(&name, request.incarnation, request.acting, unix_now);
+            let Some(grant) = state.coordinator.grant_lease(&name, &request, now) else { continue };
             let PolicyState { archive, coordinator, .. } = &mut *state;
             archive.granted(&name, &request, coordinator.record(), now);
-            grants.push((policy_lease_name(&name, request.boot.0), grant.text()));
-            state.declared_leases.insert((name, request.boot));
+            grants.push((policy_lease_name(&name, request.incarnation.0), grant.text()));
+            state.declared_leases.insert((name, request.incarnation));
         }
         let gone = state.remove_gone(unix_now);
         if grants.is_empty() && gone.is_empty() {
--- a/crates/services/control-service/src/policy/settings.rs
+++ b/crates/services/control-service/src/policy/settings.rs
@@ -51,6 +51,11 @@
     pub(super) fn terms(&self) -> LeaseTerms {
         let nanos = |seconds: f64| (seconds * NANOS_PER_SECOND) as Nanos;
         let (span, limit, floor) = (nanos(self.leave_s), nanos(self.limit_s), nanos(self.floor_s));
-        LeaseTerms { span, drift_ppm: self.drift_ppm, limit, floor }
+        LeaseTerms {
+            lease_duration: span,
+            drift_ppm: self.drift_ppm,
+            change_timeout: limit,
+            fallback_duration: floor,
+        }
     }
 }
--- a/crates/services/control-service/src/policy/state.rs
+++ b/crates/services/control-service/src/policy/state.rs
@@ -82,14 +82,14 @@
         let StoredRecord { record, revision_starts } = stored;
         let event = record.events.back().map_or("", |e| e.what.as_str());
         info!(revision = record.revision.0, policies = ?record.policy_set(), event, "policy record advanced");
-        self.archive.moved(&record);
-        self.coordinator.kept(record, now);
+        self.archive.record_changed(&record);
+        self.coordinator.adopt_record(record, now);
         self.revision_starts = revision_starts;
     }
 
     /// Rejects where the store lacks a revision that was already broadcast.
     pub fn require_complete_store(&self) -> Result<(), PolicyCommandError> {
-        match self.coordinator.behind() {
+        match self.coordinator.member_ahead_of_store() {
             Some((proxy, known)) => Err(PolicyCommandError::Behind {
                 store_revision: self.coordinator.record().revision.0,
                 proxy: proxy.into(),
@@ -102,14 +102,14 @@
     /// The record that a proposal continues from; with `anew` one that lies after all that was broadcast before the store was lost.
     pub fn proposal_base(&self, anew: bool, now: Nanos) -> Result<PolicyRecord, PolicyCommandError> {
         let record = self.coordinator.record();
-        let Some((_, known_revision)) = self.coordinator.behind() else {
+        let Some((_, known_revision)) = self.coordinator.member_ahead_of_store() else {
             return if anew { Err(PolicyCommandError::StoreComplete) } else { Ok(record.clone()) };
         };
         if !anew {
             self.require_complete_store()?;
         }
         // Danger: if another policy were broadcast while a lease for the lost one runs, two would hold at once.
-        match self.coordinator.alone_from() {
+        match self.coordinator.previous_leases_expire_at() {
             at if now <= at => Err(PolicyCommandError::TooSoon((at - now).div_ceil(1_000_000_000).max(1))),
             _ => Ok(record.resumed_after(known_revision)),
         }
@@ -126,7 +126,8 @@
         }
         let numbers = record.policy_set().numbers();
         let policies = numbers.filter_map(|n| Some((n, self.archive.get(n)?.clone()))).collect();
-        let broadcast = PolicyBroadcast { revision: record.revision, told: record.policy_set(), policies };
+        let broadcast =
+            PolicyBroadcast { revision: record.revision, policy_set: record.policy_set(), policies };
         leader.hub.change(|store, at| declare_text(store, POLICY_RESOURCE, &broadcast.text(), at));
         self.broadcast_revision = Some(record.revision);
     }
@@ -138,7 +139,7 @@
             return;
         }
         let names: BTreeSet<String> =
-            self.coordinator.holdups(now).into_iter().map(|h| blocker_name(&h.name)).collect();
+            self.coordinator.blocking_members(now).into_iter().map(|h| blocker_name(&h.name)).collect();
         if names != self.blocked_by {
             let list: Vec<&str> = names.iter().map(String::as_str).take(MAX_LOGGED_NAMES).collect();
             info!(waits_for = names.len(), names = list.join(", "), "policy change waits");
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -79,7 +79,7 @@
                 json!({"field": path, "old": value(&before), "new": value(&after), "joint": value(&joint)})
             })
             .collect();
-        json!({"from": holds, "fields": fields, "stops": rejected_classes, "floor": new.floor.document(),
+        json!({"from": holds, "fields": fields, "stops": rejected_classes, "floor": new.fallback.document(),
                "note": "what is null is as each proxy's file says"})
     }
 }
@@ -108,7 +108,7 @@
     if let Some(list) = settings["categories"].as_array_mut() {
         list.extend(in_one_only.cloned());
     }
-    (settings, intersection.stops.iter().map(ToString::to_string).collect())
+    (settings, intersection.rejected_classes.iter().map(ToString::to_string).collect())
 }
 
 /// The seconds from one moment to a later one; 0 where that is not later.
@@ -122,7 +122,7 @@
         if matches!(self.coordinator.record().phase, Phase::Settled) {
             return Vec::new();
         }
-        let blockers = self.coordinator.holdups(now).into_iter().map(|blocker| {
+        let blockers = self.coordinator.blocking_members(now).into_iter().map(|blocker| {
             json!({"name": blocker_name(&blocker.name), "boot": blocker.boot,
                    "fenced_in_s": seconds_between(now, blocker.fenced_at)})
         });
@@ -139,9 +139,9 @@
         Some(json!({
             "to": change.to, "author": change.author, "reason": change.reason,
             "policy": policy.map(Policy::document),
-            "compared": policy.map(|p| self.compare(record.holds, p)),
+            "compared": policy.map(|p| self.compare(record.in_force, p)),
             "since_s": seconds_between(since, leader.unix_now()),
-            "gives_up_in_s": seconds_between(now, self.coordinator.gives_up()),
+            "gives_up_in_s": seconds_between(now, self.coordinator.change_deadline()),
         }))
     }
 
@@ -166,8 +166,8 @@
         );
         let store_error = state.require_complete_store().err().map(|e| e.to_string());
         let body = json!({
-            "revision": record.revision, "holds": record.holds, "in_words": in_words(record.policy_set()),
-            "holding": state.archive.get(record.holds).map(Policy::document),
+            "revision": record.revision, "holds": record.in_force, "in_words": in_words(record.policy_set()),
+            "holding": state.archive.get(record.in_force).map(Policy::document),
             "change": state.change_json(now, leader), "waits_for": state.blockers_json(now), "last": last,
             "members": state.members_json(), "processes": state.coordinator.members().count(),
             "joined": joined, "fault": state.error.clone().or(store_error), "now_ns": leader.unix_now(),
@@ -225,10 +225,10 @@
         let is_joint = matches!(record.phase, Phase::Joint(_));
         PolicyStats {
             revision: record.revision.0,
-            holds: record.holds.0,
+            holds: record.in_force.0,
             is_joint,
             members: state.coordinator.members().count() as i64,
-            blockers: if is_joint { state.coordinator.holdups(now).len() as i64 } else { 0 },
+            blockers: if is_joint { state.coordinator.blocking_members(now).len() as i64 } else { 0 },
             is_up: state.error.is_none() && state.require_complete_store().is_ok(),
         }
     }
--- a/crates/services/control-service/src/rollout/assignment.rs
+++ b/crates/services/control-service/src/rollout/assignment.rs
@@ -43,16 +43,16 @@
     fn take_new_assignments(&mut self) -> Vec<NewAssignment> {
         // Danger: a store that was lost or begun anew knows of no rollout. If that were published, all proxies would go back to what their
         // files say at once, in no stages.
-        if !self.registry.begun() {
+        if !self.registry.has_started_any() {
             return Vec::new();
         }
         let mut new = Vec::new();
-        for member in self.membership.instances() {
-            let proxy = &member.told.name;
-            let (change, version) = self.registry.given(proxy);
+        for member in self.membership.members() {
+            let proxy = &member.record.name;
+            let (change, version) = self.registry.assigned_version(proxy);
             let key = (change, version.digest());
             if self.declared.get(proxy) != Some(&key) {
-                let assignment = ConfigAssignment { change, generation: version.clone() };
+                let assignment = ConfigAssignment { rollout: change, version: version.clone() };
                 new.push(NewAssignment { proxy: proxy.clone(), key, assignment });
             }
         }
--- a/crates/services/control-service/src/rollout/controller.rs
+++ b/crates/services/control-service/src/rollout/controller.rs
@@ -44,7 +44,7 @@
     /// The classes that any proxy has reported; none before the first report.
     pub(crate) fn classes(&self) -> BTreeSet<String> {
         let state = lock(&self.state);
-        state.membership.instances().flat_map(|member| member.figures.classes.keys().cloned()).collect()
+        state.membership.members().flat_map(|member| member.figures.classes.keys().cloned()).collect()
     }
 
     /// Continues from what was persisted, under this leader.
@@ -80,7 +80,7 @@
             return;
         }
         match event {
-            StreamEvent::Ended(stream) => state.membership.ended(node, stream, now),
+            StreamEvent::Ended(stream) => state.membership.stream_ended(node, stream, now),
             StreamEvent::Metadata(_, Topic::PolicyLease, _) => {}
             StreamEvent::Metadata(stream, Topic::Report, text) => state.on_report(node, &text, stream, now),
         }
@@ -155,7 +155,7 @@
             if let Some(error) = &state.error {
                 return Err(CommandError::NotPersisted(error.clone()));
             }
-            (state.registry.clone(), state.analysis.usual())
+            (state.registry.clone(), state.analysis.baseline_rates())
         };
         let result = command(&mut registry, baseline, now)?;
         let revision = registry.record().revision;
@@ -171,7 +171,7 @@
         let record = state.registry.record();
         let stages = preview(&plan, &state.fleet_view(now), record.next);
         let least_s: f64 = stages.iter().map(|s| s.soak_s).sum();
-        let unfinished = record.change.as_ref().filter(|rollout| !rollout.phase.over());
+        let unfinished = record.change.as_ref().filter(|rollout| !rollout.phase.has_ended());
         let displaced = unfinished.map(|rollout| rollout.moved.keys().collect::<Vec<_>>());
         let body = json!({"from": record.holds, "to": config_version.digest(), "stages": stages,
                           "least_s": least_s, "displaced_leaves": displaced});
@@ -182,7 +182,7 @@
 /// A verdict in words.
 fn describe(verdict: &Verdict) -> String {
     match verdict {
-        Verdict::Waiting(what) | Verdict::Trouble(what) => what.clone(),
+        Verdict::Waiting(what) | Verdict::FleetProblem(what) => what.clone(),
         Verdict::Passed => "the stage has passed".into(),
         Verdict::Worse(finding) => finding.to_string(),
     }
--- a/crates/services/control-service/src/rollout/persistence.rs
+++ b/crates/services/control-service/src/rollout/persistence.rs
@@ -100,14 +100,14 @@
 impl RolloutState {
     /// Retires members that are gone for good; returns what differs from what is persisted.
     fn member_write(&mut self, now: Nanos) -> MemberWrite {
-        for proxy in self.membership.forget(now) {
+        for proxy in self.membership.remove_retired(now) {
             self.declared.remove(&proxy);
             self.supervisors.remove(&proxy);
         }
         let has_changed =
-            |member: &&Member| self.persisted_members.get(&member.told.name) != Some(&member.told);
-        let changed = self.membership.instances().filter(has_changed);
-        let set = changed.take(MAX_MEMBERS_PER_WRITE).map(|member| member.told.clone()).collect();
+            |member: &&Member| self.persisted_members.get(&member.record.name) != Some(&member.record);
+        let changed = self.membership.members().filter(has_changed);
+        let set = changed.take(MAX_MEMBERS_PER_WRITE).map(|member| member.record.clone()).collect();
         let is_gone = |name: &&String| self.membership.get(name).is_none();
         let gone = self.persisted_members.keys().filter(is_gone).cloned().collect();
         MemberWrite { set, gone }
--- a/crates/services/control-service/src/rollout/settings.rs
+++ b/crates/services/control-service/src/rollout/settings.rs
@@ -38,7 +38,7 @@
             late_s: seconds(timeouts.late),
             restart_s: seconds(timeouts.restart),
             retire_s: seconds(timeouts.retire),
-            most: timeouts.most,
+            most: timeouts.max_members,
             look_ms: 1000,
             alpha: bounds.alpha,
             beta: bounds.beta,
@@ -75,7 +75,7 @@
     pub(super) fn timeouts(&self) -> MembershipTimeouts {
         let nanos = |seconds: f64| (seconds * SECOND as f64) as Nanos;
         let (late, restart, retire) = (nanos(self.late_s), nanos(self.restart_s), nanos(self.retire_s));
-        MembershipTimeouts { late, restart, retire, most: self.most }
+        MembershipTimeouts { late, restart, retire, max_members: self.most }
     }
 
     pub(super) fn bounds(&self) -> Bounds {
--- a/crates/services/control-service/src/rollout/state.rs
+++ b/crates/services/control-service/src/rollout/state.rs
@@ -76,10 +76,10 @@
     pub fn restore_registry(&mut self, registry: RolloutRegistry, now: Nanos) {
         if let Some(rollout) = registry.running() {
             info!(rollout_id = rollout.id, phase = %rollout.phase, "rollout restored");
-            self.analysis.told_usual(registry.record().usual);
-            self.analysis.begin(rollout.plan.stages().len());
+            self.analysis.set_inherited_baseline(registry.record().usual);
+            self.analysis.begin_stage(rollout.plan.stages().len());
             if matches!(rollout.phase, Phase::Soaking { .. }) {
-                self.analysis.soak(now);
+                self.analysis.begin_soak(now);
             }
         }
         (self.registry, self.error) = (registry, None);
@@ -89,14 +89,14 @@
     pub fn fleet_view(&self, now: Nanos) -> Vec<FleetView<'_>> {
         // A proxy can't apply what its own process rejects, or what its supervisor could not start.
         let rejected_by_supervisor = |member: &Member| {
-            let report = &self.supervisors.get(&member.told.name)?.report;
+            let report = &self.supervisors.get(&member.record.name)?.report;
             report.refused.as_ref().map(|(version, reason)| (*version, reason.as_str()))
         };
         let with_supervisor = |member| {
             let view = member_view(&self.membership, member, now);
             FleetView { refused: view.refused.or(rejected_by_supervisor(member)), ..view }
         };
-        self.membership.instances().map(with_supervisor).collect()
+        self.membership.members().map(with_supervisor).collect()
     }
 
     /// Takes a proxy's report, or a malformed one.
@@ -105,7 +105,7 @@
             Ok(report) => report,
             Err(error) => return warn!(proxy, %error, "proxy report rejected"),
         };
-        match self.membership.hear(proxy, report, stream, now) {
+        match self.membership.process_report(proxy, report, stream, now) {
             ReportOutcome::Full => warn!(proxy, "membership is full; raise rollout.most"),
             ReportOutcome::New => info!(proxy, "proxy joined"),
             ReportOutcome::Restarted => info!(proxy, "proxy restarted"),
@@ -140,24 +140,24 @@
         let span = now.saturating_sub(std::mem::replace(&mut self.last_analyzed, now));
         let membership = &self.membership;
         let serving =
-            membership.instances().filter(|member| membership.standing(member, now) == MemberStatus::Serving);
+            membership.members().filter(|member| membership.status(member, now) == MemberStatus::Serving);
         let Some(rollout) = self.registry.running() else {
-            self.analysis.rest();
+            self.analysis.end_rollout();
             let holds = self.registry.record().holds;
-            self.analysis.look(serving, |_| false, (holds, holds), span);
+            self.analysis.observe_interval(serving, |_| false, (holds, holds), span);
             return Verdict::Waiting("no change runs".into());
         };
         let is_moved = |name: &str| rollout.moved.contains_key(name);
-        let program = |version: &Digest| self.registry.generation(version).and_then(|v| v.program());
-        self.analysis.replaces(program(&rollout.from) != program(&rollout.to));
-        self.analysis.look(serving, is_moved, (rollout.from, rollout.to), span);
+        let program = |version: &Digest| self.registry.config_version(version).and_then(|v| v.program());
+        self.analysis.set_replaces_program(program(&rollout.from) != program(&rollout.to));
+        self.analysis.observe_interval(serving, is_moved, (rollout.from, rollout.to), span);
         if self.timeline.change != rollout.id {
             self.timeline = Timeline::new(rollout.id);
             self.timeline.mark(now, rollout.phase.to_string());
         }
-        self.timeline.add(now, self.analysis.last());
+        self.timeline.add(now, self.analysis.last_interval());
         let Some(stage) = rollout.stage() else { return Verdict::Waiting("going back".into()) };
-        let is_last = rollout.plan.last(stage);
+        let is_last = rollout.plan.is_last_stage(stage);
         self.analysis.verdict(rollout.plan.stage(stage).soak, is_last, now)
     }
 
@@ -183,8 +183,8 @@
         match rollout.phase {
             // Proxies that were silent have gone on counting; after any other hold the counts are no evidence of anything.
             Phase::Moving { .. } if was_silent => {}
-            Phase::Moving { .. } => self.analysis.begin(rollout.plan.stages().len()),
-            Phase::Soaking { .. } => self.analysis.soak(now),
+            Phase::Moving { .. } => self.analysis.begin_stage(rollout.plan.stages().len()),
+            Phase::Soaking { .. } => self.analysis.begin_soak(now),
             _ => {}
         }
     }
@@ -200,12 +200,12 @@
 
 fn member_view<'m>(membership: &'m Membership, member: &'m Member, now: Nanos) -> FleetView<'m> {
     FleetView {
-        name: &member.told.name,
-        zone: &member.told.zone,
-        standing: membership.standing(member, now),
-        acting: member.told.acting,
+        name: &member.record.name,
+        zone: &member.record.zone,
+        status: membership.status(member, now),
+        applied_version: member.record.acting,
         since: member.since(),
-        quiet: now.saturating_sub(member.heard.unwrap_or(member.since())),
-        refused: member.told.refused.as_ref().map(|r| (r.generation, r.why.as_str())),
+        since_last_report: now.saturating_sub(member.last_report_at.unwrap_or(member.since())),
+        refused: member.record.refused.as_ref().map(|r| (r.generation, r.why.as_str())),
     }
 }
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -52,15 +52,15 @@
 impl RolloutState {
     /// The config version that a member is assigned.
     fn assigned(&self, member: &Member) -> Digest {
-        self.registry.given(&member.told.name).1.digest()
+        self.registry.assigned_version(&member.record.name).1.digest()
     }
 
     /// How many proxies of each zone apply which config version, by status.
     fn fleet_json(&self, now: Nanos) -> Vec<Value> {
         let mut fleet: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
-        for member in self.membership.instances() {
-            let group = (member.told.zone.clone(), member.told.acting.to_string());
-            let status = self.membership.standing(member, now);
+        for member in self.membership.members() {
+            let group = (member.record.zone.clone(), member.record.acting.to_string());
+            let status = self.membership.status(member, now);
             *fleet.entry(group).or_default().entry(status).or_default() += 1;
         }
         let group_json = |((zone, acting), count)| json!({"zone": zone, "acting": acting, "proxies": count});
@@ -70,12 +70,12 @@
     /// The proxies that don't apply what they are assigned, cut off after [`MAX_LISTED_PROXIES`].
     fn not_as_assigned_json(&self, now: Nanos) -> Vec<Value> {
         let members =
-            self.membership.instances().filter(|member| self.assigned(member) != member.told.acting);
+            self.membership.members().filter(|member| self.assigned(member) != member.record.acting);
         let member_json = |member: &Member| {
-            let status = self.membership.standing(member, now);
-            json!({"name": member.told.name, "zone": member.told.zone, "standing": status,
-                   "acting": member.told.acting, "given": self.assigned(member),
-                   "refused": member.told.refused})
+            let status = self.membership.status(member, now);
+            json!({"name": member.record.name, "zone": member.record.zone, "standing": status,
+                   "acting": member.record.acting, "given": self.assigned(member),
+                   "refused": member.record.refused})
         };
         members.take(MAX_LISTED_PROXIES).map(member_json).collect()
     }
@@ -83,14 +83,14 @@
     /// All that is known of a proxy.
     fn member_json(&self, member: &Member, now: Nanos) -> Value {
         let seconds_since = |at: Nanos| now.saturating_sub(at) as f64 / 1e9;
-        let mut json = json!(member.told);
-        json["standing"] = json!(self.membership.standing(member, now));
+        let mut json = json!(member.record);
+        json["standing"] = json!(self.membership.status(member, now));
         json["given"] = json!(self.assigned(member));
-        json["heard_s_ago"] = json!(member.heard.map(seconds_since));
-        json["requests"] = json!(member.figures.all());
+        json["heard_s_ago"] = json!(member.last_report_at.map(seconds_since));
+        json["requests"] = json!(member.figures.total());
         json["memory"] = json!(member.figures.memory);
         json["descriptors"] = json!(member.figures.descriptors);
-        if let Some(supervisor) = self.supervisors.get(&member.told.name) {
+        if let Some(supervisor) = self.supervisors.get(&member.record.name) {
             json["host"] = json!(supervisor.report);
             json["host"]["heard_s_ago"] = json!(seconds_since(supervisor.received_at));
         }
@@ -118,7 +118,7 @@
     pub(crate) fn members(&self, now: Nanos) -> Value {
         let state = lock(&self.state);
         let members: Vec<Value> =
-            state.membership.instances().map(|member| state.member_json(member, now)).collect();
+            state.membership.members().map(|member| state.member_json(member, now)).collect();
         json!({"now_ns": now, "proxies": members})
     }
 
@@ -132,13 +132,13 @@
     pub(crate) fn stats(&self, now: Nanos) -> RolloutStats {
         let state = lock(&self.state);
         let mut by_status: BTreeMap<&'static str, i64> = BTreeMap::new();
-        for member in state.membership.instances() {
-            *by_status.entry(state.membership.standing(member, now).as_str()).or_default() += 1;
+        for member in state.membership.members() {
+            *by_status.entry(state.membership.status(member, now).as_str()).or_default() += 1;
         }
         let running = state.registry.running();
-        let not_as_assigned = state.membership.instances().filter(|member| {
-            state.membership.standing(member, now) == MemberStatus::Serving
-                && state.assigned(member) != member.told.acting
+        let not_as_assigned = state.membership.members().filter(|member| {
+            state.membership.status(member, now) == MemberStatus::Serving
+                && state.assigned(member) != member.record.acting
         });
         let scores = state.analysis.scores();
         RolloutStats {
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -6,7 +6,7 @@
 use crate::state::SourceEvent;
 use crate::time::Clocks;
 use crate::{discovery, file, http, leadership_loop};
-use rushquay_control_state::Origin;
+use rushquay_control_state::ListSource;
 use rushquay_endpoints::EndpointList;
 use rushquay_xds_grpc::{require_tls_beyond_loopback, serve, Hub, Tls, TlsError};
 use std::net::SocketAddr;
@@ -209,10 +209,10 @@
     Ok(Some(Leadership::new(standby.name.clone(), store, terms)))
 }
 
-fn describe_source(source: &SourceOption) -> (Origin, String) {
+fn describe_source(source: &SourceOption) -> (ListSource, String) {
     match source {
-        SourceOption::Discovery(addr) => (Origin::Discovery, format!("discovery {addr}")),
-        SourceOption::Nodes(path) => (Origin::File, format!("file {}", path.display())),
+        SourceOption::Discovery(addr) => (ListSource::Discovery, format!("discovery {addr}")),
+        SourceOption::Nodes(path) => (ListSource::File, format!("file {}", path.display())),
     }
 }
 
--- a/crates/services/control-service/src/service_state/mod.rs
+++ b/crates/services/control-service/src/service_state/mod.rs
@@ -17,7 +17,7 @@
     ChangeLock, Endpoints, LeaderContext, LeadershipGate, Overrides, PersistenceHandle, SourceEvent,
 };
 use crate::time::{Clocks, ServiceClock};
-use rushquay_control_state::Origin;
+use rushquay_control_state::ListSource;
 use rushquay_lease::Epoch;
 use rushquay_overrides::{Override, OverrideSet};
 use rushquay_state::StoredState;
@@ -50,7 +50,7 @@
     /// An empty state. With other instances configured, nothing is published before this one leads.
     pub(crate) fn new(
         settings: Settings,
-        origin: Origin,
+        origin: ListSource,
         source_name: String,
         leadership: Option<Arc<Leadership>>,
         clocks: Clocks,
@@ -132,11 +132,11 @@
         let mut new_state = control.restored_state(&stored, now);
         persisted_mark.reset_to(&overrides);
         overrides.expire(unix_now).iter().for_each(log_expired);
-        let cold_after = overrides.policy().cold_after;
-        let _ = new_state.impose(overrides.live().cloned().collect(), unix_now, cold_after);
+        let cold_after = overrides.limits().cold_after;
+        let _ = new_state.set_overrides(overrides.live().cloned().collect(), unix_now, cold_after);
         self.overrides.replace(overrides);
         if let Some(list) = &followed {
-            let _ = new_state.list(list, now);
+            let _ = new_state.process_list(list, now);
         }
         control.replace(new_state);
         self.leader.persistence.install(Persistence::on(store, stored));
--- a/crates/services/control-service/src/service_state/override_commands.rs
+++ b/crates/services/control-service/src/service_state/override_commands.rs
@@ -71,7 +71,7 @@
     pub(super) fn apply_overrides(&self) {
         let live_overrides = || {
             let set = self.overrides.set();
-            (set.live().cloned().collect(), set.policy().cold_after)
+            (set.live().cloned().collect(), set.limits().cold_after)
         };
         self.endpoints.apply_overrides(live_overrides, || self.leader.unix_now());
     }
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -82,7 +82,7 @@
     /// # Errors
     /// The time to live is out of its range.
     pub fn terms(&self) -> Result<LeaseTerms, LeaseTermsError> {
-        LeaseTerms::of((self.ttl_s * SECOND as f64) as u64)
+        LeaseTerms::from_ttl((self.ttl_s * SECOND as f64) as u64)
     }
 
     /// The store that instances share. No request is sent to it yet.
@@ -170,8 +170,8 @@
     fn default() -> Self {
         let defaults = OverrideLimits::default();
         OverrideSettings {
-            longest_s: defaults.longest / SECOND,
-            stay: defaults.stay,
+            longest_s: defaults.max_duration / SECOND,
+            stay: defaults.min_weight_in_service,
             announce_s: defaults.announce / SECOND,
             cold_after_s: defaults.cold_after / SECOND,
             history: defaults.history,
@@ -183,8 +183,8 @@
     /// The limits as the override set takes them.
     pub fn policy(&self) -> OverrideLimits {
         OverrideLimits {
-            longest: self.longest_s.saturating_mul(SECOND),
-            stay: self.stay,
+            max_duration: self.longest_s.saturating_mul(SECOND),
+            min_weight_in_service: self.stay,
             announce: self.announce_s.saturating_mul(SECOND),
             cold_after: self.cold_after_s.saturating_mul(SECOND),
             history: self.history,
--- a/crates/services/control-service/src/state/endpoints.rs
+++ b/crates/services/control-service/src/state/endpoints.rs
@@ -2,7 +2,9 @@
 
 use super::persistence_handle::PersistenceHandle;
 use crate::sync::lock;
-use rushquay_control_state::{ControlConfig, ControlState, EndpointChange, ListOutcome, NodeView, Origin};
+use rushquay_control_state::{
+    ControlConfig, ControlState, EndpointChange, ListOutcome, ListSource, NodeView,
+};
 use rushquay_endpoints::{EndpointList, Nanos};
 use rushquay_overrides::{FleetCapacity, Override};
 use rushquay_state::StoredState;
@@ -42,7 +44,7 @@
 pub struct Endpoints {
     hub: Arc<Hub>,
     source_name: String,
-    origin: Origin,
+    origin: ListSource,
     config: ControlConfig,
     source: Mutex<SourceState>,
     control: Mutex<ControlState>,
@@ -70,7 +72,7 @@
 }
 
 impl Endpoints {
-    pub fn new(hub: Arc<Hub>, config: ControlConfig, origin: Origin, source_name: String) -> Self {
+    pub fn new(hub: Arc<Hub>, config: ControlConfig, origin: ListSource, source_name: String) -> Self {
         Endpoints {
             hub,
             source_name,
@@ -102,7 +104,7 @@
 
     /// The capacity that the override limits count with.
     pub fn fleet(&self) -> Vec<FleetCapacity> {
-        lock(&self.control).fleet()
+        lock(&self.control).cache_capacities()
     }
 
     /// Holds up the source's events until the guard is dropped.
@@ -145,8 +147,8 @@
         source.state.lists += 1;
         let mut control = source.lock_control();
         let now = self.hub.now();
-        match control.state.list(&list, now) {
-            ListOutcome::EmptyRefused => {
+        match control.state.process_list(&list, now) {
+            ListOutcome::EmptyListIgnored => {
                 source.state.rejected += 1;
                 warn!(list = list.version, "endpoint list without any node rejected");
             }
@@ -167,7 +169,7 @@
     ) {
         let mut control = self.lock_control();
         let (live, cold_after) = live_overrides();
-        let change = control.state.impose(live, unix_now(), cold_after);
+        let change = control.state.set_overrides(live, unix_now(), cold_after);
         // Nothing is published before the first list.
         if self.hub.store().is_open() {
             control.publish(&change);
@@ -200,7 +202,7 @@
 impl ControlGuard<'_> {
     /// The list that this instance has followed from the source by itself.
     pub fn followed(&self) -> Option<EndpointList> {
-        self.state.followed()
+        self.state.current_list()
     }
 
     /// A fresh state that continues from a persisted list.
@@ -224,7 +226,7 @@
 
     /// Declares all endpoints and opens the store to subscribers.
     pub fn publish_all(&self) {
-        let [cluster, origin] = self.state.names();
+        let [cluster, origin] = self.state.cluster_names();
         let names = ClusterNames { cluster: cluster.to_owned(), origin: origin.to_owned() };
         let clusters = self.state.clusters();
         self.endpoints.hub.change(|store, now| {
@@ -239,10 +241,10 @@
             return;
         }
         self.endpoints.hub.change(|store, now| {
-            let clusters = self.state.names().into_iter().zip(self.state.clusters());
+            let clusters = self.state.cluster_names().into_iter().zip(self.state.clusters());
             for (i, (cluster, nodes)) in clusters.enumerate() {
-                if !change.changed[i].is_empty() || !change.gone[i].is_empty() {
-                    declare_changed(store, cluster, nodes, &change.changed[i], &change.gone[i], now);
+                if !change.changed[i].is_empty() || !change.removed[i].is_empty() {
+                    declare_changed(store, cluster, nodes, &change.changed[i], &change.removed[i], now);
                 }
             }
         });
@@ -251,7 +253,7 @@
     /// Hands the list to the store's thread; does not wait for it.
     pub fn persist(&self, persistence: &PersistenceHandle) {
         if let (Some(persistence), Some(version)) = (persistence.current(), self.state.version()) {
-            persistence.write_endpoints(version, self.state.kept());
+            persistence.write_endpoints(version, self.state.stored_endpoints());
         }
     }
 }
--- a/crates/services/control-service/src/state/overrides.rs
+++ b/crates/services/control-service/src/state/overrides.rs
@@ -131,7 +131,7 @@
             events,
             next: set.next_id(),
             revision: set.revision(),
-            history: set.policy().history,
+            history: set.limits().history,
         };
         (write, last_event)
     }
--- a/crates/services/control-service/src/time.rs
+++ b/crates/services/control-service/src/time.rs
@@ -71,7 +71,7 @@
 
     /// Logs a jump of the wall clock since the last check.
     pub fn check_for_jump(&self) {
-        if let Some(jump) = self.lock().look(self.sources.reading()) {
+        if let Some(jump) = self.lock().check_for_jump(self.sources.reading()) {
             let jump_s = jump as f64 / rushquay_lease::SECOND as f64;
             tracing::warn!(
                 jump_s,
--- a/crates/testing/scenario-runner/src/processes.rs
+++ b/crates/testing/scenario-runner/src/processes.rs
@@ -36,7 +36,7 @@
     }
 
     fn fresh(&self, proxy: usize, number: u64) -> Balancer {
-        let settings = Settings { me: proxy as u32, ..self.settings.clone() };
+        let settings = Settings { proxy_index: proxy as u32, ..self.settings.clone() };
         Balancer::new(settings, self.seed ^ (number + 1).wrapping_mul(OTHERWISE))
     }
 
@@ -87,8 +87,8 @@
         let number = self.all.len();
         let (mut balancer, mut actions) = (self.fresh(proxy, number as u64), Vec::new());
         balancer.handle(now, Event::List { kind: ListKind::Full, entries: list }, &mut actions);
-        let left = self.all[self.serving[proxy]].balancer.give_cold(now);
-        balancer.take_cold(now, &left);
+        let left = self.all[self.serving[proxy]].balancer.release_slow_start_allowances(now);
+        balancer.inherit_slow_start_allowances(now, &left);
         self.all.push(Process { proxy, balancer, otherwise });
         self.serving[proxy] = number;
         (number, actions)
--- a/crates/testing/scenario-runner/src/world.rs
+++ b/crates/testing/scenario-runner/src/world.rs
@@ -265,7 +265,7 @@
             now: BEGIN,
         };
         let list: Vec<api::Entry> = (0..world.nodes.len()).map(|n| world.entry(n, State::Ready)).collect();
-        world.listed = list.iter().map(|e| (e.state, e.started)).collect();
+        world.listed = list.iter().map(|e| (e.state, e.started_at)).collect();
         for process in 0..world.processes.proxies() {
             world.feed(process, Event::List { kind: ListKind::Full, entries: list.clone() });
         }
@@ -284,7 +284,7 @@
             cell: 0,
             state,
             weight: settings.cores as f64 * settings.speed,
-            started: self.nodes[node].started(),
+            started_at: self.nodes[node].started(),
         }
     }
 
@@ -421,8 +421,8 @@
             tenant: None,
             key: Some(self.processes.key(proxy, key)),
             remaining: patience - margin,
-            write: told.write,
-            retry: tries > 0,
+            is_write: told.write,
+            is_marked_retry: tries > 0,
             pinned: None,
         };
         self.feed(proxy, Event::Arrival(request));
@@ -472,7 +472,7 @@
         let Some(asked) = self.asked.get(&request).filter(|a| !a.answered) else { return };
         let proxy = asked.proxy;
         self.answer(request, rushquay_history::Answer::Failed, None, 0);
-        self.feed(proxy, Event::Expired(request));
+        self.feed(proxy, Event::ClientGone(request));
         self.call_off_all(request);
         self.forget(request);
     }
@@ -497,7 +497,7 @@
                 }
                 self.forget(id);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(id, rushquay_history::Answer::Refused, None, retry_after);
                 self.over(id);
             }
@@ -757,7 +757,7 @@
         }
         let entry = |n: usize| {
             let (state, started) = self.listed[n];
-            api::Entry { started, ..self.entry(n, state) }
+            api::Entry { started_at: started, ..self.entry(n, state) }
         };
         let list = (0..self.nodes.len()).map(entry).collect();
         let (process, actions) = self.processes.replace(proxy, self.now, list, otherwise);
@@ -794,7 +794,7 @@
             self.books.record(self.now, entry);
             self.listed[node] = (state, started);
         }
-        let entry = api::Entry { started, ..self.entry(node, state) };
+        let entry = api::Entry { started_at: started, ..self.entry(node, state) };
         for process in self.processes.of(proxy) {
             self.feed(process, Event::List { kind: ListKind::Delta, entries: vec![entry.clone()] });
         }
@@ -804,7 +804,7 @@
 fn settings(scenario: &Scenario) -> Settings {
     let (cold, fall) = scenario.cold();
     let class = |c: &crate::scenario::Class| api::Class {
-        aim: nanos(c.aim_ms),
+        latency_objective: nanos(c.aim_ms),
         deadline: nanos(c.patience_ms),
         effect: match c.effect {
             Effect::Safe => api::Effect::Safe,
@@ -820,15 +820,15 @@
         classes: scenario.class.iter().map(class).collect(),
         proxies: scenario.proxies as u32,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        allows_cancel: true,
+        allows_hedging: true,
         max_retry_after: 2 * SECOND,
         conn_idle: 60 * SECOND,
-        cold_from: cold.map_or(1.0, |c| c.from),
-        cold: cold.map_or(0, |c| nanos(c.for_ms)),
-        fall_multiple: fall.map_or(0.0, |f| f.multiple),
-        fall: fall.map_or(0, |f| nanos(f.for_ms)),
-        must_ask_in: 10 * SECOND,
+        initial_capacity_fraction: cold.map_or(1.0, |c| c.from),
+        warm_up_time: cold.map_or(0, |c| nanos(c.for_ms)),
+        overload_multiple: fall.map_or(0.0, |f| f.multiple),
+        overload_window: fall.map_or(0, |f| nanos(f.for_ms)),
+        max_subscribe_delay: 10 * SECOND,
         marks_retry: true,
         ..Settings::default()
     }
--- a/examples/envoy_figures.rs
+++ b/examples/envoy_figures.rs
@@ -107,7 +107,7 @@
     use rushquay::api::*;
     println!("\nchoosing a node, microseconds a request\n\n| endpoints | known | after a change |\n| ---: | ---: | ---: |");
     for count in [10u64, 1000, 10_000] {
-        let class = Class { aim: 1 << 30, deadline: 1 << 31, worth: 1.0, ..Class::default() };
+        let class = Class { latency_objective: 1 << 30, deadline: 1 << 31, worth: 1.0, ..Class::default() };
         let settings = Settings { classes: vec![class], max_attempts: 3, ..Settings::default() };
         let mut module = rushquay::Balancer::new(settings, 1);
         let mut actions = Vec::new();
@@ -199,7 +199,7 @@
         let reading = per_call(rounds, |i| {
             read = decode(Kind::Endpoints, &bodies[i as usize % 4], &mut Notes::default()).ok();
         });
-        let mut pool = Pool::new(ClusterRules { merge: 0, ..ClusterRules::default() });
+        let mut pool = Pool::new(ClusterRules { merge_window: 0, ..ClusterRules::default() });
         let read: Vec<_> = bodies
             .iter()
             .filter_map(|b| match decode(Kind::Endpoints, b, &mut Notes::default()) {
--- a/examples/state_figures.rs
+++ b/examples/state_figures.rs
@@ -181,7 +181,7 @@
 fn kept(book: &OverrideSet, events: usize) -> OverrideWrite {
     let mut events: Vec<_> = book.history().take(events).cloned().collect();
     events.reverse();
-    let (next, revision, history) = (book.next_id(), book.revision(), book.policy().history);
+    let (next, revision, history) = (book.next_id(), book.revision(), book.limits().history);
     OverrideWrite { live: book.live().cloned().collect(), events, next, revision, history }
 }
 
@@ -235,7 +235,7 @@
         weight: 1.0,
         started: 0,
     };
-    SourcedEndpoint { member, listed: 1, shared: true, imposed }
+    SourcedEndpoint { member, list_version: 1, is_from_discovery: true, imposed }
 }
 
 /// This moment on both clocks.
@@ -251,7 +251,8 @@
             let weights = vec![((1_000 + i as u64) * SECOND, 0.5)];
             stated(i, Imposed { weights, ..Imposed::default() })
         };
-        let _ = merge.control("one", WatchEvent::Whole((0..count).map(one).collect()), at(SECOND));
+        let _ =
+            merge.apply_control_event("one", WatchEvent::Whole((0..count).map(one).collect()), at(SECOND));
         assert!(!merge.is_lost(Source::Control));
         let idle = Instant::now();
         for i in 0..20u64 {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -42,7 +42,7 @@
         }
         if table.contains_key("ask_ms") {
             // Classes that a floor names are those of the proxy's settings, which are not here.
-            PolicySource::form(path)?;
+            PolicySource::read_unchecked(path)?;
             return Ok(format!("{name}: good (a proxy's part in changes of policy)"));
         }
         read_settings(path).map_err(|e| e.to_string())?;
@@ -119,7 +119,7 @@
             Members::Static(assignment) => {
                 lines.push(format!("cluster {name:?}:"));
                 let now = effective(assignment, &cluster.rules.sharing, false);
-                for ((locality, endpoint), part) in assignment.endpoints().zip(&now.parts) {
+                for ((locality, endpoint), part) in assignment.endpoints().zip(&now.shares) {
                     let (zone, addr) = (&locality.name.zone, endpoint.addr);
                     let percent = part * 100.0;
                     lines.push(format!(
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -187,7 +187,7 @@
         Value::Null => FallbackPolicy::Nobody,
         told => FallbackPolicy::read(told).map_err(|e| e.to_string())?,
     };
-    let policy = Policy::of(&ask["settings"], floor).map_err(|e| e.to_string())?;
+    let policy = Policy::validated(&ask["settings"], floor).map_err(|e| e.to_string())?;
     Ok(policy.document())
 }
 
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -149,7 +149,7 @@
 impl Balancer {
     /// The longest latency objective: the time after which the outcomes of a window's requests are known.
     fn settling_time(&self) -> Nanos {
-        let longest = self.settings.classes.iter().map(|c| c.aim).max();
+        let longest = self.settings.classes.iter().map(|c| c.latency_objective).max();
         longest.unwrap_or(SECOND).clamp(MIN_SETTLING_TIME, MAX_SETTLING_TIME)
     }
 
@@ -191,7 +191,7 @@
         self.update_admission(now);
         let work = self.latency_of(request.class).mean.max(1.0);
         let mut value = self.settings.classes.get(request.class).map_or(1.0, |c| c.worth.max(1e-9));
-        if self.settings.worth_by_work {
+        if self.settings.value_is_per_work_unit {
             value *= work;
         }
         if !self.tenants.is_within(&self.settings, now, request.tenant) {
--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Latency objective: an answer within this time earns its full value.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// The client gives up after this time, measured from its first try.
     pub deadline: Nanos,
     /// Whether a request may take effect more than once.
@@ -62,7 +62,7 @@
     /// Value of a request, or of a unit of its work (see [`Settings::worth_by_work`]).
     pub worth: f64,
     /// Whether its answers are streamed.
-    pub stream: bool,
+    pub is_streamed: bool,
     /// The zones to which its requests may be sent; `None`: all.
     pub zones: Option<Vec<u32>>,
     /// The machine kinds to which its requests may be sent; `None`: all.
@@ -95,24 +95,24 @@
     /// Number of proxies.
     pub proxies: u32,
     /// Index of this proxy.
-    pub me: u32,
+    pub proxy_index: u32,
     /// Whether the proxy must subscribe to the endpoint list; otherwise the list is pushed.
-    pub must_ask: bool,
+    pub must_subscribe: bool,
     /// Whether this is a cache-aside deployment, in which endpoints report a miss and the proxy itself sends
     /// to the origin. Otherwise the endpoints fetch from the origin (read-through).
-    pub aside: bool,
+    pub is_cache_aside: bool,
     /// The machine kind of the origin in a cache-aside deployment.
     pub origin_kind: Option<u32>,
     /// Value of a request beyond its tenant's quota, as a fraction of the value of its class.
     pub over_share_worth: f64,
     /// Whether [`Class::worth`] is the value of a unit of work; otherwise it is the value of a request.
-    pub worth_by_work: bool,
+    pub value_is_per_work_unit: bool,
     /// Maximum number of attempts of a request; 0 counts as 1.
     pub max_attempts: u32,
     /// Whether pending attempts may be cancelled.
-    pub cancel: bool,
+    pub allows_cancel: bool,
     /// Whether requests may be hedged, so that two attempts of one request are pending at once.
-    pub second_copies: bool,
+    pub allows_hedging: bool,
     /// Maximum `Retry-After` of a rejection; 0: none is given.
     pub max_retry_after: Nanos,
     /// Idle connections are closed after this time.
@@ -122,17 +122,17 @@
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
     /// Slow start: the fraction of its capacity with which an endpoint starts.
-    pub cold_from: f64,
+    pub initial_capacity_fraction: f64,
     /// Slow start: an endpoint is warm after this time.
-    pub cold: Nanos,
+    pub warm_up_time: Nanos,
     /// A cold endpoint fails if it is sent more than this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this time.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// Idle connections to a draining endpoint must be closed within this time; 0: they may stay open.
-    pub let_go: Nanos,
+    pub idle_close_limit: Nanos,
     /// Time within which a proxy without a subscription must request one.
-    pub must_ask_in: Nanos,
+    pub max_subscribe_delay: Nanos,
     /// Whether clients mark the tries that repeat an earlier one.
     pub marks_retry: bool,
 }
@@ -165,7 +165,7 @@
     /// Capacity relative to other endpoints.
     pub weight: f64,
     /// Time of its last start; 0 if it started long ago.
-    pub started: Nanos,
+    pub started_at: Nanos,
 }
 
 /// What the entries of an endpoint-list event contain.
@@ -225,9 +225,9 @@
     /// Time left until the client gives up this try.
     pub remaining: Nanos,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
     /// Whether its client marked it as a repeat of an earlier try.
-    pub retry: bool,
+    pub is_marked_retry: bool,
     /// The endpoint to which operators pinned it; preferred whenever it is eligible.
     pub pinned: Option<ServerId>,
 }
@@ -264,9 +264,9 @@
     /// A timer with this token has expired.
     Timer(u64),
     /// The client left; no answer is needed.
-    Expired(RequestId),
+    ClientGone(RequestId),
     /// A streamed answer has begun.
-    First(RequestId),
+    StreamStarted(RequestId),
 }
 
 /// An action that the proxy must take; actions are executed in order.
@@ -289,7 +289,7 @@
         attempt: u32,
     },
     /// Final answer: rejected; the client may safely repeat the request.
-    Refuse {
+    Reject {
         /// Id of the request.
         id: RequestId,
         /// Advised `Retry-After`; 0: none.
@@ -316,19 +316,19 @@
 /// Slow-start allowance of this proxy for a cold endpoint, as handed over from one process of the proxy to
 /// the next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdLeft {
+pub struct ColdEndpointAllowance {
     /// The endpoint.
     pub server: ServerId,
     /// Start time of the endpoint: Unix time, with the millisecond precision of the list. The allowance is
     /// void if the endpoint has restarted since.
-    pub started: Nanos,
+    pub started_at: Nanos,
     /// Requests left; below 1 none may be sent at present.
-    pub left: f64,
+    pub remaining_requests: f64,
 }
 
-impl ColdLeft {
+impl ColdEndpointAllowance {
     /// The allowance for the endpoint of this entry, with `left` requests.
-    pub fn of(entry: &Entry, left: f64) -> Self {
-        ColdLeft { server: entry.server, started: entry.started, left }
+    pub fn of(entry: &Entry, remaining_requests: f64) -> Self {
+        ColdEndpointAllowance { server: entry.server, started_at: entry.started_at, remaining_requests }
     }
 }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -66,15 +66,15 @@
         let is_worthless = budget > 0.0 && request.is_worthless_when_late();
         let timeout = if is_worthless { budget as Nanos } else { 0 };
         let overdue_after = latency.overdue_after(budget);
-        let is_repeatable = request.class().is_some_and(|c| c.effect != Effect::Unsafe && !c.stream);
+        let is_repeatable = request.class().is_some_and(|c| c.effect != Effect::Unsafe && !c.is_streamed);
         let has_attempts_left = (request.attempts.len() as u32) < settings.max_attempts;
         let may_repeat =
             is_repeatable && has_attempts_left && !to_origin && overdue_after + latency.mean < budget;
-        if may_repeat && settings.second_copies {
+        if may_repeat && settings.allows_hedging {
             // Danger: a lost answer or a hung endpoint would delay the request past its objective. While all
             // endpoints are slow, `overdue_after` exceeds the budget and no hedge is sent.
             AttemptTimers { timeout, hedge_after: Some(overdue_after as Nanos) }
-        } else if may_repeat && settings.aside {
+        } else if may_repeat && settings.is_cache_aside {
             AttemptTimers { timeout: overdue_after as Nanos, hedge_after: None }
         } else {
             AttemptTimers { timeout, hedge_after: None }
@@ -146,7 +146,7 @@
         if request.is_streaming || request.has_pending_attempt() {
             return;
         }
-        if ended.status == Status::Miss && self.settings.aside {
+        if ended.status == Status::Miss && self.settings.is_cache_aside {
             if let Some(origin) = self.choose_origin(now, request) {
                 return self.send(now, ended.id, origin, actions);
             }
@@ -170,7 +170,7 @@
         if to_origin {
             return (ended.status == Status::Reset).then_some(RetryCause::OriginFailure);
         }
-        let is_unanswered = ended.status == Status::Timeout && self.settings.aside;
+        let is_unanswered = ended.status == Status::Timeout && self.settings.is_cache_aside;
         if is_unanswered {
             return Some(RetryCause::NoAnswer);
         }
@@ -206,7 +206,7 @@
         let Some(request) = self.requests.remove(&id) else { return false };
         let target = if !self.may_retry(now, &request, cause) {
             None
-        } else if cause != RetryCause::EndpointFailure && self.settings.aside {
+        } else if cause != RetryCause::EndpointFailure && self.settings.is_cache_aside {
             self.choose_origin(now, &request)
         } else {
             self.choose_endpoint(now, &request, 1)
@@ -219,7 +219,8 @@
     }
 
     fn may_retry(&self, now: Nanos, request: &OpenRequest, cause: RetryCause) -> bool {
-        let loads_origin = cause == RetryCause::NoAnswer && (self.settings.aside || request.is_fetch);
+        let loads_origin =
+            cause == RetryCause::NoAnswer && (self.settings.is_cache_aside || request.is_fetch);
         // Danger: when a hot key overloads an endpoint, the retries of a thousand proxies after their
         // timeouts would flood the origin as well.
         (!loads_origin || self.origin.is_responsive())
@@ -237,7 +238,7 @@
         self.tenants.charge(&self.settings, now, request.tenant, served);
         let value = if now <= request.objective_at { served } else { served * late_value };
         self.admission.record_end(&request, value);
-        if request.settings.cancel {
+        if request.settings.allows_cancel {
             let pending = request.attempts.iter().enumerate().filter(|(_, a)| a.is_pending);
             actions.extend(pending.map(|(n, _)| Action::Cancel { id: ended.id, attempt: n as u32 }));
         }
@@ -264,6 +265,6 @@
         // While admission rejects requests, clients are advised to wait before they retry.
         let is_wait_advised = is_too_late || self.admission.is_shedding();
         let retry_after = if is_wait_advised { request.settings.max_retry_after } else { 0 };
-        actions.push(Action::Refuse { id, retry_after });
+        actions.push(Action::Reject { id, retry_after });
     }
 }
--- a/src/decision/candidates.rs
+++ b/src/decision/candidates.rs
@@ -246,7 +246,8 @@
         let shared = spread.min(order.len());
         if shared > 1 {
             // A hot bucket would overload a single endpoint, so its requests rotate over the first few.
-            order[..shared].rotate_left(bucket.rotation.wrapping_add(self.settings.me) as usize % shared);
+            order[..shared]
+                .rotate_left(bucket.rotation.wrapping_add(self.settings.proxy_index) as usize % shared);
         }
         order
     }
--- a/src/decision/endpoint_set.rs
+++ b/src/decision/endpoint_set.rs
@@ -140,7 +140,7 @@
     /// then on.
     pub(super) fn close_idle_if_draining(&self, server: ServerId, actions: &mut Vec<Action>) {
         let is_draining = self.endpoints.get(server).is_some_and(|e| e.entry.state == State::Draining);
-        if self.settings.let_go > 0 && is_draining {
+        if self.settings.idle_close_limit > 0 && is_draining {
             actions.push(Action::Close(server));
         }
     }
@@ -153,7 +153,7 @@
     pub(super) fn takes_keys(&self, endpoint: &Endpoint) -> bool {
         // The origin of a cache-aside deployment is a fallback (after a miss or a timeout, and for writes),
         // never a candidate.
-        endpoint.entry.state == State::Ready && !(self.settings.aside && self.is_origin(endpoint))
+        endpoint.entry.state == State::Ready && !(self.settings.is_cache_aside && self.is_origin(endpoint))
     }
 
     /// Whether requests of a class may be sent to this endpoint. All classes may use the origin of a
@@ -162,7 +162,7 @@
         let allows = |set: &Option<Vec<u32>>, value: u32| set.as_ref().is_none_or(|set| set.contains(&value));
         let is_allowed =
             |c: &Class| allows(&c.zones, endpoint.entry.zone) && allows(&c.kinds, endpoint.entry.kind);
-        class.is_none_or(is_allowed) || self.settings.aside && self.is_origin(endpoint)
+        class.is_none_or(is_allowed) || self.settings.is_cache_aside && self.is_origin(endpoint)
     }
 
     fn remove_endpoint(&mut self, server: ServerId) {
@@ -180,10 +180,10 @@
 
     fn upsert_endpoint(&mut self, now: Nanos, entry: Entry) {
         if let Some(endpoint) = self.endpoints.get_mut(entry.server) {
-            if endpoint.entry.started != entry.started {
+            if endpoint.entry.started_at != entry.started_at {
                 // A changed start time means a new process, with an empty cache and no history of failures.
                 endpoint.ejection = Ejection::default();
-                let tokens = unit_interval(mix64(self.rng.state ^ entry.started));
+                let tokens = unit_interval(mix64(self.rng.state ^ entry.started_at));
                 endpoint.slow_start_tokens = TokenBucket { tokens, refilled_at: now };
             }
             endpoint.entry = entry;
--- a/src/decision/latency_objective.rs
+++ b/src/decision/latency_objective.rs
@@ -85,15 +85,15 @@
     /// time budget; a different budget is taken as the rest of the deadline and shows when the request began.
     pub(super) fn time_to_objective(&mut self, request: &Request, class: &Class) -> Nanos {
         let budget = request.remaining;
-        let objective = class.aim.min(budget);
+        let objective = class.latency_objective.min(budget);
         // Danger: requests of impatient clients arrive with little time left and are not late repeats. If
         // clients mark repeats, an unmarked request is a first try.
-        let is_marked_first = self.settings.marks_retry && !request.retry;
+        let is_marked_first = self.settings.marks_retry && !request.is_marked_retry;
         let Some(latency) = self.latency.get_mut(request.class as usize) else { return objective };
         latency.vote(budget, class);
         if !is_marked_first && !latency.is_common(budget, class) {
             let spent = class.deadline.saturating_sub(budget);
-            return objective.min(class.aim.saturating_sub(spent));
+            return objective.min(class.latency_objective.saturating_sub(spent));
         }
         objective
     }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -101,7 +101,7 @@
     /// Replaces the settings, from the next request on. The classes keep their indices, only their terms may
     /// differ; tenants may be added, removed and reordered, and `tenants` gives the former index of each
     /// tenant, if it had one. Statistics and counters are kept.
-    pub fn obey(&mut self, settings: Settings, tenants: &[Option<usize>]) {
+    pub fn apply_settings(&mut self, settings: Settings, tenants: &[Option<usize>]) {
         let previous = std::mem::replace(&mut self.settings, Rc::new(settings));
         self.tenants.renumber(tenants);
         let migrated = self.buckets.migrate(&previous, &self.settings);
@@ -128,8 +128,8 @@
                 HEDGE_TIMER => self.on_hedge_timer(now, token & (HEDGE_TIMER - 1), actions),
                 _ => {}
             },
-            Event::Expired(id) => self.on_expired(id),
-            Event::First(id) => {
+            Event::ClientGone(id) => self.on_expired(id),
+            Event::StreamStarted(id) => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     request.is_streaming = true;
                 }
@@ -151,7 +151,7 @@
         }
         let target = if !is_admitted {
             None
-        } else if self.settings.aside && request.is_write {
+        } else if self.settings.is_cache_aside && request.is_write {
             self.choose_origin(now, &request)
         } else {
             self.choose_endpoint(now, &request, spread)
@@ -189,7 +189,7 @@
         let bucket = self.buckets.get(bucket);
         let is_cached = bucket.is_some_and(|b| b.is_probably_cached());
         let was_read = bucket.is_some_and(|b| b.was_read);
-        request.is_fetch = !self.settings.aside && !request.is_write && !is_cached;
+        request.is_fetch = !self.settings.is_cache_aside && !request.is_write && !is_cached;
         // Danger: an origin overloaded by fetches that no client waits for any longer fills no cache, so each
         // further read becomes one more such fetch.
         let is_throttled = self.origin.probability().is_some_and(|p| self.rng.next_unit() > p);
@@ -245,7 +245,7 @@
     /// clients with a timeout shorter than the objective end many attempts in this way; counted as timeouts
     /// of the endpoint, these would get healthy endpoints ejected.
     fn is_ended_by_client_deadline(&self, now: Nanos, request: &OpenRequest, ended: &Completion) -> bool {
-        let objective = self.settings.classes.get(request.class).map_or(0, |c| c.aim);
+        let objective = self.settings.classes.get(request.class).map_or(0, |c| c.latency_objective);
         let is_past_deadline = now.saturating_add(MS) >= request.deadline;
         is_past_deadline && ended.status == Status::Timeout && ended.elapsed < objective
     }
--- a/src/decision/origin_limit.rs
+++ b/src/decision/origin_limit.rs
@@ -107,8 +107,8 @@
 fn fetch_objective(settings: &Settings, class: Option<usize>) -> Nanos {
     let classes = settings.classes.iter().enumerate();
     // If the endpoint fetches, the time includes the endpoint's own work, which depends on the class.
-    let applicable = classes.filter(|(index, _)| settings.aside || class == Some(*index));
-    applicable.map(|(_, c)| c.aim).min().unwrap_or(SECOND)
+    let applicable = classes.filter(|(index, _)| settings.is_cache_aside || class == Some(*index));
+    applicable.map(|(_, c)| c.latency_objective).min().unwrap_or(SECOND)
 }
 
 impl Balancer {
@@ -127,6 +127,6 @@
         }
         let in_time = status == Status::Ok && elapsed <= fetch_objective(&self.settings, class);
         let fetch = Fetch { status, elapsed, in_time };
-        self.origin.adjust(now, &fetch, self.settings.aside, self.outliers.failure_rate);
+        self.origin.adjust(now, &fetch, self.settings.is_cache_aside, self.outliers.failure_rate);
     }
 }
--- a/src/decision/outlier_detection.rs
+++ b/src/decision/outlier_detection.rs
@@ -129,7 +129,7 @@
 
     /// The number of listed cache nodes, and how many of them are not ready or are ejected, and so receive no
     /// requests other than trials.
-    pub fn avoided(&self, now: Nanos) -> (usize, usize) {
+    pub fn count_avoided_nodes(&self, now: Nanos) -> (usize, usize) {
         let nodes = self.endpoints.listed().filter(|e| !self.is_origin(e));
         nodes.fold((0, 0), |(listed, avoided), endpoint| {
             let is_avoided = endpoint.entry.state != State::Ready || endpoint.ejection.is_ejected(now);
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -56,7 +56,7 @@
             settings,
             class: request.class as usize,
             bucket: None,
-            is_write: request.write,
+            is_write: request.is_write,
             objective_at: now.saturating_add(objective),
             deadline: now.saturating_add(request.remaining),
             is_streaming: false,
@@ -174,7 +174,7 @@
             && now < request.deadline
             && !request.is_streaming
             && request.has_attempts_left()
-            && (!request.has_pending_attempt() || request.settings.second_copies)
+            && (!request.has_pending_attempt() || request.settings.allows_hedging)
             && request.allows_repeat_at(now, &endpoint.entry)
     }
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: an endpoint with a cold cache receives a growing fraction of its keys, and its traffic is
 //! limited by an allowance that grows as well.
 
-use super::api::{ColdLeft, Nanos};
+use super::api::{ColdEndpointAllowance, Nanos};
 use super::candidates::{slot, BucketId};
 use super::endpoint_set::{Endpoint, EndpointIndex};
 use super::hash::{mix64, unit_interval};
@@ -21,11 +21,11 @@
 impl Balancer {
     /// Minimum fraction of its full capacity that an endpoint has reached by now; 1 for a warm one.
     fn warmth(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
-        if endpoint.entry.started == 0 || self.settings.cold == 0 {
+        if endpoint.entry.started_at == 0 || self.settings.warm_up_time == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(endpoint.entry.started) as f64 / self.settings.cold as f64;
-        let initial = self.settings.cold_from.clamp(0.0, 1.0);
+        let age = now.saturating_sub(endpoint.entry.started_at) as f64 / self.settings.warm_up_time as f64;
+        let initial = self.settings.initial_capacity_fraction.clamp(0.0, 1.0);
         (initial + (1.0 - initial) * age).min(1.0)
     }
 
@@ -64,28 +64,30 @@
         }
         let share = 1.0 / endpoint.inverse_weight / self.endpoints.total_weight.max(1e-9);
         let traffic = self.traffic.request_rate(now).min(self.traffic.served_rate());
-        let rate = COLD_LOAD_SHARE * self.settings.fall_multiple * warmth * share * traffic;
-        let window_s = self.settings.fall as f64 / SECOND as f64;
+        let rate = COLD_LOAD_SHARE * self.settings.overload_multiple * warmth * share * traffic;
+        let window_s = self.settings.overload_window as f64 / SECOND as f64;
         let tokens = &mut self.endpoints[index].slow_start_tokens;
         Some(tokens.refill(now, rate, (rate * window_s).max(1.0)))
     }
 
     /// Hands over the slow-start allowance of each cold endpoint to the successor process, and keeps none:
     /// during an upgrade both processes share the allowance of one proxy.
-    pub fn give_cold(&mut self, now: Nanos) -> Vec<ColdLeft> {
-        let cold = self.settings.cold;
-        let is_cold = |e: &&mut Endpoint| e.entry.started > 0 && now < e.entry.started.saturating_add(cold);
-        let release =
-            |e: &mut Endpoint| ColdLeft::of(&e.entry, std::mem::take(&mut e.slow_start_tokens.tokens));
+    pub fn release_slow_start_allowances(&mut self, now: Nanos) -> Vec<ColdEndpointAllowance> {
+        let cold = self.settings.warm_up_time;
+        let is_cold =
+            |e: &&mut Endpoint| e.entry.started_at > 0 && now < e.entry.started_at.saturating_add(cold);
+        let release = |e: &mut Endpoint| {
+            ColdEndpointAllowance::of(&e.entry, std::mem::take(&mut e.slow_start_tokens.tokens))
+        };
         self.endpoints.slots_mut().filter(is_cold).map(release).collect()
     }
 
     /// Adopts the allowances that the incumbent process handed over, in place of the random initial ones. An
     /// allowance for another start of its endpoint is ignored.
-    pub fn take_cold(&mut self, now: Nanos, given: &[ColdLeft]) {
-        for ColdLeft { server, started, left } in given {
+    pub fn inherit_slow_start_allowances(&mut self, now: Nanos, given: &[ColdEndpointAllowance]) {
+        for ColdEndpointAllowance { server, started_at: started, remaining_requests: left } in given {
             let Some(endpoint) = self.endpoints.get_mut(*server) else { continue };
-            if endpoint.entry.started.abs_diff(*started) < MS {
+            if endpoint.entry.started_at.abs_diff(*started) < MS {
                 endpoint.slow_start_tokens = TokenBucket { tokens: *left, refilled_at: now };
             }
         }
--- a/src/decision/subscription.rs
+++ b/src/decision/subscription.rs
@@ -50,7 +50,7 @@
     /// Updates the state of the subscription after a list was applied.
     pub(super) fn on_list_applied(&mut self, kind: ListKind, actions: &mut Vec<Action>) {
         let subscription = &mut self.subscription;
-        if kind == ListKind::Cached && self.settings.must_ask {
+        if kind == ListKind::Cached && self.settings.must_subscribe {
             self.subscribe_later(actions);
         } else if subscription.is_requested {
             (subscription.is_requested, subscription.is_active) = (false, true);
@@ -61,7 +61,7 @@
     /// Arms the timer of the next call to discovery. Jitter and exponential backoff prevent a fleet that lost
     /// discovery from calling it all at once.
     fn subscribe_later(&mut self, actions: &mut Vec<Action>) {
-        let max_backoff = (self.settings.must_ask_in / 3).max(SECOND) as f64;
+        let max_backoff = (self.settings.max_subscribe_delay / 3).max(SECOND) as f64;
         let doublings = self.subscription.consecutive_failures.min(MAX_DOUBLINGS);
         let backoff = (INITIAL_BACKOFF_S * SECOND as f64 * f64::from(1u32 << doublings)).min(max_backoff);
         let delay =
@@ -71,13 +71,13 @@
 
     pub(super) fn on_subscribe_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
         let subscription = &mut self.subscription;
-        if token != subscription.timer_token || subscription.is_active || !self.settings.must_ask {
+        if token != subscription.timer_token || subscription.is_active || !self.settings.must_subscribe {
             return;
         }
         actions.push(Action::Subscribe);
         subscription.is_requested = true;
         // If the answer is lost, subscribe again before the list counts as out of date.
-        let delay = self.settings.must_ask_in.max(2 * SECOND) / 5 * 4;
+        let delay = self.settings.max_subscribe_delay.max(2 * SECOND) / 5 * 4;
         subscription.arm_timer(delay, actions);
     }
 }
--- a/src/proxy/config/active_config.rs
+++ b/src/proxy/config/active_config.rs
@@ -47,6 +47,6 @@
 
     /// The latency objective of a class.
     pub fn aim(&self, class: usize) -> Nanos {
-        self.settings.classes.get(class).map_or(Nanos::MAX, |c| c.aim)
+        self.settings.classes.get(class).map_or(Nanos::MAX, |c| c.latency_objective)
     }
 }
--- a/src/proxy/config/interner.rs
+++ b/src/proxy/config/interner.rs
@@ -39,7 +39,7 @@
                 EndpointState::Gone => State::Gone,
             },
             weight: m.weight,
-            started: m.started,
+            started_at: m.started,
         };
         (entry, m.addr)
     }
--- a/src/proxy/config/layers.rs
+++ b/src/proxy/config/layers.rs
@@ -121,9 +121,9 @@
         };
         match apply_overlay(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
             Overlay::Nobody => Ok((None, RejectedClasses { all: true, classes: Vec::new() })),
-            Overlay::By(met) => {
+            Overlay::Settings(met) => {
                 let acting = checked(&met.settings)?;
-                let refusing = refusing(&met.stops, &acting.names.classes);
+                let refusing = refusing(&met.rejected_classes, &acting.names.classes);
                 Ok((Some(acting), refusing))
             }
         }
@@ -156,7 +156,7 @@
                 "settings.categories[{i}].allowed_on: a machine kind that this proxy doesn't know"
             ));
         }
-        if class.aim > class.deadline {
+        if class.latency_objective > class.deadline {
             return Err(format!("settings.categories[{i}].promise_ns: expected deadline_ns at most"));
         }
     }
--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -85,14 +85,14 @@
             read.map_err(|e| crate::proxy::log(format_args!("ignoring the policy of the old process: {e}")))
                 .ok()
         };
-        let fresh = Member::new(boot, source.unanswered, now);
+        let fresh = Member::new(boot, source.startup, now);
         let (member, applied) = match inherited {
             None => (fresh, None),
             Some(PolicyHandover { member, holding: None }) => {
-                (Member::take_over(boot, source.unanswered, member, now), None)
+                (Member::take_over(boot, source.startup, member, now), None)
             }
             Some(PolicyHandover { member, holding: Some(text) }) => match parse_broadcast(&text) {
-                Some(held) => (Member::take_over(boot, source.unanswered, member, now), Some(held)),
+                Some(held) => (Member::take_over(boot, source.startup, member, now), Some(held)),
                 None => (fresh, None),
             },
         };
@@ -117,13 +117,13 @@
     }
 
     /// Returns the incarnation of this process.
-    pub fn boot(&self) -> u64 {
-        self.state.borrow().member.boot().0
+    pub fn incarnation(&self) -> u64 {
+        self.state.borrow().member.incarnation().0
     }
 
     /// Returns the interval between lease requests.
     pub fn request_interval(&self) -> Duration {
-        self.source.every
+        self.source.request_interval
     }
 
     /// Sends a lease request as soon as possible.
@@ -137,7 +137,7 @@
     /// Returns the lease request, if one is due.
     pub fn due_lease_request(&self) -> Option<String> {
         let now = self.now();
-        self.request_due.replace(false).then(|| self.state.borrow_mut().member.ask(now).text())
+        self.request_due.replace(false).then(|| self.state.borrow_mut().member.next_request(now).text())
     }
 
     /// Returns whether any request may be served.
@@ -147,7 +147,7 @@
     }
 
     /// Returns once it holds a lease.
-    pub async fn answered(&self) {
+    pub async fn wait_for_lease(&self) {
         while !matches!(self.state.borrow().member.acting(self.now()), ActivePolicy::Leased(_)) {
             self.lease_granted.notified().await;
         }
@@ -172,7 +172,7 @@
 
     /// Returns the `Retry-After` of a class if the active policies reject it.
     pub fn rejects(&self, class: usize) -> Option<Duration> {
-        let max = self.layers.engine().acting().settings.max_retry_after;
+        let max = self.layers.engine().active_config().settings.max_retry_after;
         self.layers.rejects(class).then(|| RETRY_AFTER.min(Duration::from_nanos(max)))
     }
 
@@ -193,7 +193,7 @@
     fn on_broadcast(&self, text: &str) {
         let received = match PolicyBroadcast::read(text) {
             Ok(broadcast) => Ok(broadcast),
-            Err(BroadcastError::Beyond { revision, why }) => Err((revision, why)),
+            Err(BroadcastError::Unsupported { revision, why }) => Err((revision, why)),
             // This process never joins the revision, and is fenced once its lease expires.
             Err(e) => return crate::proxy::log(format_args!("ignoring a policy broadcast: {e}")),
         };
@@ -219,10 +219,10 @@
                 return;
             }
             let (layers, fallback, received) = (&self.layers, &self.source.floor, &state.received);
-            let new = state.member.granted(grant, |policy_set| match received {
+            let new = state.member.process_grant(grant, |policy_set| match received {
                 Some(Err((revision, why))) if *revision == grant.revision => Err(why.clone()),
                 Some(Ok(broadcast))
-                    if broadcast.revision == grant.revision && broadcast.told == policy_set =>
+                    if broadcast.revision == grant.revision && broadcast.policy_set == policy_set =>
                 {
                     check_broadcast(layers, broadcast, fallback)
                 }
@@ -244,8 +244,8 @@
     /// Applies the policies that are active now.
     fn apply_active(&self) {
         let state = &mut *self.state.borrow_mut();
-        let (leave, until) = state.member.standing(self.now());
-        let last = state.member.told();
+        let (leave, until) = state.member.active_policy_until(self.now());
+        let last = state.member.last_policy_set();
         self.valid_until.set(until);
         if state.last_passed == Some((leave, last)) {
             return;
@@ -301,7 +301,7 @@
     fallback: &FallbackPolicy,
 ) -> Result<(), String> {
     for (number, body) in &broadcast.policies {
-        let paths = fallback.looser(&body.settings);
+        let paths = fallback.looser_paths(&body.settings);
         if !paths.is_empty() {
             return Err(format!(
                 "the floor in this proxy's own settings is looser than policy {} in {}",
@@ -321,11 +321,11 @@
             layers.check_policy(&layer)?;
         }
     }
-    let leave = ActivePolicy::Leased(broadcast.told);
+    let leave = ActivePolicy::Leased(broadcast.policy_set);
     let policies = broadcast.policies.clone();
     layers.check_policy(&PolicyLayer {
         leave,
-        last: Some(broadcast.told),
+        last: Some(broadcast.policy_set),
         policies,
         begin_by: fallback.clone(),
     })
--- a/src/proxy/control/policy_settings.rs
+++ b/src/proxy/control/policy_settings.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicySource {
     /// Interval between requests for a policy lease.
-    pub every: Duration,
+    pub request_interval: Duration,
     /// What the process does between its start and its first policy lease.
-    pub unanswered: StartupPolicy,
+    pub startup: StartupPolicy,
     /// The fallback policy that applies if the process gets no lease after its start.
     pub floor: FallbackPolicy,
 }
@@ -38,7 +38,7 @@
     /// # Errors
     /// A message that names the file and the field.
     pub fn read(path: &Path, own: &Value) -> Result<Self, String> {
-        let read = Self::form(path)?;
+        let read = Self::read_unchecked(path)?;
         read.check_against(own).map_err(|e| format!("{}: {e}", path.display()))
     }
 
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// A message that names the file and the field.
-    pub fn form(path: &Path) -> Result<Self, String> {
+    pub fn read_unchecked(path: &Path) -> Result<Self, String> {
         let text = read_text(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let read = toml::from_str::<PolicyFile>(&text).map_err(|e| e.to_string());
         read.and_then(Self::validate).map_err(|e| format!("{}: {e}", path.display()))
@@ -66,21 +66,21 @@
             return Err("ask_ms: expected milliseconds from 50 to 60000".into());
         }
         let unanswered = match file.floor_after_s {
-            None => StartupPolicy::Waits,
-            Some(s) if (0.0..=3600.0).contains(&s) => StartupPolicy::FloorAfter((s * 1e9) as u64),
+            None => StartupPolicy::ServeNobody,
+            Some(s) if (0.0..=3600.0).contains(&s) => StartupPolicy::FallbackAfter((s * 1e9) as u64),
             Some(_) => return Err("floor_after_s: expected seconds from 0 to 3600".into()),
         };
         let floor = match (&file.floor, unanswered) {
-            (None, StartupPolicy::FloorAfter(_)) => {
+            (None, StartupPolicy::FallbackAfter(_)) => {
                 return Err("floor: expected the fallback policy to apply after floor_after_s".into())
             }
-            (Some(_), StartupPolicy::Waits) => {
+            (Some(_), StartupPolicy::ServeNobody) => {
                 return Err("floor: expected floor_after_s with it, without which it never applies".into())
             }
-            (None, StartupPolicy::Waits) => FallbackPolicy::Nobody,
+            (None, StartupPolicy::ServeNobody) => FallbackPolicy::Nobody,
             (Some(value), _) => FallbackPolicy::read(value).map_err(|e| e.to_string())?,
         };
-        Ok(PolicySource { every: Duration::from_millis(file.ask_ms), unanswered, floor })
+        Ok(PolicySource { request_interval: Duration::from_millis(file.ask_ms), startup: unanswered, floor })
     }
 
     /// Checks that the fallback policy can be applied on top of the proxy's own settings.
--- a/src/proxy/control/rollout_client.rs
+++ b/src/proxy/control/rollout_client.rs
@@ -7,7 +7,7 @@
 use crate::proxy::engine::Engine;
 use crate::proxy::process::supervised::Supervised;
 use rushquay_admin::RequestMetrics;
-use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORM};
+use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest, FORMAT_VERSION};
 use rushquay_membership::{ProxyStats, RejectedConfig, Report};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -66,7 +66,7 @@
     loop_probe: Rc<LoopProbe>,
     shutting_down: Cell<bool>,
     /// Notified when a report should be sent immediately.
-    pub news: Arc<Notify>,
+    pub wake: Arc<Notify>,
 }
 
 impl RolloutClient {
@@ -79,7 +79,7 @@
         news: Arc<Notify>,
     ) -> Rc<Self> {
         let engine = layers.engine().clone();
-        let rollout_metrics = RolloutMetrics::new(engine.acting().names.classes.len());
+        let rollout_metrics = RolloutMetrics::new(engine.active_config().names.classes.len());
         let base = ConfigVersion::base();
         // Danger: a process that reports the base version while it runs another program than the base version names would count as
         // rolled back.
@@ -104,7 +104,7 @@
             state,
             loop_probe,
             shutting_down,
-            news,
+            wake: news,
         });
         assignment.iter().for_each(|text| rollout.inherit(text));
         rollout
@@ -120,13 +120,13 @@
 
     /// Returns the interval between reports.
     pub fn report_interval(&self) -> Duration {
-        self.source.every
+        self.source.report_interval
     }
 
     /// Reports immediately that graceful shutdown has begun.
     pub fn begin_shutdown(&self) {
         self.shutting_down.set(true);
-        self.news.notify_one();
+        self.wake.notify_one();
     }
 
     /// Checks whether this proxy can apply an assignment. A rejection is included in the next report.
@@ -134,23 +134,23 @@
     /// # Errors
     /// Why it cannot.
     pub fn can_apply(&self, assignment: &ConfigAssignment) -> Result<(), String> {
-        let needs_supervisor = self.supervised.is_none() && assignment.generation.program().is_some();
+        let needs_supervisor = self.supervised.is_none() && assignment.version.program().is_some();
         let checked = match needs_supervisor {
             true => Err("settings.program: this proxy runs without a supervisor, which is needed to replace its program".into()),
             // The other program reports whether it can apply the assignment once it runs.
-            false if !self.runs(&assignment.generation) => Ok(()),
-            false => self.layers.check_version(&assignment.generation),
+            false if !self.runs(&assignment.version) => Ok(()),
+            false => self.layers.check_version(&assignment.version),
         };
         if let Err(why) = &checked {
-            let generation = assignment.generation.digest();
+            let generation = assignment.version.digest();
             crate::proxy::log(format_args!(
                 "settings {generation:?} of change {} are rejected: {why}",
-                assignment.change
+                assignment.rollout
             ));
             let mut state = self.state.borrow_mut();
-            state.change = assignment.change;
+            state.change = assignment.rollout;
             state.rejected = Some(RejectedConfig { generation, why: why.chars().take(500).collect() });
-            self.news.notify_one();
+            self.wake.notify_one();
         }
         checked
     }
@@ -164,7 +164,7 @@
     /// Takes over the incumbent's assignment. One that cannot be parsed or applied is ignored: the control service sends it again.
     pub fn inherit(&self, text: &str) {
         match ConfigAssignment::read(text) {
-            Ok(given) if self.runs(&given.generation) && self.can_apply(&given).is_ok() => self.apply(&given),
+            Ok(given) if self.runs(&given.version) && self.can_apply(&given).is_ok() => self.apply(&given),
             // It needs another program, or cannot be applied.
             Ok(_) => {}
             Err(e) => crate::proxy::log(format_args!("ignoring the settings of the old process: {e}")),
@@ -173,26 +173,26 @@
 
     /// Applies an assignment, effective from the next request.
     pub fn apply(&self, assignment: &ConfigAssignment) {
-        let digest = assignment.generation.digest();
+        let digest = assignment.version.digest();
         let mut state = self.state.borrow_mut();
-        (state.change, state.rejected) = (assignment.change, None);
-        if !self.runs(&assignment.generation) {
+        (state.change, state.rejected) = (assignment.rollout, None);
+        if !self.runs(&assignment.version) {
             // Danger: settings that are meant for another program must not be applied by this one. Nothing changes until that program
             // runs.
             state.waiting = Some(assignment.text());
-            self.news.notify_one();
+            self.wake.notify_one();
             return;
         }
         (state.applied, state.waiting) = (Some(assignment.text()), None);
         if digest != state.active {
             // The version was validated before the assignment was acknowledged.
-            if self.layers.apply_version(&assignment.generation).is_err() {
+            if self.layers.apply_version(&assignment.version).is_err() {
                 return;
             }
             state.active = digest;
-            crate::proxy::log(format_args!("acting by settings {digest:?} of change {}", assignment.change));
+            crate::proxy::log(format_args!("acting by settings {digest:?} of change {}", assignment.rollout));
         }
-        self.news.notify_one();
+        self.wake.notify_one();
     }
 
     /// Builds the next report of this process.
@@ -200,9 +200,9 @@
         let mut state = self.state.borrow_mut();
         state.seq += 1;
         let (memory, descriptors) = process_usage();
-        let classes = self.request_metrics.figures(&self.engine.acting().names.classes);
+        let classes = self.request_metrics.figures(&self.engine.active_config().names.classes);
         let report = Report {
-            form: FORM,
+            form: FORMAT_VERSION,
             boot: self.incarnation,
             seq: state.seq,
             zone: self.source.zone.clone(),
--- a/src/proxy/control/rollout_metrics.rs
+++ b/src/proxy/control/rollout_metrics.rs
@@ -24,7 +24,7 @@
         let nanos = duration.as_nanos() as u64;
         match outcome {
             RequestOutcome::Completed => {
-                stats.took(nanos);
+                stats.record_response_time(nanos);
                 match nanos > config.aim(class) {
                     true => stats.late += 1,
                     false => stats.served += 1,
--- a/src/proxy/control/rollout_settings.rs
+++ b/src/proxy/control/rollout_settings.rs
@@ -12,7 +12,7 @@
     /// The zone of this proxy.
     pub zone: String,
     /// Interval between reports.
-    pub every: Duration,
+    pub report_interval: Duration,
 }
 
 /// The settings as they are written in a file.
@@ -58,6 +58,6 @@
         };
         let zone = file.zone.or_else(own_zone).filter(|z| !z.trim().is_empty());
         let zone = zone.ok_or("zone: expected the name of this proxy's data centre")?;
-        Ok(RolloutSource { zone, every: Duration::from_millis(file.report_ms) })
+        Ok(RolloutSource { zone, report_interval: Duration::from_millis(file.report_ms) })
     }
 }
--- a/src/proxy/control/settings.rs
+++ b/src/proxy/control/settings.rs
@@ -75,7 +75,7 @@
     /// A message that names the file and the field.
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = read_text(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let read = toml::from_str::<Self>(&text).map_err(|e| e.to_string()).and_then(Self::checked);
+        let read = toml::from_str::<Self>(&text).map_err(|e| e.to_string()).and_then(Self::validate);
         read.map_err(|e| format!("{}: {e}", path.display()))
     }
 
@@ -84,14 +84,14 @@
     /// # Errors
     /// A message that names the field.
     pub fn from_json(value: &serde_json::Value) -> Result<Self, String> {
-        Self::deserialize(value).map_err(|e| e.to_string()).and_then(Self::checked)
+        Self::deserialize(value).map_err(|e| e.to_string()).and_then(Self::validate)
     }
 
     /// Validates the settings.
     ///
     /// # Errors
     /// A message that names the field.
-    pub(crate) fn checked(self) -> Result<Self, String> {
+    pub(crate) fn validate(self) -> Result<Self, String> {
         let need = |valid: bool, message: &str| if valid { Ok(()) } else { Err(message.to_owned()) };
         need(!self.addresses.is_empty(), "addresses: expected one address at least")?;
         need(!self.clusters.is_empty(), "clusters: expected one name at least")?;
--- a/src/proxy/control/subscription.rs
+++ b/src/proxy/control/subscription.rs
@@ -30,13 +30,13 @@
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// The other clients that share the subscription's stream.
-pub struct Parts {
+pub struct StreamClients {
     /// The rollout client, if rollouts are configured.
     pub rollout: Option<Rc<RolloutClient>>,
     /// The policy client, if policies are configured.
     pub policy: Option<Rc<PolicyClient>>,
     /// Notified when one of them has a message to send immediately.
-    pub news: Arc<Notify>,
+    pub wake: Arc<Notify>,
 }
 
 /// A configured subscription.
@@ -59,7 +59,7 @@
     }
 
     /// Runs the subscription for as long as the process runs.
-    pub async fn follow(self, feed: Rc<EndpointFeed>, parts: Parts) {
+    pub async fn follow(self, feed: Rc<EndpointFeed>, parts: StreamClients) {
         let tls = match self.source.tls.as_ref().map(read_tls).transpose() {
             Ok(tls) => tls,
             // The subscription never runs without the configured TLS. The proxy's own discovery continues.
@@ -91,7 +91,7 @@
         }
     }
 
-    fn client_options(&self, tls: Option<(Tls, String)>, parts: &Parts) -> ClientOptions {
+    fn client_options(&self, tls: Option<(Tls, String)>, parts: &StreamClients) -> ClientOptions {
         let sends_messages = parts.rollout.is_some() || parts.policy.is_some();
         ClientOptions {
             addresses: self.source.addresses.clone(),
@@ -100,12 +100,12 @@
             tls,
             message: MAX_RESPONSE_BYTES,
             identity: None,
-            wake: sends_messages.then(|| parts.news.clone()),
+            wake: sends_messages.then(|| parts.wake.clone()),
         }
     }
 
     /// Creates the follower that reads the stream and sends this process's reports and lease requests.
-    fn follower(&self, parts: &Parts) -> ControlFollower {
+    fn follower(&self, parts: &StreamClients) -> ControlFollower {
         let nanos = |ms: u64| ms.saturating_mul(1_000_000);
         let mut follower = ControlFollower::new(FollowerConfig {
             addresses: self.source.addresses.len(),
@@ -121,7 +121,7 @@
         }
         if let Some(policy) = &parts.policy {
             let requests = policy.clone();
-            follower.policy(&self.name, policy.boot(), move || requests.due_lease_request());
+            follower.policy(&self.name, policy.incarnation(), move || requests.due_lease_request());
         }
         follower
     }
@@ -145,7 +145,7 @@
 /// Handles the events of the stream.
 struct EventHandler<'a> {
     feed: &'a EndpointFeed,
-    parts: &'a Parts,
+    parts: &'a StreamClients,
     /// When the stream last delivered a response or was opened; `None`: it is not open, or its state is complete.
     quiet_since: Cell<Option<Instant>>,
     outage: RefCell<Outage>,
@@ -210,18 +210,18 @@
 }
 
 /// Wakes the stream at each interval to send a report; never ends.
-async fn wake_for_reports(parts: &Parts) {
+async fn wake_for_reports(parts: &StreamClients) {
     let Some(rollout) = &parts.rollout else { return std::future::pending().await };
     let mut tick = interval(rollout.report_interval());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
-        parts.news.notify_one();
+        parts.wake.notify_one();
     }
 }
 
 /// Requests a policy lease at each interval; never ends.
-async fn request_leases(parts: &Parts) {
+async fn request_leases(parts: &StreamClients) {
     let Some(policy) = &parts.policy else { return std::future::pending().await };
     let mut tick = interval(policy.request_interval());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/proxy/discovery/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -36,13 +36,14 @@
             let mut merger = EndpointMerger::new(limits);
             if let Some(known) = known {
                 // The engine already has this list, so the changes are dropped.
-                let _ = merger.list(Source::Known, known, MergeTime::without_overrides(engine.now()));
+                let _ =
+                    merger.apply_list(Source::Configured, known, MergeTime::without_overrides(engine.now()));
             }
             RefCell::new(merger)
         });
         let clock_origin = (engine.now(), steady());
         let mut discovered = ListAssembler::default();
-        known.iter().for_each(|known| discovered.take(known));
+        known.iter().for_each(|known| discovered.apply(known));
         let (skew, pins, discovered) = (Cell::default(), RefCell::default(), RefCell::new(discovered));
         let starts = RefCell::default();
         Rc::new(EndpointFeed { engine, merger, skew, pins, discovered, starts, clock_origin })
@@ -68,7 +69,7 @@
     pub fn on_clock_measurement(&self, ahead: i64, error: Nanos) {
         let mut skew = self.skew.get();
         let before = skew.ahead();
-        if skew.measured(ahead, error, steady()) && ahead.abs_diff(before) > SECOND / 2 {
+        if skew.add_measurement(ahead, error, steady()) && ahead.abs_diff(before) > SECOND / 2 {
             crate::proxy::log(format_args!(
                 "control service: clock offset {:+.3} s, within {:.3} s; overrides expire by that clock",
                 ahead as f64 / SECOND as f64,
@@ -82,21 +83,21 @@
 
     /// Returns discovery's complete list.
     pub fn discovered_list(&self) -> Option<EndpointList> {
-        self.discovered.borrow().whole()
+        self.discovered.borrow().whole_list()
     }
 
     /// Handles the complete list from discovery, or changes to it.
     pub fn on_discovery_list(&self, list: EndpointList) {
-        self.discovered.borrow_mut().take(&list);
+        self.discovered.borrow_mut().apply(&list);
         let mut list = list;
-        self.starts.borrow_mut().take(&mut list.servers, self.engine.now());
+        self.starts.borrow_mut().convert(&mut list.servers, self.engine.now());
         let list = &list;
         let Some(merger) = &self.merger else {
             let kind = if list.full { ListKind::Full } else { ListKind::Delta };
             return self.engine.list(kind, &list.servers);
         };
         let merger = &mut *merger.borrow_mut();
-        let changes = merger.list(Source::Discovery, list, self.merge_time());
+        let changes = merger.apply_list(Source::Discovery, list, self.merge_time());
         if list.full {
             let all: Vec<Endpoint> =
                 merger.nodes().map(|v| self.with_capped_start(v.member.clone())).collect();
@@ -110,7 +111,7 @@
     /// Handles the Unix time of a response from discovery, by discovery's clock.
     pub fn on_response_date(&self, date: Nanos) {
         let mut starts = self.starts.borrow_mut();
-        if starts.dated(date, self.engine.now()) {
+        if starts.record_response_date(date, self.engine.now()) {
             crate::proxy::log(format_args!(
                 "this machine's wall clock was {:+.0} s from discovery's at the start; nodes' starts go by discovery's",
                 starts.ahead() as f64 / SECOND as f64
@@ -121,20 +122,20 @@
     /// Handles that discovery is unreachable. Its list stays in use.
     pub fn on_discovery_failure(&self) {
         if let Some(merger) = &self.merger {
-            merger.borrow_mut().lost(Source::Discovery);
+            merger.borrow_mut().mark_lost(Source::Discovery);
         }
         self.engine.list(ListKind::Failed, &[]);
     }
 
     /// Handles an event from the control service. `process` identifies the control service's process.
     pub fn on_control_event(&self, process: &str, event: WatchEvent) {
-        self.update_merge(|merger, now| merger.control(process, event, now));
+        self.update_merge(|merger, now| merger.apply_control_event(process, event, now));
     }
 
     /// Handles that the control service is unreachable. Its list stays in use.
     pub fn control_lost(&self) {
         self.update_merge(|merger, _| {
-            merger.lost(Source::Control);
+            merger.mark_lost(Source::Control);
             Changes::default()
         });
     }
@@ -142,7 +143,7 @@
     /// Handles that the control service has delivered its complete state on the current stream.
     pub fn control_confirmed(&self) {
         self.update_merge(|merger, _| {
-            merger.confirm();
+            merger.confirm_control();
             Changes::default()
         });
     }
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -55,17 +55,17 @@
     }
 
     fn refused(reason: impl fmt::Display) -> Self {
-        CallError { failure: CallFailure::Refused, reason: reason.to_string() }
+        CallError { failure: CallFailure::Rejected, reason: reason.to_string() }
     }
 
     fn silent(reason: &str) -> Self {
-        CallError { failure: CallFailure::Silent, reason: reason.into() }
+        CallError { failure: CallFailure::TimedOut, reason: reason.into() }
     }
 
     fn stats_kind(&self) -> Kind {
         match self.failure {
-            CallFailure::Refused => Kind::ListRefused,
-            CallFailure::Silent => Kind::ListSilent,
+            CallFailure::Rejected => Kind::ListRefused,
+            CallFailure::TimedOut => Kind::ListSilent,
             CallFailure::Broken => Kind::ListBroken,
         }
     }
@@ -126,7 +126,7 @@
     fn on_list(&mut self, response: ListResponse, feed: &EndpointFeed) {
         let ListResponse { members, date } = response;
         date.into_iter().for_each(|date| feed.on_response_date(date));
-        if self.cursor.saw(&members) == CursorUpdate::Doubted {
+        if self.cursor.accept(&members) == CursorUpdate::Rejected {
             fleet_stats::count(Kind::ListBroken, 1);
             crate::proxy::log(format_args!(
                 "discovery at {}: list version {} with {} entries does not follow the current list, which is kept; \
@@ -135,7 +135,7 @@
                 members.version,
                 members.servers.len()
             ));
-            return self.schedule.doubted();
+            return self.schedule.list_rejected();
         }
         self.schedule.answered();
         if let Some(n) = self.outage.over() {
@@ -162,14 +162,15 @@
         crate::proxy::log(format_args!("discovery is now at {addr}"));
         (self.addr, self.sender) = (addr, None);
         self.cursor.reset();
-        self.schedule.moved();
+        self.schedule.address_changed();
     }
 
     /// Waits until the call is due and makes it, within its time limit.
     async fn call(&mut self, next_call: NextCall) -> Result<ListResponse, CallError> {
-        tokio::time::sleep(Duration::from_nanos(next_call.wait)).await;
+        tokio::time::sleep(Duration::from_nanos(next_call.delay)).await;
         let result =
-            tokio::time::timeout(Duration::from_nanos(next_call.limit), self.exchange(next_call.hold)).await;
+            tokio::time::timeout(Duration::from_nanos(next_call.timeout), self.exchange(next_call.hold))
+                .await;
         result.unwrap_or_else(|_| Err(CallError::silent("timed out waiting for a response")))
     }
 
@@ -199,7 +200,7 @@
         match serde_json::from_slice(&body.to_bytes()) {
             Ok(members) => Ok(ListResponse { members, date }),
             Err(e) => {
-                self.cursor.spoilt();
+                self.cursor.request_whole_list();
                 Err(CallError::refused(format_args!("invalid endpoint list: {e}")))
             }
         }
