--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -30,11 +30,11 @@
     /// The request as the decision module sees it.
     pub request: Request,
     /// The request as it is forwarded to nodes.
-    pub job: UpstreamRequest,
+    pub upstream_request: UpstreamRequest,
     /// How much later the last byte of a streamed body may arrive. The deadline runs from that byte.
     pub upload: Nanos,
     /// The attempt policy of its cluster and route; `None`: none applies.
-    pub terms: Option<Rc<AttemptPolicy>>,
+    pub attempt_policy: Option<Rc<AttemptPolicy>>,
 }
 
 /// One attempt of a request.
@@ -70,8 +70,8 @@
     keyed: bool,
     /// How long the nodes deduplicate retries of its class; `None`: it needs no deduplication.
     deduplicated_for: Option<Nanos>,
-    job: Rc<UpstreamRequest>,
-    terms: Option<Rc<AttemptPolicy>>,
+    upstream_request: Rc<UpstreamRequest>,
+    attempt_policy: Option<Rc<AttemptPolicy>>,
     deadline: Nanos,
     /// When its client stops waiting.
     client_until: Nanos,
@@ -99,7 +99,7 @@
     fn is_retry_harmless(&self) -> bool {
         let reaches_same_group =
             |t: &Rc<AttemptPolicy>| t.reaches_same_group(self.attempts.iter().map(|a| (a.sent, &a.record)));
-        !self.keyed || self.terms.as_ref().is_none_or(reaches_same_group)
+        !self.keyed || self.attempt_policy.as_ref().is_none_or(reaches_same_group)
     }
 }
 
@@ -139,9 +139,9 @@
     ) -> Rc<Self> {
         let engine = Rc::new_cyclic(|weak_self| Engine {
             clock,
-            cancel_obsolete: acting.settings.cancel,
+            cancel_obsolete: acting.settings.allows_cancel,
             origin_kind: acting.settings.origin_kind,
-            slow_start: acting.settings.cold,
+            slow_start: acting.settings.warm_up_time,
             core: RefCell::new(Core {
                 balancer: Balancer::new(acting.settings.clone(), seed),
                 next_id: 1,
@@ -157,7 +157,7 @@
     }
 
     /// Returns the configuration for new requests.
-    pub fn acting(&self) -> Rc<ActiveConfig> {
+    pub fn active_config(&self) -> Rc<ActiveConfig> {
         self.active_config.borrow().clone()
     }
 
@@ -165,7 +165,7 @@
     /// requests finish under the configuration that they started with.
     pub fn apply_config(&self, acting: Rc<ActiveConfig>) {
         let tenants = acting.tenants_before(&self.active_config.borrow().names);
-        self.core.borrow_mut().balancer.obey(acting.settings.clone(), &tenants);
+        self.core.borrow_mut().balancer.apply_settings(acting.settings.clone(), &tenants);
         *self.active_config.borrow_mut() = acting;
     }
 
@@ -191,17 +191,17 @@
 
     /// Returns how many cache nodes are listed, and how many of them the module avoids at present.
     pub fn endpoint_counts(&self) -> (usize, usize) {
-        self.core.borrow().balancer.avoided(self.clock.now())
+        self.core.borrow().balancer.count_avoided_nodes(self.clock.now())
     }
 
     /// Gives up the slow-start allowance to a successor.
-    pub fn release_slow_start_allowance(&self) -> Vec<ColdLeft> {
-        self.core.borrow_mut().balancer.give_cold(self.clock.now())
+    pub fn release_slow_start_allowance(&self) -> Vec<ColdEndpointAllowance> {
+        self.core.borrow_mut().balancer.release_slow_start_allowances(self.clock.now())
     }
 
     /// Takes over the slow-start allowance of the incumbent.
-    pub fn inherit_slow_start_allowance(&self, given: &[ColdLeft]) {
-        self.core.borrow_mut().balancer.take_cold(self.clock.now(), given);
+    pub fn inherit_slow_start_allowance(&self, given: &[ColdEndpointAllowance]) {
+        self.core.borrow_mut().balancer.inherit_slow_start_allowances(self.clock.now(), given);
     }
 
     /// Returns whether a request could be served at present.
@@ -216,7 +216,7 @@
 
     /// Applies an endpoint list, or changes to it, to the connection pools and the decision module.
     pub fn list(&self, kind: ListKind, members: &[Endpoint]) {
-        let names = &self.acting().names;
+        let names = &self.active_config().names;
         let entries: Vec<(Entry, Option<SocketAddr>)> = members.iter().map(|m| names.entry(m)).collect();
         request_trace::event(|| Traced::List { entries: entries.len() });
         if kind != ListKind::Failed {
@@ -232,7 +232,8 @@
 
     /// Submits a request. The returned ticket yields its answer.
     pub fn submit(&self, pending_request: PendingRequest) -> Ticket {
-        let PendingRequest { mut request, job, upload, terms } = pending_request;
+        let PendingRequest { mut request, upstream_request: job, upload, attempt_policy: terms } =
+            pending_request;
         let core = &mut *self.core.borrow_mut();
         let now = self.clock.now();
         let (answer, receiver) = oneshot::channel();
@@ -243,7 +244,7 @@
         let margin = margin(client_timeout);
         request.remaining = client_timeout - margin;
         let deadline = now.saturating_add(request.remaining);
-        let keyed = request.write && self.active_config.borrow().keyed(request.class);
+        let keyed = request.is_write && self.active_config.borrow().keyed(request.class);
         let deduplicated_for = self.active_config.borrow().remembered(request.class);
         let (job, attempts) = (Rc::new(job), Vec::new());
         let client_until = now.saturating_add(client_timeout);
@@ -253,8 +254,8 @@
             id,
             keyed,
             deduplicated_for,
-            job,
-            terms,
+            upstream_request: job,
+            attempt_policy: terms,
             deadline,
             client_until,
             after_body,
@@ -274,9 +275,9 @@
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
-            request_trace::event(|| Traced::Gone { request: pending.job.id() });
+            request_trace::event(|| Traced::Gone { request: pending.upstream_request.id() });
             pending.in_flight().for_each(Cancellation::mark_abandoned);
-            self.feed(core, Event::Expired(id));
+            self.feed(core, Event::ClientGone(id));
             if self.cancel_obsolete {
                 self.cancel_all_attempts(core, id);
             }
@@ -294,17 +295,22 @@
         }
         attempt.record_outcome(ended.status, ended.code);
         let (node, status) = (attempt.server, ended.status);
-        request_trace::event(|| Traced::Ended { request: pending.job.id(), number, node, status });
-        if let Some(response) = ended.answer {
+        request_trace::event(|| Traced::Ended {
+            request: pending.upstream_request.id(),
+            number,
+            node,
+            status,
+        });
+        if let Some(response) = ended.response {
             if let Some(answer) = pending.answer.take() {
                 fleet_stats::count(Kind::Served, 1);
-                let (request, status) = (pending.job.id(), response.status().as_u16());
+                let (request, status) = (pending.upstream_request.id(), response.status().as_u16());
                 request_trace::event(|| Traced::Answered { request, status, after: None });
                 let _ = answer.send(Answer::Served(response));
                 pending.in_flight().for_each(Cancellation::mark_answered);
             }
         }
-        let event = self.outcome_event(pending, number, ended.status, ended.hit);
+        let event = self.outcome_event(pending, number, ended.status, ended.cache_hit);
         self.feed(core, event);
         Self::forget(core, id);
     }
@@ -334,7 +340,7 @@
         match action {
             Action::Send { id, server, timeout } => events.extend(self.send(core, id, server, timeout)),
             Action::Cancel { id, attempt } => events.extend(self.cancel_attempt(core, id, attempt as usize)),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 // Danger: a rejection promises that a retry is harmless. It is not if the group that would have dropped the duplicate has
                 // changed since.
                 let harmless = core.pending.get(&id).is_none_or(Pending::is_retry_harmless);
@@ -367,15 +373,18 @@
         let pending = core.pending.get_mut(&id)?;
         let number = pending.attempts.len();
         let left = pending.deadline.saturating_sub(now);
-        if pending.answer.is_none() || left == 0 || !pending.job.may_send() {
+        if pending.answer.is_none() || left == 0 || !pending.upstream_request.can_send_body() {
             pending.attempts.push(Attempt::unsent(server, now));
             return Some(self.outcome_event(pending, number, Status::Moot, None));
         }
         // The module's timeout assumes that the node receives the complete request immediately, so streamed bodies are exempt.
-        let mut attempt_timeout =
-            if timeout == 0 || pending.job.upload().is_some() { left } else { timeout.min(left) };
+        let mut attempt_timeout = if timeout == 0 || pending.upstream_request.upload().is_some() {
+            left
+        } else {
+            timeout.min(left)
+        };
         let mut record = AttemptRecord::default();
-        if let Some(terms) = &pending.terms {
+        if let Some(terms) = &pending.attempt_policy {
             let earlier = pending.attempts.iter().map(|a| (a.sent, &a.record));
             match terms.allow(earlier, pending.keyed, self.upstreams.group_since(server)) {
                 Some(allowed) => record = allowed,
@@ -394,7 +403,12 @@
             (false, _) => Some(cause_of(last)),
         };
         after.into_iter().for_each(|cause| self.upstreams.ledger().retries.one_more(cause));
-        request_trace::event(|| Traced::Attempt { request: pending.job.id(), number, node: server, after });
+        request_trace::event(|| Traced::Attempt {
+            request: pending.upstream_request.id(),
+            number,
+            node: server,
+            after,
+        });
         if fleet_stats::on() {
             let (kind, started) = self.upstreams.kind(server).unwrap_or_default();
             let cold = started > 0 && now < started.saturating_add(self.slow_start);
@@ -409,8 +423,8 @@
             client,
             max_node_deadline,
         };
-        let importance = pending.terms.as_ref().map(|t| t.importance);
-        let (job, cancellation) = (pending.job.clone(), Rc::new(Cancellation::default()));
+        let importance = pending.attempt_policy.as_ref().map(|t| t.importance);
+        let (job, cancellation) = (pending.upstream_request.clone(), Rc::new(Cancellation::default()));
         let (upstreams, task_cancellation, weak_self) =
             (self.upstreams.clone(), cancellation.clone(), self.weak_self.clone());
         let task = tokio::task::spawn_local(async move {
@@ -460,7 +474,7 @@
         let Some(sender) = pending.answer.take() else { return };
         let last = pending.attempts.last().and_then(|a| a.status);
         fleet_stats::unserved(&answer, last);
-        self.count_unserved(pending.job.id(), &answer, cause_of(last));
+        self.count_unserved(pending.upstream_request.id(), &answer, cause_of(last));
         // The receiver is gone if the client has just disconnected.
         let _ = sender.send(answer);
         pending.in_flight().for_each(Cancellation::mark_answered);
--- a/src/proxy/envoy/admin.rs
+++ b/src/proxy/envoy/admin.rs
@@ -12,7 +12,7 @@
 use rushquay_envoy::catalogue::{Kept, Warmth};
 use rushquay_envoy::resource::message_of;
 use rushquay_envoy::text::show;
-use rushquay_load_assignment::{Health, Standing};
+use rushquay_load_assignment::{EndpointUse, Health};
 use rushquay_xds::Kind;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -132,11 +132,11 @@
     }
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: EndpointUse) -> &'static str {
     match standing {
-        Standing::Serves => "serves",
-        Standing::StandsBy => "stands by",
-        Standing::Drains => "gets nothing new",
+        EndpointUse::Serves => "serves",
+        EndpointUse::StandsBy => "stands by",
+        EndpointUse::Drains => "gets nothing new",
     }
 }
 
@@ -145,14 +145,14 @@
     let clusters: HashMap<_, _> = clusters.iter().map(|c| (&*c.name, c)).collect();
     let catalogue = shared.catalogue.borrow();
     let statuses = catalogue.shown().map(|(spec, warmth, pool)| {
-        let hosts = pool.shown().into_iter().map(|host| {
+        let hosts = pool.endpoint_statuses().into_iter().map(|host| {
             let passed = nodes.get(&(&*spec.name, &*host.node.id));
             json!({
                 "address": host.node.addr.to_string(), "id": &*host.node.id, "zone": &*host.node.zone,
                 "region": &*host.locality.0, "sub_zone": &*host.locality.1, "priority": host.priority,
                 "weight": host.weight, "effective_weight": host.part, "health_flags": health(host.health),
                 "standing": standing(host.node.standing),
-                "cx_active": passed.map_or(0, |p| p.connections), "rq_active": passed.map_or(0, |p| p.out),
+                "cx_active": passed.map_or(0, |p| p.connections), "rq_active": passed.map_or(0, |p| p.in_flight),
                 "rq_total": passed.map_or(0, |p| p.attempts), "rq_error": passed.map_or(0, |p| p.failed),
             })
         });
@@ -169,10 +169,10 @@
         let trips = passed.map(|p| p.trips).unwrap_or_default();
         json!({
             "name": &*spec.name, "warming": !matches!(warmth, Warmth::Active), "dedup_group": &*spec.group,
-            "origin": spec.origin.as_deref(), "refused_part": pool.effective().refused,
+            "origin": spec.origin.as_deref(), "refused_part": pool.effective().rejected,
             "panic_threshold": spec.rules.sharing.panic, "priorities": levels, "split": split,
-            "cx_active": passed.map_or(0, |p| p.connections), "rq_open": passed.map_or(0, |p| p.open),
-            "rq_total": passed.map_or(0, |p| p.requests), "rq_shed": passed.map_or(0, |p| p.shed),
+            "cx_active": passed.map_or(0, |p| p.connections), "rq_open": passed.map_or(0, |p| p.open_requests),
+            "rq_total": passed.map_or(0, |p| p.requests), "rq_shed": passed.map_or(0, |p| p.rejected_requests),
             "rq_overflow": trips[0], "rq_retry_overflow": trips[1], "cx_pending_overflow": trips[2],
             "host_statuses": hosts,
         })
--- a/src/proxy/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -12,7 +12,7 @@
 pub use source::{read_bootstrap, EnvoySource};
 
 use crate::proxy::clock::Clock;
-use crate::proxy::upstream::load_assignment::{ClusterFigures, NodeFigures, Pools};
+use crate::proxy::upstream::load_assignment::{ClusterSet, ClusterStats, NodeStats};
 use rushquay_envoy::catalogue::{Batch, Change};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 }
 
 /// What passed at all clusters and nodes.
-type Figures = (Vec<ClusterFigures>, Vec<NodeFigures>);
+type Figures = (Vec<ClusterStats>, Vec<NodeStats>);
 /// Where the proxy's thread is asked for them.
 type FiguresAsked = mpsc::Sender<oneshot::Sender<Figures>>;
 
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// An admin page that can't listen, or secrets that can't be read.
-pub fn follow(source: EnvoySource, pools: Rc<Pools>, me: Me) -> Result<(), String> {
+pub fn follow(source: EnvoySource, pools: Rc<ClusterSet>, me: Me) -> Result<(), String> {
     follow_with(source, pools, me, || Rc::new(SystemResolver))
 }
 
@@ -77,7 +77,7 @@
 /// As for [`follow`].
 pub fn follow_with(
     source: EnvoySource,
-    pools: Rc<Pools>,
+    pools: Rc<ClusterSet>,
     me: Me,
     resolver: impl FnOnce() -> Rc<dyn Resolver> + Send + 'static,
 ) -> Result<(), String> {
@@ -119,7 +119,7 @@
         loop {
             tokio::select! {
                 () = hand.news.notified() => pools.apply(hand.take(), clock.now()),
-                Some(answer) = asked.recv() => drop(answer.send(pools.figures())),
+                Some(answer) = asked.recv() => drop(answer.send(pools.stats())),
             }
         }
     });
--- a/src/proxy/envoy/tests.rs
+++ b/src/proxy/envoy/tests.rs
@@ -47,7 +47,8 @@
         };
         let clock = Clock::by(&Clocks::default());
         let (settings, names) = (Settings::default(), Interner::default());
-        let pools = Pools::new(settings, names, 1, Descriptors::new(10), RequestMetrics::new(&[]), clock);
+        let pools =
+            ClusterSet::new(settings, names, 1, Descriptors::new(10), RequestMetrics::new(&[]), clock);
         let ips = |list: &[&str]| list.iter().map(|ip| ip.parse().expect("an address")).collect::<Vec<_>>();
         let answers: Answers = Arc::new(Mutex::new(Ok(ips(&["127.0.0.1", "127.0.0.2", "::1"]))));
         let listen = "127.0.0.1:1".parse().expect("an address");
@@ -56,7 +57,7 @@
         let counted = asked.clone();
         follow_with(source, pools.clone(), me, || Rc::new(Told(told, counted))).expect("started");
         let addresses = || {
-            let mut found: Vec<String> = pools.figures().1.into_iter().map(|n| n.id.to_string()).collect();
+            let mut found: Vec<String> = pools.stats().1.into_iter().map(|n| n.id.to_string()).collect();
             found.sort();
             found
         };
--- a/src/proxy/http/request_body.rs
+++ b/src/proxy/http/request_body.rs
@@ -2,7 +2,7 @@
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as HttpBody, Bytes, Frame, Incoming, SizeHint};
-use rushquay_stream_progress::{Nanos, Pace, Patience, Replay, SECOND};
+use rushquay_stream_progress::{Nanos, ProgressLimits, ProgressTracker, Replay, SECOND};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -18,11 +18,13 @@
 pub const BODY_MOST: usize = 64 << 10;
 /// A client that sends a body may be so slow. The slowest that is well sends 64 kB a second after two; one that has stopped is owed
 /// its answer within 3 s, and what stands still is found out a little later than it is due.
-pub const CLIENT_PATIENCE: Patience = Patience { silent: 2_700_000_000, start: 4 * SECOND, rate: 16_000 };
+pub const CLIENT_PATIENCE: ProgressLimits =
+    ProgressLimits { max_silence: 2_700_000_000, grace: 4 * SECOND, min_rate: 16_000 };
 /// The same of a node.
-pub const NODE_PATIENCE: Patience = Patience { silent: 3 * SECOND, start: 4 * SECOND, rate: 16_000 };
+pub const NODE_PATIENCE: ProgressLimits =
+    ProgressLimits { max_silence: 3 * SECOND, grace: 4 * SECOND, min_rate: 16_000 };
 /// A node that answers may be so slow, once its answer has begun.
-const ANSWER_PATIENCE: Patience = Patience { silent: 10 * SECOND, start: 0, rate: 0 };
+const ANSWER_PATIENCE: ProgressLimits = ProgressLimits { max_silence: 10 * SECOND, grace: 0, min_rate: 0 };
 
 /// Nanoseconds since some moment of this process.
 pub fn steady() -> Nanos {
@@ -108,18 +110,18 @@
 
 /// Watches a peer's progress while something is awaited from it.
 struct Watch {
-    pace: Pace,
-    patience: Patience,
+    pace: ProgressTracker,
+    patience: ProgressLimits,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Watch {
-    fn new(patience: Patience) -> Self {
-        Watch { pace: Pace::new(steady()), patience, timer: None }
+    fn new(patience: ProgressLimits) -> Self {
+        Watch { pace: ProgressTracker::new(steady()), patience, timer: None }
     }
 
     fn moved(&mut self, bytes: usize) {
-        self.pace.moved(steady(), bytes);
+        self.pace.record(steady(), bytes);
         self.timer = None;
     }
 
@@ -127,7 +129,7 @@
     fn stopped(&mut self, cx: &mut Context<'_>) -> bool {
         let now = steady();
         if self.timer.is_none() {
-            let left = self.pace.due(&self.patience).saturating_sub(now);
+            let left = self.pace.stalled_at(&self.patience).saturating_sub(now);
             let at = tokio::time::Instant::now() + Duration::from_nanos(left);
             self.timer = Some(Box::pin(sleep_until(at)));
         }
@@ -247,7 +249,7 @@
     /// For the rest, if no other attempt has it.
     fn past(&self) -> Option<Incoming> {
         let mut replay = self.replay.get();
-        let got = replay.past();
+        let got = replay.claim_rest();
         self.replay.set(replay);
         self.rest.borrow_mut().take().filter(|_| got)
     }
@@ -309,17 +311,17 @@
 /// little has come.
 pub async fn beginning(
     body: &mut Incoming,
-    patience: Patience,
+    patience: ProgressLimits,
     hold: Option<Duration>,
 ) -> Result<(Bytes, bool), Unread> {
-    let (mut pace, mut parts): (Pace, Vec<Bytes>) = (Pace::new(steady()), Vec::new());
+    let (mut pace, mut parts): (ProgressTracker, Vec<Bytes>) = (ProgressTracker::new(steady()), Vec::new());
     let until = hold.map(|hold| tokio::time::Instant::now() + hold);
     loop {
         let held: usize = parts.iter().map(Bytes::len).sum();
         if held > BODY_MOST {
             return Ok((joined(parts), false));
         }
-        let left = Duration::from_nanos(pace.due(&patience).saturating_sub(steady()));
+        let left = Duration::from_nanos(pace.stalled_at(&patience).saturating_sub(steady()));
         let due = tokio::time::Instant::now() + left;
         let early = until.filter(|until| *until < due);
         let frame = match tokio::time::timeout_at(early.unwrap_or(due), body.frame()).await {
@@ -330,7 +332,7 @@
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
-            pace.moved(steady(), data.len());
+            pace.record(steady(), data.len());
             parts.push(data);
         }
     }
--- a/src/proxy/http/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -92,8 +92,8 @@
         };
         let engine = match (&self.backend, &forward) {
             (_, Some(forward)) => &forward.cluster.engine,
-            (Backend::One { engine, .. }, None) => engine,
-            (Backend::Pools(_), None) => {
+            (Backend::Single { engine, .. }, None) => engine,
+            (Backend::Clusters(_), None) => {
                 self.count_turned_away(client.number, TurnedAway::NoRoute);
                 return plain(StatusCode::NOT_FOUND, "no such route");
             }
@@ -114,8 +114,8 @@
     /// The route of a request, if this proxy has routes.
     fn route(&self, head: &mut Parts) -> Result<Option<Box<Forward>>, Box<Response<Body>>> {
         match &self.backend {
-            Backend::One { .. } => Ok(None),
-            Backend::Pools(pools) => match pools.route(head, fastrand::f64) {
+            Backend::Single { .. } => Ok(None),
+            Backend::Clusters(pools) => match pools.route(head, fastrand::f64) {
                 Routed::Answered(answer) => Err(Box::new(answer)),
                 Routed::Forward(forward) => Ok(Some(forward)),
             },
@@ -133,7 +133,7 @@
         may_ask: bool,
     ) -> Response<Body> {
         let name = class_of(&head, forward);
-        let acting = engine.acting();
+        let acting = engine.active_config();
         let Some(class) = acting.names.classes.iter().position(|c| c == name) else {
             self.count_turned_away(client.number, TurnedAway::UnknownClass);
             return bad(StatusCode::NOT_FOUND, "no such class");
@@ -156,7 +156,7 @@
         }
         // Danger: nodes and the deduplication of retries identify a request by its id; a second request with the same id is
         // another client's, and must not disturb the first.
-        let id = asked.job.headers[CORRELATION_ID].clone();
+        let id = asked.upstream_request.headers[CORRELATION_ID].clone();
         if !self.open_request_ids.borrow_mut().insert(id.clone()) {
             account.failed(Cause::DuplicateId);
             return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
@@ -185,7 +185,7 @@
             account.entry.answered(RequestOutcome::Failed);
             return plain(StatusCode::BAD_GATEWAY, GONE);
         }
-        let upload = asked.job.upload().cloned();
+        let upload = asked.upstream_request.upload().cloned();
         let (patience, long) = (asked.request.remaining, upload.is_some());
         let mut ticket: Ticket = engine.submit(asked);
         let answer = tokio::select! {
@@ -223,12 +223,12 @@
     /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the previous request on its
     /// connection was answered. An attempt would serve nobody.
     async fn client_has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
-        if !client.socket.ended() {
+        if !client.socket.is_read_closed() {
             return false;
         }
         let asks = Instant::now();
         let within = GONE_WITHIN.min(Duration::from_nanos(asked.request.remaining) / GONE_PART);
-        if timeout(within, client.socket.hung_up(may_ask)).await.is_ok() {
+        if timeout(within, client.socket.peer_disconnected(may_ask)).await.is_ok() {
             return true;
         }
         reduce_remaining(&mut asked.request.remaining, asks.elapsed());
@@ -258,7 +258,7 @@
 
 fn trace_read(asked: &PendingRequest, connection: u64, account: &RequestAccounting<'_>, waited: Duration) {
     request_trace::event(|| Event::Read {
-        request: asked.job.id(),
+        request: asked.upstream_request.id(),
         connection,
         class: account.acting.names.classes.get(account.class).map_or("", String::as_str),
         left_ms: asked.request.remaining / 1_000_000,
--- a/src/proxy/http/request_parsing.rs
+++ b/src/proxy/http/request_parsing.rs
@@ -85,14 +85,14 @@
     // The request starts here: it runs to its end under the policy lease that is valid now.
     policy.iter().for_each(|p| p.refresh());
     // Danger: while the body arrived, other settings may have been applied under which retries need an idempotency key.
-    let under = engine.acting();
+    let under = engine.active_config();
     if unkeyed && under.keyed(class as u32) {
         return Err(NO_KEY);
     }
     let patience = patience.min(under.settings.classes[class].deadline);
     let (body, upload) = match whole {
-        true => (AttemptBody::Whole(held), 0),
-        false => (AttemptBody::Long(Upload::new(held, body, length)), UPLOAD_MOST),
+        true => (AttemptBody::Buffered(held), 0),
+        false => (AttemptBody::Streamed(Upload::new(held, body, length)), UPLOAD_MOST),
     };
     let tenant = head.headers.get(ACCOUNT).and_then(|a| a.to_str().ok());
     let tenant = tenant.and_then(|a| under.names.tenants.iter().position(|t| t == a));
@@ -103,8 +103,8 @@
         key: key_text.map(key),
         pinned: key_text.and_then(|k| engine.pinned(name, k)),
         remaining: patience,
-        write,
-        retry: head.headers.get(REPEAT).is_some_and(|v| v == "1"),
+        is_write: write,
+        is_marked_retry: head.headers.get(REPEAT).is_some_and(|v| v == "1"),
     };
     let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
     let uri = path.parse().map_err(|_| (StatusCode::BAD_REQUEST, "bad path"))?;
@@ -115,9 +115,9 @@
     let terms = forward.map(|f| f.terms.clone());
     Ok(PendingRequest {
         request,
-        job: UpstreamRequest { method: head.method, uri, headers, body },
+        upstream_request: UpstreamRequest { method: head.method, uri, headers, body },
         upload,
-        terms,
+        attempt_policy: terms,
     })
 }
 
--- a/src/proxy/http/response_reader.rs
+++ b/src/proxy/http/response_reader.rs
@@ -85,11 +85,11 @@
     };
     let code = head.status.as_u16();
     let hit = head.headers.get(&LOOKUP).map(|v| v == "hit");
-    let mut ended = AttemptOutcome { status, code, hit, answer: None };
+    let mut ended = AttemptOutcome { status, code, cache_hit: hit, response: None };
     let long = match (status, whole) {
         (Status::Ok, false) => Some((head, held, body, length)),
         (Status::Ok, true) => {
-            ended.answer = Some(Response::from_parts(head, Body::new(held)));
+            ended.response = Some(Response::from_parts(head, Body::new(held)));
             None
         }
         _ => None,
--- a/src/proxy/http/routing.rs
+++ b/src/proxy/http/routing.rs
@@ -5,13 +5,13 @@
 use crate::proxy::http::answer::Answer;
 use crate::proxy::http::responses::{plain, respond_with};
 use crate::proxy::upstream::attempt_policy::AttemptPolicy;
-use crate::proxy::upstream::load_assignment::{Cluster, Pools};
+use crate::proxy::upstream::load_assignment::{Cluster, ClusterSet};
 use crate::proxy::Body;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri};
-use rushquay_load_assignment::{Hold, Importance, Trip};
+use rushquay_load_assignment::{BreakerLimit, BreakerSlot, RoutePriority};
 use rushquay_routing::{self as routes, Action, Append, Clusters, Head, Mutations};
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     pub terms: Rc<AttemptPolicy>,
     /// Changes of the answer's headers, in order.
     response: Vec<Mutations>,
-    _place: Option<Hold>,
+    _place: Option<BreakerSlot>,
 }
 
 impl Forward {
@@ -90,7 +90,7 @@
 const BY_WEIGHT: u64 = 1;
 const BY_AGGREGATE: u64 = 2;
 
-impl Pools {
+impl ClusterSet {
     /// The advice that goes with a refusal of the proxy's own.
     fn advice(&self) -> Duration {
         Duration::from_nanos(self.settings().max_retry_after.min(ADVICE))
@@ -141,19 +141,19 @@
         let shed = {
             let overloads = cluster.overloads.borrow();
             overloads.iter().any(|o| random() < o.part)
-                || cluster.refused.get() > 0.0 && random() < cluster.refused.get()
+                || cluster.rejected_fraction.get() > 0.0 && random() < cluster.rejected_fraction.get()
         };
         let importance = match importance {
-            routes::Importance::Default => Importance::Default,
-            routes::Importance::High => Importance::High,
+            routes::RoutePriority::Default => RoutePriority::Default,
+            routes::RoutePriority::High => RoutePriority::High,
         };
         let breakers = cluster.breakers.borrow().clone();
-        let place = breakers.as_ref().map(|b| b.take(importance, Trip::Requests)).transpose();
+        let place = breakers.as_ref().map(|b| b.acquire(importance, BreakerLimit::Requests)).transpose();
         let place = match place {
             // Where nobody may be sent to there is nothing to decide.
             Ok(place) if !shed && cluster.engine.can_serve() => place,
             _ => {
-                cluster.shed.set(cluster.shed.get() + 1);
+                cluster.rejected_requests.set(cluster.rejected_requests.get() + 1);
                 return self.refuse();
             }
         };
@@ -179,14 +179,20 @@
         let one_group = parts.method == Method::GET
             || match clusters {
                 Clusters::Weighted(w) => {
-                    self.one_group(w.iter().filter(|w| w.weight > 0).map(|w| &*w.cluster))
+                    self.have_same_group(w.iter().filter(|w| w.weight > 0).map(|w| &*w.cluster))
                 }
-                _ => self.one_group(std::iter::once(&*name)),
+                _ => self.have_same_group(std::iter::once(&*name)),
             };
         let (group_since, routes_since) = (cluster.group_since.clone(), self.routes_since());
         let retries = retries.clone();
-        let terms =
-            Rc::new(AttemptPolicy { retries, importance, breakers, group_since, routes_since, one_group });
+        let terms = Rc::new(AttemptPolicy {
+            retries,
+            importance,
+            breakers,
+            group_since,
+            routes_since,
+            single_group: one_group,
+        });
         let class = route.class.clone();
         Routed::Forward(Box::new(Forward { cluster, class, timeout, terms, response, _place: place }))
     }
--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -4,7 +4,7 @@
 use crate::proxy::listener::client_connection::Client;
 use crate::proxy::listener::descriptors::Permit;
 use crate::proxy::server::Server;
-use rushquay_admission::{giving_way, Evidence, SlotRequest};
+use rushquay_admission::{evictable_connections, Evidence, SlotRequest};
 use rushquay_invariants::CloseCause;
 use rushquay_sockets::accept;
 use std::convert::Infallible;
@@ -53,8 +53,8 @@
         if let Some(n) = self.shortage.borrow_mut().failed(&why.to_string()) {
             crate::proxy::log(format_args!("accept: {why} (failure {n})"));
         }
-        if !self.backend.yield_idle() {
-            self.yield_client(SlotRequest::Slack);
+        if !self.backend.close_oldest_idle() {
+            self.yield_client(SlotRequest::InAdvance);
         }
         sleep(SHORTAGE_WAIT).await;
     }
@@ -64,12 +64,12 @@
         while !self.waiting.borrow().is_empty() {
             let permit = self.place().await;
             let Some(stream) = self.waiting.borrow_mut().pop_front() else { return };
-            self.connected(stream, permit);
+            self.serve_connection(stream, permit);
             // Danger: clients have limited connections as well; those they used once and keep open would leave
             // them none to send requests on.
             let staying = self.clients.borrow().iter().filter(|c| !c.closing()).count();
             if staying > self.clients_most() / 2 {
-                self.yield_client(SlotRequest::Slack);
+                self.yield_client(SlotRequest::InAdvance);
             }
         }
     }
@@ -93,7 +93,7 @@
             return None;
         }
         let permit = self.descriptors.take();
-        if permit.is_none() && !self.backend.yield_idle() {
+        if permit.is_none() && !self.backend.close_oldest_idle() {
             self.make_place();
         }
         permit
@@ -105,7 +105,7 @@
         match lingers {
             Some(client) => client.hurry.notify_one(),
             None if self.one_leaves() => {}
-            None => self.yield_client(SlotRequest::Place),
+            None => self.yield_client(SlotRequest::NewConnection),
         }
     }
 
@@ -115,8 +115,8 @@
         let leaves = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
         let idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !leaves(c)).collect();
         let evidence: Vec<Evidence> = idle.iter().map(|c| c.evidence(now)).collect();
-        let giving = giving_way(&evidence, steady(), self.clients_most(), want);
-        let silent = giving.iter().find(|n| idle[**n].socket.silent());
+        let giving = evictable_connections(&evidence, steady(), self.clients_most(), want);
+        let silent = giving.iter().find(|n| idle[**n].socket.has_no_input());
         if let Some(n) = silent.or(giving.first()) {
             idle[*n].end(CloseCause::MadeRoom);
         }
--- a/src/proxy/listener/client_connection.rs
+++ b/src/proxy/listener/client_connection.rs
@@ -110,16 +110,16 @@
         if cause == CloseCause::BrokenAnswer {
             return;
         }
-        self.socket.end();
+        self.socket.shutdown_write();
         let left = LINGER.saturating_sub(self.since.get().elapsed());
         let hurried = matches!(cause, CloseCause::NotRead | CloseCause::NoRequest);
         // Danger: a client that has sent another request waits for the close before it sends that request elsewhere.
-        if hurried || left.is_zero() || self.socket.silent() {
+        if hurried || left.is_zero() || self.socket.has_no_input() {
             return;
         }
         self.lingering.set(true);
         tokio::select! {
-            () = self.socket.peer_ended() => {}
+            () = self.socket.peer_closed() => {}
             () = self.hurry.notified() => {}
             () = sleep(left) => {}
         }
@@ -131,14 +131,19 @@
             steady().saturating_sub(now.saturating_duration_since(then).as_nanos() as api::Nanos)
         };
         let (asked, begun) = (self.read_buffer.heads.get(), self.read_buffer.head_since.get().is_some());
-        Evidence { asked, begun, since: at(self.since.get()), moved: at(self.socket.moved()) }
+        Evidence {
+            complete_requests: asked,
+            has_partial_request: begun,
+            since: at(self.since.get()),
+            last_io_at: at(self.socket.last_activity()),
+        }
     }
 
     /// Closes the connection if it makes no progress. Danger: a silent client, a head that never completes and a response that is not
     /// read would each hold a descriptor forever.
     pub fn look(&self, now: Instant) {
         let over = |from: Instant, most: Duration| now.saturating_duration_since(from) > most;
-        let moved = self.socket.moved();
+        let moved = self.socket.last_activity();
         if self.socket.stalled() && over(moved, TAKE_WITHIN) {
             return self.end(CloseCause::NotRead);
         }
@@ -154,7 +159,7 @@
         };
         if stopped {
             self.end(CloseCause::NoRequest);
-        } else if over(self.since.get(), IDLE_MOST) && self.socket.silent() {
+        } else if over(self.since.get(), IDLE_MOST) && self.socket.has_no_input() {
             self.end(CloseCause::Idle);
         }
     }
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -38,7 +38,7 @@
     ) {
         crate::proxy::log("draining");
         request_trace::event(|| Event::State { state: "draining" });
-        let longest = self.backend.longest();
+        let longest = self.backend.longest_deadline();
         let start = Instant::now();
         let end = start + longest + END_BEFORE;
         self.ends_at.set(Some(end));
@@ -115,11 +115,11 @@
             };
             let queued = accept_queued(listener, 1);
             match (queued.streams.into_iter().next(), queued.shortage) {
-                (Some(stream), _) => self.connected(stream, permit),
+                (Some(stream), _) => self.serve_connection(stream, permit),
                 (None, None) => return,
                 // Descriptors are short; closing connections return some.
                 (None, Some(_)) => {
-                    self.backend.yield_idle();
+                    self.backend.close_oldest_idle();
                     sleep(YIELD_WITHIN).await;
                 }
             }
@@ -139,7 +139,7 @@
                 }
                 () = sleep_until(end) => {
                     crate::proxy::log("ended with clients still connected");
-                    self.clients.borrow().iter().for_each(|c| self.cut_off(c));
+                    self.clients.borrow().iter().for_each(|c| self.record_process_end(c));
                     return;
                 }
             }
--- a/src/proxy/listener/read_buffer.rs
+++ b/src/proxy/listener/read_buffer.rs
@@ -166,7 +166,7 @@
                 break;
             }
         }
-        socket.hung_up(may_ask).await;
+        socket.peer_disconnected(may_ask).await;
     }
 }
 
--- a/src/proxy/process/startup.rs
+++ b/src/proxy/process/startup.rs
@@ -7,7 +7,7 @@
 use crate::proxy::server::Server;
 use rushquay_endpoints::EndpointList;
 use rushquay_handover::{ResourceShare, SlowStartAllowance};
-use rushquay_invariants::check_said_serving;
+use rushquay_invariants::check_reported_serving;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -133,7 +133,7 @@
         }
         // Danger: without leave it goes by the floor, and refuses what the old one would serve.
         if let Some(policy) = &self.policy {
-            if timeout(LEAVE_WITHIN, policy.answered()).await.is_err() {
+            if timeout(LEAVE_WITHIN, policy.wait_for_lease()).await.is_err() {
                 crate::proxy::log("no leave yet: it goes by the floor until it is answered");
             }
         }
@@ -162,7 +162,7 @@
 
     /// Counts a word that this process serves, given where the guard forbids it.
     pub(crate) fn check_said_serving(&self) {
-        if let Some(violation) = check_said_serving(&self.serve_facts()) {
+        if let Some(violation) = check_reported_serving(&self.serve_facts()) {
             crate::proxy::violation(&self.metrics, violation, &format!("{:?}", self.serve_facts()));
         }
     }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,6 +1,6 @@
 //! The proxy process: its components, when it reports ready, and what it hands over to a successor.
 
-use crate::api::ColdLeft;
+use crate::api::ColdEndpointAllowance;
 use crate::proxy::clock::Clock;
 use crate::proxy::config::active_config::ActiveConfig;
 use crate::proxy::config::layers::ConfigLayers;
@@ -24,7 +24,7 @@
 use crate::proxy::process::startup::{StartupPlan, TakeOver};
 use crate::proxy::process::supervised::Supervised;
 use crate::proxy::upstream::backend::Backend;
-use crate::proxy::upstream::load_assignment::Pools;
+use crate::proxy::upstream::load_assignment::ClusterSet;
 use crate::proxy::upstream::Upstreams;
 use crate::proxy::{BODY_MOST, BUFFER_MOST};
 use hyper::header::HeaderValue;
@@ -121,17 +121,22 @@
     let Components { front, rollout, policy } = match config.envoy.clone() {
         Some(source) => {
             let (settings, names) = (config.settings, config.names);
-            let pools = Pools::new(settings, names, config.seed, descriptors.clone(), ledger.clone(), clock);
+            let pools =
+                ClusterSet::new(settings, names, config.seed, descriptors.clone(), ledger.clone(), clock);
             let me = envoy::Me { name: config.name, seed: config.seed, listen: bound, clock };
             envoy::follow(source, pools.clone(), me)?;
-            Components { front: Backend::Pools(pools), rollout: None, policy: None }
+            Components { front: Backend::Clusters(pools), rollout: None, policy: None }
         }
         None => single_cluster(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
     };
     // Danger: a caller that is told the address takes the process for started; nothing that may fail follows.
     told(bound);
-    let left = |c: SlowStartAllowance| ColdLeft { server: c.node, started: c.started, left: c.left };
-    front.take_cold(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
+    let left = |c: SlowStartAllowance| ColdEndpointAllowance {
+        server: c.node,
+        started_at: c.started,
+        remaining_requests: c.left,
+    };
+    front.inherit_slow_start_allowances(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
     tokio::task::spawn_local(pause_detection::watch());
     tokio::task::spawn_local(sweep_idle_connections(front.clone()));
     // The incumbent's configuration applies before the control service can be reached.
@@ -234,15 +239,19 @@
 
     fn known(&self) -> HandoverState {
         let settings = self.rollout.as_ref().and_then(|r| r.assignment_text());
-        let cold = |c: ColdLeft| SlowStartAllowance { node: c.server, started: c.started, left: c.left };
-        let cold = self.backend.give_cold().into_iter().map(cold).collect();
+        let cold = |c: ColdEndpointAllowance| SlowStartAllowance {
+            node: c.server,
+            started: c.started_at,
+            left: c.remaining_requests,
+        };
+        let cold = self.backend.release_slow_start_allowances().into_iter().map(cold).collect();
         let policy = self.policy.as_ref().map(|p| p.handover().text());
-        HandoverState { list: self.backend.list(), settings, policy, cold }
+        HandoverState { list: self.backend.endpoint_list(), settings, policy, cold }
     }
 
     fn hold(&self, share: ResourceShare) {
         self.descriptors.resize(capacity(share, self.reserved_descriptors));
-        while self.descriptors.taken() > self.descriptors.most() && self.backend.yield_idle() {}
+        while self.descriptors.taken() > self.descriptors.most() && self.backend.close_oldest_idle() {}
     }
 }
 
@@ -266,8 +275,8 @@
     let subscription = subscription::ControlSubscription::of(&config);
     let acting = Rc::new(ActiveConfig::new(config.settings, config.names));
     let settings = &acting.settings;
-    let manner = match settings.must_ask {
-        true => WatchMode::Asked { within: settings.must_ask_in },
+    let manner = match settings.must_subscribe {
+        true => WatchMode::Polled { within: settings.max_subscribe_delay },
         false => WatchMode::Pushed { grace: config.drain_grace },
     };
     let upstreams = Upstreams::new(descriptors, ledger.clone(), config.connect_timeout, settings);
@@ -285,11 +294,12 @@
     let policy =
         config.policy.map(|source| PolicyClient::new(source, layers, config.clocks, handed, news.clone()));
     if let Some(subscription) = subscription {
-        let parts = subscription::Parts { rollout: rollout.clone(), policy: policy.clone(), news };
+        let parts =
+            subscription::StreamClients { rollout: rollout.clone(), policy: policy.clone(), wake: news };
         tokio::task::spawn_local(subscription.follow(nodes.clone(), parts));
     }
     tokio::task::spawn_local(reload::follow(hangup, moves));
-    Ok(Components { front: Backend::One { engine, upstreams, nodes }, rollout, policy })
+    Ok(Components { front: Backend::Single { engine, upstreams, nodes }, rollout, policy })
 }
 
 impl Server {
@@ -301,7 +311,7 @@
 
     /// Updates the status and gauges that change with time alone.
     pub fn publish_status(&self) {
-        let (listed, avoided) = self.backend.members();
+        let (listed, avoided) = self.backend.endpoint_counts();
         self.metrics.members.set(listed as u64);
         self.metrics.unavailable.set(avoided as u64);
         self.metrics.stand(match self.readiness() {
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -24,9 +24,9 @@
 /// The body of a forwarded request.
 pub enum AttemptBody {
     /// The complete body, buffered.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A body that is streamed from the client.
-    Long(Rc<Upload>),
+    Streamed(Rc<Upload>),
 }
 
 impl UpstreamRequest {
@@ -38,13 +38,13 @@
     /// Returns the body if it is streamed.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.body {
-            AttemptBody::Whole(_) => None,
-            AttemptBody::Long(upload) => Some(upload),
+            AttemptBody::Buffered(_) => None,
+            AttemptBody::Streamed(upload) => Some(upload),
         }
     }
 
     /// Returns whether another attempt could still send the complete body.
-    pub fn may_send(&self) -> bool {
+    pub fn can_send_body(&self) -> bool {
         self.upload().is_none_or(|u| u.may_send())
     }
 }
@@ -77,14 +77,14 @@
     /// The status code of the response; 0 if there was none.
     pub code: u16,
     /// Whether the node reported a cache hit; `None`: it did not say.
-    pub hit: Option<bool>,
+    pub cache_hit: Option<bool>,
     /// The response to forward, if the attempt succeeded.
-    pub answer: Option<Response<Body>>,
+    pub response: Option<Response<Body>>,
 }
 
 impl From<Status> for AttemptOutcome {
     fn from(status: Status) -> Self {
-        AttemptOutcome { status, code: 0, hit: None, answer: None }
+        AttemptOutcome { status, code: 0, cache_hit: None, response: None }
     }
 }
 
--- a/src/proxy/upstream/attempt_policy.rs
+++ b/src/proxy/upstream/attempt_policy.rs
@@ -2,18 +2,18 @@
 //! deny an attempt.
 
 use crate::api::{Nanos, Status};
-use rushquay_load_assignment::repeats::{may_repeat, Tried};
-use rushquay_load_assignment::{Breakers, Hold, Importance, Trip};
-use rushquay_routing::{Ended, Retries};
+use rushquay_load_assignment::retry_safety::{may_retry, EarlierAttempt};
+use rushquay_load_assignment::{BreakerLimit, BreakerSlot, Breakers, RoutePriority};
+use rushquay_routing::{RetryRules, RetryTrigger};
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// The attempt policy of one request.
 pub struct AttemptPolicy {
     /// The retry policy of its route; `None`: the route has none.
-    pub retries: Option<Retries>,
+    pub retries: Option<RetryRules>,
     /// The importance level of the request, which selects the set of circuit breaker limits.
-    pub importance: Importance,
+    pub importance: RoutePriority,
     /// The circuit breakers of its cluster; `None`: the cluster has none.
     pub breakers: Option<Breakers>,
     /// When the cluster's deduplication group last changed. Shared with the cluster, so a change during the request is seen.
@@ -21,14 +21,14 @@
     /// When the route table last changed.
     pub routes_since: Rc<Cell<Nanos>>,
     /// Whether every cluster that the route may choose for a client's retry has the same deduplication group.
-    pub one_group: bool,
+    pub single_group: bool,
 }
 
 /// The record of one attempt, as the attempt policy counts it.
 #[derive(Debug, Default)]
 pub struct AttemptRecord {
     /// Holds a place in the cluster's retry limit until the attempt ends; `None`: it is no retry, or no limit applies.
-    retry_hold: Option<Hold>,
+    retry_hold: Option<BreakerSlot>,
     state: AttemptState,
 }
 
@@ -36,7 +36,7 @@
 enum AttemptState {
     #[default]
     InFlight,
-    Ended(Option<Ended>, bool),
+    Ended(Option<RetryTrigger>, bool),
     /// Nothing was sent, or the node did not have the key: not an attempt that a retry policy counts.
     Uncounted,
 }
@@ -53,11 +53,11 @@
         let ended = match status {
             Status::Moot | Status::Miss => return self.state = AttemptState::Uncounted,
             Status::Ok | Status::Cancelled => None,
-            Status::ConnectFailed => Some(Ended::ConnectFailure),
-            Status::Reset => Some(Ended::Reset),
-            Status::Timeout => Some(Ended::TimedOut),
-            Status::Full => Some(Ended::Overloaded),
-            Status::Error => Some(Ended::Status(code)),
+            Status::ConnectFailed => Some(RetryTrigger::ConnectFailure),
+            Status::Reset => Some(RetryTrigger::Reset),
+            Status::Timeout => Some(RetryTrigger::TimedOut),
+            Status::Full => Some(RetryTrigger::Overloaded),
+            Status::Error => Some(RetryTrigger::Status(code)),
         };
         self.state = AttemptState::Ended(ended, !status.never_ran());
     }
@@ -76,7 +76,7 @@
         keyed: bool,
         node_since: Nanos,
     ) -> Option<AttemptRecord> {
-        if keyed && !may_repeat(self.group_since.get(), node_since, tried(earlier.clone())) {
+        if keyed && !may_retry(self.group_since.get(), node_since, tried(earlier.clone())) {
             return None;
         }
         let counted = earlier.filter(|(_, m)| m.state != AttemptState::Uncounted);
@@ -91,8 +91,12 @@
         if self.retries.as_ref().is_some_and(|r| !r.allow(attempts, endings.last())) {
             return None;
         }
-        let retry_hold =
-            self.breakers.as_ref().map(|b| b.take(self.importance, Trip::Retries)).transpose().ok()?;
+        let retry_hold = self
+            .breakers
+            .as_ref()
+            .map(|b| b.acquire(self.importance, BreakerLimit::Retries))
+            .transpose()
+            .ok()?;
         Some(AttemptRecord { retry_hold, state: AttemptState::InFlight })
     }
 
@@ -100,8 +104,8 @@
     /// the route then chooses.
     pub fn reaches_same_group<'a>(&self, attempts: impl Iterator<Item = (Nanos, &'a AttemptRecord)>) -> bool {
         let since =
-            if self.one_group { self.group_since.get().max(self.routes_since.get()) } else { Nanos::MAX };
-        may_repeat(since, 0, tried(attempts))
+            if self.single_group { self.group_since.get().max(self.routes_since.get()) } else { Nanos::MAX };
+        may_retry(since, 0, tried(attempts))
     }
 
     /// Returns the timeout of an attempt: `timeout`, or the per-try timeout of the route if that is shorter.
@@ -115,8 +119,8 @@
 
 fn tried<'a, I: Iterator<Item = (Nanos, &'a AttemptRecord)>>(
     attempts: I,
-) -> impl Iterator<Item = Tried> + use<'a, I> {
-    attempts.map(|(sent, m)| Tried { sent, may_have_run: m.may_have_run() })
+) -> impl Iterator<Item = EarlierAttempt> + use<'a, I> {
+    attempts.map(|(sent, m)| EarlierAttempt { sent, may_have_run: m.may_have_run() })
 }
 
 #[cfg(test)]
--- a/src/proxy/upstream/attempt_policy/tests.rs
+++ b/src/proxy/upstream/attempt_policy/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use rushquay_load_assignment::Thresholds;
 
-fn policy_with(retries: Option<Retries>, limits: Option<Thresholds>) -> AttemptPolicy {
+fn policy_with(retries: Option<RetryRules>, limits: Option<Thresholds>) -> AttemptPolicy {
     let breakers = limits.map(|l| Breakers::new([l, l]));
     let (importance, group_since, routes_since) = Default::default();
-    AttemptPolicy { retries, importance, breakers, group_since, routes_since, one_group: true }
+    AttemptPolicy { retries, importance, breakers, group_since, routes_since, single_group: true }
 }
 
 fn ended(status: Status, code: u16) -> AttemptRecord {
@@ -20,7 +20,7 @@
 #[test]
 fn going_on_to_the_origin_after_a_miss_is_not_a_retry() {
     let never =
-        policy_with(Some(Retries::default()), Some(Thresholds { retries: 0, ..Thresholds::default() }));
+        policy_with(Some(RetryRules::default()), Some(Thresholds { retries: 0, ..Thresholds::default() }));
     assert!(allowed(&never, &[ended(Status::Miss, 404)]));
     assert!(allowed(&never, &[ended(Status::Moot, 0), AttemptRecord::unsent()]));
     assert!(!allowed(&never, &[ended(Status::Reset, 0)]));
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_last_outcome_decides_and_hedged_requests_count_as_retries() {
-    let on = Retries { most: 2, on: Retries::CODES, codes: vec![500], per_try: 7 };
+    let on = RetryRules { max_retries: 2, conditions: RetryRules::CODES, codes: vec![500], per_try: 7 };
     let policy = policy_with(Some(on), None);
     assert!(allowed(&policy, &[ended(Status::Error, 500)]));
     assert!(!allowed(&policy, &[ended(Status::Error, 501)]));
@@ -76,6 +76,6 @@
     one.routes_since.set(6);
     assert!(!harmless(&one, &ran), "the routes changed while the request was in flight");
     assert!(harmless(&one, &never));
-    let mixed = AttemptPolicy { one_group: false, ..policy_with(None, None) };
+    let mixed = AttemptPolicy { single_group: false, ..policy_with(None, None) };
     assert!(!harmless(&mixed, &ran) && harmless(&mixed, &never));
 }
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -13,7 +13,7 @@
 use hyper::StatusCode;
 use hyper_util::rt::TokioIo;
 use rushquay_admin::TurnedAway;
-use rushquay_invariants::{check_closed, may_close, CloseCause, ConnectionFacts, Owed};
+use rushquay_invariants::{check_closed, may_close, CloseCause, ConnectionFacts, Outstanding};
 use std::convert::Infallible;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -36,7 +36,7 @@
 
 impl Server {
     /// Serves a new connection in a separate task.
-    pub fn connected(self: &Rc<Self>, stream: TcpStream, permit: Permit) {
+    pub fn serve_connection(self: &Rc<Self>, stream: TcpStream, permit: Permit) {
         let client = Client::new(self.next_connection(), stream, permit);
         self.clients.borrow_mut().push(client.clone());
         request_trace::event(|| Event::Connected { connection: client.number });
@@ -125,7 +125,7 @@
 
     /// Records that a connection has closed, and checks whether a response was still owed on it.
     fn record_close(&self, client: &Client, cause: CloseCause) {
-        let facts = ConnectionFacts { peer_gone: client.socket.ended(), ..client.facts() };
+        let facts = ConnectionFacts { peer_gone: client.socket.is_read_closed(), ..client.facts() };
         if let Some(violation) = check_closed(&facts, cause) {
             let connection = format!("connection {} ({cause:?}, {facts:?})", client.number);
             crate::proxy::violation(&self.metrics, violation, &connection);
@@ -135,7 +135,7 @@
     }
 
     /// Records a connection that is closed by the end of the process.
-    pub fn cut_off(&self, client: &Client) {
+    pub fn record_process_end(&self, client: &Client) {
         self.record_close(client, CloseCause::ProcessEnd);
     }
 }
@@ -152,7 +152,7 @@
             return CloseCause::BrokenAnswer;
         }
         Err(e) if e.is_parse() => CloseCause::AnswerSaidSo,
-        Ok(()) if !client.socket.ended() => CloseCause::AnswerSaidSo,
+        Ok(()) if !client.socket.is_read_closed() => CloseCause::AnswerSaidSo,
         _ => CloseCause::PeerEnded,
     };
     client.cause().unwrap_or(cause)
@@ -161,10 +161,10 @@
 /// Returns what to do with a connection that should be closed for this cause.
 fn close_action(client: &Client, cause: CloseCause, rechecks_left: &mut u32) -> CloseAction {
     match may_close(&client.facts(), cause) {
-        Err(Owed::Answer | Owed::RestOfAnswer) => CloseAction::AnswerFirst,
-        Err(Owed::RestOfHead) => CloseAction::Wait,
+        Err(Outstanding::Answer | Outstanding::RestOfAnswer) => CloseAction::AnswerFirst,
+        Err(Outstanding::RestOfHead) => CloseAction::Wait,
         // Danger: bytes that have just arrived may be a request that the runtime has not read yet.
-        Ok(()) if *rechecks_left > 0 && cause != CloseCause::NotRead && !client.socket.silent() => {
+        Ok(()) if *rechecks_left > 0 && cause != CloseCause::NotRead && !client.socket.has_no_input() => {
             *rechecks_left -= 1;
             CloseAction::Recheck
         }
--- a/src/proxy/upstream/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -11,7 +11,7 @@
 use rushquay_admin::RequestMetrics;
 use rushquay_endpoints::{Endpoint, EndpointState};
 use rushquay_envoy::catalogue::{Batch, Spec, Split};
-use rushquay_load_assignment::{Breakers, Node, Overload, Standing};
+use rushquay_load_assignment::{Breakers, EndpointUse, Node, Overload};
 use rushquay_routing::Table;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -36,40 +36,40 @@
     /// Whether all connections are replaced when a node is added or removed.
     retire_on_change: Cell<bool>,
     /// The fraction of its requests that is rejected by configuration, from 0 to 1.
-    pub refused: Cell<f64>,
+    pub rejected_fraction: Cell<f64>,
     pub overloads: RefCell<Vec<Overload>>,
     nodes: RefCell<FxHashMap<ServerId, Arc<str>>>,
     pub requests: Cell<u64>,
     /// Requests that were rejected by limits or by configuration.
-    pub shed: Cell<u64>,
+    pub rejected_requests: Cell<u64>,
 }
 
 /// Counters of a node for the admin page.
 #[derive(Clone, Debug, Default)]
-pub struct NodeFigures {
+pub struct NodeStats {
     pub cluster: Arc<str>,
     pub id: Arc<str>,
     pub connections: u32,
-    pub out: u32,
+    pub in_flight: u32,
     pub attempts: u64,
     pub failed: u64,
 }
 
 /// Counters of a cluster for the admin page.
 #[derive(Clone, Debug, Default)]
-pub struct ClusterFigures {
+pub struct ClusterStats {
     pub name: Arc<str>,
     pub connections: u32,
-    pub open: usize,
+    pub open_requests: usize,
     pub requests: u64,
-    pub shed: u64,
+    pub rejected_requests: u64,
     /// How often the limits on requests, retries and pending connections were reached.
     pub trips: [u64; 3],
 }
 
 /// All clusters, and the route table that selects among them.
-pub struct Pools {
-    acting: Rc<ActiveConfig>,
+pub struct ClusterSet {
+    active_config: Rc<ActiveConfig>,
     seed: u64,
     /// The clock that all clusters, and the source of their changes, share.
     clock: Clock,
@@ -82,7 +82,7 @@
     routes_since: Rc<Cell<Nanos>>,
 }
 
-impl Pools {
+impl ClusterSet {
     pub fn new(
         settings: Settings,
         names: Interner,
@@ -91,8 +91,8 @@
         metrics: Arc<RequestMetrics>,
         clock: Clock,
     ) -> Rc<Self> {
-        Rc::new(Pools {
-            acting: Rc::new(ActiveConfig::new(Settings { must_ask: false, ..settings }, names)),
+        Rc::new(ClusterSet {
+            active_config: Rc::new(ActiveConfig::new(Settings { must_subscribe: false, ..settings }, names)),
             seed,
             clock,
             descriptors,
@@ -105,16 +105,16 @@
     }
 
     pub fn names(&self) -> &Interner {
-        &self.acting.names
+        &self.active_config.names
     }
 
     pub fn settings(&self) -> &Settings {
-        &self.acting.settings
+        &self.active_config.settings
     }
 
     /// Returns the configuration that all clusters share.
     pub fn acting(&self) -> &ActiveConfig {
-        &self.acting
+        &self.active_config
     }
 
     /// Returns the current route table.
@@ -128,7 +128,7 @@
     }
 
     /// Returns whether all clusters that these names resolve to have the same deduplication group.
-    pub fn one_group<'n>(&self, names: impl Iterator<Item = &'n str>) -> bool {
+    pub fn have_same_group<'n>(&self, names: impl Iterator<Item = &'n str>) -> bool {
         let (clusters, splits) = (self.clusters.borrow(), self.splits.borrow());
         let cluster_names = names.flat_map(|name| match splits.get(name) {
             Some(split) => split.iter().map(|(cluster_name, _)| &**cluster_name).collect(),
@@ -141,7 +141,7 @@
     }
 
     /// Returns how many cache nodes all clusters list, and how many of them are avoided at present.
-    pub fn members(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> (usize, usize) {
         let clusters = self.clusters.borrow();
         let each = clusters.values().map(|c| c.engine.endpoint_counts());
         each.fold((0, 0), |(listed, avoided), (l, a)| (listed + l, avoided + a))
@@ -165,10 +165,10 @@
     }
 
     /// Closes the connection that has been idle the longest. Returns false if no connection is idle.
-    pub fn yield_idle(&self) -> bool {
+    pub fn close_oldest_idle(&self) -> bool {
         let clusters = self.clusters.borrow();
         let idle = clusters.values().filter_map(|c| Some((c.upstreams.oldest_idle_since()?, c)));
-        idle.min_by_key(|(since, _)| *since).is_some_and(|(_, c)| c.upstreams.yield_idle())
+        idle.min_by_key(|(since, _)| *since).is_some_and(|(_, c)| c.upstreams.close_oldest_idle())
     }
 
     /// Closes idle connections that their peer has closed or that exceeded the idle timeout.
@@ -191,18 +191,18 @@
         for (name, spec) in batch.specs {
             let found = self.clusters.borrow().get(&name).cloned();
             match found {
-                Some(cluster) => cluster.apply_spec(&spec, &self.acting.settings, now),
+                Some(cluster) => cluster.apply_spec(&spec, &self.active_config.settings, now),
                 None => drop(self.clusters.borrow_mut().insert(name, self.create_cluster(&spec))),
             }
         }
         for (name, nodes) in batch.nodes {
             if let Some(cluster) = self.clusters.borrow().get(&name).cloned() {
-                cluster.apply_nodes(nodes, &self.acting.names, &self.acting.settings);
+                cluster.apply_nodes(nodes, &self.active_config.names, &self.active_config.settings);
             }
         }
         for (name, (refused, overloads)) in batch.sheds {
             if let Some(cluster) = self.clusters.borrow().get(&name) {
-                cluster.refused.set(refused);
+                cluster.rejected_fraction.set(refused);
                 *cluster.overloads.borrow_mut() = overloads;
             }
         }
@@ -216,11 +216,11 @@
     /// Creates a cluster with its own engine and connection pools.
     fn create_cluster(&self, spec: &Spec) -> Rc<Cluster> {
         let breakers = spec.limits.map(Breakers::new);
-        let limits = connection_limits(spec, &self.acting.settings, breakers.clone());
+        let limits = connection_limits(spec, &self.active_config.settings, breakers.clone());
         let upstreams = Upstreams::with_limits(self.descriptors.clone(), self.metrics.clone(), limits);
         // Each cluster draws its own random numbers.
         let seed = self.seed ^ server_id(&spec.name);
-        let engine = Engine::new(self.acting.clone(), seed, &[], upstreams.clone(), self.clock);
+        let engine = Engine::new(self.active_config.clone(), seed, &[], upstreams.clone(), self.clock);
         Rc::new(Cluster {
             name: spec.name.clone(),
             engine,
@@ -229,34 +229,34 @@
             group_since: Rc::default(),
             group: RefCell::new(spec.group.clone()),
             retire_on_change: Cell::new(spec.renew),
-            refused: Cell::default(),
+            rejected_fraction: Cell::default(),
             overloads: RefCell::default(),
             nodes: RefCell::default(),
             requests: Cell::default(),
-            shed: Cell::default(),
+            rejected_requests: Cell::default(),
         })
     }
 
     /// Returns the counters of all clusters and nodes.
-    pub fn figures(&self) -> (Vec<ClusterFigures>, Vec<NodeFigures>) {
+    pub fn stats(&self) -> (Vec<ClusterStats>, Vec<NodeStats>) {
         let clusters = self.clusters.borrow();
-        let cluster_stats = |c: &Rc<Cluster>| ClusterFigures {
+        let cluster_stats = |c: &Rc<Cluster>| ClusterStats {
             name: c.name.clone(),
             connections: c.upstreams.connections(),
-            open: c.engine.open(),
+            open_requests: c.engine.open(),
             requests: c.requests.get(),
-            shed: c.shed.get(),
+            rejected_requests: c.rejected_requests.get(),
             trips: c.breakers.borrow().as_ref().map(Breakers::trips).unwrap_or_default(),
         };
         let nodes = clusters.values().flat_map(|c| {
             let nodes = c.nodes.borrow();
             let node_stats = |(server, id): (&ServerId, &Arc<str>)| {
                 let stats = c.upstreams.stats(*server)?;
-                Some(NodeFigures {
+                Some(NodeStats {
                     cluster: c.name.clone(),
                     id: id.clone(),
                     connections: stats.connections.get(),
-                    out: stats.in_flight.get(),
+                    in_flight: stats.in_flight.get(),
                     attempts: stats.attempts.get(),
                     failed: stats.failed.get(),
                 })
@@ -313,8 +313,8 @@
                 Some(node) => {
                     membership_changed |= nodes.insert(server, node.id.clone()).is_none();
                     upserts.push(upstream_entry(node, names, settings));
-                    if node.grouped > 0 {
-                        joined_group.push((server, node.grouped));
+                    if node.group_changed_at > 0 {
+                        joined_group.push((server, node.group_changed_at));
                     }
                 }
             }
@@ -336,9 +336,9 @@
 /// requests, but keeps its connections.
 fn upstream_entry(node: &Node, names: &Interner, settings: &Settings) -> (Entry, Option<SocketAddr>, State) {
     let (pool_state, state) = match node.standing {
-        Standing::Serves => (EndpointState::Ready, State::Ready),
-        Standing::StandsBy => (EndpointState::Ready, State::Draining),
-        Standing::Drains => (EndpointState::Draining, State::Draining),
+        EndpointUse::Serves => (EndpointState::Ready, State::Ready),
+        EndpointUse::StandsBy => (EndpointState::Ready, State::Draining),
+        EndpointUse::Drains => (EndpointState::Draining, State::Draining),
     };
     let (mut entry, addr) = names.entry(&Endpoint {
         id: node.id.to_string(),
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -24,9 +24,9 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use rushquay_admin::{NodeCloseCause, RequestMetrics};
-use rushquay_fleet_budget::Jitter;
+use rushquay_fleet_budget::IdleTimeout;
 use rushquay_invariants::{may_send, NodeStanding, SendDenied, SendFacts};
-use rushquay_load_assignment::{Breakers, Importance, Trip};
+use rushquay_load_assignment::{BreakerLimit, Breakers, RoutePriority};
 use rushquay_sockets::{connect, ConnectError};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -106,7 +106,7 @@
     /// would be taken for the response to the next request. Hyper closes a connection if it finds such bytes in its own buffer,
     /// before it returns the response; this checks the kernel's buffer.
     fn is_reusable(&self) -> bool {
-        !self.sender.is_closed() && self.socket.silent()
+        !self.sender.is_closed() && self.socket.has_no_input()
     }
 
     /// Closes the connection and counts this cause.
@@ -190,7 +190,7 @@
     metrics: Arc<RequestMetrics>,
     limits: RefCell<ConnectionLimits>,
     /// Adaptive idle timeout per machine kind: kinds differ in when they close idle connections.
-    idle_timeouts: RefCell<FxHashMap<u32, Jitter>>,
+    idle_timeouts: RefCell<FxHashMap<u32, IdleTimeout>>,
     open: Rc<Cell<u32>>,
     epochs: Cell<u64>,
     /// Number of nodes that accept requests. Danger: counting thousands of nodes on each request would slow all requests.
@@ -253,21 +253,21 @@
     /// Replaces the connection limits, from the next connection on.
     pub fn set_limits(&self, limits: ConnectionLimits) {
         let max = limits.idle_timeout.as_nanos() as Nanos;
-        self.idle_timeouts.borrow_mut().values_mut().for_each(|jitter| jitter.limit(max));
+        self.idle_timeouts.borrow_mut().values_mut().for_each(|jitter| jitter.set_max(max));
         *self.limits.borrow_mut() = limits;
     }
 
     /// Adjusts the idle timeout of connections to nodes of this machine kind.
-    fn adjust_idle_timeout(&self, kind: u32, step: impl FnOnce(&mut Jitter)) {
+    fn adjust_idle_timeout(&self, kind: u32, step: impl FnOnce(&mut IdleTimeout)) {
         let limits = self.limits.borrow();
-        let initial = || Jitter::new(limits.idle_timeout.as_nanos() as Nanos, limits.proxies);
+        let initial = || IdleTimeout::new(limits.idle_timeout.as_nanos() as Nanos, limits.proxies);
         step(self.idle_timeouts.borrow_mut().entry(kind).or_insert_with(initial));
     }
 
     /// Returns the current idle timeout of connections to nodes of this machine kind.
     fn idle_timeout(&self, kind: u32) -> Duration {
         let mut timeout = 0;
-        self.adjust_idle_timeout(kind, |jitter| timeout = jitter.span());
+        self.adjust_idle_timeout(kind, |jitter| timeout = jitter.timeout());
         Duration::from_nanos(timeout)
     }
 
@@ -293,7 +293,9 @@
             }
             let ready = entry.state == State::Ready;
             let mut old = nodes.get_mut(&entry.server);
-            if old.as_ref().is_some_and(|n| n.addr == *addr && n.started == entry.started && n.ready == ready)
+            if old
+                .as_ref()
+                .is_some_and(|n| n.addr == *addr && n.started == entry.started_at && n.ready == ready)
             {
                 continue;
             }
@@ -301,7 +303,7 @@
             self.epochs.set(self.epochs.get() + 1);
             let epoch = self.epochs.get();
             let (stats, group_since) = old.map(|n| (n.stats.clone(), n.group_since)).unwrap_or_default();
-            let (addr, kind, started, idle) = (*addr, entry.kind, entry.started, Vec::new());
+            let (addr, kind, started, idle) = (*addr, entry.kind, entry.started_at, Vec::new());
             nodes.insert(entry.server, Node { addr, kind, started, ready, epoch, idle, group_since, stats });
         }
         self.ready.set(nodes.values().filter(|n| n.ready && n.addr.is_some()).count());
@@ -373,7 +375,7 @@
     }
 
     /// Closes the connection that has been idle the longest, to free its descriptor. Returns false if no connection is idle.
-    pub fn yield_idle(&self) -> bool {
+    pub fn close_oldest_idle(&self) -> bool {
         let mut nodes = self.nodes.borrow_mut();
         let oldest = nodes.values_mut().filter(|n| !n.idle.is_empty()).min_by_key(|n| n.idle[0].since);
         oldest.map(|n| n.idle.remove(0).connection.close(NodeCloseCause::MadeRoom)).is_some()
@@ -386,7 +388,7 @@
         upstream_request: &UpstreamRequest,
         limits: AttemptLimits,
         cancellation: &Rc<Cancellation>,
-        importance: Importance,
+        importance: RoutePriority,
     ) -> AttemptOutcome {
         let Some(stats) = self.stats(server) else { return Status::Moot.into() };
         let _in_flight = GaugeGuard::new(&stats.in_flight);
@@ -407,7 +409,7 @@
         upstream_request: &UpstreamRequest,
         limits: AttemptLimits,
         cancellation: &Rc<Cancellation>,
-        importance: Importance,
+        importance: RoutePriority,
     ) -> AttemptOutcome {
         let deadlines = AttemptDeadlines::from_limits(&limits, steady());
         let until = Instant::now() + limits.total;
@@ -435,7 +437,7 @@
             request: cancellation.request_state(),
             node: if same { NodeStanding::Ready } else { NodeStanding::Left },
             deadline: deadlines.total,
-            repeat_by: deadlines.first_byte,
+            retry_deadline: deadlines.first_byte,
         }
     }
 
@@ -458,7 +460,7 @@
         upstream_request: &UpstreamRequest,
         deadlines: AttemptDeadlines,
         cancellation: &Rc<Cancellation>,
-        importance: Importance,
+        importance: RoutePriority,
     ) -> AttemptOutcome {
         loop {
             let Some(Target { addr, kind, epoch }) = self.target(server) else { return Status::Moot.into() };
@@ -526,20 +528,20 @@
             // Danger: a node whose connection table is full answers a new connection like this and closes it, while it serves its
             // existing ones. That is a failed connect, not a full request queue.
             fleet_stats::count(Kind::TurnedAway, 1);
-            self.adjust_idle_timeout(kind, Jitter::turned_away);
+            self.adjust_idle_timeout(kind, IdleTimeout::connection_rejected);
             ended.status = Status::ConnectFailed;
         } else if !reused {
-            self.adjust_idle_timeout(kind, Jitter::taken);
+            self.adjust_idle_timeout(kind, IdleTimeout::connection_accepted);
         }
         let mut uses = 0;
-        self.adjust_idle_timeout(kind, |jitter| uses = jitter.uses());
+        self.adjust_idle_timeout(kind, |jitter| uses = jitter.max_requests());
         let reusable = reusable && connection.uses < uses;
         if let Some((head, buffered, rest, length)) = long {
             // A streamed response is limited by how fast the client reads it.
             connection.socket.lift_read_limit();
             let to = reusable.then(|| (self.clone(), server, epoch));
             let answer = LongAnswer::new(buffered, rest, length, ReturnToPool { connection, to });
-            ended.answer = Some(Response::from_parts(head, Body::answer(answer)));
+            ended.response = Some(Response::from_parts(head, Body::answer(answer)));
         } else if reusable && connection.socket.is_written() {
             self.return_idle(server, epoch, connection);
         } else {
@@ -592,7 +594,7 @@
         &self,
         server: ServerId,
         addr: SocketAddr,
-        importance: Importance,
+        importance: RoutePriority,
     ) -> Result<Connection, Status> {
         let stats = self.stats(server).ok_or(Status::Moot)?;
         let (timeout, max_node_connections, breakers) = {
@@ -607,18 +609,18 @@
             None => None,
             Some(breakers) => {
                 while self.open.get() >= breakers.connections(importance) {
-                    if !self.yield_idle() {
+                    if !self.close_oldest_idle() {
                         return Err(Status::Moot);
                     }
                 }
-                Some(breakers.take(importance, Trip::Pending).map_err(|_| Status::Moot)?)
+                Some(breakers.acquire(importance, BreakerLimit::Pending).map_err(|_| Status::Moot)?)
             }
         };
         let gauges = [GaugeGuard::new(&self.open), GaugeGuard::new(&stats.connections)];
         let permit = loop {
             match self.descriptors.take() {
                 Some(permit) => break permit,
-                None if self.yield_idle() => tokio::task::yield_now().await,
+                None if self.close_oldest_idle() => tokio::task::yield_now().await,
                 // Danger: reporting this as a failed connect would blame the node for this machine's shortage.
                 None => return Err(Status::Moot),
             }
@@ -644,7 +646,7 @@
             match timeout_at(until, connect(addr)).await {
                 Ok(Ok(stream)) => return Ok(stream),
                 Ok(Err(ConnectError::Shortage(_))) => {
-                    self.yield_idle();
+                    self.close_oldest_idle();
                     tokio::time::sleep_until(until.min(Instant::now() + SHORTAGE_RETRY_DELAY)).await;
                 }
                 Ok(Err(ConnectError::Unreached(_))) | Err(_) => return Err(Status::ConnectFailed),
@@ -673,8 +675,8 @@
 /// Builds the request of one attempt, with its time left and host.
 fn build_request(upstream_request: &UpstreamRequest, addr: SocketAddr, time_left: Nanos) -> Request<Body> {
     let mut request = Request::new(match &upstream_request.body {
-        AttemptBody::Whole(bytes) => Body::new(bytes.clone()),
-        AttemptBody::Long(upload) => Body::upload(upload),
+        AttemptBody::Buffered(bytes) => Body::new(bytes.clone()),
+        AttemptBody::Streamed(upload) => Body::upload(upload),
     });
     *request.method_mut() = upstream_request.method.clone();
     *request.uri_mut() = upstream_request.uri.clone();
--- a/src/proxy/upstream/socket.rs
+++ b/src/proxy/upstream/socket.rs
@@ -3,7 +3,7 @@
 
 use crate::proxy::listener::descriptors::Permit;
 use rushquay_admin::RequestMetrics;
-use rushquay_invariants::{check_sent, may_send, SendDenied, SendFacts, Sent, Violation};
+use rushquay_invariants::{check_sent, may_send, SendDenied, SendFacts, SentAttempt, Violation};
 use rushquay_sockets::{classify, ErrorClass};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -106,7 +106,7 @@
     }
 
     /// Returns when bytes were last read or written.
-    pub fn moved(&self) -> Instant {
+    pub fn last_activity(&self) -> Instant {
         self.last_activity.get()
     }
 
@@ -137,7 +137,7 @@
 
     /// Returns whether the kernel holds no unread bytes and no end of stream. Danger: the runtime learns of new bytes only at its next
     /// poll, so this asks the kernel.
-    pub fn silent(&self) -> bool {
+    pub fn has_no_input(&self) -> bool {
         self.peek().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -152,14 +152,14 @@
     }
 
     /// Shuts down the sending direction.
-    pub fn end(&self) {
+    pub fn shutdown_write(&self) {
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
     }
 
     /// Returns whether the peer has closed its sending direction or the connection. Danger: the runtime may know of a request and not
     /// yet of the end of stream behind it, so this asks the kernel first. An end of stream behind unread bytes is known only to the
     /// runtime.
-    pub fn ended(&self) -> bool {
+    pub fn is_read_closed(&self) -> bool {
         match self.peek() {
             Ok(0) => return true,
             Ok(_) => {}
@@ -170,7 +170,7 @@
     }
 
     /// Returns once the peer has closed its sending direction or the connection. Reads nothing.
-    pub async fn peer_ended(&self) {
+    pub async fn peer_closed(&self) {
         let _ = self.stream.ready(Interest::PRIORITY | Interest::ERROR).await;
     }
 
@@ -192,7 +192,7 @@
     /// Returns once the peer has closed the connection while a response is due to it. Danger: a peer that only closed its sending
     /// direction looks the same, and still waits. If `may_ask`, an interim response tells them apart: the machine of a peer that has
     /// closed the connection resets it.
-    pub async fn hung_up(&self, may_ask: bool) {
+    pub async fn peer_disconnected(&self, may_ask: bool) {
         // This interest wakes for a closed read side but not for bytes, which may be pipelined requests.
         let closed = self.stream.ready(Interest::PRIORITY).await;
         if closed.is_ok() && may_ask && !self.stalled.get() && self.interim.get().is_empty() {
@@ -219,12 +219,12 @@
     }
 
     /// Checks whether the first byte of a message may be written. Returns the facts for the record; `None`: no check is due.
-    fn check_first_byte(&self) -> io::Result<Option<Sent>> {
+    fn check_first_byte(&self) -> io::Result<Option<SentAttempt>> {
         let first_byte = self.first_byte.borrow();
         let Some(first_byte) = first_byte.as_ref() else { return Ok(None) };
         let facts = (first_byte.facts)();
         match may_send(&facts) {
-            Ok(()) => Ok(Some(Sent { facts, told_left: first_byte.time_left })),
+            Ok(()) => Ok(Some(SentAttempt { facts, announced_time_left: first_byte.time_left })),
             Err(denied) => {
                 self.denied.set(Some(denied));
                 self.metrics.iter().for_each(|m| m.denied.one_more(denied));
@@ -368,7 +368,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.0.end();
+        self.0.shutdown_write();
         Poll::Ready(Ok(()))
     }
 }
--- a/src/proxy/upstream/socket/tests.rs
+++ b/src/proxy/upstream/socket/tests.rs
@@ -17,9 +17,9 @@
     let (far, _) = listener.accept().await.expect("accepted");
     far.writable().await.expect("writable");
     let socket = Socket::new(stream, Descriptors::new(1).take().expect("a descriptor"));
-    assert!(socket.silent());
+    assert!(socket.has_no_input());
     far.try_write(b"surplus").expect("written");
-    assert!(!socket.silent());
+    assert!(!socket.has_no_input());
 }
 
 /// Danger: if it counted as unwritten too long, a request that ran would be sent again; if it counted as written too early, one that
--- a/src/proxy/upstream/tests.rs
+++ b/src/proxy/upstream/tests.rs
@@ -16,7 +16,7 @@
         method: Method::GET,
         uri: Uri::default(),
         headers: HeaderMap::new(),
-        body: AttemptBody::Whole(Bytes::new()),
+        body: AttemptBody::Buffered(Bytes::new()),
     };
     let ended = upstreams
         .attempt(
@@ -24,7 +24,7 @@
             &upstream_request,
             AttemptLimits::with_total(Duration::from_secs(30)),
             &Rc::default(),
-            Importance::Default,
+            RoutePriority::Default,
         )
         .await;
     assert_eq!(ended.status, Status::Moot);
--- a/src/supervisor/follow.rs
+++ b/src/supervisor/follow.rs
@@ -64,7 +64,7 @@
         ClientEvent::News(said) => {
             if let Some(given) = said.settings {
                 // The receiver is gone only when the host ends.
-                let _ = told.send((Epoch::of(&said.process).0, given));
+                let _ = told.send((Epoch::from_name(&said.process).0, given));
             }
         }
         ClientEvent::Refused(why) => say(format_args!("control service: refused an answer: {why}")),
--- a/src/supervisor/mod.rs
+++ b/src/supervisor/mod.rs
@@ -166,12 +166,12 @@
             if !before.known_good(given) {
                 *self.host.borrow_mut() = before;
                 self.host.borrow_mut().not_kept(given, &why);
-                return say(format_args!("change {} is not obeyed: {why}", given.change));
+                return say(format_args!("change {} is not obeyed: {why}", given.rollout));
             }
-            say(format_args!("change {} is obeyed though it can't be kept: {why}", given.change));
+            say(format_args!("change {} is obeyed though it can't be kept: {why}", given.rollout));
         }
         let target = self.host.borrow().target();
-        say(format_args!("told to run program {:?} by change {}", target.program, given.change));
+        say(format_args!("told to run program {:?} by change {}", target.program, given.rollout));
     }
 
     /// Writes down what has changed.
--- a/src/supervisor/settings.rs
+++ b/src/supervisor/settings.rs
@@ -100,7 +100,7 @@
             ends_most: told.ends_most.unwrap_or(usual.ends_most),
         };
         let terms = terms.checked().map_err(|e| format!("terms.{e}"))?;
-        let control = written.control.map(ControlSource::checked).transpose();
+        let control = written.control.map(ControlSource::validate).transpose();
         let control = control.map_err(|e| format!("control.{e}"))?;
         let Written { name, dir, programs, args, environment, .. } = written;
         Ok(HostSettings { name, dir, programs, program, args, environment, terms, control })
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -198,9 +198,9 @@
         "arrival" => Line::Event(instance(f)?, Event::Arrival(arrival(f)?)),
         "report_back" => Line::Event(instance(f)?, outcome(f)?),
         "tick_due" => Line::Event(instance(f)?, Event::Timer(number(f, "handle")?)),
-        "expired" => Line::Event(instance(f)?, Event::Expired(number(f, "corr")?)),
+        "expired" => Line::Event(instance(f)?, Event::ClientGone(number(f, "corr")?)),
         "first" => {
-            let event = Line::Event(instance(f)?, Event::First(number(f, "corr")?));
+            let event = Line::Event(instance(f)?, Event::StreamStarted(number(f, "corr")?));
             let _ = (number::<u64>(f, "n")?, field(f, "node")?, field(f, "elapsed_ns")?);
             event
         }
@@ -248,8 +248,8 @@
     let _estimate: Option<Nanos> = optional(fields, "estimate_ns")?;
     let _size: Option<f64> = optional(fields, "object_size")?;
     let flags: u64 = optional(fields, "flags")?.unwrap_or(0);
-    request.write = flags & FLAG_WRITE != 0;
-    request.retry = flags & FLAG_RETRY != 0;
+    request.is_write = flags & FLAG_WRITE != 0;
+    request.is_marked_retry = flags & FLAG_RETRY != 0;
     Ok(request)
 }
 
@@ -299,7 +299,7 @@
             value => return Err(unknown_value("state", value)),
         },
         weight: optional(fields, "share")?.unwrap_or(1.0),
-        started: optional(fields, "launched_ns")?.unwrap_or(0),
+        started_at: optional(fields, "launched_ns")?.unwrap_or(0),
     };
     Ok(Line::Entry(name, entry))
 }
@@ -372,14 +372,14 @@
 /// Sets a field of a class.
 fn set_class(class: &mut Class, name: &str, path: &str, value: &str) -> Result<(), WireError> {
     match name {
-        "promise_ns" => set(&mut class.aim, path, value)?,
+        "promise_ns" => set(&mut class.latency_objective, path, value)?,
         "deadline_ns" => set(&mut class.deadline, path, value)?,
         "dedup_window_ns" => set(&mut class.dedup_window, path, value)?,
         "late_value" => set_amount(&mut class.late_value, path, value)?,
         "value" => set_amount(&mut class.worth, path, value)?,
         "allowed_in" => class.zones = Some(numbers(path, value)?),
         "allowed_on" => class.kinds = Some(numbers(path, value)?),
-        "stream" => set(&mut class.stream, path, value)?,
+        "stream" => set(&mut class.is_streamed, path, value)?,
         "effect" => {
             class.effect = match value {
                 "safe" => Effect::Safe,
@@ -405,27 +405,27 @@
     match path {
         "zone" => set(&mut settings.zone, path, value),
         "n_instances" => set(&mut settings.proxies, path, value),
-        "self_index" => set(&mut settings.me, path, value),
+        "self_index" => set(&mut settings.proxy_index, path, value),
         "over_share_worth" => set_amount(&mut settings.over_share_worth, path, value),
         "caps.attempts_cap" => set(&mut settings.max_attempts, path, value),
-        "caps.cancelling" => set(&mut settings.cancel, path, value),
-        "caps.second_copies" => set(&mut settings.second_copies, path, value),
+        "caps.cancelling" => set(&mut settings.allows_cancel, path, value),
+        "caps.second_copies" => set(&mut settings.allows_hedging, path, value),
         "caps.max_retry_after_ns" => set(&mut settings.max_retry_after, path, value),
         "caps.conn_idle_ns" => set(&mut settings.conn_idle, path, value),
         "deductions.handshake" => set_amount(&mut settings.handshake_price, path, value),
         "deductions.cross_zone" => set_amount(&mut settings.cross_zone_price, path, value),
         "client_habits.marks_retry" => set(&mut settings.marks_retry, path, value),
-        "rules.cold_from" => set_amount(&mut settings.cold_from, path, value),
-        "rules.cold_ns" => set(&mut settings.cold, path, value),
-        "rules.fall_multiple" => set_amount(&mut settings.fall_multiple, path, value),
-        "rules.fall_ns" => set(&mut settings.fall, path, value),
-        "rules.let_go_in_ns" => set(&mut settings.let_go, path, value),
-        "rules.must_ask_in_ns" => set(&mut settings.must_ask_in, path, value),
+        "rules.cold_from" => set_amount(&mut settings.initial_capacity_fraction, path, value),
+        "rules.cold_ns" => set(&mut settings.warm_up_time, path, value),
+        "rules.fall_multiple" => set_amount(&mut settings.overload_multiple, path, value),
+        "rules.fall_ns" => set(&mut settings.overload_window, path, value),
+        "rules.let_go_in_ns" => set(&mut settings.idle_close_limit, path, value),
+        "rules.must_ask_in_ns" => set(&mut settings.max_subscribe_delay, path, value),
         _ => {
             match path {
-                "discovery" => settings.must_ask = value == "subscribe",
-                "family_info.mode" => settings.aside = value == "aside",
-                "worth_by" => settings.worth_by_work = value == "work",
+                "discovery" => settings.must_subscribe = value == "subscribe",
+                "family_info.mode" => settings.is_cache_aside = value == "aside",
+                "worth_by" => settings.value_is_per_work_unit = value == "work",
                 _ => {}
             }
             Ok(())
@@ -442,7 +442,7 @@
             writeln!(out, "deliver {instance} {id} {} {timeout}", name_of(server))
         }
         Action::Cancel { id, attempt } => writeln!(out, "abandon {instance} {id} {attempt}"),
-        Action::Refuse { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
+        Action::Reject { id, retry_after } => writeln!(out, "bounce {instance} {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "abort {instance} {id}"),
         Action::Timer { token, delay } => writeln!(out, "arm {instance} {token} {delay}"),
         Action::Close(server) => writeln!(out, "close {instance} {}", name_of(server)),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 300 * MS,
+            latency_objective: 300 * MS,
             deadline: 800 * MS,
             worth: 1.0,
             dedup_window: SECOND,
@@ -18,14 +18,14 @@
         }],
         proxies: 4,
         max_attempts: 4,
-        cancel: true,
-        second_copies: true,
+        allows_cancel: true,
+        allows_hedging: true,
         max_retry_after: SECOND,
-        cold_from: 0.2,
-        cold: 20 * SECOND,
-        fall_multiple: 3.0,
-        fall: SECOND,
-        must_ask_in: 10 * SECOND,
+        initial_capacity_fraction: 0.2,
+        warm_up_time: 20 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: SECOND,
+        max_subscribe_delay: 10 * SECOND,
         ..Settings::default()
     }
 }
@@ -40,7 +40,7 @@
         cell: (n % 6) as u32,
         state: State::Ready,
         weight: 1.0,
-        started: 0,
+        started_at: 0,
     }
 }
 
@@ -144,5 +144,5 @@
 }
 
 pub fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
--- a/tests/compatibility/xds_resources.rs
+++ b/tests/compatibility/xds_resources.rs
@@ -108,7 +108,7 @@
     let mut text = String::new();
     for imposed in imposed {
         let member = list.servers[0].clone();
-        let node = SourcedEndpoint { member, listed: 3, shared: true, imposed };
+        let node = SourcedEndpoint { member, list_version: 3, is_from_discovery: true, imposed };
         let mut store = Store::new("golden", 10);
         let nodes: EndpointsById = [(node.member.id.clone(), node.clone())].into();
         declare_changed(&mut store, "cache-nodes", &nodes, &[node], &[], 0);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -159,7 +159,7 @@
         p.now += 2 * MS;
         p.served(i * 7919, true);
     }
-    list[0].started = p.now;
+    list[0].started_at = p.now;
     let cold = list[0].server;
     p.list(ListKind::Delta, vec![list[0].clone()]);
     let mut to_cold = 0;
@@ -174,7 +174,7 @@
 #[test]
 fn a_restarted_proxy_keeps_within_the_slow_start_allowance() {
     let mut list = entries(0..4);
-    list[0].started = 999 * SECOND;
+    list[0].started_at = 999 * SECOND;
     let mut p = Proxy::with(settings(), list.clone());
     let to_cold = (0..200u64).filter(|i| p.served(i * 7919, true) == list[0].server).count();
     assert!(to_cold <= 30, "{to_cold} of 200 at a new proxy");
@@ -190,7 +190,7 @@
         p.now += 20 * MS;
         let (id, actions) = p.ask(i * 7919);
         match sent(&actions) {
-            Some(_) => drop(p.event(Event::Expired(id))),
+            Some(_) => drop(p.event(Event::ClientGone(id))),
             None => rejected += 1,
         }
     }
@@ -216,11 +216,11 @@
     p.crowd(0..50);
     let long = Request { key: Some(1), remaining: 790 * MS, ..Request::default() };
     let (id, _) = p.ask_as(long);
-    p.event(Event::Expired(id));
+    p.event(Event::ClientGone(id));
     for i in 0..300u64 {
         p.now += 10 * MS;
         let (id, _) = p.ask_as(Request { key: Some(i), remaining: 500 * MS, ..Request::default() });
-        p.event(Event::Expired(id));
+        p.event(Event::ClientGone(id));
     }
     let mut admitted = 0;
     for i in 0..1500u64 {
@@ -276,7 +276,7 @@
 #[test]
 fn in_cache_aside_deployments_only_misses_and_writes_go_to_the_origin() {
     let mut s = settings();
-    s.aside = true;
+    s.is_cache_aside = true;
     s.origin_kind = Some(5);
     let mut list = entries(0..6);
     list[2].kind = 5;
@@ -289,14 +289,14 @@
     let server = sent(&actions).expect("sent");
     let actions = p.end(id, 0, server, Status::Miss, Some(false));
     assert_eq!(sent(&actions), Some(origin));
-    let write = Request { key: Some(1), write: true, remaining: 800 * MS, ..Request::default() };
+    let write = Request { key: Some(1), is_write: true, remaining: 800 * MS, ..Request::default() };
     assert_eq!(sent(&p.ask_as(write).1), Some(origin));
 }
 
 #[test]
 fn a_failed_subscription_is_retried_in_time_and_the_last_list_stays_in_use() {
     let mut s = settings();
-    s.must_ask = true;
+    s.must_subscribe = true;
     let mut p = Proxy::new(s.clone(), 3);
     let mut actions = p.list(ListKind::Cached, entries(0..5));
     for _ in 0..6 {
@@ -305,7 +305,7 @@
             _ => None,
         });
         let (token, delay) = timer.expect("armed");
-        assert!(delay < s.must_ask_in);
+        assert!(delay < s.max_subscribe_delay);
         p.now += delay;
         assert!(p.event(Event::Timer(token)).contains(&Action::Subscribe));
         actions = p.list(ListKind::Failed, Vec::new());
@@ -448,7 +448,7 @@
         p.now += 200 * MS;
         let (id, actions) = p.ask(i * 7919);
         if sent(&actions).is_some() {
-            p.event(Event::Expired(id));
+            p.event(Event::ClientGone(id));
         }
     }
     let mut admitted = 0;
@@ -467,7 +467,7 @@
 fn cold_endpoints_get_more_keys_than_their_least_warmth() {
     // Danger: during a rolling restart new endpoints idle while those not yet restarted are overloaded.
     let mut list = entries(0..8);
-    list.iter_mut().take(4).for_each(|e| e.started = 996 * SECOND);
+    list.iter_mut().take(4).for_each(|e| e.started_at = 996 * SECOND);
     let cold: Vec<ServerId> = list.iter().take(4).map(|e| e.server).collect();
     let mut p = Proxy::with(settings(), list);
     (0..200u64).for_each(|i| assert!(p.served(i * 7919, true) > 0));
@@ -551,7 +551,7 @@
     let mut list = entries(0..6);
     list[2].kind = 5;
     let origin = list[2].server;
-    (Proxy::with(Settings { aside: true, origin_kind: Some(5), ..settings() }, list), origin)
+    (Proxy::with(Settings { is_cache_aside: true, origin_kind: Some(5), ..settings() }, list), origin)
 }
 
 /// Sends a read that misses; returns its id and whether it then went to the origin.
@@ -637,7 +637,7 @@
 fn rejections_do_not_clear_an_endpoint_that_serves_nothing() {
     // Danger: an overloaded endpoint rejects some requests and lets the rest time out; cleared by each rejection,
     // it kept its keys for ten seconds without serving one.
-    let s = Settings { second_copies: false, ..settings() };
+    let s = Settings { allows_hedging: false, ..settings() };
     let mut p = Proxy::with(s, entries(0..20));
     p.crowd(0..600);
     let first = p.served(KEY, true);
@@ -656,7 +656,7 @@
             let server = sent(&actions).expect("sent");
             let status = if k % 5 == 0 { Status::Error } else { Status::Ok };
             if server == first {
-                p.event(Event::Expired(id));
+                p.event(Event::ClientGone(id));
             } else {
                 p.end(id, 0, server, status, Some(true));
             }
@@ -682,41 +682,54 @@
 fn nonsensical_settings_and_values_never_panic() {
     for odd in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 0.0, 1e300] {
         for (long, aside) in [(0, true), (1, false), (u64::MAX, true), (u64::MAX, false)] {
-            let class = Class { aim: long, deadline: long, late_value: odd, worth: odd, ..Class::default() };
+            let class = Class {
+                latency_objective: long,
+                deadline: long,
+                late_value: odd,
+                worth: odd,
+                ..Class::default()
+            };
             let keyed = Class { effect: Effect::Keyed, dedup_window: long, ..class.clone() };
             let s = Settings {
                 classes: vec![class, keyed],
                 tenants: vec![Tenant { quota_rps: odd }],
                 proxies: if long == 0 { 0 } else { u32::MAX },
-                me: u32::MAX,
-                must_ask: true,
-                aside,
+                proxy_index: u32::MAX,
+                must_subscribe: true,
+                is_cache_aside: aside,
                 origin_kind: Some(1),
                 over_share_worth: odd,
-                worth_by_work: long == 1,
+                value_is_per_work_unit: long == 1,
                 max_attempts: if long == 0 { 0 } else { u32::MAX },
-                cancel: true,
-                second_copies: true,
+                allows_cancel: true,
+                allows_hedging: true,
                 max_retry_after: long,
                 conn_idle: long,
                 handshake_price: odd,
                 cross_zone_price: odd,
-                cold_from: odd,
-                cold: long,
-                fall_multiple: odd,
-                fall: long,
-                must_ask_in: long,
+                initial_capacity_fraction: odd,
+                warm_up_time: long,
+                overload_multiple: odd,
+                overload_window: long,
+                max_subscribe_delay: long,
                 ..Settings::default()
             };
             let mut p = Proxy::new(s, long);
-            let list = (0..8).map(|n| Entry { weight: odd, started: long * (n % 2), ..entry(n) }).collect();
+            let list =
+                (0..8).map(|n| Entry { weight: odd, started_at: long * (n % 2), ..entry(n) }).collect();
             p.list(ListKind::Cached, list);
             for i in 0..200u64 {
                 p.now = if i == 150 { u64::MAX - 1 } else { p.now.saturating_add(MS) };
                 let (class, tenant) = ((i % 3) as u32, Some((i % 2) as u32));
                 let key = (i % 7 > 0).then_some(i % 7);
-                let request =
-                    Request { class, tenant, key, remaining: long, write: i % 5 == 0, ..Request::default() };
+                let request = Request {
+                    class,
+                    tenant,
+                    key,
+                    remaining: long,
+                    is_write: i % 5 == 0,
+                    ..Request::default()
+                };
                 let (id, mut actions) = p.ask_as(request);
                 for attempt in 0..3 {
                     let Some(server) = sent(&actions) else { break };
@@ -729,7 +742,7 @@
                 for token in [id, i << 56, 1 << 56 | id, 2 << 56 | i, u64::MAX] {
                     p.event(Event::Timer(token));
                 }
-                p.event(Event::Expired(id));
+                p.event(Event::ClientGone(id));
             }
             p.list(ListKind::Failed, Vec::new());
         }
@@ -750,7 +763,7 @@
                 sends += usize::from(i >= 80);
                 p.now += 300 * MS;
                 if sent(&p.end_after(id, 0, server, Status::Timeout, None, 300 * MS)).is_some() {
-                    p.event(Event::Expired(id));
+                    p.event(Event::ClientGone(id));
                 }
             }
         }
@@ -853,7 +866,8 @@
     for (marks_retry, retry, served) in [(true, false, true), (true, true, false), (false, false, false)] {
         let mut p = Proxy::with(Settings { marks_retry, ..settings() }, entries(0..10));
         p.crowd(0..100);
-        let short = Request { key: Some(KEY), remaining: 250 * MS, retry, ..Request::default() };
+        let short =
+            Request { key: Some(KEY), remaining: 250 * MS, is_marked_retry: retry, ..Request::default() };
         assert_eq!(sent(&p.ask_as(short).1).is_some(), served, "marks {marks_retry}, marked {retry}");
     }
 }
@@ -862,8 +876,13 @@
 fn in_cache_aside_deployments_a_timeout_counts_as_a_miss_and_goes_to_the_origin() {
     // Danger: where answers get lost, the key's other endpoints lack it and the request is late for nothing.
     let origin = entry(7).server;
-    let s =
-        Settings { aside: true, origin_kind: Some(1), second_copies: false, max_attempts: 2, ..settings() };
+    let s = Settings {
+        is_cache_aside: true,
+        origin_kind: Some(1),
+        allows_hedging: false,
+        max_attempts: 2,
+        ..settings()
+    };
     let mut p = Proxy::with(s, entries(0..8));
     p.crowd(0..100);
     let (id, actions) = p.ask(KEY);
@@ -907,7 +926,7 @@
 fn the_initial_origin_limit_is_shared_by_many_proxies() {
     // Danger: after hundreds of proxies have started, their first misses alone overload the origin.
     for (proxies, most) in [(4, 32), (600, 2)] {
-        let s = Settings { aside: true, origin_kind: Some(1), proxies, ..settings() };
+        let s = Settings { is_cache_aside: true, origin_kind: Some(1), proxies, ..settings() };
         let mut p = Proxy::with(s, entries(0..8));
         let asked = (0..50).filter(|i| read_that_misses(&mut p, i * 7919, entry(7).server).1).count();
         assert_eq!(asked, most, "{proxies} proxies");
@@ -941,8 +960,13 @@
 fn a_timeout_is_not_retried_at_an_origin_whose_fetches_come_late() {
     // Danger: where a hot key overloads an endpoint, the timeouts of a thousand proxies overload the origin too.
     let origin = entry(7).server;
-    let s =
-        Settings { aside: true, origin_kind: Some(1), second_copies: false, max_attempts: 2, ..settings() };
+    let s = Settings {
+        is_cache_aside: true,
+        origin_kind: Some(1),
+        allows_hedging: false,
+        max_attempts: 2,
+        ..settings()
+    };
     let mut p = Proxy::with(s, entries(0..8));
     p.crowd(0..100);
     for i in 0..3u64 {
@@ -987,7 +1011,7 @@
 fn pinned_requests_keep_within_the_slow_start_allowance() {
     let mut p = Proxy::with(settings(), entries(0..20));
     p.crowd(0..1500);
-    let cold = Entry { started: p.now, ..entry(3) };
+    let cold = Entry { started_at: p.now, ..entry(3) };
     let to = cold.server;
     p.list(ListKind::Delta, vec![cold]);
     let mut there = 0;
@@ -1084,7 +1108,7 @@
     let sent_to_cold = |handed: bool| {
         let mut list = entries(0..4);
         let settings = Settings { proxies: 40, ..settings() };
-        list[0].started = 1001 * SECOND;
+        list[0].started_at = 1001 * SECOND;
         let mut proxies: Vec<Proxy> = (0..40).map(|n| Proxy::new(settings.clone(), n)).collect();
         for p in &mut proxies {
             p.list(ListKind::Cached, entries(0..4));
@@ -1101,13 +1125,19 @@
                 new.now = p.now;
                 new.list(ListKind::Full, list.clone());
                 if handed {
-                    let given = p.balancer.give_cold(p.now);
-                    assert!(given.iter().any(|c| c.server == list[0].server && c.left <= 1.0), "{given:?}");
+                    let given = p.balancer.release_slow_start_allowances(p.now);
+                    assert!(
+                        given.iter().any(|c| c.server == list[0].server && c.remaining_requests <= 1.0),
+                        "{given:?}"
+                    );
                     assert!(
-                        p.balancer.give_cold(p.now).iter().all(|c| c.left == 0.0),
+                        p.balancer
+                            .release_slow_start_allowances(p.now)
+                            .iter()
+                            .all(|c| c.remaining_requests == 0.0),
                         "the allowance is given away once"
                     );
-                    new.balancer.take_cold(p.now, &given);
+                    new.balancer.inherit_slow_start_allowances(p.now, &given);
                 }
                 // The old process still has its open connections, and as many requests as the new one.
                 for i in 0..20 {
@@ -1132,15 +1162,15 @@
 #[test]
 fn a_slow_start_allowance_of_a_former_start_is_ignored() {
     let mut list = entries(0..4);
-    list[0].started = 999 * SECOND;
+    list[0].started_at = 999 * SECOND;
     let (mut old, mut new) = (Proxy::with(settings(), list.clone()), Proxy::with(settings(), list.clone()));
-    new.list(ListKind::Delta, vec![Entry { started: 1000 * SECOND, ..list[0].clone() }]);
-    let before = new.balancer.give_cold(new.now);
-    new.balancer.take_cold(new.now, &before);
-    let mut given = old.balancer.give_cold(old.now);
-    given.iter_mut().for_each(|c| c.left = 7.0);
-    new.balancer.take_cold(new.now, &given);
-    assert_eq!(new.balancer.give_cold(new.now), before);
+    new.list(ListKind::Delta, vec![Entry { started_at: 1000 * SECOND, ..list[0].clone() }]);
+    let before = new.balancer.release_slow_start_allowances(new.now);
+    new.balancer.inherit_slow_start_allowances(new.now, &before);
+    let mut given = old.balancer.release_slow_start_allowances(old.now);
+    given.iter_mut().for_each(|c| c.remaining_requests = 7.0);
+    new.balancer.inherit_slow_start_allowances(new.now, &given);
+    assert_eq!(new.balancer.release_slow_start_allowances(new.now), before);
 }
 
 /// Caches that fetch for themselves, and an overloaded origin: the number of fetches sent, and the number of these hedged.
--- a/tests/envoy/routing.rs
+++ b/tests/envoy/routing.rs
@@ -69,10 +69,10 @@
         let now = effective(&assignment, &sharing, false);
         let parts: BTreeMap<_, _> = assignment
             .endpoints()
-            .zip(&now.parts)
+            .zip(&now.shares)
             .map(|((_, e), part)| (e.addr, (e.health, *part)))
             .collect();
-        let takes = now.parts.iter().any(|p| *p > 0.0);
+        let takes = now.shares.iter().any(|p| *p > 0.0);
         for _ in 0..if takes { REQUESTS } else { 10 } {
             let answer = client.get(&format!("/read/{}", key())).await;
             assert_eq!(answer.status, if takes { 200 } else { 503 }, "seed {seed} step {number}: {yaml}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -33,12 +33,12 @@
 }
 
 fn rules() -> Settings {
-    Settings { handshake_price: 0.1, fall: 3 * SECOND, ..settings() }
+    Settings { handshake_price: 0.1, overload_window: 3 * SECOND, ..settings() }
 }
 
 fn proxies(settings: &Settings, list: &[Entry], at: Nanos) -> Vec<Balancer> {
     let proxy = |me: usize| {
-        let settings = Settings { me: me as u32, proxies: PROXIES as u32, ..settings.clone() };
+        let settings = Settings { proxy_index: me as u32, proxies: PROXIES as u32, ..settings.clone() };
         let mut balancer = Balancer::new(settings, 0x51ed_0000 + me as u64);
         balancer.handle(at, Event::List { kind: ListKind::Cached, entries: list.to_vec() }, &mut Vec::new());
         balancer
@@ -53,13 +53,13 @@
         Timer(usize, u64),
         Told(usize, ListKind),
     }
-    let settings = Settings { must_ask: true, ..settings() };
+    let settings = Settings { must_subscribe: true, ..settings() };
     let (mut due, mut free) = (Due::new(), 0);
     let (mut told, mut calls) = (vec![None; PROXIES], Vec::new());
     let mut balancers: Vec<Balancer> = (0..PROXIES)
         .map(|me| {
             Balancer::new(
-                Settings { me: me as u32, proxies: PROXIES as u32, ..settings.clone() },
+                Settings { proxy_index: me as u32, proxies: PROXIES as u32, ..settings.clone() },
                 77 + me as u64,
             )
         })
@@ -195,7 +195,7 @@
                     due.add(now + long, What::End(p, id, *n, server, status, long));
                     *n += 1;
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     assert!(open.remove(&(p, id)), "two answers");
                     refused += 1;
                 }
@@ -214,10 +214,11 @@
     let at: Vec<Nanos> = sends.iter().filter(|(_, s)| *s == server).map(|(at, _)| *at).collect();
     let usual = (PROXIES as u64 * EACH) as f64 / NODES as f64;
     let over = |from: &Nanos| {
-        let age = from.saturating_sub(came) as f64 / settings.cold as f64;
-        let warmth = (settings.cold_from + (1.0 - settings.cold_from) * age).min(1.0);
-        at.iter().filter(|t| (*from..from + settings.fall).contains(t)).count() as f64
-            / (usual * warmth * settings.fall as f64 / SECOND as f64)
+        let age = from.saturating_sub(came) as f64 / settings.warm_up_time as f64;
+        let warmth =
+            (settings.initial_capacity_fraction + (1.0 - settings.initial_capacity_fraction) * age).min(1.0);
+        at.iter().filter(|t| (*from..from + settings.overload_window).contains(t)).count() as f64
+            / (usual * warmth * settings.overload_window as f64 / SECOND as f64)
     };
     at.iter().map(over).fold(0.0, f64::max)
 }
@@ -229,7 +230,7 @@
     let lost: Vec<Entry> =
         list.iter().filter(zone).map(|e| Entry { state: State::Gone, ..e.clone() }).collect();
     let back = 8 * SECOND;
-    let came = |e: &Entry| Entry { started: 1000 * SECOND + back, ..e.clone() };
+    let came = |e: &Entry| Entry { started_at: 1000 * SECOND + back, ..e.clone() };
     let cold: Vec<Entry> = list.iter().filter(zone).map(came).collect();
     let well = |_: &Entry, _| (Status::Ok, 20 * MS);
     let (sends, served, refused) =
@@ -239,7 +240,7 @@
         let after: Sends = sends.iter().filter(|(at, s)| *s == e.server && *at >= back).copied().collect();
         assert!(!after.is_empty(), "a node that is back gets nothing");
         let worst = worst(&after, e.server, back);
-        assert!(worst < settings().fall_multiple, "{worst:.2} times what it can surely do");
+        assert!(worst < settings().overload_multiple, "{worst:.2} times what it can surely do");
     }
 }
 
@@ -250,7 +251,7 @@
     for n in 0..NODES * 6 / 10 {
         let at = 2 * SECOND + n * 7 * SECOND / (NODES * 6 / 10);
         let gone = Entry { state: State::Gone, ..entry(n) };
-        let came = Entry { started: 1000 * SECOND + at, ..entry(1000 + n) };
+        let came = Entry { started_at: 1000 * SECOND + at, ..entry(1000 + n) };
         if n % 5 == 0 {
             bad.insert(came.server);
         }
@@ -265,7 +266,7 @@
     assert!(served > 20 * refused, "{served} served, {refused} refused");
     for (at, server) in &new {
         let worst = worst(&sends, *server, *at);
-        assert!(worst < settings().fall_multiple, "{worst:.2} times what it can surely do");
+        assert!(worst < settings().overload_multiple, "{worst:.2} times what it can surely do");
     }
     let late = sends.iter().filter(|(at, _)| *at > 40 * SECOND);
     let (all, at_bad) = (late.clone().count(), late.filter(|(_, s)| bad.contains(s)).count());
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -36,8 +36,8 @@
         let actions = match i % 8 {
             0 => p.end(id, 0, server, Status::Timeout, None),
             1 => p.end(id, 0, server, Status::ConnectFailed, None),
-            2 => p.event(Event::Expired(id)),
-            3 => p.event(Event::First(id)),
+            2 => p.event(Event::ClientGone(id)),
+            3 => p.event(Event::StreamStarted(id)),
             _ => p.end(id, 0, server, Status::Ok, hit),
         };
         // A second attempt, or the streamed answer, comes to an end too.
@@ -66,7 +66,7 @@
     for n in 0..7200u64 {
         p.now += 500 * MS;
         let gone = Entry { state: State::Gone, ..entry(n) };
-        let came = Entry { started: p.now, ..entry(n + 50) };
+        let came = Entry { started_at: p.now, ..entry(n + 50) };
         p.list(ListKind::Delta, vec![gone, came]);
         for i in 0..8u64 {
             let (id, actions) = p.ask(i.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (n % 64));
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -16,17 +16,23 @@
 const END: Nanos = 48 * SECOND;
 
 fn rules(proxies: usize) -> Settings {
-    let class = Class { aim: 300 * MS, deadline: 800 * MS, worth: 1.0, late_value: 0.5, ..Class::default() };
+    let class = Class {
+        latency_objective: 300 * MS,
+        deadline: 800 * MS,
+        worth: 1.0,
+        late_value: 0.5,
+        ..Class::default()
+    };
     Settings {
         classes: vec![class],
         proxies: proxies as u32,
         max_attempts: 4,
-        cancel: true,
-        cold_from: 0.12,
-        cold: 23 * SECOND,
-        fall_multiple: 3.0,
-        fall: 3 * SECOND,
-        must_ask_in: 10 * SECOND,
+        allows_cancel: true,
+        initial_capacity_fraction: 0.12,
+        warm_up_time: 23 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 3 * SECOND,
+        max_subscribe_delay: 10 * SECOND,
         ..Settings::default()
     }
 }
@@ -113,7 +119,7 @@
     }
 
     fn fresh(&mut self, p: usize, now: Nanos) -> Balancer {
-        let settings = Settings { me: p as u32, ..self.settings.clone() };
+        let settings = Settings { proxy_index: p as u32, ..self.settings.clone() };
         let mut balancer = Balancer::new(settings, self.random.u64(..));
         let event = Event::List { kind: ListKind::Cached, entries: self.list.clone() };
         balancer.handle(now, event, &mut Vec::new());
@@ -136,7 +142,7 @@
 
     /// Keys that go to these nodes first, were they warm.
     fn keys_of(&mut self, servers: &[ServerId], came: &Entry) -> Vec<u64> {
-        self.list.push(Entry { started: 0, ..came.clone() });
+        self.list.push(Entry { started_at: 0, ..came.clone() });
         let mut probe = self.fresh(0, START);
         self.list.pop();
         let key = |n: u64| n.wrapping_mul(0x2545_f491_4f6c_dd1d);
@@ -160,7 +166,7 @@
 
     fn play(&mut self) -> Vec<(ServerId, Nanos)> {
         let back = self.list[1].server;
-        let came = Entry { zone: 0, kind: 0, started: START + COLD, ..entry(100) };
+        let came = Entry { zone: 0, kind: 0, started_at: START + COLD, ..entry(100) };
         let mut cold: Vec<ServerId> = Vec::new();
         let hot = self.keys_of(&[back, came.server], &came);
         while let Some(((now, _), (life, what))) = self.due.pop_first() {
@@ -169,7 +175,7 @@
             }
             let (p, event) = match what {
                 What::Cold => {
-                    self.list[1].started = START + COLD;
+                    self.list[1].started_at = START + COLD;
                     self.list.push(came.clone());
                     cold = vec![back, came.server];
                     let news = vec![self.list[1].clone(), came.clone()];
@@ -252,10 +258,11 @@
             self.sends.iter().filter(|(at, to)| *to == server && *at >= came).map(|s| s.0).collect();
         let mut worst: f64 = 0.0;
         for (n, from) in at.iter().enumerate() {
-            let age = (from - came) as f64 / s.cold as f64;
-            let warmth = (s.cold_from + (1.0 - s.cold_from) * age).min(1.0);
-            let allowed = s.fall_multiple * warmth * self.day.capacity * s.fall as f64 / SECOND as f64;
-            let sent = at[n..].iter().take_while(|t| **t < from + s.fall).count() as f64;
+            let age = (from - came) as f64 / s.warm_up_time as f64;
+            let warmth = (s.initial_capacity_fraction + (1.0 - s.initial_capacity_fraction) * age).min(1.0);
+            let allowed =
+                s.overload_multiple * warmth * self.day.capacity * s.overload_window as f64 / SECOND as f64;
+            let sent = at[n..].iter().take_while(|t| **t < from + s.overload_window).count() as f64;
             worst = worst.max(sent / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
         (
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -97,10 +97,14 @@
                         "sent to a server that drains or is gone"
                     );
                     assert!(r.tries.len() < self.settings.max_attempts as usize, "too many attempts");
-                    assert!(self.settings.second_copies || r.tries.iter().all(|t| !t.pending), "two at once");
+                    assert!(
+                        self.settings.allows_hedging || r.tries.iter().all(|t| !t.pending),
+                        "two at once"
+                    );
                     let class = &self.settings.classes[r.class];
                     let entry = &self.list[&server];
-                    let origin = self.settings.aside && self.settings.origin_kind == Some(entry.kind);
+                    let origin =
+                        self.settings.is_cache_aside && self.settings.origin_kind == Some(entry.kind);
                     let fits = |set: &Option<Vec<u32>>, v| set.as_ref().is_none_or(|s| s.contains(&v));
                     let placed = fits(&class.zones, entry.zone) && fits(&class.kinds, entry.kind);
                     assert!(origin || placed, "sent to a server that is not open to its class");
@@ -122,7 +126,7 @@
                     let due = if timeout == 0 { r.deadline } else { r.deadline.min(now + timeout) };
                     r.tries.push(Try { server, sent: now, due, pending: true, ran: false });
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let r = self.asked.get_mut(&id).expect("a known request");
                     assert!(!r.over, "two final answers");
                     let class = &self.settings.classes[r.class];
@@ -140,7 +144,7 @@
                 }
                 Action::Timer { token, delay } => self.timers.push((now + delay, token)),
                 Action::Cancel { id, attempt } => {
-                    assert!(self.settings.cancel);
+                    assert!(self.settings.allows_cancel);
                     assert!((attempt as usize) < self.asked[&id].tries.len());
                 }
                 Action::Close(server) => {
@@ -155,8 +159,8 @@
     /// From now on a connection may be idle at this server: it has to be closed in time where it drains.
     fn idle(&mut self, server: ServerId) {
         self.to_close.remove(&server);
-        if self.settings.let_go > 0 && self.list[&server].state == State::Draining {
-            self.to_close.insert(server, self.proxy.now + self.settings.let_go);
+        if self.settings.idle_close_limit > 0 && self.list[&server].state == State::Draining {
+            self.to_close.insert(server, self.proxy.now + self.settings.idle_close_limit);
         }
     }
 
@@ -221,7 +225,7 @@
                     key: Some(key),
                     tenant: Some(key as u32 % 4),
                     remaining: remaining * MS,
-                    write,
+                    is_write: write,
                     ..base
                 };
                 let (got, actions) = self.proxy.ask_as(request);
@@ -259,7 +263,7 @@
                     self.asked.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
                 if let Some(id) = open.get(which % open.len().max(1)) {
                     self.asked.get_mut(id).expect("asked").over = true;
-                    let actions = self.proxy.event(Event::Expired(*id));
+                    let actions = self.proxy.event(Event::ClientGone(*id));
                     self.check(actions);
                 }
             }
@@ -297,7 +301,7 @@
 
 #[test]
 fn rules_hold_with_one_attempt_at_a_time_and_an_asked_list() {
-    hold(Settings { second_copies: false, must_ask: true, cancel: false, ..classes() });
+    hold(Settings { allows_hedging: false, must_subscribe: true, allows_cancel: false, ..classes() });
 }
 
 #[test]
@@ -311,8 +315,15 @@
 fn settings_that_make_no_sense_break_no_rule() {
     let mut s = classes();
     s.classes.iter_mut().for_each(|c| (c.worth, c.late_value) = (f64::NAN, -3.0));
-    let odd = Settings { proxies: 0, cold: 0, fall: 0, fall_multiple: f64::NAN, cold_from: 7.0, ..s };
-    hold(Settings { over_share_worth: f64::INFINITY, max_retry_after: 0, must_ask_in: 0, ..odd });
+    let odd = Settings {
+        proxies: 0,
+        warm_up_time: 0,
+        overload_window: 0,
+        overload_multiple: f64::NAN,
+        initial_capacity_fraction: 7.0,
+        ..s
+    };
+    hold(Settings { over_share_worth: f64::INFINITY, max_retry_after: 0, max_subscribe_delay: 0, ..odd });
 }
 
 #[test]
@@ -354,16 +365,16 @@
     let mut s = classes();
     let base = s.classes[0].clone();
     s.classes.push(Class { zones: Some(vec![0, 2]), kinds: Some(vec![0]), ..base });
-    Settings { let_go: 100 * MS, ..s }
+    Settings { idle_close_limit: 100 * MS, ..s }
 }
 
 #[test]
 fn rules_hold_with_placement_and_closing_on_drains() {
     hold(placed());
-    hold(Settings { aside: true, origin_kind: Some(1), ..placed() });
+    hold(Settings { is_cache_aside: true, origin_kind: Some(1), ..placed() });
     let mut nowhere = placed();
     nowhere.classes[4].zones = Some(vec![]);
-    hold(Settings { cold_from: f64::NAN, ..nowhere });
+    hold(Settings { initial_capacity_fraction: f64::NAN, ..nowhere });
 }
 
 #[test]
@@ -385,6 +396,6 @@
 
 #[test]
 fn rules_hold_aside() {
-    hold(Settings { aside: true, origin_kind: Some(0), ..classes() });
-    hold(Settings { aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
+    hold(Settings { is_cache_aside: true, origin_kind: Some(0), ..classes() });
+    hold(Settings { is_cache_aside: true, origin_kind: Some(1), max_attempts: 2, ..classes() });
 }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -22,7 +22,7 @@
         let mut p = Proxy::with(with(before), entries(0..20));
         let (id, actions) = p.ask(KEY);
         let server = sent(&actions).expect("sent");
-        p.balancer.obey(with(after), &[]);
+        p.balancer.apply_settings(with(after), &[]);
         let actions = p.end(id, 0, server, Status::Reset, None);
         assert_eq!(sent(&actions).is_some(), again, "{before:?} to {after:?}: {actions:?}");
         let (id, actions) = p.ask(KEY + 1);
@@ -39,7 +39,7 @@
     p.crowd(0..50);
     let (id, actions) = p.ask(KEY);
     let server = sent(&actions).expect("sent");
-    p.balancer.obey(with(1), &[]);
+    p.balancer.apply_settings(with(1), &[]);
     let actions = p.end(id, 0, server, Status::ConnectFailed, None);
     assert!(sent(&actions).is_some(), "{actions:?}");
     let (id, actions) = p.ask(KEY + 1);
@@ -55,7 +55,7 @@
     let first = p.pinned(KEY);
     let mut other = settings();
     other.max_retry_after = 5 * SECOND;
-    p.balancer.obey(other, &[]);
+    p.balancer.apply_settings(other, &[]);
     for _ in 0..4 {
         assert_eq!(p.served(KEY, false), first, "a pinned bucket stays pinned");
         p.crowd(0..100);
@@ -87,7 +87,7 @@
         second(&mut p, true);
         p.crowd(0..100);
     }
-    p.balancer.obey(with(Some(vec![1])), &[]);
+    p.balancer.apply_settings(with(Some(vec![1])), &[]);
     let zone_1: BTreeSet<ServerId> =
         entries(0..20).iter().filter(|e| e.zone == 1).map(|e| e.server).collect();
     for key in 0..200 {
@@ -127,7 +127,7 @@
     let over = taken(&mut p, 0);
     assert!(over < 20, "{over} over the share");
     // Turned round: the number that has a large share now was the small one's.
-    p.balancer.obey(with(&[&large, &small, &small]), &[Some(1), Some(0), None]);
+    p.balancer.apply_settings(with(&[&large, &small, &small]), &[Some(1), Some(0), None]);
     let over = taken(&mut p, 1);
     assert!(over < 20, "{over} over the share under another number");
     assert!(taken(&mut p, 2) >= 45, "one that is new has its share");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -120,7 +120,7 @@
         panic!("not an arrival")
     };
     assert_eq!((r.class, r.tenant, r.key), (1, None, Some(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!((r.remaining, r.write, r.retry), (0, true, true));
+    assert_eq!((r.remaining, r.is_write, r.is_marked_retry), (0, true, true));
 }
 
 #[test]
@@ -134,7 +134,7 @@
     assert_eq!(s.classes[1].zones, Some(vec![]), "an empty list allows none");
     assert_eq!((s.classes[1].effect, s.classes[1].group), (Effect::Unsafe, Group::Cell), "the strictest");
     assert_eq!(s.classes[2].zones, None);
-    assert_eq!((s.let_go, s.marks_retry), (500, true));
+    assert_eq!((s.idle_close_limit, s.marks_retry), (500, true));
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let actions = [
         Action::Send { id: 1, server: server_id("node_a"), timeout: 80 },
         Action::Cancel { id: 1, attempt: 0 },
-        Action::Refuse { id: 2, retry_after: 5 },
+        Action::Reject { id: 2, retry_after: 5 },
         Action::Fail { id: 3 },
         Action::Timer { token: 4, delay: 6 },
         Action::Close(server_id("node_a")),
