--- a/crates/core/load-assignment/src/assignment.rs
+++ b/crates/core/load-assignment/src/assignment.rs
@@ -31,7 +31,7 @@
     pub zone: Arc<str>,
     /// Machine kind, from metadata; may be empty.
     pub kind: Arc<str>,
-    /// Cell, from metadata.
+    /// Cell, from metadata: a group of endpoints that may deduplicate keyed requests together.
     pub cell: u32,
 }
 
--- a/crates/core/load-assignment/src/breakers.rs
+++ b/crates/core/load-assignment/src/breakers.rs
@@ -79,6 +79,7 @@
     Pending,
 }
 
+/// Counts in flight for one routing priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct InFlight {
     requests: u32,
@@ -88,7 +89,9 @@
 
 #[derive(Debug)]
 struct State {
+    /// Thresholds, indexed by [`Importance`].
     limits: [Thresholds; 2],
+    /// Counts in flight, indexed by [`Importance`].
     in_flight: [InFlight; 2],
     /// Number of rejections by each limit, indexed by [`Trip`].
     trips: [u64; 3],
--- a/crates/core/load-assignment/src/dns.rs
+++ b/crates/core/load-assignment/src/dns.rs
@@ -1,5 +1,5 @@
-//! Endpoints whose addresses come from DNS (`STRICT_DNS`): the schedule of resolutions and the assignment that results. The
-//! caller resolves the names.
+//! Endpoints whose addresses are resolved by DNS (`STRICT_DNS`): schedules the lookups and builds the assignment from their
+//! results. The caller resolves the names.
 //!
 //! Source: Envoy's documentation, "Strict DNS": every address of a name is an endpoint; addresses no longer returned are
 //! removed.
--- a/crates/core/load-assignment/src/lib.rs
+++ b/crates/core/load-assignment/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`Pool`]: tracks the endpoints of a cluster over time and reports their changes.
 //! - [`aggregate`]: distribution of requests over the clusters of an aggregate cluster.
 //! - [`Breakers`]: circuit breakers. [`repeats`]: whether a keyed request may be retried.
-//! - [`dns`]: endpoints whose addresses come from DNS.
+//! - [`dns`]: endpoints whose addresses are resolved by DNS.
 //!
 //! Source: Envoy's documentation, "Load Balancing" (sections "Priority levels", "Degraded endpoints", "Panic threshold",
 //! "Locality weighted load balancing", "Aggregate Cluster", "Circuit breaking"); each module names its section.
--- a/crates/core/load-assignment/src/pool.rs
+++ b/crates/core/load-assignment/src/pool.rs
@@ -31,13 +31,13 @@
     pub zone: Arc<str>,
     /// Machine kind.
     pub kind: Arc<str>,
-    /// Cell.
+    /// Cell: a group of endpoints that may deduplicate keyed requests together.
     pub cell: u32,
     /// Share of the load as a multiple of an equal share; greater than 0.
     pub weight: f64,
     /// How it is used.
     pub standing: Standing,
-    /// When it started, or was first listed if the start time is unknown; 0: before the first assignment.
+    /// When it started. If that is unknown, when it was first listed, or 0 if the first assignment already listed it.
     pub started: Nanos,
     /// When its zone or cell last changed; 0: never. See [`crate::repeats`].
     pub grouped: Nanos,
--- a/crates/core/routing/tests/table.rs
+++ b/crates/core/routing/tests/table.rs
@@ -216,10 +216,10 @@
         vec![host(&["*"], vec![trial, route(PathMatch::Prefix("/".into()), forward_to("rest"))])],
     )
     .expect("valid table");
-    let taken = (0..1000).filter(|i| {
+    let matching = (0..1000).filter(|i| {
         cluster_name(table.find(&request_for("/"), || f64::from(*i) / 1000.0)).as_deref() == Some("trial")
     });
-    assert_eq!(taken.count(), 250);
+    assert_eq!(matching.count(), 250);
 }
 
 #[test]
