--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -285,17 +285,17 @@
     }
 
     /// Records the outcome of an attempt and delivers its response.
-    fn on_outcome(&self, id: RequestId, number: usize, ended: AttemptOutcome) {
+    fn on_outcome(&self, id: RequestId, number: usize, outcome: AttemptOutcome) {
         let core = &mut *self.core.borrow_mut();
         let Some(pending) = core.pending.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(number) else { return };
         if attempt.in_flight.take().is_none() {
             return;
         }
-        attempt.record_outcome(ended.status, ended.code);
-        let (node, status) = (attempt.server, ended.status);
+        attempt.record_outcome(outcome.status, outcome.code);
+        let (node, status) = (attempt.server, outcome.status);
         request_trace::event(|| Traced::Ended { request: pending.job.id(), number, node, status });
-        if let Some(response) = ended.answer {
+        if let Some(response) = outcome.answer {
             if let Some(answer) = pending.answer.take() {
                 fleet_stats::count(Kind::Served, 1);
                 let (request, status) = (pending.job.id(), response.status().as_u16());
@@ -304,7 +304,7 @@
                 pending.in_flight().for_each(Cancellation::mark_answered);
             }
         }
-        let event = self.outcome_event(pending, number, ended.status, ended.hit);
+        let event = self.outcome_event(pending, number, outcome.status, outcome.hit);
         self.feed(core, event);
         Self::forget(core, id);
     }
@@ -414,11 +414,11 @@
         let (upstreams, task_cancellation, weak_self) =
             (self.upstreams.clone(), cancellation.clone(), self.weak_self.clone());
         let task = tokio::task::spawn_local(async move {
-            let ended = upstreams
+            let outcome = upstreams
                 .attempt(server, &job, limits, &task_cancellation, importance.unwrap_or_default())
                 .await;
             if let Some(engine) = weak_self.upgrade() {
-                engine.on_outcome(id, number, ended);
+                engine.on_outcome(id, number, outcome);
             }
         });
         pending.attempts.push(Attempt {
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -130,11 +130,13 @@
     epoch: u64,
 }
 
+/// An idle connection, and when it became idle.
 struct Idle {
     connection: Connection,
     since: Instant,
 }
 
+/// A listed endpoint and its idle connections.
 struct Node {
     addr: Option<SocketAddr>,
     kind: u32,
@@ -208,6 +210,7 @@
 }
 
 impl Upstreams {
+    /// Creates pools that are limited by the descriptors alone.
     pub fn new(
         descriptors: Rc<Descriptors>,
         metrics: Arc<RequestMetrics>,
@@ -390,14 +393,14 @@
     ) -> AttemptOutcome {
         let Some(stats) = self.stats(server) else { return Status::Moot.into() };
         let _in_flight = GaugeGuard::new(&stats.in_flight);
-        let ended =
+        let outcome =
             self.attempt_with_timeout(server, upstream_request, limits, cancellation, importance).await;
-        if ended.status != Status::Moot {
+        if outcome.status != Status::Moot {
             stats.attempts.set(stats.attempts.get() + 1);
-            let served = matches!(ended.status, Status::Ok | Status::Miss);
+            let served = matches!(outcome.status, Status::Ok | Status::Miss);
             stats.failed.set(stats.failed.get() + u64::from(!served));
         }
-        ended
+        outcome
     }
 
     /// Runs an attempt under its overall timeout.
@@ -414,7 +417,7 @@
         match timeout_at(until, self.exchange(server, upstream_request, deadlines, cancellation, importance))
             .await
         {
-            Ok(ended) => ended,
+            Ok(outcome) => outcome,
             // A request that was not written completely has not run.
             Err(_) if cancellation.is_written() => Status::Timeout.into(),
             Err(_) => Status::ConnectFailed.into(),
@@ -531,9 +534,9 @@
         } else if !reused {
             self.adjust_idle_timeout(kind, Jitter::taken);
         }
-        let mut uses = 0;
-        self.adjust_idle_timeout(kind, |jitter| uses = jitter.uses());
-        let reusable = reusable && connection.uses < uses;
+        let mut max_uses = 0;
+        self.adjust_idle_timeout(kind, |jitter| max_uses = jitter.uses());
+        let reusable = reusable && connection.uses < max_uses;
         if let Some((head, buffered, rest, length)) = long {
             // A streamed response is limited by how fast the client reads it.
             connection.socket.lift_read_limit();
