--- a/crates/core/invariants/tests/rules.rs
+++ b/crates/core/invariants/tests/rules.rs
@@ -61,7 +61,7 @@
             match may_close(&facts, cause) {
                 Ok(()) => assert_eq!(check_closed(&facts, cause), None, "{facts:?} {cause:?}"),
                 Err(Outstanding::Answer) => {
-                    assert!(facts.answering || facts.read_behind, "{facts:?} {cause:?}")
+                    assert!(facts.answering || facts.read_behind, "{facts:?} {cause:?}");
                 }
                 Err(Outstanding::RestOfAnswer) => assert!(facts.unwritten, "{facts:?} {cause:?}"),
                 Err(Outstanding::RestOfHead) => assert!(facts.head_begun, "{facts:?} {cause:?}"),
