--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,16 +1,16 @@
-//! The one clock of a proxy, and what is kept of a client's time for the way.
+//! The clock that all parts of a proxy share, and the part of a client's deadline that is reserved for the network.
 
 use crate::api::Nanos;
 use rushquay_control_service::Clocks;
 use std::time::Instant;
 
-/// A client's time runs from its sending: so much of it is kept for the way here and for the answer's way back.
-const MARGIN: Nanos = 10_000_000;
-/// At most this part of the time. Danger: some clients wait for little longer than an answer takes; a margin made for
-/// long waits would leave them none.
-const MARGIN_PART: Nanos = 12;
+/// Maximum time reserved for the network in both directions, since a client's deadline runs from when it sends its request.
+const MAX_MARGIN: Nanos = 10_000_000;
+/// At most this fraction (1/12) of the deadline is reserved. Danger: some clients wait only slightly longer than an answer takes; a margin
+/// made for long deadlines would leave them no time.
+const MARGIN_DIVISOR: Nanos = 12;
 
-/// The one clock: monotonic, from the Unix time at the start, since nodes' start times are Unix times.
+/// A monotonic clock that starts at the Unix time of its creation, since nodes' start times are Unix times.
 #[derive(Clone, Copy)]
 pub struct Clock {
     base: Nanos,
@@ -18,18 +18,18 @@
 }
 
 impl Clock {
-    /// Starts now, by this wall clock.
+    /// Starts a clock at the current time of the given wall clock.
     pub fn by(clocks: &Clocks) -> Self {
         Clock { base: (clocks.wall)(), start: Instant::now() }
     }
 
-    /// Nanoseconds of Unix time, as far as it was right at the start.
+    /// Returns Unix time in nanoseconds; an error of the wall clock at the start remains.
     pub fn now(&self) -> Nanos {
         self.base.saturating_add(self.start.elapsed().as_nanos() as Nanos)
     }
 }
 
-/// What is kept of a client's time for the way.
-pub fn margin(patience: Nanos) -> Nanos {
-    MARGIN.min(patience / MARGIN_PART)
+/// Returns how much of a client's deadline is reserved for the network.
+pub fn margin(deadline: Nanos) -> Nanos {
+    MAX_MARGIN.min(deadline / MARGIN_DIVISOR)
 }
--- a/src/proxy/http/answer.rs
+++ b/src/proxy/http/answer.rs
@@ -7,16 +7,17 @@
 
 /// The final answer of a request.
 pub enum Answer {
+    /// A response from a node or the origin.
     Served(Response<Body>),
-    /// Rejected: it had no effect and may be retried, after the advised wait.
+    /// Rejected: the request had no effect, and may be retried after the advised wait.
     Refused(Duration),
     Failed,
-    /// The module gave no answer in time.
+    /// The decision module gave no answer in time.
     Overdue,
 }
 
 impl Answer {
-    /// The outcome that the answer is counted under.
+    /// Returns the outcome that the answer is counted under.
     pub fn end(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Completed,
--- a/src/proxy/http/mod.rs
+++ b/src/proxy/http/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of HTTP/1.1: parsing, framing, bodies, and the way of one request through the proxy.
+//! HTTP/1.1 requests and responses: parsing, framing, bodies, routing, and the handling of one request from start to end.
 
 pub(crate) mod answer;
 pub(crate) mod headers;
--- a/src/proxy/http/request_body.rs
+++ b/src/proxy/http/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies: short ones are held whole, long ones are passed on as they come, at the pace of whoever reads.
+//! Request and response bodies: short ones are buffered completely, long ones are streamed at the pace of their reader.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as HttpBody, Bytes, Frame, Incoming, SizeHint};
@@ -14,19 +14,19 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Sleep};
 
-/// Bodies of at most this length are held whole.
+/// Bodies of at most this many bytes are buffered completely.
 pub const BODY_MOST: usize = 64 << 10;
-/// A client that sends a body may be so slow. The slowest that is well sends 64 kB a second after two; one that has stopped is owed
-/// its answer within 3 s, and what stands still is found out a little later than it is due.
-pub const CLIENT_PATIENCE: ProgressLimits =
+/// Minimum progress of a client that sends a body. The slowest healthy client sends 64 kB/s after the first two seconds. A client that
+/// has stopped must get its answer within 3 s; the limit is below that, since a stall is detected a little late.
+pub const CLIENT_LIMITS: ProgressLimits =
     ProgressLimits { max_silence: 2_700_000_000, grace: 4 * SECOND, min_rate: 16_000 };
-/// The same of a node.
-pub const NODE_PATIENCE: ProgressLimits =
+/// Minimum progress of a node whose answer is being buffered.
+pub const NODE_LIMITS: ProgressLimits =
     ProgressLimits { max_silence: 3 * SECOND, grace: 4 * SECOND, min_rate: 16_000 };
-/// A node that answers may be so slow, once its answer has begun.
-const ANSWER_PATIENCE: ProgressLimits = ProgressLimits { max_silence: 10 * SECOND, grace: 0, min_rate: 0 };
+/// Minimum progress of a node whose answer is being streamed.
+const STREAMING_LIMITS: ProgressLimits = ProgressLimits { max_silence: 10 * SECOND, grace: 0, min_rate: 0 };
 
-/// Nanoseconds since some moment of this process.
+/// Returns monotonic nanoseconds since an arbitrary time in this process.
 pub fn steady() -> Nanos {
     thread_local! {
         static START: Instant = Instant::now();
@@ -34,13 +34,13 @@
     START.with(|start| start.elapsed().as_nanos() as Nanos)
 }
 
-/// A body of either side, in either direction.
+/// A body sent to a client or to a node.
 pub struct Body(Kind);
 
 enum Kind {
     Whole(Full<Bytes>),
     Answer(Box<LongAnswer>),
-    Upload(Box<LongUpload>),
+    Upload(Box<UploadAttempt>),
 }
 
 impl Default for Body {
@@ -50,30 +50,30 @@
 }
 
 impl Body {
-    /// One that is held whole.
+    /// Creates a completely buffered body.
     pub fn new(bytes: Bytes) -> Self {
         Body(Kind::Whole(Full::new(bytes)))
     }
 
-    /// A node's long answer.
+    /// Creates the body of a node's long answer.
     pub fn answer(answer: LongAnswer) -> Self {
         Body(Kind::Answer(Box::new(answer)))
     }
 
-    /// A client's long body on its way to a node.
+    /// Creates the body of one attempt that streams a client's long body to a node.
     pub fn upload(upload: &Rc<Upload>) -> Self {
-        Body(Kind::Upload(Box::new(LongUpload {
-            of: upload.clone(),
-            sent: false,
+        Body(Kind::Upload(Box::new(UploadAttempt {
+            upload: upload.clone(),
+            beginning_sent: false,
             rest: None,
-            watch: Watch::new(CLIENT_PATIENCE),
+            stall_detector: StallDetector::new(CLIENT_LIMITS),
         })))
     }
 
-    /// This lives until the answer has been passed on, if it is a long one; else it is dropped now.
-    pub fn carry(&mut self, what: impl Any) {
+    /// Keeps a value until a long answer has been streamed to its end; with any other body the value is dropped immediately.
+    pub fn carry(&mut self, value: impl Any) {
         if let Kind::Answer(answer) = &mut self.0 {
-            answer.carried.push(Box::new(what));
+            answer.carried.push(Box::new(value));
         }
     }
 }
@@ -94,7 +94,7 @@
         match &self.0 {
             Kind::Whole(whole) => whole.is_end_stream(),
             Kind::Answer(answer) => answer.ended,
-            Kind::Upload(upload) => upload.of.whole.get(),
+            Kind::Upload(upload) => upload.upload.whole.get(),
         }
     }
 
@@ -103,41 +103,41 @@
         match &self.0 {
             Kind::Whole(whole) => whole.size_hint(),
             Kind::Answer(answer) => exact(answer.length),
-            Kind::Upload(upload) => exact(upload.of.length),
+            Kind::Upload(upload) => exact(upload.upload.length),
         }
     }
 }
 
-/// Watches a peer's progress while something is awaited from it.
-struct Watch {
-    pace: ProgressTracker,
-    patience: ProgressLimits,
+/// Detects that a peer makes no progress while data is expected from it.
+struct StallDetector {
+    progress: ProgressTracker,
+    limits: ProgressLimits,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Watch {
-    fn new(patience: ProgressLimits) -> Self {
-        Watch { pace: ProgressTracker::new(steady()), patience, timer: None }
+impl StallDetector {
+    fn new(limits: ProgressLimits) -> Self {
+        StallDetector { progress: ProgressTracker::new(steady()), limits, timer: None }
     }
 
-    fn moved(&mut self, bytes: usize) {
-        self.pace.record(steady(), bytes);
+    fn record(&mut self, bytes: usize) {
+        self.progress.record(steady(), bytes);
         self.timer = None;
     }
 
-    /// Whether the peer has stopped; else the task is woken when it has.
-    fn stopped(&mut self, cx: &mut Context<'_>) -> bool {
+    /// Returns whether the peer has stalled; if not, the task is woken when it has.
+    fn has_stalled(&mut self, cx: &mut Context<'_>) -> bool {
         let now = steady();
         if self.timer.is_none() {
-            let left = self.pace.stalled_at(&self.patience).saturating_sub(now);
-            let at = tokio::time::Instant::now() + Duration::from_nanos(left);
+            let remaining = self.progress.stalled_at(&self.limits).saturating_sub(now);
+            let at = tokio::time::Instant::now() + Duration::from_nanos(remaining);
             self.timer = Some(Box::pin(sleep_until(at)));
         }
         self.timer.as_mut().is_some_and(|t| t.as_mut().poll(cx).is_ready())
     }
 }
 
-/// The next data of a body; trailers are not passed on.
+/// Polls the next data of a body; trailers are dropped.
 fn poll_data(body: &mut Incoming, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
     loop {
         return match std::task::ready!(Pin::new(&mut *body).poll_frame(cx)) {
@@ -151,34 +151,34 @@
     }
 }
 
-/// A connection on which an answer still comes. Dropped, it closes.
+/// A connection on which an answer is still arriving. Dropping it closes the connection.
 pub trait Returns {
-    /// The answer has ended.
+    /// Returns the connection to its pool, once the answer has ended.
     fn back(self: Box<Self>);
 }
 
-/// A node's answer that is passed on while it comes. Dropped before its end, it takes its connection along.
+/// A node's answer that is streamed while it arrives. Dropping it before its end closes its connection.
 pub struct LongAnswer {
-    /// What came first.
+    /// The buffered beginning, until it has been passed on.
     held: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
     returning: Option<Box<dyn Returns>>,
-    watch: Watch,
+    stall_detector: StallDetector,
     carried: Vec<Box<dyn Any>>,
     ended: bool,
 }
 
 impl LongAnswer {
-    /// `length` is that of the whole; `returning` takes the connection back behind the last byte.
+    /// `length` is the length of the whole body; `returning` takes the connection back after the last byte.
     pub fn new(held: Bytes, rest: Incoming, length: Option<u64>, returning: impl Returns + 'static) -> Self {
         let held = Some(held).filter(|h| !h.is_empty());
         let returning: Option<Box<dyn Returns>> = Some(Box::new(returning));
-        let watch = Watch::new(ANSWER_PATIENCE);
-        LongAnswer { held, rest, length, returning, watch, carried: Vec::new(), ended: false }
+        let stall_detector = StallDetector::new(STREAMING_LIMITS);
+        LongAnswer { held, rest, length, returning, stall_detector, carried: Vec::new(), ended: false }
     }
 
-    /// Its last byte has come.
+    /// Ends the answer after its last byte.
     fn end(&mut self) {
         self.ended = true;
         self.returning.take().into_iter().for_each(|r| r.back());
@@ -191,9 +191,9 @@
         }
         match poll_data(&mut self.rest, cx) {
             Poll::Ready(Some(Ok(data))) => {
-                self.watch.moved(data.len());
-                // Danger: whoever reads a body of a told length asks for nothing behind its last byte.
-                if self.length == Some(self.watch.pace.bytes()) {
+                self.stall_detector.record(data.len());
+                // Danger: the reader of a body of known length does not poll again after its last byte.
+                if self.length == Some(self.stall_detector.progress.bytes()) {
                     self.end();
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
@@ -202,7 +202,7 @@
                 self.end();
                 Poll::Ready(None)
             }
-            Poll::Pending if self.watch.stopped(cx) => Poll::Ready(Some(Err(io::Error::new(
+            Poll::Pending if self.stall_detector.has_stalled(cx) => Poll::Ready(Some(Err(io::Error::new(
                 io::ErrorKind::TimedOut,
                 "the node has stopped answering",
             )))),
@@ -211,85 +211,88 @@
     }
 }
 
-/// A client's body that is longer than what is held of it.
+/// A client's body that is too long to be buffered completely.
 pub struct Upload {
     beginning: Bytes,
     rest: RefCell<Option<Incoming>>,
     replay: Cell<Replay>,
     length: Option<u64>,
-    /// Its last byte has come.
+    /// The last byte has arrived.
     whole: Cell<bool>,
-    came: Notify,
+    completed: Notify,
 }
 
 impl Upload {
-    /// Of a body that begins so.
+    /// Creates an upload from the buffered beginning of a body and the rest that is still arriving.
     pub fn new(beginning: Bytes, rest: Incoming, length: Option<u64>) -> Rc<Self> {
         let (rest, replay) = (RefCell::new(Some(rest)), Cell::new(Replay::of(false)));
-        Rc::new(Upload { beginning, rest, replay, length, whole: Cell::new(false), came: Notify::new() })
+        Rc::new(Upload { beginning, rest, replay, length, whole: Cell::new(false), completed: Notify::new() })
     }
 
-    /// Whether an attempt may still begin.
+    /// Returns whether an attempt may still start to send the body.
     pub fn may_send(&self) -> bool {
         self.replay.get().may_send()
     }
 
-    /// Returns once the last byte has come: a client's time runs from then.
+    /// Returns once the last byte has arrived: the client's deadline runs from then.
     pub async fn whole(&self) {
         while !self.whole.get() {
-            self.came.notified().await;
+            self.completed.notified().await;
         }
     }
 
     fn end(&self) {
         self.whole.set(true);
-        self.came.notify_one();
+        self.completed.notify_one();
     }
 
-    /// For the rest, if no other attempt has it.
-    fn past(&self) -> Option<Incoming> {
+    /// Claims the rest of the body, unless another attempt has claimed it.
+    fn claim_rest(&self) -> Option<Incoming> {
         let mut replay = self.replay.get();
-        let got = replay.claim_rest();
+        let claimed = replay.claim_rest();
         self.replay.set(replay);
-        self.rest.borrow_mut().take().filter(|_| got)
+        self.rest.borrow_mut().take().filter(|_| claimed)
     }
 }
 
-/// An upload on its way in one attempt.
-struct LongUpload {
-    of: Rc<Upload>,
-    sent: bool,
+/// An upload as sent by one attempt.
+struct UploadAttempt {
+    upload: Rc<Upload>,
+    beginning_sent: bool,
     rest: Option<Incoming>,
-    watch: Watch,
+    stall_detector: StallDetector,
 }
 
-impl LongUpload {
+impl UploadAttempt {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if !self.sent {
-            self.sent = true;
-            return Poll::Ready(Some(Ok(Frame::data(self.of.beginning.clone()))));
+        if !self.beginning_sent {
+            self.beginning_sent = true;
+            return Poll::Ready(Some(Ok(Frame::data(self.upload.beginning.clone()))));
         }
         if self.rest.is_none() {
-            self.rest = self.of.past();
-            self.watch = Watch::new(CLIENT_PATIENCE);
+            self.rest = self.upload.claim_rest();
+            self.stall_detector = StallDetector::new(CLIENT_LIMITS);
         }
-        let behind = self.of.length.map(|length| length.saturating_sub(self.of.beginning.len() as u64));
+        let rest_length =
+            self.upload.length.map(|length| length.saturating_sub(self.upload.beginning.len() as u64));
         let Some(rest) = &mut self.rest else {
-            return Poll::Ready(Some(Err(io::Error::other("the body has gone out in another attempt"))));
+            return Poll::Ready(Some(Err(io::Error::other(
+                "another attempt has already sent the rest of the body",
+            ))));
         };
         match poll_data(rest, cx) {
             Poll::Ready(Some(Ok(data))) => {
-                self.watch.moved(data.len());
-                if behind == Some(self.watch.pace.bytes()) {
-                    self.of.end();
+                self.stall_detector.record(data.len());
+                if rest_length == Some(self.stall_detector.progress.bytes()) {
+                    self.upload.end();
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Poll::Ready(None) => {
-                self.of.end();
+                self.upload.end();
                 Poll::Ready(None)
             }
-            Poll::Pending if self.watch.stopped(cx) => Poll::Ready(Some(Err(io::Error::new(
+            Poll::Pending if self.stall_detector.has_stalled(cx) => Poll::Ready(Some(Err(io::Error::new(
                 io::ErrorKind::TimedOut,
                 "the client has stopped sending",
             )))),
@@ -301,44 +304,45 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Its sender has stopped, or is too slow.
+    /// The sender has stopped, or is too slow.
     Stopped,
-    /// It broke off, or its framing is spoilt.
+    /// The body was cut off, or its framing is invalid.
     Broken,
 }
 
-/// The beginning of a body, up to [`BODY_MOST`]; whether that is all of it. `hold`: it is given out after this time however
-/// little has come.
+/// Reads the beginning of a body, until it exceeds [`BODY_MOST`]; returns it and whether it is the complete body. After `hold`, returns
+/// what has arrived by then.
 pub async fn beginning(
     body: &mut Incoming,
-    patience: ProgressLimits,
+    limits: ProgressLimits,
     hold: Option<Duration>,
 ) -> Result<(Bytes, bool), Unread> {
-    let (mut pace, mut parts): (ProgressTracker, Vec<Bytes>) = (ProgressTracker::new(steady()), Vec::new());
-    let until = hold.map(|hold| tokio::time::Instant::now() + hold);
+    let (mut progress, mut parts): (ProgressTracker, Vec<Bytes>) =
+        (ProgressTracker::new(steady()), Vec::new());
+    let hold_until = hold.map(|hold| tokio::time::Instant::now() + hold);
     loop {
         let held: usize = parts.iter().map(Bytes::len).sum();
         if held > BODY_MOST {
-            return Ok((joined(parts), false));
+            return Ok((concat(parts), false));
         }
-        let left = Duration::from_nanos(pace.stalled_at(&patience).saturating_sub(steady()));
-        let due = tokio::time::Instant::now() + left;
-        let early = until.filter(|until| *until < due);
-        let frame = match tokio::time::timeout_at(early.unwrap_or(due), body.frame()).await {
-            Err(_) if early.is_some() => return Ok((joined(parts), false)),
+        let remaining = Duration::from_nanos(progress.stalled_at(&limits).saturating_sub(steady()));
+        let stalled_at = tokio::time::Instant::now() + remaining;
+        let hold_end = hold_until.filter(|until| *until < stalled_at);
+        let frame = match tokio::time::timeout_at(hold_end.unwrap_or(stalled_at), body.frame()).await {
+            Err(_) if hold_end.is_some() => return Ok((concat(parts), false)),
             Err(_) => return Err(Unread::Stopped),
-            Ok(None) => return Ok((joined(parts), true)),
+            Ok(None) => return Ok((concat(parts), true)),
             Ok(Some(Err(_))) => return Err(Unread::Broken),
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
-            pace.record(steady(), data.len());
+            progress.record(steady(), data.len());
             parts.push(data);
         }
     }
 }
 
-fn joined(mut parts: Vec<Bytes>) -> Bytes {
+fn concat(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 => Bytes::new(),
         1 => parts.swap_remove(0),
--- a/src/proxy/http/request_framing.rs
+++ b/src/proxy/http/request_framing.rs
@@ -1,6 +1,6 @@
 //! Passes a client's bytes to hyper one request at a time, and checks the framing of each head first.
 
-use crate::proxy::listener::read_buffer::{ReadBuffer, ALL, HEADERS_MOST, PART};
+use crate::proxy::listener::read_buffer::{ReadBuffer, MAX_HEADERS, READ_CHUNK, UNLIMITED};
 use crate::proxy::upstream::socket::{Io, Socket};
 use crate::proxy::BUFFER_MOST;
 use std::io::{self, IoSlice};
@@ -13,79 +13,82 @@
 /// The stream that hyper reads a client's connection from.
 pub struct RequestFraming {
     io: Io,
-    intake: Rc<ReadBuffer>,
+    buffer: Rc<ReadBuffer>,
 }
 
 impl RequestFraming {
-    pub fn new(socket: Rc<Socket>, intake: Rc<ReadBuffer>) -> Self {
-        RequestFraming { io: Io(socket), intake }
+    pub fn new(socket: Rc<Socket>, buffer: Rc<ReadBuffer>) -> Self {
+        RequestFraming { io: Io(socket), buffer }
     }
 
-    /// How many bytes may be passed on, once the held head is complete or can never be; hyper reports what is wrong with it.
-    fn look(&self) -> Option<u64> {
-        let held = self.intake.held.borrow();
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    /// Parses the buffered head. Returns how many bytes may be passed on once the head is complete, or can never be completed; in that
+    /// case hyper reports the error.
+    fn parse_head(&self) -> Option<u64> {
+        let held = self.buffer.held.borrow();
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let length = match request.parse(&held) {
+        let head_length = match request.parse(&held) {
             Ok(httparse::Status::Complete(length)) => length as u64,
             Ok(httparse::Status::Partial) if held.len() < BUFFER_MOST => return None,
-            _ => return Some(ALL),
+            _ => return Some(UNLIMITED),
         };
-        let named = |name: &'static str| {
-            let of_name = move |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case(name);
-            request.headers.iter().filter(of_name).map(|h| h.value)
+        let values = |name: &'static str| {
+            let has_name = move |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case(name);
+            request.headers.iter().filter(has_name).map(|h| h.value)
         };
-        let told = named("content-length").next();
-        let coded = named("transfer-encoding").next().is_some();
-        let cut = request.path.is_some_and(|path| path.contains('#'));
-        let fault = match (told, coded) {
-            // Danger: a proxy and a node that each trust a different one of the two lengths see different requests in the same
+        let content_length = values("content-length").next();
+        let has_transfer_encoding = values("transfer-encoding").next().is_some();
+        let has_fragment = request.path.is_some_and(|path| path.contains('#'));
+        let fault = match (content_length, has_transfer_encoding) {
+            // Danger: a proxy and a node that each rely on a different one of the two headers see different requests in the same
             // bytes (request smuggling). Hyper removes one of them silently.
             (Some(_), true) => Some("both Content-Length and Transfer-Encoding"),
-            // Danger: hyper drops the fragment, so that a different path would be forwarded.
-            _ if cut => Some("bad path"),
+            // Danger: hyper drops the fragment, so a different path would be forwarded.
+            _ if has_fragment => Some("bad path"),
             _ => None,
         };
-        self.intake.head_since.set(None);
-        self.intake.heads.set(self.intake.heads.get() + 1);
-        self.intake.fault.set(fault);
-        self.intake.last.set(coded);
-        let body = told.map_or(Some(0), |v| std::str::from_utf8(v).ok()?.parse::<u64>().ok());
-        let whole = body.filter(|_| !coded && fault.is_none()).and_then(|body| length.checked_add(body));
-        Some(whole.unwrap_or(ALL))
+        self.buffer.head_since.set(None);
+        self.buffer.heads.set(self.buffer.heads.get() + 1);
+        self.buffer.fault.set(fault);
+        self.buffer.last.set(has_transfer_encoding);
+        let body = content_length.map_or(Some(0), |v| std::str::from_utf8(v).ok()?.parse::<u64>().ok());
+        let request_length = body
+            .filter(|_| !has_transfer_encoding && fault.is_none())
+            .and_then(|body| head_length.checked_add(body));
+        Some(request_length.unwrap_or(UNLIMITED))
     }
 
     /// Reads until a head is complete, or the client half-closes.
     fn poll_head(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let intake = &self.intake;
-        while intake.pass.get() == 0 {
-            if !intake.held.borrow().is_empty() {
-                if let Some(length) = self.look() {
-                    intake.request(length);
+        let buffer = &self.buffer;
+        while buffer.pass.get() == 0 {
+            if !buffer.held.borrow().is_empty() {
+                if let Some(length) = self.parse_head() {
+                    buffer.begin_request(length);
                     break;
                 }
-                intake.incomplete();
+                buffer.clear_arrivals();
             }
-            let mut part = [0; PART];
-            match ready!(self.io.poll_fill(cx, &mut part))? {
-                0 => intake.pass.set(ALL),
-                n => intake.take(&part[..n], Instant::now()),
+            let mut chunk = [0; READ_CHUNK];
+            match ready!(self.io.poll_fill(cx, &mut chunk))? {
+                0 => buffer.pass.set(UNLIMITED),
+                n => buffer.take(&chunk[..n], Instant::now()),
             }
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Passes on held bytes, and returns how many.
-    fn hand_over(&self, buf: &mut ReadBuf<'_>, most: usize) -> usize {
-        let mut held = self.intake.held.borrow_mut();
-        let n = most.min(held.len());
+    /// Passes on buffered bytes, `max` at most, and returns how many.
+    fn pass_on(&self, buf: &mut ReadBuf<'_>, max: usize) -> usize {
+        let mut held = self.buffer.held.borrow_mut();
+        let n = max.min(held.len());
         buf.put_slice(&held[..n]);
         held.drain(..n);
         if held.is_empty() {
-            // An idle connection holds no buffer.
+            // An idle connection keeps no buffer.
             *held = Vec::new();
-        } else if self.intake.pass.get() == n as u64 {
-            self.intake.head_since.set(Some(Instant::now()));
+        } else if self.buffer.pass.get() == n as u64 {
+            self.buffer.head_since.set(Some(Instant::now()));
         }
         n
     }
@@ -94,17 +97,17 @@
 impl AsyncRead for RequestFraming {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         ready!(self.poll_head(cx))?;
-        let intake = &self.intake;
-        let most = buf.remaining().min(usize::try_from(intake.pass.get()).unwrap_or(usize::MAX));
-        let n = if intake.held.borrow().is_empty() {
-            let n = ready!(self.io.poll_fill(cx, buf.initialize_unfilled_to(most)))?;
+        let buffer = &self.buffer;
+        let max = buf.remaining().min(usize::try_from(buffer.pass.get()).unwrap_or(usize::MAX));
+        let n = if buffer.held.borrow().is_empty() {
+            let n = ready!(self.io.poll_fill(cx, buf.initialize_unfilled_to(max)))?;
             buf.advance(n);
-            intake.came(n, Instant::now());
+            buffer.record_arrival(n, Instant::now());
             n
         } else {
-            self.hand_over(buf, most)
+            self.pass_on(buf, max)
         };
-        intake.handed(n);
+        buffer.passed_on(n);
         Poll::Ready(Ok(()))
     }
 }
--- a/src/proxy/http/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -1,4 +1,4 @@
-//! The way of one request: parsed, admitted, submitted to its engine, and answered once.
+//! Handles one request: parses and admits it, submits it to its engine, and answers it exactly once.
 
 use crate::api::Nanos;
 use crate::proxy::clock::margin;
@@ -27,15 +27,15 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// How long to wait for a reset from a client that has half-closed, and the part of its remaining time that this may take.
-/// Danger: a busy machine resets late; and a client that has not gone is kept waiting.
-const GONE_WITHIN: Duration = Duration::from_millis(100);
-const GONE_PART: u32 = 4;
-/// A body that nobody will read.
-const GONE: &str = "the client has gone";
-/// An answer this long after the client's deadline breaks a rule.
-const LATE_AFTER: Duration = Duration::from_millis(500);
+/// Danger: a busy machine sends the reset late; and a client that is still connected is kept waiting.
+const RESET_WAIT: Duration = Duration::from_millis(100);
+const RESET_WAIT_DIVISOR: u32 = 4;
+/// Body of a response that nobody will read.
+const CLIENT_GONE_TEXT: &str = "the client has gone";
+/// An answer this long after the client's deadline violates an invariant.
+const LATE_ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// The id of an unanswered request, released on drop.
+/// The id of an unanswered request; released on drop.
 struct OpenRequestId<'a> {
     server: &'a Server,
     id: HeaderValue,
@@ -47,25 +47,25 @@
     }
 }
 
-/// Counts how a request ends.
+/// Counts the outcome of a request.
 struct RequestAccounting<'a> {
     server: &'a Server,
     entry: Entry,
-    acting: Rc<ActiveConfig>,
+    active: Rc<ActiveConfig>,
     class: usize,
     since: Instant,
 }
 
 impl RequestAccounting<'_> {
-    /// Counts the outcome of the request.
-    fn ended(&mut self, end: RequestOutcome) {
-        self.entry.answered(end);
+    /// Counts the outcome of a submitted or rejected request, also for the config version under rollout.
+    fn ended(&mut self, outcome: RequestOutcome) {
+        self.entry.answered(outcome);
         if let Some(rollout) = &self.server.rollout {
-            rollout.request_metrics.count(&self.acting, self.class, end, self.since.elapsed());
+            rollout.request_metrics.count(&self.active, self.class, outcome, self.since.elapsed());
         }
     }
 
-    /// Counts a failure before the request was submitted; it says nothing about the version under rollout.
+    /// Counts a failure before the request was submitted; it is no evidence about the config version under rollout.
     fn failed(&mut self, cause: Cause) {
         self.entry.answered(RequestOutcome::Failed);
         self.server.metrics.failures.one_more(cause);
@@ -82,7 +82,7 @@
         client.ends_by_close.set(request.version() == Version::HTTP_10);
         let may_ask = request.version() == Version::HTTP_11;
         let (mut head, body) = request.into_parts();
-        // The guard keeps the cluster alive until the answer was given.
+        // `forward` keeps the cluster alive until the request has been answered.
         let forward = match self.route(&mut head) {
             Ok(forward) => forward,
             Err(response) => {
@@ -98,9 +98,10 @@
                 return plain(StatusCode::NOT_FOUND, "no such route");
             }
         };
-        let mut response = self.take(head, body, forward.as_deref(), engine, client, may_ask).await;
+        let mut response =
+            self.parse_and_answer(head, body, forward.as_deref(), engine, client, may_ask).await;
         if let Some(forward) = &forward {
-            forward.dress(&mut response);
+            forward.change_response(&mut response);
         }
         response
     }
@@ -111,7 +112,7 @@
         request_trace::event(|| Event::TurnedAway { connection, reason });
     }
 
-    /// The route of a request, if this proxy has routes.
+    /// Returns the route of a request if this proxy has routes, or the response that its routes determine.
     fn route(&self, head: &mut Parts) -> Result<Option<Box<Forward>>, Box<Response<Body>>> {
         match &self.backend {
             Backend::Single { .. } => Ok(None),
@@ -123,7 +124,7 @@
     }
 
     /// Parses a request, and answers it if it is valid.
-    async fn take(
+    async fn parse_and_answer(
         &self,
         head: Parts,
         body: Incoming,
@@ -133,20 +134,20 @@
         may_ask: bool,
     ) -> Response<Body> {
         let name = class_of(&head, forward);
-        let acting = engine.active_config();
-        let Some(class) = acting.names.classes.iter().position(|c| c == name) else {
+        let active = engine.active_config();
+        let Some(class) = active.names.classes.iter().position(|c| c == name) else {
             self.count_turned_away(client.number, TurnedAway::UnknownClass);
             return bad(StatusCode::NOT_FOUND, "no such class");
         };
         let policy = self.policy.as_deref();
-        let read = parse_request(&acting, class, engine, head, body, forward, policy).await;
+        let parsed = parse_request(&active, class, engine, head, body, forward, policy).await;
         let entry = self.metrics.take(class);
-        let mut account = RequestAccounting { server: self, entry, acting, class, since: Instant::now() };
-        let asked = match read {
-            Ok(asked) => asked,
+        let mut account = RequestAccounting { server: self, entry, active, class, since: Instant::now() };
+        let pending = match parsed {
+            Ok(pending) => pending,
             Err((status, why)) => {
                 account.failed(Cause::BadRequest);
-                return unusable(status, why);
+                return invalid_request(status, why);
             }
         };
         if let Some(wait) = policy.and_then(|p| p.rejects(class)) {
@@ -154,53 +155,54 @@
             account.ended(RequestOutcome::Rejected);
             return with_accounting(respond_with(Answer::Refused(wait)), account);
         }
-        // Danger: nodes and the deduplication of retries identify a request by its id; a second request with the same id is
-        // another client's, and must not disturb the first.
-        let id = asked.upstream_request.headers[CORRELATION_ID].clone();
+        // Danger: nodes and the deduplication of retries identify a request by its id; a second request with the same id belongs to
+        // another client, and must not interfere with the first.
+        let id = pending.upstream_request.headers[CORRELATION_ID].clone();
         if !self.open_request_ids.borrow_mut().insert(id.clone()) {
             account.failed(Cause::DuplicateId);
             return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
         }
         let _open = OpenRequestId { server: self, id };
-        let response = self.answer(asked, engine, client, may_ask, &mut account).await;
+        let response = self.answer(pending, engine, client, may_ask, &mut account).await;
         with_accounting(response, account)
     }
 
-    /// Submits a request to its engine and returns its answer, unless the client goes first.
+    /// Submits a request to its engine and returns its answer, unless the client disconnects first.
     async fn answer(
         &self,
-        mut asked: PendingRequest,
+        mut pending: PendingRequest,
         engine: &Rc<Engine>,
         client: &Client,
         may_ask: bool,
         account: &mut RequestAccounting<'_>,
     ) -> Response<Body> {
         let waited = client.read_buffer.waited(Instant::now());
-        let late = Instant::now() + Duration::from_nanos(asked.request.remaining) + LATE_AFTER;
-        let late = late.checked_sub(waited).unwrap_or(late);
-        trace_read(&asked, client.number, account, waited);
-        reduce_remaining(&mut asked.request.remaining, waited);
-        self.cap_to_shutdown(&mut asked);
-        if self.client_has_gone(&mut asked, client, may_ask).await {
+        let late_at =
+            Instant::now() + Duration::from_nanos(pending.request.remaining) + LATE_ANSWER_TOLERANCE;
+        let late_at = late_at.checked_sub(waited).unwrap_or(late_at);
+        trace_read(&pending, client.number, account, waited);
+        reduce_remaining(&mut pending.request.remaining, waited);
+        self.cap_to_shutdown(&mut pending);
+        if self.has_disconnected(&mut pending, client, may_ask).await {
             account.entry.answered(RequestOutcome::Failed);
-            return plain(StatusCode::BAD_GATEWAY, GONE);
+            return plain(StatusCode::BAD_GATEWAY, CLIENT_GONE_TEXT);
         }
-        let upload = asked.upstream_request.upload().cloned();
-        let (patience, long) = (asked.request.remaining, upload.is_some());
-        let mut ticket: Ticket = engine.submit(asked);
+        let upload = pending.upstream_request.upload().cloned();
+        let (time_left, has_upload) = (pending.request.remaining, upload.is_some());
+        let mut ticket: Ticket = engine.submit(pending);
         let answer = tokio::select! {
             biased;
             answer = ticket.answer() => answer,
-            // The engine's own timeout is made for the slowest upload.
-            () = overdue(upload, patience) => Answer::Overdue,
-            () = client.read_buffer.until_gone(&client.socket, may_ask) => {
-                return plain(StatusCode::BAD_GATEWAY, GONE);
+            // The engine's own timeout allows for the slowest upload.
+            () = overdue(upload, time_left) => Answer::Overdue,
+            () = client.read_buffer.until_disconnected(&client.socket, may_ask) => {
+                return plain(StatusCode::BAD_GATEWAY, CLIENT_GONE_TEXT);
             }
         };
         if matches!(answer, Answer::Overdue) {
             self.metrics.failures.one_more(Cause::Overdue);
         }
-        if !long && Instant::now() > late {
+        if !has_upload && Instant::now() > late_at {
             crate::proxy::violation(
                 &self.metrics,
                 Violation::AnsweredLate,
@@ -211,44 +213,45 @@
         respond_with(answer)
     }
 
-    /// Caps the remaining time to the end of this process. Danger: a request that is unanswered when it ends is lost.
-    fn cap_to_shutdown(&self, asked: &mut PendingRequest) {
+    /// Caps the remaining time to the end of this process. Danger: a request that is unanswered when the process ends is lost.
+    fn cap_to_shutdown(&self, pending: &mut PendingRequest) {
         let Some(end) = self.ends_at.get() else { return };
         let left = end.saturating_duration_since(Instant::now()).saturating_sub(FINAL_WRITE_WINDOW);
         let left = left.as_nanos() as Nanos;
-        asked.request.remaining = asked.request.remaining.min(left);
-        asked.upload = asked.upload.min(left);
+        pending.request.remaining = pending.request.remaining.min(left);
+        pending.upload = pending.upload.min(left);
     }
 
-    /// Whether the client has gone already. Danger: it may have gone before its request was read, or while the previous request on its
-    /// connection was answered. An attempt would serve nobody.
-    async fn client_has_gone(&self, asked: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
+    /// Returns whether the client has disconnected. Danger: it may have disconnected before its request was read, or while the previous
+    /// request on its connection was answered. An attempt would be wasted.
+    async fn has_disconnected(&self, pending: &mut PendingRequest, client: &Client, may_ask: bool) -> bool {
         if !client.socket.is_read_closed() {
             return false;
         }
-        let asks = Instant::now();
-        let within = GONE_WITHIN.min(Duration::from_nanos(asked.request.remaining) / GONE_PART);
-        if timeout(within, client.socket.peer_disconnected(may_ask)).await.is_ok() {
+        let started = Instant::now();
+        let timeout_after =
+            RESET_WAIT.min(Duration::from_nanos(pending.request.remaining) / RESET_WAIT_DIVISOR);
+        if timeout(timeout_after, client.socket.peer_disconnected(may_ask)).await.is_ok() {
             return true;
         }
-        reduce_remaining(&mut asked.request.remaining, asks.elapsed());
+        reduce_remaining(&mut pending.request.remaining, started.elapsed());
         false
     }
 }
 
 /// Subtracts elapsed time from the remaining time.
-fn reduce_remaining(remaining: &mut Nanos, passed: Duration) {
-    *remaining = remaining.saturating_sub(passed.as_nanos() as Nanos);
+fn reduce_remaining(remaining: &mut Nanos, elapsed: Duration) {
+    *remaining = remaining.saturating_sub(elapsed.as_nanos() as Nanos);
 }
 
-/// Keeps the accounting alive until the response was written.
+/// Keeps the entry of the request in the metrics open until the response has been written.
 fn with_accounting(mut response: Response<Body>, account: RequestAccounting<'_>) -> Response<Body> {
     response.body_mut().carry(account.entry);
     response
 }
 
-/// The response to an invalid request.
-fn unusable(status: StatusCode, why: &'static str) -> Response<Body> {
+/// Builds the response to an invalid request.
+fn invalid_request(status: StatusCode, why: &'static str) -> Response<Body> {
     let mut response = bad(status, why);
     if status == StatusCode::METHOD_NOT_ALLOWED {
         response.headers_mut().insert(header::ALLOW, HeaderValue::from_static("GET, PUT"));
@@ -256,19 +259,19 @@
     response
 }
 
-fn trace_read(asked: &PendingRequest, connection: u64, account: &RequestAccounting<'_>, waited: Duration) {
+fn trace_read(pending: &PendingRequest, connection: u64, account: &RequestAccounting<'_>, waited: Duration) {
     request_trace::event(|| Event::Read {
-        request: asked.upstream_request.id(),
+        request: pending.upstream_request.id(),
         connection,
-        class: account.acting.names.classes.get(account.class).map_or("", String::as_str),
-        left_ms: asked.request.remaining / 1_000_000,
+        class: account.active.names.classes.get(account.class).map_or("", String::as_str),
+        left_ms: pending.request.remaining / 1_000_000,
         waited_ms: waited.as_millis() as u64,
     });
 }
 
-/// Returns shortly before the deadline of a client that has sent its long body completely; never if there is no such body.
-async fn overdue(upload: Option<Rc<Upload>>, patience: Nanos) {
+/// Returns shortly before the deadline of a client that has sent its long body completely; never returns without such a body.
+async fn overdue(upload: Option<Rc<Upload>>, time_left: Nanos) {
     let Some(upload) = upload else { return std::future::pending().await };
     upload.whole().await;
-    sleep(Duration::from_nanos(patience - margin(patience) / 2)).await;
+    sleep(Duration::from_nanos(time_left - margin(time_left) / 2)).await;
 }
--- a/src/proxy/http/response_reader.rs
+++ b/src/proxy/http/response_reader.rs
@@ -1,7 +1,7 @@
-//! What a node answers, read to its end or to the end of what is held.
+//! Reads a node's response: completely if it is short, otherwise the beginning that is buffered.
 
 use crate::api::Status;
-use crate::proxy::http::request_body::{beginning, NODE_PATIENCE};
+use crate::proxy::http::request_body::{beginning, NODE_LIMITS};
 use crate::proxy::upstream::attempt::AttemptOutcome;
 use crate::proxy::{Body, BODY_MOST};
 use hyper::body::{Body as _, Bytes, Incoming};
@@ -12,73 +12,75 @@
 
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 const LOOKUP: HeaderName = HeaderName::from_static("x-lookup");
-/// A coded answer is held for so long before it is passed on.
-const HOLD_MOST: Duration = Duration::from_millis(500);
+/// Maximum time for which a chunked response is buffered before it is streamed.
+const MAX_BUFFERING_TIME: Duration = Duration::from_millis(500);
 
-/// How the end of an answer is told.
+/// How the end of a response is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// By a length ahead, or there is no body.
+    /// By `Content-Length`, or there is no body.
     Length,
     /// By the last chunk.
-    Coded,
-    /// By the end of the connection. A reset is no end.
+    Chunked,
+    /// By the close of the connection. A reset does not end the response.
     Close,
 }
 
-/// How the end of an answer is told; `None`: its head is one that no node in its right mind sends, a switch of protocols or a
-/// length that contradicts itself.
+/// Returns how the end of a response is delimited; `None` if the head is invalid: an informational status, such as a protocol switch, or
+/// both `Content-Length` and `Transfer-Encoding`.
 fn framing(response: &Response<Incoming>) -> Option<Framing> {
     let headers = response.headers();
-    let (told, coded) = (headers.contains_key(CONTENT_LENGTH), headers.contains_key(TRANSFER_ENCODING));
-    if response.status().is_informational() || told && coded {
+    let (has_length, is_chunked) =
+        (headers.contains_key(CONTENT_LENGTH), headers.contains_key(TRANSFER_ENCODING));
+    if response.status().is_informational() || has_length && is_chunked {
         return None;
     }
-    Some(match (told, coded) {
-        (_, true) => Framing::Coded,
+    Some(match (has_length, is_chunked) {
+        (_, true) => Framing::Chunked,
         (false, false) if !response.body().is_end_stream() => Framing::Close,
         _ => Framing::Length,
     })
 }
 
-/// An answer that was read to its end, or to the end of what is held.
+/// A response that was read to its end, or to the end of the part that is buffered.
 pub struct ResponseReader {
     pub ended: AttemptOutcome,
-    /// Whether the connection can carry another request behind it.
+    /// Whether the connection can be reused for another request afterwards.
     pub reusable: bool,
-    /// Of a long one: its head, what is held, what still comes, and the length of the whole.
+    /// For a long response: its head, the buffered beginning, the rest that is still arriving, and the length of the whole.
     pub long: Option<(Parts, Bytes, Incoming, Option<u64>)>,
 }
 
 impl ResponseReader {
-    fn spoilt() -> Self {
+    fn invalid() -> Self {
         ResponseReader { ended: Status::Reset.into(), reusable: false, long: None }
     }
 }
 
-/// Reads an answer to its end, if it is short. Danger: passing on a body while it still comes leaves the client with half an
-/// answer when it breaks, so that is done only with what is too long to be held. What can't be read may have run.
+/// Reads a response to its end if it is short. Danger: streaming a body while it still arrives leaves the client with a partial response
+/// if it breaks off, so only bodies that are too long to be buffered are streamed. A request whose response cannot be read may have been
+/// executed.
 pub async fn read(response: Response<Incoming>) -> ResponseReader {
-    let Some(framing) = framing(&response) else { return ResponseReader::spoilt() };
+    let Some(framing) = framing(&response) else { return ResponseReader::invalid() };
     let (head, mut body) = response.into_parts();
     let length = body.size_hint().exact();
     let (held, whole) = match length {
         Some(length) if length > BODY_MOST as u64 && head.status == StatusCode::OK => (Bytes::new(), false),
         _ => {
-            // Where no length is told it may be a long one, whose first bytes must not wait for long. One that ends with its
-            // connection is held for its whole time: until then a reset shows that it was not whole.
-            let hold = (framing == Framing::Coded).then_some(HOLD_MOST);
-            match beginning(&mut body, NODE_PATIENCE, hold).await {
+            // A chunked response may be a long one, whose first bytes must not be delayed for long. One that is delimited by the
+            // close of its connection is buffered without a time limit: a reset until then shows that it is incomplete.
+            let hold = (framing == Framing::Chunked).then_some(MAX_BUFFERING_TIME);
+            match beginning(&mut body, NODE_LIMITS, hold).await {
                 Ok(read) => read,
-                Err(_) => return ResponseReader::spoilt(),
+                Err(_) => return ResponseReader::invalid(),
             }
         }
     };
     let unprocessed = head.headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
     let status = match head.status {
         StatusCode::OK => Status::Ok,
-        // Only what is served is passed on.
-        _ if !whole => return ResponseReader::spoilt(),
+        // Only successful responses are streamed.
+        _ if !whole => return ResponseReader::invalid(),
         StatusCode::NOT_FOUND => Status::Miss,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Status::Full,
         _ => Status::Error,
--- a/src/proxy/http/responses.rs
+++ b/src/proxy/http/responses.rs
@@ -1,4 +1,4 @@
-//! HTTP responses for the module's answers and for invalid requests.
+//! HTTP responses for the decision module's answers and for invalid requests.
 
 use crate::proxy::http::answer::Answer;
 use crate::proxy::Body;
@@ -17,7 +17,8 @@
     header::UPGRADE,
     header::EXPECT,
 ];
-/// Removes hop-by-hop headers.
+
+/// Removes hop-by-hop headers, and those that `Connection` names.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -31,6 +32,7 @@
     }
 }
 
+/// Builds the response for an answer.
 pub fn respond_with(answer: Answer) -> Response<Body> {
     match answer {
         Answer::Served(response) => {
@@ -44,8 +46,8 @@
         Answer::Refused(wait) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             if !wait.is_zero() {
-                if let Ok(advice) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
-                    response.headers_mut().insert(header::RETRY_AFTER, advice);
+                if let Ok(value) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
+                    response.headers_mut().insert(header::RETRY_AFTER, value);
                 }
             }
             response
@@ -55,18 +57,20 @@
     }
 }
 
-/// Rejects a malformed or oversized request and closes the connection. Danger: a client that repeats it on one connection costs more
-/// than one that has to reconnect; and what follows may be the rest of this request.
+/// Rejects an invalid request and closes the connection. Danger: a client that repeats the request on one connection costs more than one
+/// that has to reconnect; and the bytes that follow may be the rest of this request.
 pub fn bad(status: StatusCode, why: &'static str) -> Response<Body> {
     let mut response = plain(status, why);
     closing(&mut response);
     response
 }
 
+/// Asks the client to close the connection after this response.
 pub fn closing(response: &mut Response<Body>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
+/// Builds a response with a fixed text as its body.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(Body::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -15,22 +15,23 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// How long a connection that was asked to close may take before another one is asked.
-pub const YIELD_WITHIN: Duration = Duration::from_millis(2);
-/// Pause before the next accept after a failure for lack of descriptors or memory.
-const SHORTAGE_WAIT: Duration = Duration::from_millis(10);
-/// Of the descriptors that there are so many in four are for clients; where the process drains, and dials little, so many.
-const CLIENTS_PART: usize = 2;
-const CLIENTS_PART_DRAINING: usize = 3;
+pub const EVICTION_WAIT: Duration = Duration::from_millis(2);
+/// Pause before the next accept after one failed for lack of descriptors or memory.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How many quarters of the descriptor budget clients may use; more during graceful shutdown, when few upstream connections are opened.
+const CLIENT_QUARTERS: usize = 2;
+const CLIENT_QUARTERS_DRAINING: usize = 3;
 
 impl Server {
-    /// Danger: clients that hold every descriptor could be answered by nobody.
-    fn clients_most(&self) -> usize {
-        let part = if self.draining.get() { CLIENTS_PART_DRAINING } else { CLIENTS_PART };
-        self.descriptors.most() * part / 4
+    /// Returns the maximum number of client connections. Danger: if clients used every descriptor, none would be left to connect to the
+    /// upstreams that answer them.
+    fn max_clients(&self) -> usize {
+        let quarters = if self.draining.get() { CLIENT_QUARTERS_DRAINING } else { CLIENT_QUARTERS };
+        self.descriptors.most() * quarters / 4
     }
 
     /// Accepts connections until dropped. One that has no descriptor permit yet is queued in `waiting`, so that it survives the drop.
-    pub async fn accept_all(self: Rc<Self>, listener: Rc<TcpListener>) -> Infallible {
+    pub async fn accept_connections(self: Rc<Self>, listener: Rc<TcpListener>) -> Infallible {
         loop {
             self.admit_waiting().await;
             let accepted = accept(&listener).await;
@@ -42,91 +43,92 @@
                     }
                     self.waiting.borrow_mut().push_back(stream);
                 }
-                Err(e) => self.lacks(&e).await,
+                Err(e) => self.handle_accept_error(&e).await,
             }
         }
     }
 
-    /// Handles an accept that failed for lack of descriptors or memory. Danger: accept fails again immediately, in a busy loop; and a
-    /// connection that is closed for a newcomer must be idle: one that was just accepted, or still sends a request, is a newcomer too.
-    async fn lacks(&self, why: &io::Error) {
-        if let Some(n) = self.shortage.borrow_mut().failed(&why.to_string()) {
-            crate::proxy::log(format_args!("accept: {why} (failure {n})"));
+    /// Handles an accept that failed for lack of descriptors or memory. Danger: without a pause, accept fails again immediately, in a busy
+    /// loop; and only an idle connection may be closed for a new one, since one that was just accepted or is still sending a request is
+    /// new as well.
+    async fn handle_accept_error(&self, error: &io::Error) {
+        if let Some(n) = self.shortage.borrow_mut().failed(&error.to_string()) {
+            crate::proxy::log(format_args!("accept: {error} (failure {n})"));
         }
         if !self.backend.close_oldest_idle() {
-            self.yield_client(SlotRequest::InAdvance);
+            self.evict_client(SlotRequest::InAdvance);
         }
-        sleep(SHORTAGE_WAIT).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
     }
 
     /// Admits the queued connections, each as soon as a permit is free.
     pub async fn admit_waiting(self: &Rc<Self>) {
         while !self.waiting.borrow().is_empty() {
-            let permit = self.place().await;
+            let permit = self.wait_for_permit().await;
             let Some(stream) = self.waiting.borrow_mut().pop_front() else { return };
             self.serve_connection(stream, permit);
-            // Danger: clients have limited connections as well; those they used once and keep open would leave
-            // them none to send requests on.
-            let staying = self.clients.borrow().iter().filter(|c| !c.closing()).count();
-            if staying > self.clients_most() / 2 {
-                self.yield_client(SlotRequest::InAdvance);
+            // Danger: clients have a limited number of connections too; those that they used once and keep open would leave
+            // them none for new requests.
+            let open = self.clients.borrow().iter().filter(|c| !c.closing()).count();
+            if open > self.max_clients() / 2 {
+                self.evict_client(SlotRequest::InAdvance);
             }
         }
     }
 
     /// Waits for a permit for a client connection.
-    async fn place(&self) -> Permit {
+    async fn wait_for_permit(&self) -> Permit {
         loop {
-            if let Some(permit) = self.place_now() {
+            if let Some(permit) = self.try_permit() {
                 return permit;
             }
             // Danger: the connection that was asked to close may have received a request just then and stays open until it is
             // answered; the newcomer must not wait for that.
-            let _ = timeout(YIELD_WITHIN, self.descriptors.freed()).await;
+            let _ = timeout(EVICTION_WAIT, self.descriptors.freed()).await;
         }
     }
 
-    /// A permit for a client connection if one is free; otherwise asks another connection to close.
-    pub fn place_now(&self) -> Option<Permit> {
-        if self.clients.borrow().len() >= self.clients_most() {
-            self.make_place();
+    /// Returns a permit for a client connection if one is free; otherwise asks another connection to close.
+    pub fn try_permit(&self) -> Option<Permit> {
+        if self.clients.borrow().len() >= self.max_clients() {
+            self.request_eviction();
             return None;
         }
         let permit = self.descriptors.take();
         if permit.is_none() && !self.backend.close_oldest_idle() {
-            self.make_place();
+            self.request_eviction();
         }
         permit
     }
 
     /// Asks a connection to close, unless one is closing already.
-    fn make_place(&self) {
-        let lingers = self.clients.borrow().iter().find(|c| c.lingering.get()).cloned();
-        match lingers {
-            Some(client) => client.hurry.notify_one(),
-            None if self.one_leaves() => {}
-            None => self.yield_client(SlotRequest::NewConnection),
+    fn request_eviction(&self) {
+        let lingering_client = self.clients.borrow().iter().find(|c| c.lingering.get()).cloned();
+        match lingering_client {
+            Some(client) => client.skip_linger.notify_one(),
+            None if self.is_evicting() => {}
+            None => self.evict_client(SlotRequest::NewConnection),
         }
     }
 
-    /// Asks the client connection that is worth least to close, if any may; among equals one with no unread input.
-    fn yield_client(&self, want: SlotRequest) {
+    /// Asks the least valuable client connection to close, if any may be closed; prefers one without unread input.
+    fn evict_client(&self, slot_request: SlotRequest) {
         let (clients, now) = (self.clients.borrow(), Instant::now());
-        let leaves = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
-        let idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !leaves(c)).collect();
+        let is_evicted = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
+        let idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !is_evicted(c)).collect();
         let evidence: Vec<Evidence> = idle.iter().map(|c| c.evidence(now)).collect();
-        let giving = evictable_connections(&evidence, steady(), self.clients_most(), want);
-        let silent = giving.iter().find(|n| idle[**n].socket.has_no_input());
-        if let Some(n) = silent.or(giving.first()) {
+        let evictable = evictable_connections(&evidence, steady(), self.max_clients(), slot_request);
+        let without_input = evictable.iter().find(|n| idle[**n].socket.has_no_input());
+        if let Some(n) = without_input.or(evictable.first()) {
             idle[*n].end(CloseCause::MadeRoom);
         }
     }
 
-    /// Whether a connection is closing already. Danger: asking another one to close for every newcomer that arrives
+    /// Returns whether a connection is closing already. Danger: asking another one to close for every newcomer that arrives
     /// before the first has closed would disconnect clients that are sending requests.
-    fn one_leaves(&self) -> bool {
-        let leaves =
+    fn is_evicting(&self) -> bool {
+        let is_closing =
             |c: &Rc<Client>| c.cause() == Some(CloseCause::MadeRoom) && !c.busy.get() && !c.socket.stalled();
-        self.clients.borrow().iter().any(leaves)
+        self.clients.borrow().iter().any(is_closing)
     }
 }
--- a/src/proxy/listener/descriptors.rs
+++ b/src/proxy/listener/descriptors.rs
@@ -16,12 +16,12 @@
         Rc::new(Descriptors { most: Cell::new(most), taken: Cell::new(0), freed: Notify::new() })
     }
 
-    /// The size of the budget.
+    /// Returns the size of the budget.
     pub fn most(&self) -> usize {
         self.most.get()
     }
 
-    /// Descriptors in use; more than the budget for a while after it was reduced.
+    /// Returns the number of descriptors in use; it can exceed the budget for a while after that was reduced.
     pub fn taken(&self) -> usize {
         self.taken.get()
     }
@@ -32,7 +32,7 @@
         self.freed.notify_one();
     }
 
-    /// Takes one if any is free.
+    /// Takes a descriptor if one is free.
     pub fn take(self: &Rc<Self>) -> Option<Permit> {
         if self.taken.get() >= self.most.get() {
             return None;
@@ -41,7 +41,7 @@
         Some(Permit(self.clone()))
     }
 
-    /// Waits until one is returned.
+    /// Waits until a descriptor is returned or the budget changes.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown: what has been received is answered, then the listener is closed.
+//! Graceful shutdown: closes the listener, and answers every request that was received.
 
-use crate::proxy::listener::acceptor::YIELD_WITHIN;
+use crate::proxy::listener::acceptor::EVICTION_WAIT;
 use crate::proxy::observability::request_trace::{self, Event};
 use crate::proxy::process::handover::HandoverServer;
 use crate::proxy::server::Server;
@@ -15,17 +15,17 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// Clients go on connecting for some time after SIGTERM: accepting goes on for at least `ACCEPT_FOR`, until no connection has
-/// arrived for `QUIET_FOR`, and for `ACCEPT_MOST` at the most.
-const ACCEPT_FOR: Duration = Duration::from_millis(450);
-const QUIET_FOR: Duration = Duration::from_millis(100);
-const ACCEPT_MOST: Duration = Duration::from_millis(600);
-/// The process ends this long after SIGTERM plus the longest request deadline; later it may be killed.
-const END_BEFORE: Duration = Duration::from_millis(600);
+/// Clients continue to connect for some time after SIGTERM, so accepting continues for at least `MIN_ACCEPT_TIME`, until no connection has
+/// arrived for `QUIET_PERIOD`, and for at most `MAX_ACCEPT_TIME`.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(450);
+const QUIET_PERIOD: Duration = Duration::from_millis(100);
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(600);
+/// The process ends by the longest request deadline plus this, counted from SIGTERM; later it may be killed.
+const SHUTDOWN_ALLOWANCE: Duration = Duration::from_millis(600);
 /// Reserved before the end of the process to write the last responses; nothing more is read in this time.
 pub const FINAL_WRITE_WINDOW: Duration = Duration::from_millis(50);
-/// Most connections accepted from the listen queue when the listener is closed; no queue is longer.
-const QUEUED_MOST: usize = 4096;
+/// Maximum number of connections accepted from the listen queue when the listener is closed; no queue is longer.
+const MAX_QUEUED_CONNECTIONS: usize = 4096;
 
 impl Server {
     /// Answers requests while clients are asked to reconnect elsewhere, closes idle connections, and waits for the rest. `accepting`
@@ -40,22 +40,22 @@
         request_trace::event(|| Event::State { state: "draining" });
         let longest = self.backend.longest_deadline();
         let start = Instant::now();
-        let end = start + longest + END_BEFORE;
+        let end = start + longest + SHUTDOWN_ALLOWANCE;
         self.ends_at.set(Some(end));
         self.draining.set(true);
         self.rollout.iter().for_each(|r| r.begin_shutdown());
         self.publish_status();
         self.wait_for_successor(keeper, start + longest).await;
         // Danger: if the successor has died, no other process accepts the queued connections.
-        let alone = !keeper.succeeded();
-        if alone {
+        let has_no_successor = !keeper.succeeded();
+        if has_no_successor {
             self.close_listener(accepting, &listener, keeper, start, end).await;
         }
         keeper.close();
         drop(listener);
-        if alone {
+        if has_no_successor {
             // Time for the requests on the connections that were accepted last to arrive.
-            sleep(QUIET_FOR).await;
+            sleep(QUIET_PERIOD).await;
         }
         self.clients.borrow().iter().for_each(|c| c.end(CloseCause::Drain));
         self.await_last_responses(end).await;
@@ -64,20 +64,20 @@
         request_trace::event(|| Event::State { state: "ended" });
     }
 
-    /// While a successor accepts connections, waits until all clients have left, and until `last` at the latest. Danger: closing an idle
+    /// While a successor accepts connections, waits until all clients have disconnected, but no later than `latest`. Danger: closing an idle
     /// connection just as its client sends a request on it forces that request onto a new connection. Active clients are moved by
     /// `Connection: close` on their response; idle ones are closed last.
-    async fn wait_for_successor(self: &Rc<Self>, keeper: &HandoverServer, last: Instant) {
+    async fn wait_for_successor(self: &Rc<Self>, keeper: &HandoverServer, latest: Instant) {
         if !keeper.succeeded() {
             return;
         }
-        // What this process has accepted is its own to answer.
-        let _ = timeout_at(last, self.admit_waiting()).await;
+        // This process must answer the connections that it has accepted itself.
+        let _ = timeout_at(latest, self.admit_waiting()).await;
         while keeper.succeeded() && !self.clients.borrow().is_empty() {
             tokio::select! {
                 () = self.client_left.notified() => {}
                 () = keeper.successor_lost() => {}
-                () = sleep_until(last) => return,
+                () = sleep_until(latest) => return,
             }
         }
     }
@@ -93,24 +93,25 @@
         end: Instant,
     ) {
         loop {
-            let quiet =
-                (start + ACCEPT_FOR).max(self.last_connection_at.get() + QUIET_FOR).min(start + ACCEPT_MOST);
-            if quiet <= Instant::now() {
+            let accept_until = (start + MIN_ACCEPT_TIME)
+                .max(self.last_connection_at.get() + QUIET_PERIOD)
+                .min(start + MAX_ACCEPT_TIME);
+            if accept_until <= Instant::now() {
                 break;
             }
-            if let Ok(never) = timeout_at(quiet, &mut accepting).await {
+            if let Ok(never) = timeout_at(accept_until, &mut accepting).await {
                 match never {}
             }
         }
         drop(accepting);
         // Connections without a permit wait until a request is answered, or the process ends.
-        let last = end - 2 * FINAL_WRITE_WINDOW;
-        let _ = timeout_at(last, self.admit_waiting()).await;
-        let mut taken = 0;
+        let latest = end - 2 * FINAL_WRITE_WINDOW;
+        let _ = timeout_at(latest, self.admit_waiting()).await;
+        let mut accepted = 0;
         // A successor that reported ready only now owns the listener.
-        while taken < QUEUED_MOST && Instant::now() < last && !keeper.succeeded() {
-            let Some(permit) = self.place_now() else {
-                let _ = timeout(YIELD_WITHIN, self.descriptors.freed()).await;
+        while accepted < MAX_QUEUED_CONNECTIONS && Instant::now() < latest && !keeper.succeeded() {
+            let Some(permit) = self.try_permit() else {
+                let _ = timeout(EVICTION_WAIT, self.descriptors.freed()).await;
                 continue;
             };
             let queued = accept_queued(listener, 1);
@@ -120,21 +121,22 @@
                 // Descriptors are short; closing connections return some.
                 (None, Some(_)) => {
                     self.backend.close_oldest_idle();
-                    sleep(YIELD_WITHIN).await;
+                    sleep(EVICTION_WAIT).await;
                 }
             }
-            taken += 1;
+            accepted += 1;
         }
     }
 
-    /// Waits until all clients have left. Requests that were read from the others are answered just before the end.
+    /// Waits until all clients have disconnected. Shortly before `end`, stops reading from the others, so that only requests already read
+    /// are answered.
     async fn await_last_responses(&self, end: Instant) {
-        let last_word = end - FINAL_WRITE_WINDOW;
+        let read_until = end - FINAL_WRITE_WINDOW;
         while !self.clients.borrow().is_empty() {
-            let reads = Instant::now() < last_word;
+            let still_reading = Instant::now() < read_until;
             tokio::select! {
                 () = self.client_left.notified() => {}
-                () = sleep_until(last_word), if reads => {
+                () = sleep_until(read_until), if still_reading => {
                     self.clients.borrow().iter().for_each(|c| c.read_buffer.close());
                 }
                 () = sleep_until(end) => {
--- a/src/proxy/listener/listener_socket.rs
+++ b/src/proxy/listener/listener_socket.rs
@@ -1,4 +1,4 @@
-//! The socket that clients connect to: bound alone, or shared with a process that cannot hand it over.
+//! The socket that clients connect to: bound exclusively, or shared with a process that cannot hand it over.
 
 use rushquay_sockets::patiently;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -17,19 +17,21 @@
     Beside(Socket),
 }
 
-/// Binds the address. Every version sets SO_REUSEPORT, so that the next one can start beside it even if the socket cannot be
-/// handed over.
+/// Binds the address. Every version sets SO_REUSEPORT, so that the next version can listen on the same address even if the socket
+/// cannot be handed over.
 ///
 /// # Errors
-/// An address that can't be listened on.
+/// The address cannot be listened on.
 pub fn bind(addr: SocketAddr) -> Result<ListenSocket, String> {
     let failed = |e: io::Error| format!("PROXY_LISTEN: {addr}: {e}");
     let socket = patiently(|| socket(addr)).map_err(failed)?;
-    // Binding with SO_REUSEPORT first could not tell whether another process is there.
+    // Binding with SO_REUSEPORT from the start would succeed even if another process is bound there, so that could not be detected.
     match socket.bind(&addr.into()) {
         Ok(()) => {
             if let Err(e) = socket.set_reuse_port(true) {
-                crate::proxy::log(format_args!("the address can't be shared with a later version: {e}"));
+                crate::proxy::log(format_args!(
+                    "SO_REUSEPORT failed, so a later version cannot share the address: {e}"
+                ));
             }
             listen(socket).map(ListenSocket::Alone).map_err(failed)
         }
@@ -37,7 +39,7 @@
             let shared = patiently(|| self::socket(addr)).map_err(failed)?;
             let bound = shared.set_reuse_port(true).and_then(|()| shared.bind(&addr.into()));
             bound.map_err(|e| {
-                format!("PROXY_LISTEN: {addr}: {e}; what listens there shares it with nobody: end it first")
+                format!("PROXY_LISTEN: {addr}: {e}; the process that listens there does not share the address: end it first")
             })?;
             Ok(ListenSocket::Beside(shared))
         }
@@ -56,7 +58,7 @@
 /// Starts listening on a bound socket.
 ///
 /// # Errors
-/// The system refuses it.
+/// The system rejects it.
 pub fn listen(socket: Socket) -> io::Result<TcpListener> {
     patiently(|| socket.listen(BACKLOG))?;
     TcpListener::from_std(socket.into())
--- a/src/proxy/listener/pause_detection.rs
+++ b/src/proxy/listener/pause_detection.rs
@@ -1,52 +1,54 @@
-//! Detects pauses of this process (SIGSTOP, no processor). Requests that arrive during a pause are read after it, and their deadline
-//! runs from an arrival that was not observed; it is taken to be right after the last moment in which the process ran.
+//! Detects pauses of this process (SIGSTOP, or no processor time). Requests that arrive during a pause are read after it, but their
+//! deadline runs from an arrival that was not observed; the last time at which the process is known to have run is taken instead.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Interval of the ticks that show that the process runs.
-const TICK: Duration = Duration::from_millis(25);
-/// A tick that is overdue by this much shows a pause.
-const OVERDUE: Duration = Duration::from_millis(50);
-/// What is read within this time after a pause may have arrived during it.
-const BEHIND: Duration = Duration::from_millis(10);
+/// Interval of the ticks that show that the process is running.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// A tick that is later than this indicates a pause.
+const MAX_TICK_DELAY: Duration = Duration::from_millis(50);
+/// Input that is read within this time after a pause may have arrived during it.
+const CATCH_UP_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy)]
-struct Stall {
+struct Pause {
     from: Instant,
     to: Instant,
 }
 
 thread_local! {
-    // A proxy runs on one thread.
-    static RAN: Cell<Option<Instant>> = const { Cell::new(None) };
-    static LAST: Cell<Option<Stall>> = const { Cell::new(None) };
+    // Thread-local, since a proxy runs on one thread.
+    static LAST_TICK: Cell<Option<Instant>> = const { Cell::new(None) };
+    static LAST_PAUSE: Cell<Option<Pause>> = const { Cell::new(None) };
 }
 
-/// Watches for pauses for as long as the process runs.
-pub async fn watch() {
+/// Detects pauses for as long as the process runs.
+pub async fn detect_pauses() {
     loop {
-        ran(Instant::now());
-        sleep(TICK).await;
+        record_tick(Instant::now());
+        sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Records that the process runs now.
-fn ran(now: Instant) {
-    if let Some(from) = RAN.replace(Some(now)) {
-        if now.saturating_duration_since(from) > TICK + OVERDUE {
-            LAST.set(Some(Stall { from, to: now }));
+/// Records that the process is running now.
+fn record_tick(now: Instant) {
+    if let Some(from) = LAST_TICK.replace(Some(now)) {
+        if now.saturating_duration_since(from) > TICK_INTERVAL + MAX_TICK_DELAY {
+            LAST_PAUSE.set(Some(Pause { from, to: now }));
         }
     }
 }
 
-/// The earliest time at which input that is read now may have arrived.
-pub fn earliest(now: Instant) -> Instant {
-    match (RAN.get(), LAST.get()) {
+/// Returns the earliest_arrival time at which input that is read now may have arrived.
+pub fn earliest_arrival(now: Instant) -> Instant {
+    match (LAST_TICK.get(), LAST_PAUSE.get()) {
         // The pause has just ended, and no tick has recorded it yet.
-        (Some(ran), _) if now.saturating_duration_since(ran) > TICK + OVERDUE => ran,
-        (_, Some(stall)) if now.saturating_duration_since(stall.to) < BEHIND => stall.from,
+        (Some(last_tick), _) if now.saturating_duration_since(last_tick) > TICK_INTERVAL + MAX_TICK_DELAY => {
+            last_tick
+        }
+        (_, Some(pause)) if now.saturating_duration_since(pause.to) < CATCH_UP_TIME => pause.from,
         _ => now,
     }
 }
--- a/src/proxy/listener/read_buffer.rs
+++ b/src/proxy/listener/read_buffer.rs
@@ -12,23 +12,23 @@
 use tokio::time::Instant;
 
 /// The number of headers that hyper accepts.
-pub const HEADERS_MOST: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 /// Size of one read while a head is expected.
-pub const PART: usize = 4096;
+pub const READ_CHUNK: usize = 4096;
 /// A limit that passes on all input to come.
-pub const ALL: u64 = u64::MAX;
+pub const UNLIMITED: u64 = u64::MAX;
 
-/// The bytes up to this position of the stream had arrived by this time.
+/// The bytes up to stream position `end` had arrived by `at`.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     end: u64,
     at: Instant,
 }
 
-/// Input behind the request that is being answered.
+/// Buffered input that follows the request being answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferedInput {
-    /// None was read.
+    /// No input was read.
     Nothing,
     /// An incomplete head.
     Part,
@@ -36,7 +36,7 @@
     Request,
 }
 
-/// The input of a client connection.
+/// Buffers the input of a client connection.
 #[derive(Default)]
 pub struct ReadBuffer {
     /// Bytes that were read and not yet passed on.
@@ -47,73 +47,73 @@
     pub head_since: Cell<Option<Instant>>,
     /// Complete heads received.
     pub heads: Cell<u64>,
-    /// Why the last of them is rejected.
+    /// Why the last parsed request is rejected; `None` if it is valid.
     pub fault: Cell<Option<&'static str>>,
-    /// Its body has no known length, so nothing behind it is parsed.
+    /// The last parsed request has a body of unknown length, so nothing after it is parsed.
     pub last: Cell<bool>,
-    /// Reading ahead has ended.
+    /// Reading ahead has been ended.
     closed: Cell<bool>,
-    /// Bytes read in all, and passed on.
+    /// Total bytes read, and total bytes passed on.
     read: Cell<u64>,
-    handed: Cell<u64>,
-    /// Stream position at which the last parsed request ends; [`ALL`]: unknown.
+    passed_on: Cell<u64>,
+    /// Stream position at which the last parsed request ends; [`UNLIMITED`] if unknown.
     request_end: Cell<u64>,
     arrivals: RefCell<VecDeque<Arrival>>,
 }
 
 impl ReadBuffer {
     /// Records that bytes have arrived.
-    pub fn came(&self, bytes: usize, at: Instant) {
+    pub fn record_arrival(&self, bytes: usize, at: Instant) {
         self.read.set(self.read.get() + bytes as u64);
         let mut arrivals = self.arrivals.borrow_mut();
         let end = self.request_end.get();
-        // Arrival times before the end of the request in progress are not needed any more.
-        while arrivals.front().is_some_and(|a| end == ALL || a.end < end) {
+        // Arrival times before the end of the request in progress are no longer needed.
+        while arrivals.front().is_some_and(|a| end == UNLIMITED || a.end < end) {
             arrivals.pop_front();
         }
-        arrivals.push_back(Arrival { end: self.read.get(), at: pause_detection::earliest(at) });
+        arrivals.push_back(Arrival { end: self.read.get(), at: pause_detection::earliest_arrival(at) });
     }
 
     /// Records that bytes were passed on.
-    pub fn handed(&self, bytes: usize) {
-        self.handed.set(self.handed.get() + bytes as u64);
-        if self.pass.get() != ALL {
+    pub fn passed_on(&self, bytes: usize) {
+        self.passed_on.set(self.passed_on.get() + bytes as u64);
+        if self.pass.get() != UNLIMITED {
             self.pass.set(self.pass.get() - bytes as u64);
         }
     }
 
-    /// The held head is incomplete, so its request has not ended.
-    pub fn incomplete(&self) {
+    /// Forgets the arrival times: the buffered head is incomplete, so its request ends with a later byte.
+    pub fn clear_arrivals(&self) {
         self.arrivals.borrow_mut().clear();
     }
 
-    /// Records that a head was parsed and how many bytes belong to its request; [`ALL`]: unknown.
-    pub fn request(&self, length: u64) {
+    /// Records that a head was parsed and how many bytes belong to its request; [`UNLIMITED`] if unknown.
+    pub fn begin_request(&self, length: u64) {
         self.pass.set(length);
-        self.request_end.set(self.handed.get().saturating_add(length));
+        self.request_end.set(self.passed_on.get().saturating_add(length));
     }
 
-    /// How long the request in progress has been complete.
+    /// Returns how long ago the last byte of the request in progress arrived.
     pub fn waited(&self, now: Instant) -> Duration {
         let arrivals = self.arrivals.borrow();
         let end = self.request_end.get();
         let arrival = match end {
-            ALL => arrivals.back(),
+            UNLIMITED => arrivals.back(),
             end => arrivals.iter().find(|a| a.end >= end),
         };
         arrival.map_or(Duration::ZERO, |a| now.saturating_duration_since(a.at))
     }
 
-    /// What stands behind the request in work.
+    /// Returns what is buffered after the request in progress.
     pub fn behind(&self) -> BufferedInput {
         let held = self.held.borrow();
         let pass = usize::try_from(self.pass.get()).unwrap_or(usize::MAX);
-        let Some(rest) = held.get(pass..).filter(|rest| !rest.is_empty()) else {
+        let Some(following) = held.get(pass..).filter(|following| !following.is_empty()) else {
             return BufferedInput::Nothing;
         };
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
-        match httparse::Request::new(&mut headers).parse(rest) {
-            Ok(httparse::Status::Partial) if rest.len() < BUFFER_MOST => BufferedInput::Part,
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        match httparse::Request::new(&mut headers).parse(following) {
+            Ok(httparse::Status::Partial) if following.len() < BUFFER_MOST => BufferedInput::Part,
             _ => BufferedInput::Request,
         }
     }
@@ -123,23 +123,24 @@
         self.closed.set(true);
     }
 
-    /// How many bytes may be read ahead now. Danger: bytes of a body that are read here stay in memory until the body is consumed.
-    fn room(&self) -> usize {
+    /// Returns how many bytes may be read ahead now. Danger: bytes of a body that are read here stay in memory until the body is consumed.
+    fn read_ahead_capacity(&self) -> usize {
         match self.pass.get() {
             0 if !self.closed.get() => BUFFER_MOST.saturating_sub(self.held.borrow().len()),
             _ => 0,
         }
     }
 
-    /// Reads input behind the request in progress as far as there is room; false: the client has ended its sending.
+    /// Reads input that follows the request in progress until the buffer is full or no input is left. Returns false if the client has
+    /// stopped sending.
     pub fn read_ahead(&self, socket: &Socket) -> bool {
-        let mut part = [0; PART];
-        while self.room() > 0 {
-            let most = self.room().min(PART);
-            match socket.try_read(&mut part[..most]) {
-                Ok(n) if n > 0 => self.take(&part[..n], Instant::now()),
+        let mut chunk = [0; READ_CHUNK];
+        while self.read_ahead_capacity() > 0 {
+            let len = self.read_ahead_capacity().min(READ_CHUNK);
+            match socket.try_read(&mut chunk[..len]) {
+                Ok(n) if n > 0 => self.take(&chunk[..n], Instant::now()),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
-                // The next reader meets the same end or error.
+                // The next read reports the same end or error.
                 _ => return false,
             }
         }
@@ -147,22 +148,22 @@
     }
 
     /// Stores input that was read.
-    pub fn take(&self, part: &[u8], now: Instant) {
+    pub fn take(&self, chunk: &[u8], now: Instant) {
         let mut held = self.held.borrow_mut();
         let pass = usize::try_from(self.pass.get()).unwrap_or(usize::MAX);
         if held.len() <= pass {
             self.head_since.set(Some(now));
         }
-        held.extend_from_slice(part);
-        self.came(part.len(), now);
+        held.extend_from_slice(chunk);
+        self.record_arrival(chunk.len(), now);
     }
 
-    /// Returns once the client has gone while its request is in progress; what it sends meanwhile is read ahead.
-    pub async fn until_gone(&self, socket: &Socket, may_ask: bool) {
-        while self.room() > 0 {
+    /// Returns once the client has disconnected while its request is in progress; reads ahead what it sends meanwhile.
+    pub async fn until_disconnected(&self, socket: &Socket, may_ask: bool) {
+        while self.read_ahead_capacity() > 0 {
             let ready = socket.ready(Interest::READABLE | Interest::PRIORITY).await;
-            let more = ready.as_ref().is_ok_and(|r| r.is_readable()) && self.read_ahead(socket);
-            if !more || ready.is_ok_and(|r| r.is_read_closed()) {
+            let open = ready.as_ref().is_ok_and(|r| r.is_readable()) && self.read_ahead(socket);
+            if !open || ready.is_ok_and(|r| r.is_read_closed()) {
                 break;
             }
         }
--- a/src/proxy/local.rs
+++ b/src/proxy/local.rs
@@ -1,4 +1,4 @@
-//! A proxy on a thread of its own, for the demo and for tests that look at many at once.
+//! A proxy on its own thread, for the demo and for tests that run several proxies in one process.
 
 use crate::proxy::config::Config;
 use crate::proxy::process::signals::SignalFlag;
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// A running proxy. Dropping it drains it and waits until it has ended.
+/// A running proxy. Dropping it shuts the proxy down gracefully and waits until it has ended.
 pub struct LocalProxy {
     /// Where clients connect.
     pub addr: SocketAddr,
@@ -17,35 +17,35 @@
 }
 
 impl LocalProxy {
-    /// Starts a proxy on the text of a configuration.
+    /// Starts a proxy with the text of a configuration.
     ///
     /// # Errors
-    /// What is wrong with the configuration, or an address that can't be listened on.
+    /// The configuration is invalid, or the proxy cannot start, for example because its address cannot be listened on.
     pub fn start(config: &str) -> Result<Self, String> {
         Self::start_by(config, Clocks::default())
     }
 
-    /// The same, by these clocks.
+    /// Starts a proxy with the text of a configuration and the given clocks.
     ///
     /// # Errors
-    /// The same.
+    /// As for [`LocalProxy::start`].
     pub fn start_by(config: &str, clocks: Clocks) -> Result<Self, String> {
         let mut config = Config::parse(config, |_| None)?;
         config.clocks = clocks;
-        let (told, addr) = std::sync::mpsc::channel();
+        let (addr_sender, addr) = std::sync::mpsc::channel();
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| e.to_string())?;
             let run = async {
                 let hangup = SignalFlag::hang_up()?;
-                // Stopped on purpose or forgotten: both end it.
+                // Both a message and a dropped sender stop the proxy.
                 let stop = async { drop(stopped.await) };
-                let told = |addr| {
-                    // The starter waits for it.
-                    let _ = told.send(addr);
+                let on_listening = |addr| {
+                    // `start_by` waits for the address.
+                    let _ = addr_sender.send(addr);
                 };
-                server::run(config, stop, hangup, told).await
+                server::run(config, stop, hangup, on_listening).await
             };
             tokio::task::LocalSet::new().block_on(&runtime, run)
         });
@@ -53,7 +53,7 @@
             Ok(addr) => Ok(LocalProxy { addr, stop: Some(stop), thread: Some(thread) }),
             Err(_) => match thread.join() {
                 Ok(Err(e)) => Err(e),
-                _ => Err("the proxy ended before it listened".into()),
+                _ => Err("the proxy ended before it started to listen".into()),
             },
         }
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets' side of the proxy: it translates between the network and the decision module.
+//! The network side of the proxy: translates between sockets and the decision module.
 
 mod clock;
 pub mod config;
@@ -20,21 +20,21 @@
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What is read ahead of a connection, heads among it, holds at most this.
+/// Maximum number of bytes read ahead on a connection, including request heads.
 const BUFFER_MOST: usize = 16 << 10;
 
-/// Writes a line about something rare to standard error. Danger: a fault that repeats with every request would
-/// fill memory or block the one thread, so only the first lines of a run are kept.
+/// Writes a line about a rare event to standard error. Danger: an error that repeats with every request would fill memory or block the
+/// only thread, so only the first lines of a process are written.
 pub fn log(line: impl std::fmt::Display) {
-    const MOST: u32 = 500;
+    const MAX_LINES: u32 = 500;
     static WRITTEN: AtomicU32 = AtomicU32::new(0);
-    if WRITTEN.fetch_add(1, Ordering::Relaxed) < MOST {
+    if WRITTEN.fetch_add(1, Ordering::Relaxed) < MAX_LINES {
         let _ = writeln!(std::io::stderr(), "rushquay: {line}");
     }
 }
 
-/// Counts a rule that was broken, and says so.
-fn violation(ledger: &RequestMetrics, violation: Violation, what: &str) {
-    ledger.violations.one_more(violation);
-    log(format_args!("rule broken: {}: {what}", violation.name()));
+/// Counts and logs the violation of an invariant.
+fn violation(metrics: &RequestMetrics, violation: Violation, detail: &str) {
+    metrics.violations.one_more(violation);
+    log(format_args!("rule broken: {}: {detail}", violation.name()));
 }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -1,4 +1,4 @@
-//! The proxy process: its components, when it reports ready, and what it hands over to a successor.
+//! The proxy process: starts its components, reports readiness, and hands its state over to a successor.
 
 use crate::api::ColdEndpointAllowance;
 use crate::proxy::clock::Clock;
@@ -46,11 +46,13 @@
 
 /// Interval of the sweep over idle upstream connections.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the check for stalled clients and of the status update.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// Descriptors outside the budget: standard streams, the listener, the runtime's own, discovery's.
+/// Descriptors outside the budget: standard streams, the listener, those of the runtime and of discovery.
 const OWN_DESCRIPTORS: usize = 20 + discovery::DESCRIPTORS;
 /// Memory in bytes that does not belong to any connection.
 const OWN_MEMORY: usize = 8 << 20;
+
 /// A running proxy.
 pub(crate) struct Server {
     pub backend: Backend,
@@ -59,9 +61,9 @@
     reserved_descriptors: usize,
     /// Graceful shutdown has begun.
     pub draining: Cell<bool>,
-    /// Connections are accepted: next to an incumbent once `may_serve` permits it, otherwise from the start. The supervisor decides by this
-    /// alone. Danger: it kills a process that does not report this, and one that waits for an endpoint or a policy lease must still be there
-    /// when that arrives.
+    /// Connections are accepted: next to an incumbent once `may_serve` permits it, otherwise from the start. This is all that the supervisor
+    /// checks. Danger: it kills a process that does not report this, and a process that waits for an endpoint or a policy lease must still
+    /// be running when that arrives.
     serving: Cell<bool>,
     /// When a connection was last accepted.
     pub last_connection_at: Cell<Instant>,
@@ -79,65 +81,67 @@
     /// The last connection number, for the request trace.
     connections: Cell<u64>,
     pub metrics: Arc<RequestMetrics>,
-    /// Its part in rollouts; `None`: it has none.
+    /// `None` if this proxy takes no part in rollouts.
     pub rollout: Option<Rc<RolloutClient>>,
-    /// Its part in policies; `None`: it has none.
+    /// `None` if this proxy uses no policy leases.
     pub policy: Option<Rc<PolicyClient>>,
 }
 
-/// Serves until `stop`, then shuts down gracefully; on `hangup` follows another discovery if the file names one. `told` is called
-/// with the address it listens on.
+/// Serves until `stop`, then shuts down gracefully. On `hangup`, switches to another discovery if the configuration file names one. Calls
+/// `on_listening` with the address it listens on.
 ///
 /// # Errors
-/// An address that can't be listened on.
+/// The process cannot start, for example because the address cannot be listened on.
 pub async fn run(
     config: Config,
     stop: impl Future<Output = ()>,
     hangup: SignalFlag,
-    told: impl FnOnce(SocketAddr),
+    on_listening: impl FnOnce(SocketAddr),
 ) -> Result<(), String> {
     let mut stop = std::pin::pin!(stop);
     let mut config = config;
     let whole = ResourceShare { sockets: config.sockets, memory: config.memory };
-    let meeting = handover::meeting_place(config.listen);
-    let beginning = StartupPlan::find(&mut config, meeting.as_deref(), whole).await?;
-    let is_beside = beginning.is_beside();
-    let StartupPlan { listening, bound, share, mut predecessor, inherited } = beginning;
+    let handover_path = handover::meeting_place(config.listen);
+    let plan = StartupPlan::find(&mut config, handover_path.as_deref(), whole).await?;
+    let is_beside = plan.is_beside();
+    let StartupPlan { listening, bound, share, mut predecessor, inherited } = plan;
     crate::proxy::log(format_args!("listening on {bound}"));
     crate::proxy::observability::fleet_stats::start();
     request_trace::start();
     request_trace::event(|| Event::State { state: "starting" });
-    let ledger = RequestMetrics::new(&config.names.classes);
-    let operators = config.admin.map(|admin| AdminListener::start(admin, ledger.clone())).transpose()?;
+    let metrics = RequestMetrics::new(&config.names.classes);
+    let operators = config.admin.map(|admin| AdminListener::start(admin, metrics.clone())).transpose()?;
     if let Some(operators) = &operators {
         crate::proxy::log(format_args!("operators at {}", operators.addr));
     }
-    let own = reserved_descriptors(&config, operators.is_some(), meeting.is_some());
-    let descriptors = Descriptors::new(capacity(share, own));
-    // Danger: two clocks that are started around a step of the wall clock differ by that step forever, and timestamps of one are
-    // compared with those of the other.
+    let reserved = reserved_descriptors(&config, operators.is_some(), handover_path.is_some());
+    let descriptors = Descriptors::new(capacity(share, reserved));
+    // Danger: two clocks that are started before and after a step of the wall clock differ by that step forever, and timestamps of one
+    // are compared with those of the other. All components share this clock.
     let clock = Clock::by(&config.clocks);
     let host = config.hosted.as_ref().map(|h| h.socket.clone());
     let Components { front, rollout, policy } = match config.envoy.clone() {
         Some(source) => {
             let (settings, names) = (config.settings, config.names);
             let pools =
-                ClusterSet::new(settings, names, config.seed, descriptors.clone(), ledger.clone(), clock);
+                ClusterSet::new(settings, names, config.seed, descriptors.clone(), metrics.clone(), clock);
             let me = envoy::Me { name: config.name, seed: config.seed, listen: bound, clock };
             envoy::follow(source, pools.clone(), me)?;
             Components { front: Backend::Clusters(pools), rollout: None, policy: None }
         }
-        None => single_cluster(config, clock, descriptors.clone(), ledger.clone(), hangup, inherited.policy)?,
+        None => {
+            single_cluster(config, clock, descriptors.clone(), metrics.clone(), hangup, inherited.policy)?
+        }
     };
-    // Danger: a caller that is told the address takes the process for started; nothing that may fail follows.
-    told(bound);
-    let left = |c: SlowStartAllowance| ColdEndpointAllowance {
+    // Danger: a caller that receives the address assumes that the process has started, so nothing that may fail at startup may follow.
+    on_listening(bound);
+    let allowance = |c: SlowStartAllowance| ColdEndpointAllowance {
         server: c.node,
         started_at: c.started,
         remaining_requests: c.left,
     };
-    front.inherit_slow_start_allowances(&inherited.cold.into_iter().map(left).collect::<Vec<_>>());
-    tokio::task::spawn_local(pause_detection::watch());
+    front.inherit_slow_start_allowances(&inherited.cold.into_iter().map(allowance).collect::<Vec<_>>());
+    tokio::task::spawn_local(pause_detection::detect_pauses());
     tokio::task::spawn_local(sweep_idle_connections(front.clone()));
     // The incumbent's configuration applies before the control service can be reached.
     if let (Some(given), Some(rollout)) = (inherited.settings, &rollout) {
@@ -146,7 +150,7 @@
     let server = Rc::new(Server {
         backend: front,
         descriptors,
-        reserved_descriptors: own,
+        reserved_descriptors: reserved,
         draining: Cell::new(false),
         serving: Cell::new(false),
         last_connection_at: Cell::new(Instant::now()),
@@ -157,14 +161,14 @@
         open_request_ids: RefCell::default(),
         client_left: Notify::new(),
         connections: Cell::new(0),
-        metrics: ledger.clone(),
+        metrics: metrics.clone(),
         rollout,
         policy,
     });
     server.publish_status();
     if let Some(socket) = host {
-        let lives = server.clone();
-        tokio::task::spawn_local(Supervised::send_heartbeats(socket, move || lives.serving.get()));
+        let reporter = server.clone();
+        tokio::task::spawn_local(Supervised::send_heartbeats(socket, move || reporter.serving.get()));
     }
     tokio::task::spawn_local(watch_clients(server.clone()));
     if is_beside {
@@ -181,24 +185,26 @@
         }
     };
     let listener = Rc::new(listener);
-    let holder = if is_beside { Incumbent::beside(whole, share) } else { Incumbent::new(whole) };
-    let keeper = HandoverServer::start(meeting.as_deref(), listener.clone(), holder, server.clone());
-    server.succeed(predecessor, is_beside, keeper.clone()).await;
-    // Danger: whoever sees this process ready may immediately end the incumbent or start the next version. Everything must be ready.
+    let resource_holder = if is_beside { Incumbent::beside(whole, share) } else { Incumbent::new(whole) };
+    let handover_server =
+        HandoverServer::start(handover_path.as_deref(), listener.clone(), resource_holder, server.clone());
+    server.succeed(predecessor, is_beside, handover_server.clone()).await;
+    // Danger: once this process reports ready, the incumbent may be ended or the next version started immediately. Everything must be
+    // ready before.
     server.serving.set(true);
     server.publish_status();
     request_trace::event(|| Event::State { state: "serving" });
-    let mut accepting = Box::pin(server.clone().accept_all(listener.clone()));
+    let mut accepting = Box::pin(server.clone().accept_connections(listener.clone()));
     tokio::select! {
         biased;
         () = stop => {}
         never = &mut accepting => match never {},
     }
-    server.drain(accepting, listener, &keeper).await;
+    server.drain(accepting, listener, &handover_server).await;
     Ok(())
 }
 
-/// Descriptors outside the budget for connections.
+/// Returns the number of descriptors outside the budget for connections.
 fn reserved_descriptors(config: &Config, has_operators: bool, has_handover: bool) -> usize {
     OWN_DESCRIPTORS
         + config.control.as_ref().map_or(0, |_| subscription::DESCRIPTORS)
@@ -215,21 +221,21 @@
     }
 }
 
-/// Looks after slow clients and publishes the status, for as long as the process runs.
+/// Closes stalled client connections and publishes the status, for as long as the process runs.
 async fn watch_clients(server: Rc<Server>) {
     loop {
         sleep(STATUS_INTERVAL).await;
         let now = Instant::now();
-        server.clients.borrow().iter().for_each(|client| client.look(now));
+        server.clients.borrow().iter().for_each(|client| client.close_if_stalled(now));
         server.publish_status();
     }
 }
 
-/// How many connections fit. Danger: each of them may hold a whole body and input that is read ahead; the bound is such that
-/// memory suffices even if all of them do.
-fn capacity(share: ResourceShare, own: usize) -> usize {
-    let room = share.memory.saturating_sub(OWN_MEMORY) / (BODY_MOST + 2 * BUFFER_MOST);
-    share.sockets.saturating_sub(own).min(room).max(8)
+/// Returns how many connections the share of resources permits. Danger: each connection may buffer a complete body and input that is read
+/// ahead; the memory must suffice even if all connections do.
+fn capacity(share: ResourceShare, reserved: usize) -> usize {
+    let max_by_memory = share.memory.saturating_sub(OWN_MEMORY) / (BODY_MOST + 2 * BUFFER_MOST);
+    share.sockets.saturating_sub(reserved).min(max_by_memory).max(8)
 }
 
 impl Listening for Server {
@@ -255,61 +261,64 @@
     }
 }
 
-/// What answers requests, and what takes part in rollouts and policies.
+/// The components that answer requests, and those that take part in rollouts and policies.
 struct Components {
     front: Backend,
     rollout: Option<Rc<RolloutClient>>,
     policy: Option<Rc<PolicyClient>>,
 }
 
-/// One decision module on the endpoint list of the proxy's own discovery, merged with a control service's if it subscribes to one.
+/// Starts one decision module on the endpoint list of the proxy's own discovery, merged with the control service's list if it subscribes to
+/// one.
 fn single_cluster(
     config: Config,
     clock: Clock,
     descriptors: Rc<Descriptors>,
-    ledger: Arc<RequestMetrics>,
+    metrics: Arc<RequestMetrics>,
     hangup: SignalFlag,
-    handed: Option<PolicyHandover>,
+    inherited: Option<PolicyHandover>,
 ) -> Result<Components, String> {
     let discovery = config.discovery.ok_or("discovery is missing, and PROXY_DISCOVERY is not set")?;
     let subscription = subscription::ControlSubscription::of(&config);
     let acting = Rc::new(ActiveConfig::new(config.settings, config.names));
     let settings = &acting.settings;
-    let manner = match settings.must_subscribe {
+    let watch_mode = match settings.must_subscribe {
         true => WatchMode::Polled { within: settings.max_subscribe_delay },
         false => WatchMode::Pushed { grace: config.drain_grace },
     };
-    let upstreams = Upstreams::new(descriptors, ledger.clone(), config.connect_timeout, settings);
+    let upstreams = Upstreams::new(descriptors, metrics.clone(), config.connect_timeout, settings);
     let known = config.known;
-    let discovery = Discovery::new(discovery, known.as_ref().map(|known| known.version), manner);
-    let listed = known.as_ref().map_or(&[][..], |known| &known.servers);
-    let engine = Engine::new(acting, config.seed, listed, upstreams.clone(), clock);
+    let discovery = Discovery::new(discovery, known.as_ref().map(|known| known.version), watch_mode);
+    let servers = known.as_ref().map_or(&[][..], |known| &known.servers);
+    let engine = Engine::new(acting, config.seed, servers, upstreams.clone(), clock);
     let nodes = EndpointFeed::new(engine.clone(), subscription.as_ref().map(|s| s.limits()), known.as_ref());
-    let (moves, moved) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(discovery.follow(nodes.clone(), moved));
+    let (discovery_changes, changed) = mpsc::unbounded_channel();
+    tokio::task::spawn_local(discovery.follow(nodes.clone(), changed));
     let hosted = config.hosted;
-    let (layers, news) = (ConfigLayers::new(engine.clone(), config.own), Arc::new(Notify::new()));
-    let rollout =
-        config.rollout.map(|source| RolloutClient::new(source, hosted, layers.clone(), ledger, news.clone()));
-    let policy =
-        config.policy.map(|source| PolicyClient::new(source, layers, config.clocks, handed, news.clone()));
+    let (layers, wake_up) = (ConfigLayers::new(engine.clone(), config.own), Arc::new(Notify::new()));
+    let rollout = config
+        .rollout
+        .map(|source| RolloutClient::new(source, hosted, layers.clone(), metrics, wake_up.clone()));
+    let policy = config
+        .policy
+        .map(|source| PolicyClient::new(source, layers, config.clocks, inherited, wake_up.clone()));
     if let Some(subscription) = subscription {
         let parts =
-            subscription::StreamClients { rollout: rollout.clone(), policy: policy.clone(), wake: news };
+            subscription::StreamClients { rollout: rollout.clone(), policy: policy.clone(), wake: wake_up };
         tokio::task::spawn_local(subscription.follow(nodes.clone(), parts));
     }
-    tokio::task::spawn_local(reload::follow(hangup, moves));
+    tokio::task::spawn_local(reload::follow(hangup, discovery_changes));
     Ok(Components { front: Backend::Single { engine, upstreams, nodes }, rollout, policy })
 }
 
 impl Server {
-    /// The number of the next connection.
+    /// Returns the number of the next connection.
     pub fn next_connection(&self) -> u64 {
         self.connections.set(self.connections.get() + 1);
         self.connections.get()
     }
 
-    /// Updates the status and gauges that change with time alone.
+    /// Updates the status, and the gauges that change over time without an event.
     pub fn publish_status(&self) {
         let (listed, avoided) = self.backend.endpoint_counts();
         self.metrics.members.set(listed as u64);
@@ -321,12 +330,12 @@
         });
     }
 
-    /// Whether this process may report that it serves, and why not.
+    /// Returns whether this process may report that it serves, or else the reason.
     pub fn readiness(&self) -> Result<(), NotReady> {
         may_serve(&self.serve_facts())
     }
 
-    /// The facts that `may_serve` decides by.
+    /// Returns the facts that `may_serve` decides by.
     pub fn serve_facts(&self) -> ServeFacts {
         ServeFacts {
             node_known: self.backend.can_serve(),
