--- a/src/proxy/http/request_framing.rs
+++ b/src/proxy/http/request_framing.rs
@@ -32,12 +32,12 @@
             Ok(httparse::Status::Partial) if held.len() < BUFFER_MOST => return None,
             _ => return Some(UNLIMITED),
         };
-        let values = |name: &'static str| {
+        let values_of = |name: &'static str| {
             let has_name = move |h: &&httparse::Header<'_>| h.name.eq_ignore_ascii_case(name);
             request.headers.iter().filter(has_name).map(|h| h.value)
         };
-        let content_length = values("content-length").next();
-        let has_transfer_encoding = values("transfer-encoding").next().is_some();
+        let content_length = values_of("content-length").next();
+        let has_transfer_encoding = values_of("transfer-encoding").next().is_some();
         let has_fragment = request.path.is_some_and(|path| path.contains('#'));
         let fault = match (content_length, has_transfer_encoding) {
             // Danger: a proxy and a node that each rely on a different one of the two headers see different requests in the same
--- a/src/proxy/http/routing.rs
+++ b/src/proxy/http/routing.rs
@@ -214,7 +214,7 @@
 }
 
 /// Orders header changes as in Envoy's "Custom request/response headers": those of the weighted cluster first, then of the route, of its
-/// virtual host, and of the route table; with `specific_last`, in reverse.
+/// virtual host, and of the route table; with `specific_last`, the most specific ones last.
 fn header_changes<'m>(
     cluster: Option<&'m Mutations>,
     route: &'m Mutations,
--- a/src/proxy/listener/pause_detection.rs
+++ b/src/proxy/listener/pause_detection.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the earliest_arrival time at which input that is read now may have arrived.
+/// Returns the earliest time at which input that is read now may have arrived.
 pub fn earliest_arrival(now: Instant) -> Instant {
     match (LAST_TICK.get(), LAST_PAUSE.get()) {
         // The pause has just ended, and no tick has recorded it yet.
