--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -83,7 +83,7 @@
                 return permit;
             }
             // Danger: the connection that was asked to close may have received a request just then and stays open until it is
-            // answered; the newcomer must not wait for that.
+            // answered; the new connection must not wait for that.
             let _ = timeout(EVICTION_WAIT, self.descriptors.freed()).await;
         }
     }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns whether a connection is closing already. Danger: asking another one to close for every newcomer that arrives
+    /// Returns whether a connection is closing already. Danger: asking another one to close for every new connection that arrives
     /// before the first has closed would disconnect clients that are sending requests.
     fn is_evicting(&self) -> bool {
         let is_closing =
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -34,7 +34,7 @@
         self: &Rc<Self>,
         accepting: Pin<Box<impl Future<Output = Infallible>>>,
         listener: Rc<TcpListener>,
-        keeper: &HandoverServer,
+        handover_server: &HandoverServer,
     ) {
         crate::proxy::log("draining");
         request_trace::event(|| Event::State { state: "draining" });
@@ -45,13 +45,13 @@
         self.draining.set(true);
         self.rollout.iter().for_each(|r| r.begin_shutdown());
         self.publish_status();
-        self.wait_for_successor(keeper, start + longest).await;
+        self.wait_for_successor(handover_server, start + longest).await;
         // Danger: if the successor has died, no other process accepts the queued connections.
-        let has_no_successor = !keeper.succeeded();
+        let has_no_successor = !handover_server.succeeded();
         if has_no_successor {
-            self.close_listener(accepting, &listener, keeper, start, end).await;
+            self.close_listener(accepting, &listener, handover_server, start, end).await;
         }
-        keeper.close();
+        handover_server.close();
         drop(listener);
         if has_no_successor {
             // Time for the requests on the connections that were accepted last to arrive.
@@ -67,16 +67,16 @@
     /// While a successor accepts connections, waits until all clients have disconnected, but no later than `latest`. Danger: closing an idle
     /// connection just as its client sends a request on it forces that request onto a new connection. Active clients are moved by
     /// `Connection: close` on their response; idle ones are closed last.
-    async fn wait_for_successor(self: &Rc<Self>, keeper: &HandoverServer, latest: Instant) {
-        if !keeper.succeeded() {
+    async fn wait_for_successor(self: &Rc<Self>, handover_server: &HandoverServer, latest: Instant) {
+        if !handover_server.succeeded() {
             return;
         }
         // This process must answer the connections that it has accepted itself.
         let _ = timeout_at(latest, self.admit_waiting()).await;
-        while keeper.succeeded() && !self.clients.borrow().is_empty() {
+        while handover_server.succeeded() && !self.clients.borrow().is_empty() {
             tokio::select! {
                 () = self.client_left.notified() => {}
-                () = keeper.successor_lost() => {}
+                () = handover_server.successor_lost() => {}
                 () = sleep_until(latest) => return,
             }
         }
@@ -88,7 +88,7 @@
         self: &Rc<Self>,
         mut accepting: Pin<Box<impl Future<Output = Infallible>>>,
         listener: &TcpListener,
-        keeper: &HandoverServer,
+        handover_server: &HandoverServer,
         start: Instant,
         end: Instant,
     ) {
@@ -109,7 +109,7 @@
         let _ = timeout_at(latest, self.admit_waiting()).await;
         let mut accepted = 0;
         // A successor that reported ready only now owns the listener.
-        while accepted < MAX_QUEUED_CONNECTIONS && Instant::now() < latest && !keeper.succeeded() {
+        while accepted < MAX_QUEUED_CONNECTIONS && Instant::now() < latest && !handover_server.succeeded() {
             let Some(permit) = self.try_permit() else {
                 let _ = timeout(EVICTION_WAIT, self.descriptors.freed()).await;
                 continue;
