--- a/src/proxy/process/handover.rs
+++ b/src/proxy/process/handover.rs
@@ -1,4 +1,4 @@
-//! Carries the hand-over of the listening socket between an old and a new process through a Unix socket in `$TMPDIR`.
+//! Hands the listening socket over from an old process to a new one, through a Unix socket in `$TMPDIR`.
 
 use crate::proxy::log;
 use rushquay_handover::{
@@ -25,16 +25,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// The socket of the hand-over, its connections and the listening socket's copy on its way.
+/// Descriptors that a hand-over needs: its Unix socket, the connections to it, and a copy of the listening socket.
 pub const DESCRIPTORS: usize = 6;
-/// An old process answers within this time. Danger: one that is half dead accepts and says nothing, for good.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1000);
-/// So long until it is asked again.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
-/// Connections that are heard at once.
-const PEERS: usize = 3;
+/// How long to wait for an answer from the old process. Danger: a hung process may accept the connection and never answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The delay before the old process is asked again, and before another `accept` after a failed one.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Connections that are served at once.
+const MAX_PEERS: usize = 3;
 
-/// Where processes that listen at this address meet; `None`: nowhere, since no directory is theirs alone, or the port is any.
+/// The path of the Unix socket for processes that listen at this address. `None` if `TMPDIR` is unset or the port is 0: without a
+/// private directory or a fixed port there is no path to agree on.
 pub fn meeting_place(listen: SocketAddr) -> Option<PathBuf> {
     let dir = std::env::var_os("TMPDIR").filter(|d| !d.is_empty() && listen.port() != 0)?;
     Some(Path::new(&dir).join(format!("rushquay-{}-{}", listen.ip(), listen.port())))
@@ -44,45 +45,45 @@
 pub struct Link(RetryStream<UnixStream>);
 
 impl Link {
-    /// Tells it that this process serves, and returns once it knows, or has ended, or has let its time pass.
+    /// Reports that this process serves. Returns once the old process has confirmed it, has ended, or has let the timeout pass.
     pub async fn ready(&mut self) {
         let told = async {
             self.0.write_all(&SuccessorMessage::Ready.bytes()).await?;
-            // It says nothing but that.
+            // The confirmation is the only message that the old process sends here.
             let mut heard = vec![0; IncumbentMessage::Heard.bytes().len()];
             self.0.read_exact(&mut heard).await.map(drop)
         };
-        match timeout(ANSWER_WITHIN, told).await {
+        match timeout(ANSWER_TIMEOUT, told).await {
             Ok(Ok(())) => {}
-            Ok(Err(e)) => log(format_args!("the old process can't be told that this one serves: {e}")),
-            Err(_) => log("the old process does not answer that it knows this one serves"),
+            Ok(Err(e)) => log(format_args!("cannot notify the old process that this one serves: {e}")),
+            Err(_) => log("the old process did not confirm in time that this one serves"),
         }
     }
 
-    /// Returns when it has ended.
+    /// Returns when the old process has ended.
     pub async fn ended(&mut self) {
         let mut part = [0; 64];
         while self.0.read(&mut part).await.is_ok_and(|n| n > 0) {}
     }
 }
 
-/// What came of looking for an old process.
+/// The result of looking for an old process.
 pub enum Found {
-    /// One that hands over.
+    /// An old process hands over its listening socket.
     Old { listener: TcpListener, offer: Box<Offer>, link: Link },
-    /// None that does.
+    /// No process hands anything over.
     None,
 }
 
 /// Looks for a process to take over from.
 ///
 /// # Errors
-/// Another new process is just doing that.
+/// Another new process is already taking over.
 pub async fn look(place: &Path, listen: SocketAddr) -> Result<Found, String> {
-    let mut claimant = Successor::default();
+    let mut successor = Successor::default();
     loop {
-        let hello = claimant.hello();
-        let (heard, came) = match timeout(ANSWER_WITHIN, ask(place, listen, &hello)).await {
+        let hello = successor.hello();
+        let (heard, received) = match timeout(ANSWER_TIMEOUT, ask(place, listen, &hello)).await {
             Ok(Ok(heard)) => heard,
             Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
                 (Heard::Nobody, None)
@@ -92,38 +93,44 @@
                 (Heard::Nothing, None)
             }
             Err(_) => {
-                log(format_args!("no hand-over through {}: no answer in time", place.display()));
+                log(format_args!(
+                    "no hand-over through {}: timed out waiting for an answer",
+                    place.display()
+                ));
                 (Heard::Nothing, None)
             }
         };
         if let Heard::Answer { said: IncumbentMessage::Unknown { forms }, .. } = &heard {
-            log(format_args!("the old process hands nothing over in a form known here (its own: {forms:?})"));
+            log(format_args!(
+                "the old process supports no hand-over format known to this one (it supports {forms:?})"
+            ));
         }
-        match (claimant.heard(heard).map_err(|e| e.to_string())?, came) {
+        match (successor.heard(heard).map_err(|e| e.to_string())?, received) {
             (Step::Take(offer), Some((listener, stream))) => {
                 return Ok(Found::Old { listener, offer: Box::new(offer), link: Link(stream) })
             }
             (Step::Take(_) | Step::Listen, _) => return Ok(Found::None),
-            (Step::AskAgain, _) => sleep(AGAIN_AFTER).await,
+            (Step::AskAgain, _) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
+/// Sends `hello` to the old process and returns its answer, with the listening socket and the connection if it hands them over.
 async fn ask(
     place: &Path,
     listen: SocketAddr,
     hello: &SuccessorMessage,
 ) -> io::Result<(Heard, Option<(TcpListener, RetryStream<UnixStream>)>)> {
-    let mut stream = RetryStream::new(meet_there(place).await?);
+    let mut stream = RetryStream::new(connect_to_incumbent(place).await?);
     stream.write_all(&hello.bytes()).await?;
     let mut head = [0; 4];
     let socket = stream.get_ref();
-    let fd = socket.async_io(Interest::READABLE, || again(|| receive(socket, &mut head))).await?;
-    let spoilt = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-    let mut body = vec![0; IncumbentMessage::length(head).map_err(spoilt)?];
+    let fd = socket.async_io(Interest::READABLE, || retry_interrupted(|| receive(socket, &mut head))).await?;
+    let invalid_data = |e| io::Error::new(io::ErrorKind::InvalidData, e);
+    let mut body = vec![0; IncumbentMessage::length(head).map_err(invalid_data)?];
     stream.read_exact(&mut body).await?;
-    let said = IncumbentMessage::read(&body).map_err(spoilt)?;
-    // Danger: a socket of another address, or none that listens, would have this process serve nobody.
+    let said = IncumbentMessage::read(&body).map_err(invalid_data)?;
+    // Danger: with a socket that has another address or does not listen, this process would receive no connections.
     let listener = fd.map(socket2::Socket::from).filter(|socket| {
         let at = socket.local_addr().ok().and_then(|a| a.as_socket());
         at == Some(listen) && socket.is_listener().unwrap_or(false)
@@ -136,24 +143,24 @@
     Ok((Heard::Answer { said, listener: listener.is_some() }, listener.map(|l| (l, stream))))
 }
 
-/// Reads four bytes and the descriptor that may come with them.
+/// Reads four bytes and the file descriptor sent along with them, if any.
 fn receive(stream: &UnixStream, head: &mut [u8; 4]) -> io::Result<Option<OwnedFd>> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let got = recvmsg(stream, &mut [IoSliceMut::new(head)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-    let came = control.drain().find_map(|m| match m {
+    let received = control.drain().find_map(|m| match m {
         RecvAncillaryMessage::ScmRights(mut fds) => fds.next(),
         _ => None,
     });
     match got.bytes {
-        4 => Ok(came),
-        // Four bytes that were written at once come at once.
+        4 => Ok(received),
+        // The sender writes the four bytes in one call, so a shorter read means that the stream has ended.
         _ => Err(io::ErrorKind::UnexpectedEof.into()),
     }
 }
 
-/// Makes a call again that a signal interrupts.
-fn again<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a system call that a signal interrupts (`EINTR`).
+fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -162,8 +169,8 @@
     }
 }
 
-/// A connection to whoever waits at the meeting place.
-async fn meet_there(place: &Path) -> io::Result<UnixStream> {
+/// Connects to the process that listens at the meeting place.
+async fn connect_to_incumbent(place: &Path) -> io::Result<UnixStream> {
     loop {
         match UnixStream::connect(place).await {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -172,13 +179,13 @@
     }
 }
 
-/// Writes four bytes and a descriptor.
+/// Writes four bytes together with a file descriptor.
 fn send(stream: &UnixStream, head: &[u8; 4], fd: &impl AsFd) -> io::Result<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let fds = [fd.as_fd()];
     if !control.push(SendAncillaryMessage::ScmRights(&fds)) {
-        return Err(io::Error::other("no room for a descriptor"));
+        return Err(io::Error::other("the control message buffer has no space for a file descriptor"));
     }
     match sendmsg(stream, &[IoSlice::new(head)], &mut control, SendFlags::NOSIGNAL)? {
         4 => Ok(()),
@@ -186,31 +193,31 @@
     }
 }
 
-/// Takes the meeting place. Danger: what stands there may be a dead process's, or the old one's, which must answer until this
-/// one does.
-fn meet(place: &Path) -> io::Result<UnixListener> {
-    let own = place.with_extension(std::process::id().to_string());
-    let socket = UnixListener::bind(&own)?;
-    match std::fs::rename(&own, place) {
+/// Binds a Unix socket and renames it to the meeting place. Danger: the path may hold the socket of a dead process, or that of the
+/// old one, which must keep answering until this one does; so the path is replaced atomically.
+fn bind_meeting_place(place: &Path) -> io::Result<UnixListener> {
+    let temporary_path = place.with_extension(std::process::id().to_string());
+    let socket = UnixListener::bind(&temporary_path)?;
+    match std::fs::rename(&temporary_path, place) {
         Ok(()) => Ok(socket),
         Err(e) => {
-            let _ = std::fs::remove_file(&own);
+            let _ = std::fs::remove_file(&temporary_path);
             Err(e)
         }
     }
 }
 
-/// What the process that listens says of itself.
+/// The listening process, as a hand-over needs it.
 pub trait Listening {
-    /// Descriptors that it holds.
+    /// The number of descriptors in use.
     fn held(&self) -> usize;
-    /// What a process that takes over is to know.
+    /// The state to pass to the process that takes over.
     fn known(&self) -> HandoverState;
-    /// From now on it may hold so much.
+    /// Sets the share of the resources that this process may use from now on.
     fn hold(&self, share: ResourceShare);
 }
 
-/// The readiness to hand over.
+/// Serves hand-overs to new processes.
 pub struct HandoverServer {
     machine: RefCell<Incumbent>,
     listener: RefCell<Option<Rc<TcpListener>>>,
@@ -218,22 +225,22 @@
     peers: Cell<usize>,
     next: Cell<u64>,
     place: Option<PathBuf>,
-    /// Told when a new process that served in this one's place has ended.
+    /// Notified when a successor that had begun to serve has ended.
     lost: Notify,
-    /// Who waits at the meeting place.
+    /// The task that accepts connections at the meeting place.
     waiting: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl HandoverServer {
-    /// Waits at the meeting place, if there is one, for a process to hand over to. Where that can't be done, it says so and
-    /// goes on without.
+    /// Listens at the meeting place, if there is one, for a process to hand over to. If that fails, the failure is logged and
+    /// the process runs without hand-over.
     pub fn start(
         place: Option<&Path>,
         listener: Rc<TcpListener>,
         machine: Incumbent,
         me: Rc<dyn Listening>,
     ) -> Rc<Self> {
-        let keeper = Rc::new(HandoverServer {
+        let server = Rc::new(HandoverServer {
             machine: RefCell::new(machine),
             listener: RefCell::new(Some(listener)),
             me,
@@ -243,91 +250,93 @@
             place: place.map(Path::to_path_buf),
             waiting: RefCell::new(None),
         });
-        keeper.clone().wait();
-        keeper
+        server.clone().wait();
+        server
     }
 
-    /// Waits at the meeting place, in place of whoever waited there before.
+    /// Listens at the meeting place, and stops the task that did so before.
     fn wait(self: Rc<Self>) {
         let Some(place) = &self.place else { return };
-        match meet(place) {
+        match bind_meeting_place(place) {
             Ok(socket) => {
-                let waits = tokio::task::spawn_local(self.clone().accept(socket));
-                if let Some(before) = self.waiting.replace(Some(waits)) {
+                let accept_task = tokio::task::spawn_local(self.clone().accept(socket));
+                if let Some(before) = self.waiting.replace(Some(accept_task)) {
                     before.abort();
                 }
             }
             Err(e) => {
                 let place = place.display();
-                log(format_args!("no hand-over at {place}: {e}; a new version will share the address"));
+                log(format_args!(
+                    "no hand-over at {place}: {e}; a new process will bind the same address instead"
+                ));
             }
         }
     }
 
-    /// The process before this one has ended.
+    /// Records that the predecessor has ended.
     pub fn alone(&self) {
         self.machine.borrow_mut().alone();
         self.hold();
     }
 
-    /// Has this process hold what it may.
+    /// Applies the share of the resources that this process may use now.
     fn hold(&self) {
         let share = self.machine.borrow().share();
         self.me.hold(share);
     }
 
-    /// Whether a new process serves in this one's place.
+    /// Whether a successor serves in place of this process.
     pub fn succeeded(&self) -> bool {
         self.machine.borrow().succeeded()
     }
 
-    /// Returns when a new process that served in this one's place has ended.
+    /// Returns when a successor that had begun to serve has ended.
     pub async fn successor_lost(&self) {
         self.lost.notified().await;
     }
 
-    /// There is nothing left to hand over.
+    /// Drops the listening socket: nothing can be handed over after this.
     pub fn close(&self) {
         self.machine.borrow_mut().close();
         self.listener.take();
     }
 
     async fn accept(self: Rc<Self>, socket: UnixListener) {
-        let mut shortage = Outage::default();
+        let mut accept_outage = Outage::default();
         loop {
             let accepted = socket.accept().await;
             if accepted.is_ok() {
-                shortage.over();
+                accept_outage.over();
             }
             match accepted {
-                Ok((stream, _)) if self.peers.get() < PEERS => {
+                Ok((stream, _)) if self.peers.get() < MAX_PEERS => {
                     self.peers.set(self.peers.get() + 1);
                     let peer = Peer(self.next.get());
                     self.next.set(peer.0 + 1);
-                    let keeper = self.clone();
+                    let server = self.clone();
                     tokio::task::spawn_local(async move {
-                        if let Err(e) = keeper.serve(peer, stream).await {
+                        if let Err(e) = server.serve(peer, stream).await {
                             log(format_args!("hand-over: {e}"));
                         }
-                        // Danger: at the place that a process took which is gone, the next one would find nobody, and come up
-                        // as if there were no old one.
-                        let served = keeper.machine.borrow_mut().lost(peer);
+                        // Danger: the ended successor had replaced the socket at the meeting place. If this process did not
+                        // bind it again, the next one would find nobody there and start as if there were no old process.
+                        let served = server.machine.borrow_mut().lost(peer);
                         if served {
-                            log("the new process has ended; this one serves on");
-                            keeper.lost.notify_waiters();
-                            keeper.clone().wait();
+                            log("the new process has ended; this one continues to serve");
+                            server.lost.notify_waiters();
+                            server.clone().wait();
                         }
-                        keeper.hold();
-                        keeper.peers.set(keeper.peers.get() - 1);
+                        server.hold();
+                        server.peers.set(server.peers.get() - 1);
                     });
                 }
                 Ok(_) => {}
                 Err(e) if classify(&e) == ErrorClass::Repeat => {}
                 Err(e) => {
-                    if let Some(n) = shortage.failed(&e.to_string()) {
+                    if let Some(n) = accept_outage.failed(&e.to_string()) {
                         log(format_args!("hand-over: accept: {e} (failure {n})"));
                     }
-                    sleep(AGAIN_AFTER).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -335,8 +344,9 @@
 
     async fn serve(&self, peer: Peer, stream: UnixStream) -> io::Result<()> {
         let mut stream = RetryStream::new(stream);
-        // Danger: one that connects and says nothing would hold a place for good.
-        let mut next = timeout(ANSWER_WITHIN, hear(&mut stream)).await.map_err(io::Error::from)??;
+        // Danger: without a timeout, a peer that connects and sends nothing would use up a connection permanently.
+        let mut next =
+            timeout(ANSWER_TIMEOUT, read_message(&mut stream)).await.map_err(io::Error::from)??;
         loop {
             let Some(said) = next else { return Ok(()) };
             let reply = self.machine.borrow_mut().said(peer, &said, self.me.held(), || self.me.known());
@@ -351,22 +361,22 @@
                     let listener = self.listener.borrow().clone();
                     let Some(listener) = listener else { return Ok(()) };
                     self.hold();
-                    log("a new process comes up beside this one");
+                    log("handing the listening socket to a new process");
                     let bytes = said.bytes();
                     let (head, body) = bytes.split_first_chunk::<4>().ok_or(io::ErrorKind::InvalidData)?;
                     let socket = stream.get_ref();
-                    let sending = || again(|| send(socket, head, &listener));
+                    let sending = || retry_interrupted(|| send(socket, head, &listener));
                     socket.async_io(Interest::WRITABLE, sending).await?;
                     stream.write_all(body).await?;
                 }
             }
-            next = hear(&mut stream).await?;
+            next = read_message(&mut stream).await?;
         }
     }
 }
 
-/// The next thing that a new process says; `None`: it has ended.
-async fn hear(stream: &mut RetryStream<UnixStream>) -> io::Result<Option<SuccessorMessage>> {
+/// Reads the next message of a new process; `None` if it has ended.
+async fn read_message(stream: &mut RetryStream<UnixStream>) -> io::Result<Option<SuccessorMessage>> {
     let mut head = [0; 4];
     match stream.read_exact(&mut head).await {
         Err(e) if matches!(e.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset) => {
@@ -374,8 +384,8 @@
         }
         read => read?,
     };
-    let spoilt = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-    let mut body = vec![0; SuccessorMessage::length(head).map_err(spoilt)?];
+    let invalid_data = |e| io::Error::new(io::ErrorKind::InvalidData, e);
+    let mut body = vec![0; SuccessorMessage::length(head).map_err(invalid_data)?];
     stream.read_exact(&mut body).await?;
-    SuccessorMessage::read(&body).map(Some).map_err(spoilt)
+    SuccessorMessage::read(&body).map(Some).map_err(invalid_data)
 }
--- a/src/proxy/process/mod.rs
+++ b/src/proxy/process/mod.rs
@@ -1,4 +1,4 @@
-//! The process itself: its start, signals, its supervisor, and the hand-over to a new version.
+//! Process lifecycle: startup, signals, heartbeats to the supervisor, and the hand-over to a new process.
 
 pub(crate) mod handover;
 pub mod signals;
--- a/src/proxy/process/signals.rs
+++ b/src/proxy/process/signals.rs
@@ -1,7 +1,7 @@
-//! Signals of the process as flags that are looked at.
+//! Signals of the process as flags that are polled.
 //!
-//! A handler that wakes its process by writing to a pipe of its own loses the signal where that write fails, and a runtime that reads
-//! the pipe may take an interrupted read for the end of the world. A flag can do neither: the handler sets it, and it is looked at.
+//! A handler that wakes its process by writing to a self-pipe loses the signal if that write fails, and a runtime that reads the pipe
+//! may treat an interrupted read as a fatal error. A flag that the handler sets and the process polls has neither problem.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A flag is looked at so often. What SIGTERM begins may be later by as much.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// How often a flag is polled; the reaction to a signal is late by up to this much.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Whether one of some signals has come.
+/// Whether one of a set of signals has been received.
 #[derive(Clone, Default)]
 pub struct SignalFlag(Arc<AtomicBool>);
 
@@ -26,26 +26,26 @@
         Ok(flag)
     }
 
-    /// SIGTERM or SIGINT: the process is to end.
+    /// A flag for SIGTERM and SIGINT, which ask the process to end.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// The signal handler cannot be registered.
     pub fn ending() -> Result<Self, String> {
         Self::on(&[SIGTERM, SIGINT]).map_err(|e| format!("SIGTERM: {e}"))
     }
 
-    /// SIGHUP: settings are to be read again.
+    /// A flag for SIGHUP, which asks the process to reread its settings.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// The signal handler cannot be registered.
     pub fn hang_up() -> Result<Self, String> {
         Self::on(&[SIGHUP]).map_err(|e| format!("SIGHUP: {e}"))
     }
 
-    /// Returns once a signal has come since the last time.
+    /// Returns once a signal has been received since the last call returned.
     pub async fn raised(&self) {
         while !self.0.swap(false, Ordering::SeqCst) {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/src/proxy/process/startup.rs
+++ b/src/proxy/process/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a process: what it takes from the one before it, and when it takes that one's place.
+//! Process startup: the state inherited from a predecessor, and the moment at which this process takes over from it.
 
 use crate::proxy::config::Config;
 use crate::proxy::control::policy_client::PolicyHandover;
@@ -16,39 +16,40 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A process that is to serve looks so often whether it can.
-const SERVE_LOOK: Duration = Duration::from_millis(10);
-/// A new process waits so long for leave before it goes by the floor of its policy.
-const LEAVE_WITHIN: Duration = Duration::from_secs(2);
-/// Where the old process can't be heard of it has gone by then: the new one has 6 s to say yes, and SIGKILL comes soon after.
-const BESIDE_FOR: Duration = Duration::from_secs(12);
+/// How often a starting process checks whether it can serve.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long a new process waits for a policy lease before it applies its fallback policy.
+const POLICY_LEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// An old process to which there is no connection has ended by then: the new one has 6 s to report that it serves, and the old one
+/// gets SIGKILL soon after.
+const PREDECESSOR_EXIT_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What a process takes from the one before it.
+/// The state that a process inherits from its predecessor.
 #[derive(Default)]
 pub(crate) struct Inherited {
-    /// The settings that it was given to act by.
+    /// The settings that the predecessor was assigned.
     pub settings: Option<String>,
-    /// What it left to be sent to cold nodes.
+    /// The remaining slow-start allowances of cold nodes.
     pub cold: Vec<SlowStartAllowance>,
-    /// What it acted by of policies.
+    /// The policy state that the predecessor applied.
     pub policy: Option<PolicyHandover>,
 }
 
-/// What a process begins with.
+/// What a process starts with.
 pub(crate) struct StartupPlan {
-    /// Its place at the clients' address.
+    /// The socket at the client address.
     pub listening: ListenSocket,
-    /// That address.
+    /// The client address.
     pub bound: SocketAddr,
-    /// What it may hold at first.
+    /// The share of the resources that it may use at first.
     pub share: ResourceShare,
-    /// The process that hands over to it.
+    /// The connection to the process that hands over.
     pub predecessor: Option<Link>,
     pub inherited: Inherited,
 }
 
 impl StartupPlan {
-    /// Finds the process to take over from, or takes the address.
+    /// Finds the process to take over from, or binds the address if there is none.
     ///
     /// # Errors
     /// An address that can't be listened on, or another new process that is just taking over.
@@ -63,7 +64,7 @@
         };
         let (listening, mut share, predecessor, inherited) = match found {
             Found::Old { listener, offer, link } => {
-                // What the old process was told counts as told to this one.
+                // A newer endpoint list that the old process had received applies to this one too.
                 config.known = newer(config.known.take(), offer.list);
                 let policy = offer.policy.and_then(|text| PolicyHandover::read(&text));
                 let inherited = Inherited { settings: offer.settings, cold: offer.cold, policy };
@@ -82,34 +83,34 @@
         Ok(StartupPlan { listening, bound, share, predecessor, inherited })
     }
 
-    /// Whether another process serves at the address.
+    /// Whether another process also serves at the address.
     pub fn is_beside(&self) -> bool {
         matches!(self.listening, ListenSocket::Beside(_)) || self.predecessor.is_some()
     }
 }
 
-/// The later of two lists.
-fn newer(known: Option<EndpointList>, told: Option<EndpointList>) -> Option<EndpointList> {
-    match (known, told) {
-        (Some(known), Some(told)) if known.version > told.version => Some(known),
-        (known, told) => told.or(known),
+/// The newer of two endpoint lists.
+fn newer(known: Option<EndpointList>, offered: Option<EndpointList>) -> Option<EndpointList> {
+    match (known, offered) {
+        (Some(known), Some(offered)) if known.version > offered.version => Some(known),
+        (known, offered) => offered.or(known),
     }
 }
 
-/// What came of waiting for the moment in which a new process takes the old one's place.
+/// The outcome of waiting to take over from the old process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TakeOver {
-    /// It may serve.
+    /// This process may serve.
     Ready,
-    /// The old process has ended before.
+    /// The old process ended first.
     PredecessorGone,
-    /// This process was told to end before.
+    /// This process was asked to end first.
     Stopped,
 }
 
 impl Server {
-    /// Waits until this process may serve in place of the old one. Danger: what it accepts before that it takes away from the old
-    /// one, which could serve it.
+    /// Waits until this process may serve in place of the old one. Danger: any connection that it accepts earlier is taken from the
+    /// old process, which could serve it.
     pub(crate) async fn wait_to_take_over(
         &self,
         stop: &mut Pin<&mut impl Future<Output = ()>>,
@@ -126,41 +127,49 @@
         }
     }
 
-    /// Returns once the guard of serving lets this process say that it serves.
+    /// Returns once this process is allowed to report that it serves.
     async fn until_ready(&self) {
         while !self.backend.can_serve() {
-            sleep(SERVE_LOOK).await;
+            sleep(READINESS_POLL_INTERVAL).await;
         }
-        // Danger: without leave it goes by the floor, and refuses what the old one would serve.
+        // Danger: without a policy lease it applies the fallback policy, and rejects requests that the old process would serve.
         if let Some(policy) = &self.policy {
-            if timeout(LEAVE_WITHIN, policy.wait_for_lease()).await.is_err() {
-                crate::proxy::log("no leave yet: it goes by the floor until it is answered");
+            if timeout(POLICY_LEASE_TIMEOUT, policy.wait_for_lease()).await.is_err() {
+                crate::proxy::log(
+                    "no leave yet: applying the fallback policy until a policy lease is granted",
+                );
             }
         }
         while self.readiness().is_err() {
-            sleep(SERVE_LOOK).await;
+            sleep(READINESS_POLL_INTERVAL).await;
         }
     }
 
-    /// Tells the old process that this one serves in its place, and has this one hold all that it may once that one has ended.
-    pub(crate) async fn succeed(&self, predecessor: Option<Link>, beside: bool, keeper: Rc<HandoverServer>) {
+    /// Reports to the old process that this one serves in its place. Once the old process has ended, this one uses its full share of
+    /// the resources.
+    pub(crate) async fn succeed(
+        &self,
+        predecessor: Option<Link>,
+        beside: bool,
+        handover_server: Rc<HandoverServer>,
+    ) {
         if let Some(mut link) = predecessor {
             self.check_said_serving();
             link.ready().await;
             tokio::task::spawn_local(async move {
                 link.ended().await;
                 crate::proxy::log("the old process has ended");
-                keeper.alone();
+                handover_server.alone();
             });
         } else if beside {
             tokio::task::spawn_local(async move {
-                sleep(BESIDE_FOR).await;
-                keeper.alone();
+                sleep(PREDECESSOR_EXIT_TIMEOUT).await;
+                handover_server.alone();
             });
         }
     }
 
-    /// Counts a word that this process serves, given where the guard forbids it.
+    /// Counts a violation if this process reports that it serves while it is not allowed to.
     pub(crate) fn check_said_serving(&self) {
         if let Some(violation) = check_reported_serving(&self.serve_facts()) {
             crate::proxy::violation(&self.metrics, violation, &format!("{:?}", self.serve_facts()));
@@ -168,6 +177,7 @@
     }
 }
 
+/// Returns when the predecessor has ended; never if there is none.
 async fn ended(link: &mut Option<Link>) {
     match link {
         Some(link) => link.ended().await,
--- a/src/proxy/process/supervised.rs
+++ b/src/proxy/process/supervised.rs
@@ -1,4 +1,4 @@
-//! A proxy that a host has started: it gives the host signs of life, and knows which program it is.
+//! A proxy that a host supervises: it sends heartbeats to the host, and knows the digest of the program that it runs.
 
 use crate::proxy::log;
 use rushquay_config_version::{ConfigVersion, Digest};
@@ -8,66 +8,66 @@
 use std::time::Duration;
 use tokio::time::interval;
 
-/// The socket at which the host hears its processes.
+/// Names the Unix socket at which the host receives heartbeats.
 pub const HOST: &str = "PROXY_HOST";
-/// The digest of the program that this process is.
+/// The digest of the program that this process runs.
 pub const PROGRAM: &str = "PROXY_PROGRAM";
-/// The digest of the program that runs where no generation names one.
+/// The digest of the program that runs if a config version names none.
 pub const OWN_PROGRAM: &str = "PROXY_OWN_PROGRAM";
-/// The assignment by which this process begins.
+/// The config assignment that this process starts with.
 pub const GIVEN: &str = "PROXY_GIVEN";
 
-/// All that a host sets.
+/// All variables that a host sets.
 pub const ALL: [&str; 4] = [HOST, PROGRAM, OWN_PROGRAM, GIVEN];
 
-/// Signs of life come so often.
-const EVERY: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a host tells a process that it starts.
+/// What a host passes to a process that it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Supervised {
-    /// Where the host hears.
+    /// The socket at which the host receives heartbeats.
     pub socket: PathBuf,
-    /// What this process is.
+    /// The digest of the program that this process runs.
     pub runs: Digest,
-    /// What runs where no generation names a program.
+    /// The digest of the program that runs if a config version names none.
     pub own: Digest,
-    /// What it begins by.
+    /// The config assignment that this process starts with.
     pub given: Option<String>,
 }
 
 impl Supervised {
-    /// What the environment says; `None`: no host has started this process.
+    /// Reads the environment; `None` if this process was not started by a host.
     ///
     /// # Errors
-    /// The variable that is missing or no digest.
+    /// Names the variable that is missing or not a digest.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Option<Self>, String> {
         let Some(socket) = variable(HOST) else { return Ok(None) };
         let digest = |name: &str| {
-            let told = variable(name).ok_or(format!("{name} is not set, and {HOST} is"))?;
-            told.parse::<Digest>().map_err(|e| format!("{name}: {e}"))
+            let text = variable(name).ok_or(format!("{name} is not set, and {HOST} is"))?;
+            text.parse::<Digest>().map_err(|e| format!("{name}: {e}"))
         };
         let (runs, own) = (digest(PROGRAM)?, digest(OWN_PROGRAM)?);
         Ok(Some(Supervised { socket: socket.into(), runs, own, given: variable(GIVEN) }))
     }
 
-    /// Whether this process is the program that a generation asks for.
+    /// Whether this process runs the program that a config version asks for.
     pub fn is(&self, generation: &ConfigVersion) -> bool {
         generation.program().unwrap_or(self.own) == self.runs
     }
 
-    /// Gives signs of life for good. Danger: the host may be away, or its socket full; nothing here waits for it.
+    /// Sends heartbeats until the process ends. Danger: the host may be down or its socket full, so a send never blocks and its failure
+    /// is ignored.
     pub async fn send_heartbeats(socket: PathBuf, serves: impl Fn() -> bool) {
-        let from = UnixDatagram::unbound().and_then(|s| s.set_nonblocking(true).map(|()| s));
-        let from = match from {
-            Ok(from) => from,
-            Err(e) => return log(format_args!("no signs of life for the host: {e}")),
+        let sender = UnixDatagram::unbound().and_then(|s| s.set_nonblocking(true).map(|()| s));
+        let sender = match sender {
+            Ok(sender) => sender,
+            Err(e) => return log(format_args!("cannot send heartbeats to the host: {e}")),
         };
-        let mut tick = interval(EVERY);
+        let mut tick = interval(HEARTBEAT_INTERVAL);
         loop {
             tick.tick().await;
-            let pulse = Heartbeat { pid: std::process::id(), yes: serves() };
-            let _ = from.send_to(&pulse.bytes(), &socket);
+            let heartbeat = Heartbeat { pid: std::process::id(), yes: serves() };
+            let _ = sender.send_to(&heartbeat.bytes(), &socket);
         }
     }
 }
