--- a/src/proxy/config/active_config.rs
+++ b/src/proxy/config/active_config.rs
@@ -1,16 +1,16 @@
-//! The active configuration of a proxy: settings, and the names in them. Replaced as a whole, between two requests.
+//! The active configuration of a proxy: settings and the names in them, always replaced as a whole between two requests.
 
 use crate::api::{Effect, Nanos, Settings};
 use crate::proxy::config::interner::Interner;
 use std::time::Duration;
 
-/// Settings in force, with their names.
+/// The settings in force, with the names in them.
 pub struct ActiveConfig {
     /// Settings of the decision module.
     pub settings: Settings,
-    /// The names behind the module's numbers.
+    /// The names that the decision module knows by index.
     pub names: Interner,
-    /// By class: whether a retry relies on deduplication by a group of nodes.
+    /// For each class: whether a retry relies on deduplication by a group of nodes.
     keyed: Vec<bool>,
 }
 
@@ -25,7 +25,7 @@
         self.keyed.get(class as usize).is_some_and(|k| *k)
     }
 
-    /// How long nodes deduplicate retries of a class; `None`: they may run again, or must not be sent.
+    /// How long nodes deduplicate retries of a class. `None` if its requests may safely run again or must not be retried.
     pub fn remembered(&self, class: u32) -> Option<Nanos> {
         self.settings
             .classes
@@ -39,10 +39,10 @@
         Duration::from_nanos(self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0))
     }
 
-    /// For each tenant of this configuration its number in the other; `None`: it is new.
+    /// For each tenant of this configuration, its index in the previous one; `None` if it is new.
     pub fn tenants_before(&self, before: &Interner) -> Vec<Option<usize>> {
-        let had = |name: &String| before.tenants.iter().position(|t| t == name);
-        self.names.tenants.iter().map(had).collect()
+        let previous_index = |name: &String| before.tenants.iter().position(|t| t == name);
+        self.names.tenants.iter().map(previous_index).collect()
     }
 
     /// The latency objective of a class.
--- a/src/proxy/config/interner.rs
+++ b/src/proxy/config/interner.rs
@@ -1,51 +1,51 @@
-//! Names on the wire for what the decision module knows by number.
+//! Translation between names on the wire and the numbers that the decision module uses.
 
 use crate::api::{server_id, Entry, State};
 use rushquay_endpoints::{Endpoint, EndpointState};
 use std::net::SocketAddr;
 
-/// Names on the wire for what the decision module knows by number.
+/// The names of classes, tenants, zones and machine kinds; the decision module knows each by its index here.
 #[derive(Default)]
 pub struct Interner {
-    /// Of classes.
+    /// Names of request classes.
     pub classes: Vec<String>,
-    /// Of tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
-    /// Of data centres.
+    /// Names of zones (data centres).
     pub zones: Vec<String>,
-    /// Of machine kinds.
+    /// Names of machine kinds.
     pub kinds: Vec<String>,
 }
 
 impl Interner {
-    /// An endpoint as the module reads it, and where to connect.
-    pub fn entry(&self, m: &Endpoint) -> (Entry, Option<SocketAddr>) {
-        // A name that the settings do not list is none of those that they do.
+    /// Converts an endpoint to an entry of the decision module, and returns the address to connect to.
+    pub fn entry(&self, endpoint: &Endpoint) -> (Entry, Option<SocketAddr>) {
+        // A name that the settings do not list gets an index past the end, which matches no listed name.
         let index =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len()) as u32;
-        // Danger: two unlisted zones that are taken for one would be taken for one deduplication group.
-        let zone = match index(&self.zones, &m.zone) {
-            known if (known as usize) < self.zones.len() || m.zone.is_empty() => known,
-            _ => (1 << 30) + (server_id(&m.zone) >> 34) as u32,
+        // Danger: if two unlisted zones got the same number, their nodes would count as one deduplication group.
+        let zone = match index(&self.zones, &endpoint.zone) {
+            known if (known as usize) < self.zones.len() || endpoint.zone.is_empty() => known,
+            _ => (1 << 30) + (server_id(&endpoint.zone) >> 34) as u32,
         };
         let entry = Entry {
-            server: server_id(&m.id),
+            server: server_id(&endpoint.id),
             zone,
-            kind: index(&self.kinds, &m.kind),
-            cell: m.cell,
-            state: match m.state {
+            kind: index(&self.kinds, &endpoint.kind),
+            cell: endpoint.cell,
+            state: match endpoint.state {
                 EndpointState::Ready => State::Ready,
                 EndpointState::Draining => State::Draining,
                 EndpointState::Gone => State::Gone,
             },
-            weight: m.weight,
-            started_at: m.started,
+            weight: endpoint.weight,
+            started_at: endpoint.started,
         };
-        (entry, m.addr)
+        (entry, endpoint.addr)
     }
 }
 
-/// A key as a number: hex as on the simulator's wire, anything else hashed.
+/// Converts a key to a number: 16 hex digits are parsed, as on the simulator's wire; anything else is hashed.
 pub fn key(text: &str) -> u64 {
     let hex = (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok());
     hex.flatten().unwrap_or_else(|| server_id(text))
--- a/src/proxy/config/layers.rs
+++ b/src/proxy/config/layers.rs
@@ -1,4 +1,4 @@
-//! The layers of the active configuration: the settings of the proxy's file, a config version over them, and a policy over both.
+//! The layers of the active configuration: the settings in the proxy's file, then a config version, then a policy.
 
 use crate::proxy::config::active_config::ActiveConfig;
 use crate::proxy::config::settings::settings_of;
@@ -13,16 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What the policy client permits now.
+/// The policy state that the policy client currently permits.
 #[derive(Clone)]
 pub struct PolicyLayer {
     /// The policies that this process holds a lease for.
     pub leave: Leave,
-    /// The policy set that it was granted last.
+    /// The policy set of the last lease that was granted.
     pub last: Option<PolicySet>,
-    /// The documents of these policies.
+    /// The policies, by number.
     pub policies: BTreeMap<PolicyNumber, Policy>,
-    /// The fallback policy of its own file.
+    /// The fallback policy in the proxy's own file.
     pub begin_by: FallbackPolicy,
 }
 
@@ -31,7 +31,7 @@
 pub struct RejectedClasses {
     /// Everything is rejected.
     pub all: bool,
-    /// Whether a class is rejected, by its number.
+    /// For each class, whether it is rejected.
     pub classes: Vec<bool>,
 }
 
@@ -39,52 +39,52 @@
 pub struct ConfigLayers {
     engine: Rc<Engine>,
     own: Value,
-    over: RefCell<(ConfigVersion, Option<PolicyLayer>)>,
-    refusing: RefCell<RejectedClasses>,
+    overlays: RefCell<(ConfigVersion, Option<PolicyLayer>)>,
+    rejections: RefCell<RejectedClasses>,
 }
 
 /// The effective settings and what is rejected under them; `None`: everything is rejected.
-type Comes = (Option<ActiveConfig>, RejectedClasses);
+type EffectiveConfig = (Option<ActiveConfig>, RejectedClasses);
 
 impl ConfigLayers {
-    /// The file's settings alone.
+    /// Starts with the file's settings alone.
     pub fn new(engine: Rc<Engine>, own: Value) -> Rc<Self> {
-        let over = RefCell::new((ConfigVersion::base(), None));
-        Rc::new(ConfigLayers { engine, own, over, refusing: RefCell::default() })
+        let overlays = RefCell::new((ConfigVersion::base(), None));
+        Rc::new(ConfigLayers { engine, own, overlays, rejections: RefCell::default() })
     }
 
-    /// The engine that they apply to.
+    /// The engine that the configuration applies to.
     pub fn engine(&self) -> &Rc<Engine> {
         &self.engine
     }
 
-    /// What is rejected now.
+    /// Whether requests of this class are rejected.
     pub fn rejects(&self, class: usize) -> bool {
-        let refusing = self.refusing.borrow();
-        refusing.all || refusing.classes.get(class).is_some_and(|stopped| *stopped)
+        let rejections = self.rejections.borrow();
+        rejections.all || rejections.classes.get(class).is_some_and(|is_rejected| *is_rejected)
     }
 
     /// Whether everything is rejected.
     pub fn rejects_all(&self) -> bool {
-        self.refusing.borrow().all
+        self.rejections.borrow().all
     }
 
     /// Checks whether a config version could be applied under the present policy.
     ///
     /// # Errors
     /// The path of a field that cannot be applied, and why.
-    pub fn check_version(&self, generation: &ConfigVersion) -> Result<(), String> {
-        self.comes(generation, self.over.borrow().1.as_ref()).map(drop)
+    pub fn check_version(&self, version: &ConfigVersion) -> Result<(), String> {
+        self.compute_effective(version, self.overlays.borrow().1.as_ref()).map(drop)
     }
 
     /// Applies a config version.
     ///
     /// # Errors
-    /// The same; the configuration is unchanged then.
-    pub fn apply_version(&self, generation: &ConfigVersion) -> Result<(), String> {
-        let comes = self.comes(generation, self.over.borrow().1.as_ref())?;
-        self.over.borrow_mut().0 = generation.clone();
-        self.obey(comes);
+    /// As for the matching check. The configuration is unchanged in this case.
+    pub fn apply_version(&self, version: &ConfigVersion) -> Result<(), String> {
+        let compute_effective = self.compute_effective(version, self.overlays.borrow().1.as_ref())?;
+        self.overlays.borrow_mut().0 = version.clone();
+        self.install(compute_effective);
         Ok(())
     }
 
@@ -92,55 +92,61 @@
     ///
     /// # Errors
     /// The path of a field that cannot be applied, and why.
-    pub fn check_policy(&self, say: &PolicyLayer) -> Result<(), String> {
-        self.comes(&self.over.borrow().0, Some(say)).map(drop)
+    pub fn check_policy(&self, layer: &PolicyLayer) -> Result<(), String> {
+        self.compute_effective(&self.overlays.borrow().0, Some(layer)).map(drop)
     }
 
     /// Applies a policy layer.
     ///
     /// # Errors
-    /// The same; the configuration is unchanged then.
-    pub fn apply_policy(&self, say: PolicyLayer) -> Result<(), String> {
-        let comes = self.comes(&self.over.borrow().0, Some(&say))?;
-        self.over.borrow_mut().1 = Some(say);
-        self.obey(comes);
+    /// As for the matching check. The configuration is unchanged in this case.
+    pub fn apply_policy(&self, layer: PolicyLayer) -> Result<(), String> {
+        let compute_effective = self.compute_effective(&self.overlays.borrow().0, Some(&layer))?;
+        self.overlays.borrow_mut().1 = Some(layer);
+        self.install(compute_effective);
         Ok(())
     }
 
-    fn obey(&self, (acting, refusing): Comes) {
-        if let Some(acting) = acting {
-            self.engine.apply_config(Rc::new(acting));
+    /// Applies a computed configuration.
+    fn install(&self, (active_config, rejections): EffectiveConfig) {
+        if let Some(active_config) = active_config {
+            self.engine.apply_config(Rc::new(active_config));
         }
-        *self.refusing.borrow_mut() = refusing;
+        *self.rejections.borrow_mut() = rejections;
     }
 
-    fn comes(&self, generation: &ConfigVersion, say: Option<&PolicyLayer>) -> Result<Comes, String> {
-        let own = generation.over(&self.own).map_err(|e| e.to_string())?;
-        let Some(PolicyLayer { leave, last, policies, begin_by }) = say else {
-            return Ok((Some(checked(&own)?), RejectedClasses::default()));
+    /// Computes the effective configuration of a config version and a policy layer, without applying it.
+    fn compute_effective(
+        &self,
+        version: &ConfigVersion,
+        layer: Option<&PolicyLayer>,
+    ) -> Result<EffectiveConfig, String> {
+        let own = version.over(&self.own).map_err(|e| e.to_string())?;
+        let Some(PolicyLayer { leave, last, policies, begin_by }) = layer else {
+            return Ok((Some(parse_checked(&own)?), RejectedClasses::default()));
         };
         match apply_overlay(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
             Overlay::Nobody => Ok((None, RejectedClasses { all: true, classes: Vec::new() })),
-            Overlay::Settings(met) => {
-                let acting = checked(&met.settings)?;
-                let refusing = refusing(&met.rejected_classes, &acting.names.classes);
-                Ok((Some(acting), refusing))
+            Overlay::Settings(overlay) => {
+                let active_config = parse_checked(&overlay.settings)?;
+                let rejections = rejections(&overlay.rejected_classes, &active_config.names.classes);
+                Ok((Some(active_config), rejections))
             }
         }
     }
 }
 
-/// Which classes are rejected.
-fn refusing(stops: &BTreeSet<RejectedClass>, classes: &[String]) -> RejectedClasses {
-    let stopped = |class: &String| stops.iter().any(|s| s.class.as_ref() == Some(class));
+/// Maps the rejected classes of a policy to class indexes.
+fn rejections(rejected: &BTreeSet<RejectedClass>, classes: &[String]) -> RejectedClasses {
+    let is_rejected = |class: &String| rejected.iter().any(|s| s.class.as_ref() == Some(class));
     RejectedClasses {
-        all: stops.iter().any(|s| s.class.is_none()),
-        classes: classes.iter().map(stopped).collect(),
+        all: rejected.iter().any(|s| s.class.is_none()),
+        classes: classes.iter().map(is_rejected).collect(),
     }
 }
 
-/// The effective settings; an error if this proxy cannot apply them.
-fn checked(settings: &Value) -> Result<ActiveConfig, String> {
+/// Parses the effective settings; an error if this proxy cannot apply them.
+fn parse_checked(settings: &Value) -> Result<ActiveConfig, String> {
     let (settings, names) = settings_of(settings)?;
     for (i, class) in settings.classes.iter().enumerate() {
         let within = |set: &Option<Vec<u32>>, all: &[String]| {
--- a/src/proxy/config/mod.rs
+++ b/src/proxy/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a proxy: the `PROXY_*` variables and the JSON file that they name.
+//! The configuration of a proxy: the `PROXY_*` environment variables and the JSON file that `PROXY_CONFIG` names.
 
 pub(crate) mod active_config;
 pub(crate) mod interner;
@@ -24,69 +24,69 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Where operators call; off without it.
+/// The address for operators; the admin listener is off without it.
 const ADMIN: &str = "PROXY_ADMIN_ADDR";
+/// The address of discovery.
 const DISCOVERY: &str = "PROXY_DISCOVERY";
-/// Where clients connect.
+/// The address for clients.
 const LISTEN: &str = "PROXY_LISTEN";
-/// Names the file that switches the subscription to a control service on.
+/// Names the file that enables the subscription to a control service.
 pub const CONTROL: &str = "PROXY_CONTROL";
-/// Names the file that has clusters, endpoints and routes come in Envoy's form.
+/// Names the file that enables clusters, endpoints and routes in Envoy's format.
 pub const ENVOY: &str = "PROXY_ENVOY";
-/// Names the file that has this proxy take part in rollouts.
+/// Names the file that enables rollouts for this proxy.
 pub const ROLLOUT: &str = "PROXY_ROLLOUT";
-/// Names the file that has this proxy take part in policies.
+/// Names the file that enables policies for this proxy.
 pub const POLICY: &str = "PROXY_POLICY";
-/// Sockets that a proxy may hold where nothing is said.
-const SOCKETS: usize = 1024;
+/// The default for `limits.sockets`.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
 
-/// Where the settings say nothing of these.
-const CONNECT_TIMEOUT: Nanos = 250_000_000;
-const DRAIN_GRACE: Nanos = 500_000_000;
-/// No agent can be followed more closely than a tenth of this.
-const DRAIN_GRACE_LEAST: Nanos = 50_000_000;
-/// Megabytes that it may hold where nothing is said.
-const MEMORY_MB: usize = 64;
+const DEFAULT_CONNECT_TIMEOUT_NS: Nanos = 250_000_000;
+const DEFAULT_DRAIN_GRACE_NS: Nanos = 500_000_000;
+/// The minimum drain grace: discovery agents cannot be followed at intervals shorter than a tenth of this.
+const MIN_DRAIN_GRACE_NS: Nanos = 50_000_000;
+/// The default for `limits.memory_mb`.
+const DEFAULT_MEMORY_MB: usize = 64;
 
 /// The configuration of one proxy.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The name of the proxy, which survives restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call; `None`: nowhere.
+    /// The address for operators; `None`: no admin listener.
     pub admin: Option<SocketAddr>,
-    /// Discovery's address; needed unless clusters come in Envoy's form.
+    /// The address of discovery; required unless clusters come in Envoy's format.
     pub discovery: Option<SocketAddr>,
-    /// For random numbers, new with each start.
+    /// The seed for random numbers, different at each start.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// The maximum number of open descriptors.
     pub sockets: usize,
-    /// In bytes.
+    /// The memory limit in bytes.
     pub memory: usize,
-    /// How long a connection to a node may take to come up.
+    /// The timeout for connecting to a node.
     pub connect_timeout: Duration,
-    /// How long after a change was told a node that drains or is gone may still be sent new work.
+    /// How long a node may still be sent new requests after it was reported as draining or gone.
     pub drain_grace: Nanos,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// The same as the file has them: rollouts and policies are laid over them.
+    /// The same settings as JSON from the file: rollouts and policies are overlaid on them.
     pub own: Value,
-    /// The names of what it knows by number.
+    /// The names that the decision module knows by index.
     pub names: Interner,
-    /// The endpoint list that was known last; may be stale.
+    /// The last known endpoint list, which may be stale.
     pub known: Option<EndpointList>,
-    /// A control service to subscribe to; `None`: the proxy follows its own discovery alone.
+    /// A control service to subscribe to; `None`: the proxy uses its own discovery only.
     pub control: Option<ControlSource>,
-    /// Clusters, endpoints and routes in Envoy's form, in place of discovery.
+    /// Clusters, endpoints and routes in Envoy's format, in place of discovery.
     pub envoy: Option<EnvoySource>,
-    /// This proxy's part in rollouts; `None`: it applies its file alone.
+    /// Where rollouts come from; `None`: the proxy applies its file only.
     pub rollout: Option<RolloutSource>,
-    /// This proxy's part in policies; `None`: it has none.
+    /// Where policies come from; `None`: no policies apply.
     pub policy: Option<PolicySource>,
-    /// The clocks, passed in, since the clocks of two machines differ: policy leases expire by the steady one.
+    /// The clocks are injected because the clocks of two machines differ. Policy leases expire by the monotonic clock.
     pub clocks: Clocks,
-    /// The supervisor that started this process; `None`: there is none.
+    /// The supervisor that started this process, if any.
     pub hosted: Option<Supervised>,
 }
 
@@ -96,13 +96,13 @@
         Self::from_env_and(&[])
     }
 
-    /// The same, with variables that go before those of the environment.
+    /// As [`Config::from_env`], with variables that take precedence over those of the environment.
     pub fn from_env_and(told: &[(&str, String)]) -> Result<Self, String> {
         let told = |name: &str| told.iter().find(|(n, _)| *n == name).map(|(_, v)| v.clone());
         Self::read(|name| told(name).or_else(|| std::env::var(name).ok()))
     }
 
-    /// Reads the file again; what it says of discovery now counts for more than the environment.
+    /// Reads the file again. Its address of discovery now takes precedence over the environment.
     pub fn again() -> Result<Self, String> {
         Self::read(|name| std::env::var(name).ok().filter(|_| name != DISCOVERY))
     }
@@ -113,7 +113,7 @@
         Self::parse(&text, variable).map_err(|e| format!("PROXY_CONFIG: {path}: {e}"))
     }
 
-    /// Reads the file's text; `variable` gives what the environment says.
+    /// Parses the text of the file; `variable` looks up an environment variable.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let root: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
         let sources = Sources { variable, root: &root };
@@ -133,10 +133,12 @@
         let known = root.get("known").filter(|known| !known.is_null());
         let known = known.map(EndpointList::deserialize).transpose().map_err(|e| format!("known: {e}"))?;
         let seed = seed(&root["seed"])?;
-        let sockets = sources.limit("sockets", SOCKETS)?;
-        let memory = sources.limit("memory_mb", MEMORY_MB)?.saturating_mul(1 << 20);
-        let connect_timeout = Duration::from_nanos(span(own, "caps", "connect_timeout_ns", CONNECT_TIMEOUT)?);
-        let drain_grace = span(own, "rules", "drain_grace_ns", DRAIN_GRACE)?.max(DRAIN_GRACE_LEAST);
+        let sockets = sources.limit("sockets", DEFAULT_MAX_SOCKETS)?;
+        let memory = sources.limit("memory_mb", DEFAULT_MEMORY_MB)?.saturating_mul(1 << 20);
+        let connect_timeout =
+            Duration::from_nanos(duration_ns(own, "caps", "connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT_NS)?);
+        let drain_grace =
+            duration_ns(own, "rules", "drain_grace_ns", DEFAULT_DRAIN_GRACE_NS)?.max(MIN_DRAIN_GRACE_NS);
         let control =
             sources.section(CONTROL, "control_service", ControlSource::read, ControlSource::from_json)?;
         let read_rollout = |path: &Path| RolloutSource::read(path, own);
@@ -178,7 +180,7 @@
     }
 }
 
-/// Where a value of the configuration may come from: a variable of the environment goes before the file.
+/// The sources of a configuration value: an environment variable takes precedence over the file.
 struct Sources<'a, V> {
     variable: V,
     root: &'a Value,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// The file of Envoy's form; it is named in either place.
+    /// The settings for Envoy's format, whose file is named by a variable or by a field.
     fn envoy(&self) -> Result<Option<EnvoySource>, String> {
         let (named_by, path) = match ((self.variable)(ENVOY), self.root["envoy"].as_str()) {
             (Some(path), _) => (ENVOY, path),
@@ -213,7 +215,7 @@
         EnvoySource::read(path.as_ref()).map(Some).map_err(|e| format!("{named_by}: {e}"))
     }
 
-    /// A number of `limits`.
+    /// Reads a number in `limits`.
     fn limit(&self, name: &str, default: usize) -> Result<usize, String> {
         match &self.root["limits"][name] {
             Value::Null => Ok(default),
@@ -225,7 +227,8 @@
         }
     }
 
-    /// A part that stands in a file of its own, which a variable names, or in a section of this file; `None`: in neither.
+    /// Reads a part of the configuration from the separate file that a variable names, or from a section of this file; `None` if it is
+    /// in neither.
     fn section<T>(
         &self,
         variable: &str,
@@ -241,7 +244,7 @@
     }
 }
 
-/// The seed of random numbers: hexadecimal text, or a number; 0 where there is none.
+/// Parses the seed of random numbers: a hexadecimal string or a number; 0 if it is missing.
 fn seed(value: &Value) -> Result<u64, String> {
     match value {
         Value::String(text) => {
@@ -252,8 +255,8 @@
     }
 }
 
-/// A span of the settings in nanoseconds.
-fn span(settings: &Value, group: &str, name: &str, default: Nanos) -> Result<Nanos, String> {
+/// Reads a duration in nanoseconds from the settings.
+fn duration_ns(settings: &Value, group: &str, name: &str, default: Nanos) -> Result<Nanos, String> {
     match &settings[group][name] {
         Value::Null => Ok(default),
         other => whole(other).ok_or_else(|| format!("settings.{group}.{name} is not a number: {other}")),
--- a/src/proxy/config/settings_file.rs
+++ b/src/proxy/config/settings_file.rs
@@ -1,14 +1,14 @@
-//! Files of settings.
+//! Reads settings files.
 
 use rushquay_sockets::patiently;
 use std::io;
 use std::path::Path;
 
-/// Reads a file of settings whole. Where the machine is short of descriptors it waits for some seconds. Danger: it blocks, so it is for
-/// the start and for threads that nobody waits for.
+/// Reads a whole settings file, retrying for some seconds while the machine is short of descriptors. Danger: it blocks, so call it
+/// only at startup and on detached threads.
 ///
 /// # Errors
-/// A file that can't be read.
+/// The file cannot be read.
 pub fn read_text(path: &Path) -> io::Result<String> {
     patiently(|| std::fs::read_to_string(path))
 }
