--- a/src/proxy/envoy/admin.rs
+++ b/src/proxy/envoy/admin.rs
@@ -1,7 +1,7 @@
-//! The admin page, in a form near Envoy's own: `/clusters` with effective weights, `/config_dump`, `/ready`.
+//! The admin pages, close to Envoy's own format: `/clusters` with effective weights, `/config_dump`, `/ready`.
 
 use super::driver::Shared;
-use super::{Figures, FiguresAsked};
+use super::{Stats, StatsRequests};
 use axum::extract::{Query, State};
 use axum::http::header::CONTENT_TYPE;
 use axum::http::StatusCode;
@@ -21,10 +21,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-/// Connections at once.
+/// Connections that are served at once.
 pub const CONNECTIONS: usize = 8;
-/// The proxy's thread is waited for so long.
-const FIGURES: Duration = Duration::from_secs(2);
+/// How long to wait for the statistics from the proxy's thread.
+const STATS_TIMEOUT: Duration = Duration::from_secs(2);
 
 enum Page {
     Clusters,
@@ -32,25 +32,25 @@
     Ready,
 }
 
-type Asked = (Page, oneshot::Sender<(bool, Value)>);
+type PageRequest = (Page, oneshot::Sender<(bool, Value)>);
 
-/// Serves for good. The catalogue is not for other threads, so pages are made by a task that shares its thread.
-pub async fn serve(listener: TcpListener, shared: Rc<Shared>, figures: FiguresAsked) {
-    let (ask, mut asked) = mpsc::channel::<Asked>(CONNECTIONS);
+/// Serves the pages until the thread ends. The catalogue is not `Send`, so a task on its thread renders the pages.
+pub async fn serve(listener: TcpListener, shared: Rc<Shared>, stats_requests: StatsRequests) {
+    let (ask, mut requests) = mpsc::channel::<PageRequest>(CONNECTIONS);
     tokio::task::spawn_local(async move {
-        while let Some((page, answer)) = asked.recv().await {
-            let made = match page {
-                Page::Clusters => (true, clusters(&shared, &passed(&figures).await)),
+        while let Some((page, answer)) = requests.recv().await {
+            let rendered = match page {
+                Page::Clusters => (true, clusters(&shared, &fetch_stats(&stats_requests).await)),
                 Page::Dump => (true, dump(&shared)),
                 Page::Ready => ready(&shared),
             };
-            let _ = answer.send(made);
+            let _ = answer.send(rendered);
         }
     });
     let pages = Router::new()
         .route("/clusters", get(clusters_page))
-        .route("/config_dump", get(|State(ask)| async move { json_page(made(&ask, Page::Dump).await) }))
-        .route("/ready", get(|State(ask)| async move { json_page(made(&ask, Page::Ready).await) }))
+        .route("/config_dump", get(|State(ask)| async move { json_page(fetch_page(&ask, Page::Dump).await) }))
+        .route("/ready", get(|State(ask)| async move { json_page(fetch_page(&ask, Page::Ready).await) }))
         .fallback(|| async {
             (StatusCode::NOT_FOUND, "/clusters, /clusters?format=json, /config_dump or /ready\n")
         })
@@ -58,7 +58,7 @@
     serve_pages(listener, pages, CONNECTIONS).await;
 }
 
-async fn made(ask: &mpsc::Sender<Asked>, page: Page) -> (bool, Value) {
+async fn fetch_page(ask: &mpsc::Sender<PageRequest>, page: Page) -> (bool, Value) {
     let (answer, answered) = oneshot::channel();
     match ask.send((page, answer)).await {
         Ok(()) => answered.await.unwrap_or((false, Value::Null)),
@@ -66,17 +66,17 @@
     }
 }
 
-fn json_page((good, value): (bool, Value)) -> impl IntoResponse {
-    let status = if good { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+fn json_page((available, value): (bool, Value)) -> impl IntoResponse {
+    let status = if available { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     (status, [(CONTENT_TYPE, "application/json")], format!("{value:#}\n"))
 }
 
 async fn clusters_page(
-    State(ask): State<mpsc::Sender<Asked>>,
+    State(ask): State<mpsc::Sender<PageRequest>>,
     Query(query): Query<HashMap<String, String>>,
 ) -> impl IntoResponse {
-    let (good, value) = made(&ask, Page::Clusters).await;
-    let status = if good { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+    let (available, value) = fetch_page(&ask, Page::Clusters).await;
+    let status = if available { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let (kind, text) = match query.get("format").map(String::as_str) {
         Some("json") => ("application/json", format!("{value:#}\n")),
         _ => ("text/plain", lines(&value)),
@@ -84,15 +84,16 @@
     (status, [(CONTENT_TYPE, kind)], text)
 }
 
-/// Envoy's form: `cluster::address::name::value`, a line each.
+/// Renders the text format of Envoy: one line `cluster::address::name::value` for each value.
 fn lines(value: &Value) -> String {
     let mut text = String::new();
     let list = |v: &Value, name: &str| v[name].as_array().cloned().unwrap_or_default();
     let plain = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
     for cluster in list(value, "cluster_statuses") {
         let name = plain(&cluster["name"]);
-        let mut line =
-            |at: &str, name_: &str, v: &Value| text += &format!("{name}::{at}{name_}::{}\n", plain(v));
+        let mut line = |at: &str, field_name: &str, v: &Value| {
+            text += &format!("{name}::{at}{field_name}::{}\n", plain(v))
+        };
         for (field, v) in cluster.as_object().into_iter().flatten() {
             if !matches!(field.as_str(), "name" | "host_statuses" | "priorities") {
                 line("", field, v);
@@ -114,13 +115,14 @@
     text
 }
 
-async fn passed(figures: &FiguresAsked) -> Figures {
+/// Requests the statistics from the proxy's thread; empty if it does not answer in time.
+async fn fetch_stats(stats_requests: &StatsRequests) -> Stats {
     let (answer, answered) = oneshot::channel();
-    let asked = async {
-        figures.send(answer).await.ok()?;
+    let exchange = async {
+        stats_requests.send(answer).await.ok()?;
         answered.await.ok()
     };
-    tokio::time::timeout(FIGURES, asked).await.ok().flatten().unwrap_or_default()
+    tokio::time::timeout(STATS_TIMEOUT, exchange).await.ok().flatten().unwrap_or_default()
 }
 
 fn health(health: Health) -> &'static str {
@@ -140,20 +142,20 @@
     }
 }
 
-fn clusters(shared: &Shared, (clusters, nodes): &Figures) -> Value {
+fn clusters(shared: &Shared, (clusters, nodes): &Stats) -> Value {
     let nodes: HashMap<_, _> = nodes.iter().map(|n| ((&*n.cluster, &*n.id), n)).collect();
     let clusters: HashMap<_, _> = clusters.iter().map(|c| (&*c.name, c)).collect();
     let catalogue = shared.catalogue.borrow();
     let statuses = catalogue.shown().map(|(spec, warmth, pool)| {
         let hosts = pool.endpoint_statuses().into_iter().map(|host| {
-            let passed = nodes.get(&(&*spec.name, &*host.node.id));
+            let stats = nodes.get(&(&*spec.name, &*host.node.id));
             json!({
                 "address": host.node.addr.to_string(), "id": &*host.node.id, "zone": &*host.node.zone,
                 "region": &*host.locality.0, "sub_zone": &*host.locality.1, "priority": host.priority,
                 "weight": host.weight, "effective_weight": host.part, "health_flags": health(host.health),
                 "standing": standing(host.node.standing),
-                "cx_active": passed.map_or(0, |p| p.connections), "rq_active": passed.map_or(0, |p| p.in_flight),
-                "rq_total": passed.map_or(0, |p| p.attempts), "rq_error": passed.map_or(0, |p| p.failed),
+                "cx_active": stats.map_or(0, |p| p.connections), "rq_active": stats.map_or(0, |p| p.in_flight),
+                "rq_total": stats.map_or(0, |p| p.attempts), "rq_error": stats.map_or(0, |p| p.failed),
             })
         });
         let levels = pool.loads().enumerate().map(|(p, (level, load))| {
@@ -165,14 +167,14 @@
         let (hosts, levels): (Vec<Value>, Vec<Value>) = (hosts.collect(), levels.collect());
         let split: Vec<Value> =
             catalogue.split(&spec.name).iter().map(|(n, p)| json!({"cluster": &**n, "percent": p})).collect();
-        let passed = clusters.get(&*spec.name);
-        let trips = passed.map(|p| p.trips).unwrap_or_default();
+        let stats = clusters.get(&*spec.name);
+        let trips = stats.map(|p| p.trips).unwrap_or_default();
         json!({
             "name": &*spec.name, "warming": !matches!(warmth, Warmth::Active), "dedup_group": &*spec.group,
             "origin": spec.origin.as_deref(), "refused_part": pool.effective().rejected,
             "panic_threshold": spec.rules.sharing.panic, "priorities": levels, "split": split,
-            "cx_active": passed.map_or(0, |p| p.connections), "rq_open": passed.map_or(0, |p| p.open_requests),
-            "rq_total": passed.map_or(0, |p| p.requests), "rq_shed": passed.map_or(0, |p| p.rejected_requests),
+            "cx_active": stats.map_or(0, |p| p.connections), "rq_open": stats.map_or(0, |p| p.open_requests),
+            "rq_total": stats.map_or(0, |p| p.requests), "rq_shed": stats.map_or(0, |p| p.rejected_requests),
             "rq_overflow": trips[0], "rq_retry_overflow": trips[1], "cx_pending_overflow": trips[2],
             "host_statuses": hosts,
         })
@@ -188,28 +190,28 @@
     (ready, json!({"listener": listener, "routes": ready, "clusters_missing": missing}))
 }
 
-/// Near `envoy.admin.v3.ConfigDump`. Fields that are ignored are left out.
+/// Renders a page close to `envoy.admin.v3.ConfigDump`, without the fields that this proxy ignores.
 fn dump(shared: &Shared) -> Value {
     let catalogue = shared.catalogue.borrow();
     let of = |kind: Kind, fixed: bool, field: &str| -> Vec<Value> {
-        let one = |((_, name), kept): (&(Kind, String), &Kept)| {
+        let entry_json = |((_, name), kept): (&(Kind, String), &Kept)| {
             let mut body = show(message_of(kind), &kept.encoded);
             if let Value::Object(fields) = &mut body {
                 fields.insert("@type".into(), json!(kind.type_url()));
             }
             json!({"name": name, "version_info": kept.version, "last_updated_ns": kept.at, field: body})
         };
-        catalogue.kept().iter().filter(|((k, _), v)| *k == kind && v.fixed == fixed).map(one).collect()
+        catalogue.kept().iter().filter(|((k, _), v)| *k == kind && v.fixed == fixed).map(entry_json).collect()
     };
     let section = |name: &str, fields: [(&str, Vec<Value>); 2], kind: Kind| {
-        let mut told = json!({"@type": format!("type.googleapis.com/envoy.admin.v3.{name}")});
+        let mut section_json = json!({"@type": format!("type.googleapis.com/envoy.admin.v3.{name}")});
         for (field, list) in fields {
-            told[field] = list.into();
+            section_json[field] = list.into();
         }
         if let Some((times, why)) = catalogue.refusals().get(&kind) {
-            told["error_state"] = json!({"times": times, "details": why});
+            section_json["error_state"] = json!({"times": times, "details": why});
         }
-        told
+        section_json
     };
     let (table, waiting) = catalogue.tables();
     json!({
--- a/src/proxy/envoy/driver.rs
+++ b/src/proxy/envoy/driver.rs
@@ -1,6 +1,7 @@
-//! The thread that follows what is declared: the stream, files and look-ups go into the catalogue, changes come out.
+//! The thread that follows the declared resources: the stream, files and DNS look-ups update the catalogue, and its changes are
+//! queued for the proxy's thread.
 
-use super::{admin, files, lookup, EnvoySource, FiguresAsked, Handover, Me, Resolver};
+use super::{admin, files, lookup, ChangeQueue, EnvoySource, Me, Resolver, StatsRequests};
 use crate::proxy::clock::Clock;
 use crate::proxy::log;
 use prost::Message as _;
@@ -17,45 +18,51 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// The catalogue is looked at so often at the latest.
-const LOOK: Duration = Duration::from_secs(1);
+/// The longest interval between two checks of the catalogue.
+const MAX_SETTLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What all tasks of the thread share.
+/// State that all tasks of the thread share.
 pub struct Shared {
     pub catalogue: Rc<RefCell<Catalogue>>,
     pub clock: Clock,
-    /// The catalogue has changed.
-    pub kick: Notify,
+    /// Notified when the catalogue has changed.
+    pub changed: Notify,
 }
 
+/// Runs the stream, files and look-ups that feed the catalogue.
 pub struct Driver {
     source: EnvoySource,
     me: Me,
-    hand: Arc<Handover>,
+    change_queue: Arc<ChangeQueue>,
     resolver: Rc<dyn Resolver>,
     shared: Rc<Shared>,
 }
 
 impl Driver {
-    pub fn new(source: EnvoySource, me: Me, hand: Arc<Handover>, resolver: Rc<dyn Resolver>) -> Self {
+    pub fn new(
+        source: EnvoySource,
+        me: Me,
+        change_queue: Arc<ChangeQueue>,
+        resolver: Rc<dyn Resolver>,
+    ) -> Self {
         let clock = me.clock;
         let choice = Choice { name: source.listener.clone(), address: Some(me.listen) };
         let catalogue = Rc::new(RefCell::new(Catalogue::new(&source.bootstrap, choice, clock.now())));
-        let shared = Rc::new(Shared { catalogue, clock, kick: Notify::new() });
-        Driver { source, me, hand, resolver, shared }
+        let shared = Rc::new(Shared { catalogue, clock, changed: Notify::new() });
+        Driver { source, me, change_queue, resolver, shared }
     }
 
-    /// Starts what can fail; gives where the admin page is, and the work that goes on for good.
+    /// Performs the steps that can fail. Returns the address of the admin pages, and the future that runs until the thread ends.
     pub async fn start(
         self,
-        figures: FiguresAsked,
+        stats_requests: StatsRequests,
     ) -> Result<(Option<SocketAddr>, impl Future<Output = ()>), String> {
         let mut at = None;
         if let Some(addr) = self.source.bootstrap.admin {
-            let fault = |e| format!("admin.address: {addr}: {e}");
-            let listener = TcpListener::bind(addr).await.map_err(fault)?;
-            at = Some(listener.local_addr().map_err(fault)?);
-            tokio::task::spawn_local(admin::serve(listener, self.shared.clone(), figures));
+            let bind_error = |e| format!("admin.address: {addr}: {e}");
+            let listener = TcpListener::bind(addr).await.map_err(bind_error)?;
+            at = Some(listener.local_addr().map_err(bind_error)?);
+            tokio::task::spawn_local(admin::serve(listener, self.shared.clone(), stats_requests));
         }
         let wake = Arc::new(Notify::new());
         if let Some(options) = self.stream(wake.clone())? {
@@ -85,7 +92,7 @@
             node: node.id.clone(),
             cluster: node.cluster.clone(),
             tls,
-            message: self.source.answer_most,
+            message: self.source.max_answer_bytes,
             identity: Some(Box::new(node)),
             wake: Some(wake),
         }))
@@ -94,44 +101,47 @@
     fn session(&self) -> Ads {
         let (addresses, sotw) =
             self.source.bootstrap.ads.as_ref().map_or((1, false), |a| (a.addresses.len(), a.sotw));
-        let (first, most) = self.source.backoff_ms;
-        let backoff = (first.saturating_mul(1_000_000), most.saturating_mul(1_000_000));
+        let (first, longest) = self.source.backoff_ms;
+        let backoff = (first.saturating_mul(1_000_000), longest.saturating_mul(1_000_000));
         let clock = self.shared.clock;
         let catalogue = self.shared.catalogue.clone();
         Ads::new(addresses, sotw, backoff, self.source.resources_most, catalogue, move || clock.now())
     }
 
-    /// Hands on what follows from each change, and from time.
+    /// Queues the changes that follow from updates of the catalogue and from timers, and starts the look-ups that are due.
     async fn settle(self, wake: Arc<Notify>) {
         let shared = self.shared.clone();
         loop {
             let now = shared.clock.now();
             let changes = shared.catalogue.borrow_mut().settle(now);
-            self.hand.push(changes);
-            // What a file or a look-up has brought may have the stream asked for something else.
+            self.change_queue.push(changes);
+            // An update from a file or a look-up may change what the stream must subscribe to.
             wake.notify_one();
             for (cluster, name, family) in shared.catalogue.borrow_mut().lookups(now) {
                 let (shared, resolver) = (shared.clone(), self.resolver.clone());
                 tokio::task::spawn_local(async move {
-                    let found = lookup::look(resolver.resolve(&name), family).await;
+                    let found = lookup::resolve_family(resolver.resolve(&name), family).await;
                     if let Err(e) = &found {
-                        log(format_args!("{cluster}: {name}: {e}; its endpoints stay as they are"));
+                        log(format_args!("{cluster}: {name}: {e}; keeping its current endpoints"));
                     }
                     let now = shared.clock.now();
                     shared.catalogue.borrow_mut().looked_up(&cluster, &name, found, now);
-                    shared.kick.notify_one();
+                    shared.changed.notify_one();
                 });
             }
             let due = shared.catalogue.borrow().wake(now);
-            let wait = due.map_or(LOOK, |due| Duration::from_nanos(due.saturating_sub(now)).min(LOOK));
+            let wait = due.map_or(MAX_SETTLE_INTERVAL, |due| {
+                Duration::from_nanos(due.saturating_sub(now)).min(MAX_SETTLE_INTERVAL)
+            });
             tokio::select! {
-                () = shared.kick.notified() => {}
+                () = shared.changed.notified() => {}
                 () = tokio::time::sleep(wait.max(Duration::from_millis(1))) => {}
             }
         }
     }
 }
 
+/// Runs the ADS stream.
 async fn follow(options: ClientOptions, mut session: Ads, seed: u64, shared: Rc<Shared>) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut outage = Outage::default();
@@ -141,11 +151,13 @@
             let after = outage.over().map(|n| format!(" after {n} failures")).unwrap_or_default();
             log(format_args!("control service at {addr}: connected{after}"));
         }
-        ClientEvent::News(_) => shared.kick.notify_one(),
-        ClientEvent::Refused(why) => log(format_args!("refused, what stood before goes on: {why}")),
+        ClientEvent::News(_) => shared.changed.notify_one(),
+        ClientEvent::Refused(why) => log(format_args!("rejected, keeping the previous resources: {why}")),
         ClientEvent::Lost(addr, why) => {
             if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
-                log(format_args!("control service at {addr}: {why}; all stays as it is (failure {n})"));
+                log(format_args!(
+                    "control service at {addr}: {why}; keeping the current resources (failure {n})"
+                ));
             }
         }
         ClientEvent::Ahead(..) => {}
--- a/src/proxy/envoy/files.rs
+++ b/src/proxy/envoy/files.rs
@@ -1,4 +1,4 @@
-//! Files of resources (`path_config_source`): read again when they change.
+//! Files of resources (`path_config_source`), which are read again when they change.
 
 use super::driver::Shared;
 use rushquay_control_service::{Watched, LOOK_EVERY};
@@ -9,41 +9,42 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// A file is at most this long.
-const FILE_MOST: u64 = 64 << 20;
+/// The maximum length of a file.
+const MAX_FILE_BYTES: u64 = 64 << 20;
 
+/// A file and the result of its last read.
 #[derive(Default)]
-struct Followed {
+struct WatchedFile {
     watched: Watched,
-    /// What it was last read as, or what was wrong with it.
+    /// The text of the last successful read, or the error.
     last: Option<Result<String, String>>,
 }
 
-/// Follows all files that the catalogue refers to, for good.
+/// Watches all files that the catalogue refers to, until the thread ends.
 pub async fn follow(shared: Rc<Shared>) {
-    let mut followed: BTreeMap<(PathBuf, Kind), Followed> = BTreeMap::new();
+    let mut watched_files: BTreeMap<(PathBuf, Kind), WatchedFile> = BTreeMap::new();
     loop {
         let wanted = shared.catalogue.borrow().files();
-        followed.retain(|key, _| wanted.contains(key));
+        watched_files.retain(|key, _| wanted.contains(key));
         for key in wanted {
-            let this = followed.entry(key.clone()).or_default();
-            if let Some(soon) = this.watched.look(&key.0) {
-                read(&shared, &key.0, key.1, this, soon);
+            let file_state = watched_files.entry(key.clone()).or_default();
+            if let Some(will_retry) = file_state.watched.look(&key.0) {
+                read(&shared, &key.0, key.1, file_state, will_retry);
             }
         }
         tokio::time::sleep(LOOK_EVERY).await;
     }
 }
 
-fn read(shared: &Shared, path: &PathBuf, kind: Kind, this: &mut Followed, soon: bool) {
+fn read(shared: &Shared, path: &PathBuf, kind: Kind, file_state: &mut WatchedFile, will_retry: bool) {
     let text = match std::fs::metadata(path) {
-        Ok(m) if m.len() > FILE_MOST => Err(format!("longer than {FILE_MOST} bytes")),
+        Ok(m) if m.len() > MAX_FILE_BYTES => Err(format!("longer than {MAX_FILE_BYTES} bytes")),
         _ => std::fs::read_to_string(path).map_err(|e| {
-            this.watched.unread();
+            file_state.watched.unread();
             e.to_string()
         }),
     };
-    if matches!((&text, &this.last), (Ok(text), Some(Ok(last))) if text == last) {
+    if matches!((&text, &file_state.last), (Ok(text), Some(Ok(last))) if text == last) {
         return;
     }
     let read = text.and_then(|text| {
@@ -52,19 +53,19 @@
     });
     match read {
         Ok((text, resources)) => {
-            this.last = Some(Ok(text));
+            file_state.last = Some(Ok(text));
             let (source, now) = (Source::File(path.clone()), shared.clock.now());
             shared.catalogue.borrow_mut().take(&source, kind, resources, &[], true, now);
-            shared.kick.notify_one();
+            shared.changed.notify_one();
         }
-        // A half-written file passes. What was read before stands.
-        Err(_) if soon => {}
+        // The file may be half written and will be read again; the previous resources stay in force.
+        Err(_) if will_retry => {}
         Err(why) => {
             let why = format!("{}: {why}", path.display());
-            if this.last != Some(Err(why.clone())) {
-                crate::proxy::log(format_args!("refused, what stood before goes on: {why}"));
+            if file_state.last != Some(Err(why.clone())) {
+                crate::proxy::log(format_args!("rejected, keeping the previous resources: {why}"));
                 shared.catalogue.borrow_mut().refuse(kind, why.clone());
-                this.last = Some(Err(why));
+                file_state.last = Some(Err(why));
             }
         }
     }
--- a/src/proxy/envoy/lookup.rs
+++ b/src/proxy/envoy/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups of names, for clusters that have them.
+//! DNS look-ups for clusters whose endpoints are given by name.
 
 use rushquay_envoy::Family;
 use std::future::Future;
@@ -6,19 +6,19 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A look-up takes at most so long.
-const WITHIN: Duration = Duration::from_secs(5);
+/// The timeout of a DNS query.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A look-up on its way.
+/// A pending DNS query.
 pub type Lookup = Pin<Box<dyn Future<Output = Result<Vec<IpAddr>, String>>>>;
 
-/// Who looks up names.
+/// Resolves host names.
 pub trait Resolver {
-    /// All addresses of a name, of both versions.
+    /// Resolves a name to all its IPv4 and IPv6 addresses.
     fn resolve(&self, name: &str) -> Lookup;
 }
 
-/// This machine's own look-ups.
+/// The resolver of the operating system.
 pub struct SystemResolver;
 
 impl Resolver for SystemResolver {
@@ -31,16 +31,17 @@
     }
 }
 
-/// Looks a name up, in time, and keeps the addresses that count.
-pub async fn look(lookup: Lookup, family: Family) -> Result<Vec<IpAddr>, String> {
-    let found = tokio::time::timeout(WITHIN, lookup).await.map_err(|_| "no answer in time".to_owned())??;
-    let of = |v4: bool| found.iter().copied().filter(|ip| ip.is_ipv4() == v4).collect::<Vec<_>>();
+/// Awaits a query, with a timeout, and keeps the addresses that match the address family.
+pub async fn resolve_family(lookup: Lookup, family: Family) -> Result<Vec<IpAddr>, String> {
+    let found =
+        tokio::time::timeout(LOOKUP_TIMEOUT, lookup).await.map_err(|_| "no answer in time".to_owned())??;
+    let of_version = |v4: bool| found.iter().copied().filter(|ip| ip.is_ipv4() == v4).collect::<Vec<_>>();
     let first = |a: Vec<IpAddr>, b: Vec<IpAddr>| if a.is_empty() { b } else { a };
     Ok(match family {
-        Family::V4 => of(true),
-        Family::V6 => of(false),
-        Family::V6First => first(of(false), of(true)),
-        Family::V4First => first(of(true), of(false)),
+        Family::V4 => of_version(true),
+        Family::V6 => of_version(false),
+        Family::V6First => first(of_version(false), of_version(true)),
+        Family::V4First => first(of_version(true), of_version(false)),
         Family::All => found,
     })
 }
--- a/src/proxy/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -1,6 +1,6 @@
-//! Clusters, endpoints and routes in Envoy's form: a thread of its own follows what is declared, and hands the proxy's
-//! thread what changes. Danger: to read ten thousand endpoints takes longer than some requests have; done between requests
-//! it would make them late.
+//! Clusters, endpoints and routes in Envoy's format. A separate thread follows the declared resources and passes changes to the
+//! proxy's thread. Danger: parsing ten thousand endpoints takes longer than the deadline of some requests; done on the proxy's
+//! thread it would make them late.
 
 mod admin;
 mod driver;
@@ -19,18 +19,18 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// Descriptors that it may hold: the thread's own, the stream with one that is just ending, files and look-ups, the admin
-/// page with its few connections.
+/// The maximum number of descriptors: those of the thread, the stream and a previous one that is closing, files and look-ups, and
+/// the admin pages with their connections.
 pub const DESCRIPTORS: usize = 10 + admin::CONNECTIONS;
 
-/// Changes on their way from the one thread to the other.
+/// Changes that the catalogue's thread queues for the proxy's thread.
 #[derive(Default)]
-struct Handover {
+struct ChangeQueue {
     batch: Mutex<Batch>,
-    news: Notify,
+    pending: Notify,
 }
 
-impl Handover {
+impl ChangeQueue {
     fn push(&self, changes: Vec<Change>) {
         if changes.is_empty() {
             return;
@@ -38,7 +38,7 @@
         let mut batch = self.batch.lock().unwrap_or_else(PoisonError::into_inner);
         changes.into_iter().for_each(|c| batch.add(c));
         drop(batch);
-        self.news.notify_one();
+        self.pending.notify_one();
     }
 
     fn take(&self) -> Batch {
@@ -46,32 +46,32 @@
     }
 }
 
-/// What passed at all clusters and nodes.
-type Figures = (Vec<ClusterStats>, Vec<NodeStats>);
-/// Where the proxy's thread is asked for them.
-type FiguresAsked = mpsc::Sender<oneshot::Sender<Figures>>;
+/// Statistics of all clusters and nodes.
+type Stats = (Vec<ClusterStats>, Vec<NodeStats>);
+/// Sends requests for statistics to the proxy's thread.
+type StatsRequests = mpsc::Sender<oneshot::Sender<Stats>>;
 
-/// Who follows.
+/// The proxy that follows the resources.
 pub struct Me {
-    /// The proxy's name, where the bootstrap file gives no `node.id`.
+    /// The proxy's name, used if the bootstrap file gives no `node.id`.
     pub name: String,
-    /// For the waits between attempts to connect.
+    /// The seed for the jitter of the backoff between connection attempts.
     pub seed: u64,
-    /// Where it listens: of several listeners that are told this one's is served.
+    /// The address that the proxy listens on; it selects the listener to serve if several are declared.
     pub listen: SocketAddr,
-    /// The clock by which its clusters date their attempts.
+    /// The clock that the clusters use for timestamps of attempts.
     pub clock: Clock,
 }
 
-/// Follows what is declared, for as long as the proxy's thread lives.
+/// Follows the declared resources for as long as the proxy's thread lives.
 ///
 /// # Errors
-/// An admin page that can't listen, or secrets that can't be read.
+/// The admin address cannot be bound, or the secrets cannot be read.
 pub fn follow(source: EnvoySource, pools: Rc<ClusterSet>, me: Me) -> Result<(), String> {
     follow_with(source, pools, me, || Rc::new(SystemResolver))
 }
 
-/// The same, with names looked up by somebody else.
+/// As [`follow`], with a given resolver.
 ///
 /// # Errors
 /// As for [`follow`].
@@ -81,21 +81,21 @@
     me: Me,
     resolver: impl FnOnce() -> Rc<dyn Resolver> + Send + 'static,
 ) -> Result<(), String> {
-    let hand = Arc::new(Handover::default());
+    let changes_queue = Arc::new(ChangeQueue::default());
     let clock = me.clock;
-    let (figures, mut asked) = mpsc::channel::<oneshot::Sender<Figures>>(4);
-    let (alive, ended) = oneshot::channel::<()>();
+    let (stats_requests, mut requests) = mpsc::channel::<oneshot::Sender<Stats>>(4);
+    let (alive_guard, ended) = oneshot::channel::<()>();
     let (ready, started) = std::sync::mpsc::channel::<Result<Option<SocketAddr>, String>>();
-    let pushed = hand.clone();
+    let driver_queue = changes_queue.clone();
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = match runtime {
             Ok(runtime) => runtime,
-            Err(e) => return drop(ready.send(Err(format!("the runtime: {e}")))),
+            Err(e) => return drop(ready.send(Err(format!("cannot create the runtime: {e}")))),
         };
         let work = async move {
-            let driver = driver::Driver::new(source, me, pushed, resolver());
-            match driver.start(figures).await {
+            let driver = driver::Driver::new(source, me, driver_queue, resolver());
+            match driver.start(stats_requests).await {
                 Err(e) => drop(ready.send(Err(e))),
                 Ok((admin, work)) => {
                     let _ = ready.send(Ok(admin));
@@ -108,18 +108,21 @@
         };
         tokio::task::LocalSet::new().block_on(&runtime, work);
     };
-    std::thread::Builder::new().name("clusters".into()).spawn(run).map_err(|e| format!("a thread: {e}"))?;
+    std::thread::Builder::new()
+        .name("clusters".into())
+        .spawn(run)
+        .map_err(|e| format!("cannot start a thread: {e}"))?;
     let admin = started.recv().map_err(|_| "the thread for clusters has ended".to_string())??;
     if let Some(admin) = admin {
         crate::proxy::log(format_args!("admin page at {admin}"));
     }
     tokio::task::spawn_local(async move {
-        // Held until this thread's tasks end; then the other thread ends too.
-        let _alive = alive;
+        // Dropped when the tasks of this thread end, which ends the other thread too.
+        let _alive = alive_guard;
         loop {
             tokio::select! {
-                () = hand.news.notified() => pools.apply(hand.take(), clock.now()),
-                Some(answer) = asked.recv() => drop(answer.send(pools.stats())),
+                () = changes_queue.pending.notified() => pools.apply(changes_queue.take(), clock.now()),
+                Some(answer) = requests.recv() => drop(answer.send(pools.stats())),
             }
         }
     });
--- a/src/proxy/envoy/source.rs
+++ b/src/proxy/envoy/source.rs
@@ -1,4 +1,4 @@
-//! The settings that have clusters, endpoints and routes come in Envoy's form, checked.
+//! The settings for clusters, endpoints and routes in Envoy's format, with their checks.
 
 use crate::proxy::config::settings_file::read_text;
 use rushquay_envoy::{bootstrap, Bootstrap};
@@ -11,20 +11,20 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
-    /// Envoy's bootstrap file, YAML or JSON; from this file's folder where the path is relative.
+    /// Envoy's bootstrap file, YAML or JSON; a relative path starts at this file's directory.
     bootstrap: PathBuf,
-    /// The name of the listener that is served; needed where there are several.
+    /// The name of the listener to serve; required if there are several.
     listener: Option<String>,
-    /// The first wait before connecting to a control service again, in milliseconds; it doubles.
+    /// The initial backoff before reconnecting to a control service, in milliseconds; it doubles each time.
     #[serde(default = "backoff")]
     backoff_ms: u64,
-    /// The longest wait, in milliseconds.
+    /// The maximum backoff, in milliseconds.
     #[serde(default = "backoff_most")]
     backoff_most_ms: u64,
-    /// Most resources of a kind.
+    /// The maximum number of resources of a kind.
     #[serde(default = "resources_most")]
     resources_most: usize,
-    /// An answer is at most this long.
+    /// The maximum length of a response, in MiB.
     #[serde(default = "answer_mb")]
     answer_mb: usize,
 }
@@ -45,23 +45,23 @@
 /// Where clusters, endpoints and routes come from.
 #[derive(Clone, Debug)]
 pub struct EnvoySource {
-    /// The bootstrap file, read.
+    /// The parsed bootstrap file.
     pub bootstrap: Arc<Bootstrap>,
-    /// The name of the listener that is served.
+    /// The name of the listener to serve.
     pub listener: Option<String>,
-    /// Waits before connecting again, in milliseconds: the first, and the longest.
+    /// The initial and the maximum backoff before reconnecting, in milliseconds.
     pub backoff_ms: (u64, u64),
-    /// Most resources of a kind.
+    /// The maximum number of resources of a kind.
     pub resources_most: usize,
-    /// An answer is at most this long, in bytes.
-    pub answer_most: usize,
+    /// The maximum length of a response, in bytes.
+    pub max_answer_bytes: usize,
 }
 
 impl EnvoySource {
     /// Reads the settings and the bootstrap file that they name.
     ///
     /// # Errors
-    /// What is wrong, with the file and the field.
+    /// Describes what is wrong, with the file and the field.
     pub fn read(path: &Path) -> Result<Self, String> {
         let at = |e: String| format!("{}: {e}", path.display());
         let text = read_text(path).map_err(|e| at(e.to_string()))?;
@@ -81,11 +81,11 @@
             listener: file.listener,
             backoff_ms: (file.backoff_ms, file.backoff_most_ms),
             resources_most: file.resources_most,
-            answer_most: file.answer_mb << 20,
+            max_answer_bytes: file.answer_mb << 20,
         })
     }
 
-    /// Where the listener that stands in the file would listen.
+    /// The address of the first listener in the bootstrap file.
     pub fn listen(&self) -> Option<SocketAddr> {
         self.bootstrap.listeners.first().and_then(|(l, _)| l.address)
     }
@@ -94,7 +94,7 @@
 /// Reads a bootstrap file.
 ///
 /// # Errors
-/// What is wrong, with the file and the field.
+/// Describes what is wrong, with the file and the field.
 pub fn read_bootstrap(path: &Path) -> Result<Bootstrap, String> {
     let text = read_text(path).map_err(|e| format!("{}: {e}", path.display()))?;
     bootstrap(&text).map_err(|e| format!("{}: {e}", path.display()))
--- a/src/proxy/envoy/tests.rs
+++ b/src/proxy/envoy/tests.rs
@@ -9,10 +9,10 @@
 
 type Answers = Arc<Mutex<Result<Vec<IpAddr>, String>>>;
 
-/// A stand-in for look-ups: all names have what it is told.
-struct Told(Answers, Arc<AtomicUsize>);
+/// A fake resolver: the one name resolves to the given answers, and queries are resolver_count.
+struct FakeResolver(Answers, Arc<AtomicUsize>);
 
-impl Resolver for Told {
+impl Resolver for FakeResolver {
     fn resolve(&self, name: &str) -> lookup::Lookup {
         assert_eq!(name, "plant.local");
         self.1.fetch_add(1, Ordering::SeqCst);
@@ -43,7 +43,7 @@
             listener: None,
             backoff_ms: (10, 10),
             resources_most: 10,
-            answer_most: 1 << 20,
+            max_answer_bytes: 1 << 20,
         };
         let clock = Clock::by(&Clocks::default());
         let (settings, names) = (Settings::default(), Interner::default());
@@ -53,9 +53,10 @@
         let answers: Answers = Arc::new(Mutex::new(Ok(ips(&["127.0.0.1", "127.0.0.2", "::1"]))));
         let listen = "127.0.0.1:1".parse().expect("an address");
         let me = Me { name: "p".into(), seed: 1, listen, clock };
-        let (told, asked) = (answers.clone(), Arc::new(AtomicUsize::new(0)));
-        let counted = asked.clone();
-        follow_with(source, pools.clone(), me, || Rc::new(Told(told, counted))).expect("started");
+        let (resolver_answers, lookup_count) = (answers.clone(), Arc::new(AtomicUsize::new(0)));
+        let resolver_count = lookup_count.clone();
+        follow_with(source, pools.clone(), me, || Rc::new(FakeResolver(resolver_answers, resolver_count)))
+            .expect("started");
         let addresses = || {
             let mut found: Vec<String> = pools.stats().1.into_iter().map(|n| n.id.to_string()).collect();
             found.sort();
@@ -74,8 +75,8 @@
         *answers.lock().expect("locked") = Ok(ips(&["127.0.0.3"]));
         until(&["127.0.0.3:80"]).await;
         *answers.lock().expect("locked") = Err("no such name".into());
-        let before = asked.load(Ordering::SeqCst);
-        while asked.load(Ordering::SeqCst) < before + 3 {
+        let before = lookup_count.load(Ordering::SeqCst);
+        while lookup_count.load(Ordering::SeqCst) < before + 3 {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
         until(&["127.0.0.3:80"]).await;
