--- a/src/proxy/observability/admin.rs
+++ b/src/proxy/observability/admin.rs
@@ -1,4 +1,5 @@
-//! Answers operators on a thread of its own: one line to a connection. It reads the ledger and nothing else of the proxy.
+//! The admin listener for operators: a separate thread that answers one command line per connection. Of the proxy it reads only the
+//! request metrics.
 
 use rushquay_admin::{
     figures, AdminCommand, ConnectionSlots, Line, RequestMetrics, ServingState, Ticket, LINE_MOST,
@@ -18,33 +19,33 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Callers that are heard at once; one more sends the one away that has waited for longest.
-const PLACES: usize = 12;
-/// The listener, the runtime's own, and a connection that takes the place of another.
-pub const DESCRIPTORS: usize = PLACES + 8;
-/// Where the system lacks what a connection needs, accepting goes on after this.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
-/// A line comes whole within this time.
-const LINE_WITHIN: Duration = Duration::from_secs(5);
-/// A caller takes its answer within this time, and closes within it.
-const TAKE_WITHIN: Duration = Duration::from_secs(1);
-/// The thread answers lines and formats a page of text.
-const STACK: usize = 256 << 10;
+/// The maximum number of open connections; a further one evicts the oldest.
+const MAX_CONNECTIONS: usize = 12;
+/// The maximum number of descriptors: the connections, the listener, those of the runtime, and a connection that evicts another.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 8;
+/// The delay after a failed `accept`, for example when the system is out of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The timeout for receiving a whole line.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout for a client to receive the answer and close the connection.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A small stack suffices: the thread only answers lines and formats a page of text.
+const STACK_BYTES: usize = 256 << 10;
 
-/// The running listener; dropping it ends it.
+/// The running listener; dropping it stops the listener.
 pub struct AdminListener {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl AdminListener {
-    /// Listens for operators.
+    /// Starts the listener.
     ///
     /// # Errors
-    /// An address that can't be listened on, or a thread that can't be had, in words that name the setting.
-    pub fn start(addr: SocketAddr, ledger: Arc<RequestMetrics>) -> Result<Self, String> {
+    /// The address cannot be bound or the thread cannot be started; the text names the setting.
+    pub fn start(addr: SocketAddr, metrics: Arc<RequestMetrics>) -> Result<Self, String> {
         let failed = |e: std::io::Error| format!("PROXY_ADMIN_ADDR (admin_addr): {addr}: {e}");
         let listener = patiently(|| std::net::TcpListener::bind(addr)).map_err(failed)?;
         listener.set_nonblocking(true).map_err(failed)?;
@@ -57,13 +58,13 @@
             local.block_on(&runtime, async {
                 tokio::select! {
                     biased;
-                    // Stopped on purpose or forgotten: both end it.
+                    // Completes on a stop as well as when the sender is dropped.
                     _ = stopped => {}
-                    () = accept(listener, ledger) => {}
+                    () = accept(listener, metrics) => {}
                 }
             });
         };
-        let thread = std::thread::Builder::new().name("operators".into()).stack_size(STACK);
+        let thread = std::thread::Builder::new().name("operators".into()).stack_size(STACK_BYTES);
         let thread = thread.spawn(serve).map_err(failed)?;
         Ok(AdminListener { addr, stop: Some(stop), thread: Some(thread) })
     }
@@ -78,68 +79,71 @@
     }
 }
 
-struct Callers {
-    places: ConnectionSlots,
-    calls: HashMap<Ticket, AbortHandle>,
+/// The open connections, with the tasks that serve them.
+struct OpenConnections {
+    slots: ConnectionSlots,
+    tasks: HashMap<Ticket, AbortHandle>,
 }
 
-async fn accept(listener: std::net::TcpListener, ledger: Arc<RequestMetrics>) {
+async fn accept(listener: std::net::TcpListener, metrics: Arc<RequestMetrics>) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => return crate::proxy::log(format_args!("operators: {e}")),
     };
-    let callers =
-        Rc::new(RefCell::new(Callers { places: ConnectionSlots::new(PLACES), calls: HashMap::new() }));
-    let mut shortage = Outage::default();
+    let connections = Rc::new(RefCell::new(OpenConnections {
+        slots: ConnectionSlots::new(MAX_CONNECTIONS),
+        tasks: HashMap::new(),
+    }));
+    let mut accept_outage = Outage::default();
     loop {
         let stream = match accept_one(&listener).await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                // Danger: without descriptors accept fails at once, and again, and again.
-                if let Some(n) = shortage.failed(&e.to_string()) {
+                // Danger: without free descriptors `accept` fails immediately each time, which would be a busy loop.
+                if let Some(n) = accept_outage.failed(&e.to_string()) {
                     crate::proxy::log(format_args!("operators: accept: {e} (failure {n})"));
                 }
-                sleep(ACCEPT_AGAIN).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        shortage.over();
-        let (mine, gives_way) = callers.borrow_mut().places.come();
-        if let Some(call) = gives_way.and_then(|t| callers.borrow_mut().calls.remove(&t)) {
-            call.abort();
+        accept_outage.over();
+        let (ticket, evicted) = connections.borrow_mut().slots.come();
+        if let Some(task) = evicted.and_then(|t| connections.borrow_mut().tasks.remove(&t)) {
+            task.abort();
         }
-        let (ledger, leaving) = (ledger.clone(), callers.clone());
-        let call = tokio::task::spawn_local(async move {
-            answer(stream, &ledger).await;
-            let leaving = &mut *leaving.borrow_mut();
-            leaving.places.left(mine);
-            leaving.calls.remove(&mine);
+        let (metrics, open) = (metrics.clone(), connections.clone());
+        let task = tokio::task::spawn_local(async move {
+            answer(stream, &metrics).await;
+            let open = &mut *open.borrow_mut();
+            open.slots.left(ticket);
+            open.tasks.remove(&ticket);
         });
-        callers.borrow_mut().calls.insert(mine, call.abort_handle());
+        connections.borrow_mut().tasks.insert(ticket, task.abort_handle());
     }
 }
 
-/// Answers one call, if one comes.
-async fn answer(stream: TcpStream, ledger: &RequestMetrics) {
+/// Reads one command, if any is sent, and answers it.
+async fn answer(stream: TcpStream, metrics: &RequestMetrics) {
     let mut stream = RetryStream::new(stream);
-    let mut came = Vec::with_capacity(LINE_MOST);
-    let line = timeout(LINE_WITHIN, async {
+    let mut received = Vec::with_capacity(LINE_MOST);
+    let line = timeout(READ_TIMEOUT, async {
         loop {
-            let mut part = [0; LINE_MOST];
-            let Ok(n) = stream.read(&mut part).await else { return None };
-            came.extend_from_slice(&part[..n]);
-            match AdminCommand::read(&came, n == 0) {
+            let mut chunk = [0; LINE_MOST];
+            let Ok(n) = stream.read(&mut chunk).await else { return None };
+            received.extend_from_slice(&chunk[..n]);
+            match AdminCommand::read(&received, n == 0) {
                 Line::Partial => {}
-                // Nothing was asked.
-                Line::Whole(_) if came.is_empty() => return None,
+                // The client closed the connection without sending a command.
+                Line::Whole(_) if received.is_empty() => return None,
                 Line::Whole(read) => return Some(read),
             }
         }
     });
     let Ok(Some(read)) = line.await else { return };
-    let text = match (read, ledger.standing()) {
+    let text = match (read, metrics.standing()) {
         (Err(e), _) => format!("-ERR {e}\n"),
-        (Ok(AdminCommand::Metrics), _) => format!("+OK\n{}", figures(ledger)),
+        (Ok(AdminCommand::Metrics), _) => format!("+OK\n{}", figures(metrics)),
         (Ok(AdminCommand::Status), ServingState::Serving) => "+OK serving\n".into(),
         (Ok(AdminCommand::Status), ServingState::Starting) => {
             "-ERR starting: no cache node takes requests yet\n".into()
@@ -148,11 +152,11 @@
             "-ERR draining: this process was told to end\n".into()
         }
     };
-    let _ = timeout(TAKE_WITHIN, async {
+    let _ = timeout(WRITE_TIMEOUT, async {
         if stream.write_all(text.as_bytes()).await.is_err() || stream.shutdown().await.is_err() {
             return;
         }
-        // Danger: a connection that is closed with bytes unread is reset, and the answer with it.
+        // Danger: closing a connection with unread bytes resets it, and the client may lose the answer.
         let mut rest = [0; LINE_MOST];
         while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {}
     })
--- a/src/proxy/observability/fleet_stats.rs
+++ b/src/proxy/observability/fleet_stats.rs
@@ -1,5 +1,5 @@
-//! This proxy's account of what it does, a line a second on standard error. Off unless `PROXY_ACCOUNT` is set; while it
-//! is off a count costs a look at a flag.
+//! Statistics of what this proxy does, one line per second to standard error. Disabled unless `PROXY_ACCOUNT` is set; while
+//! disabled, a count costs one check of a flag.
 
 use crate::api::Status;
 use crate::proxy::http::answer::Answer;
@@ -10,25 +10,25 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Switches the account on, whatever its value.
+/// Enables the statistics, whatever its value.
 const VARIABLE: &str = "PROXY_ACCOUNT";
 
 thread_local! {
-    // A proxy is one thread.
+    // A proxy runs on one thread.
     static ACCOUNT: RefCell<Option<Account>> = const { RefCell::new(None) };
 }
 
-/// Whether an account is kept.
+/// Whether statistics are collected.
 pub fn on() -> bool {
     ACCOUNT.with_borrow(Option::is_some)
 }
 
-/// Counts so many of a kind.
+/// Adds to the count of a kind.
 pub fn count(kind: Kind, many: u64) {
     ACCOUNT.with_borrow_mut(|a| a.iter_mut().for_each(|a| a.add(kind, many)));
 }
 
-/// An attempt: whether one is out beside it, how the last one ended, and where it goes.
+/// Counts an attempt by whether another one is in flight (`busy`), by the result of the previous one, and by its destination.
 pub fn attempt(busy: bool, last: Option<Status>, origin: bool, cold: bool) {
     let kind = match (last, origin) {
         _ if busy => Kind::Copy,
@@ -43,7 +43,7 @@
     count(Kind::Cold, u64::from(cold));
 }
 
-/// How an attempt ended.
+/// Counts the result of an attempt.
 pub fn outcome(status: Status) {
     let kind = match status {
         Status::Ok => Kind::Answered,
@@ -56,7 +56,7 @@
     count(kind, 1);
 }
 
-/// A final answer that serves nothing, and how the last attempt ended.
+/// Counts a final answer other than a served one, by the result of the last attempt.
 pub fn unserved(answer: &Answer, last: Option<Status>) {
     let kind = match (answer, last) {
         (Answer::Served(_), _) => return,
@@ -71,7 +71,7 @@
     count(kind, 1);
 }
 
-/// Starts the account where it is asked for.
+/// Starts the statistics if the environment enables them.
 pub fn start() {
     if std::env::var_os(VARIABLE).is_none() || on() {
         return;
@@ -94,10 +94,10 @@
     }
 }
 
-/// The accounts in these logs, summed, as a table.
+/// Sums the statistics in these logs, as a table.
 ///
 /// # Errors
-/// A file that can't be read, or a line that is spoilt, with its place.
+/// A file cannot be read, or a line is malformed; the text names the file and the line.
 pub fn table(logs: &[PathBuf], every: u64) -> Result<String, String> {
     let mut sum = Sum::default();
     for path in logs {
--- a/src/proxy/observability/mod.rs
+++ b/src/proxy/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see of a proxy: its admin address, the trace of requests, and counts over a fleet.
+//! What operators see of a proxy: the admin listener, the request trace and the statistics for a fleet.
 
 pub(crate) mod admin;
 pub mod fleet_stats;
--- a/src/proxy/observability/request_trace.rs
+++ b/src/proxy/observability/request_trace.rs
@@ -1,5 +1,5 @@
-//! What happens to each request, attempt and connection, a line each on standard error, for whoever follows one through. Off unless
-//! `PROXY_TRACE` is set; while it is off an event costs a look at a flag.
+//! A trace of each request, attempt and connection: one line per event to standard error. Disabled unless `PROXY_TRACE` is set; while
+//! disabled, an event costs one check of a flag.
 
 use crate::api::{ServerId, Status};
 use rushquay_admin::{Cause, TurnedAway};
@@ -9,37 +9,37 @@
 use std::io::Write as _;
 use std::time::Instant;
 
-/// Switches the trace on, whatever its value.
+/// Enables the trace, whatever its value.
 const VARIABLE: &str = "PROXY_TRACE";
 
 thread_local! {
-    // A proxy is one thread.
+    // A proxy runs on one thread.
     static START: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// Something that happened. Requests are named by their X-Correlation-Id, connections by their number in this process.
+/// A traced event. Requests are identified by their X-Correlation-Id, connections by their number in this process.
 pub enum Event<'a> {
-    /// The process is in this state from now on.
+    /// The process has entered this state.
     State { state: &'static str },
-    /// A client's connection was taken.
+    /// A client's connection was accepted.
     Connected { connection: u64 },
     /// A client's connection has ended.
     Closed { connection: u64, cause: CloseCause },
     /// A request was read.
     Read { request: &'a str, connection: u64, class: &'a str, left_ms: u64, waited_ms: u64 },
-    /// A request or a connection was turned away before the class of a request was known.
+    /// A request or a connection was rejected before the class of the request was known.
     TurnedAway { connection: u64, reason: TurnedAway },
-    /// An attempt was handed over.
+    /// An attempt was handed to a connection.
     Attempt { request: &'a str, number: usize, node: ServerId, after: Option<Cause> },
-    /// An attempt was denied at its last look.
+    /// An attempt was denied by the last check before it was sent.
     Denied { request: &'a str, node: ServerId, denied: SendDenied },
     /// An attempt has ended.
     Ended { request: &'a str, number: usize, node: ServerId, status: Status },
-    /// A request has its final answer; `after`: what preceded a refusal or a failure.
+    /// A request has its final answer; `after` is the cause of a rejection or a failure.
     Answered { request: &'a str, status: u16, after: Option<Cause> },
-    /// The client of a request has gone.
+    /// The client of a request has disconnected.
     Gone { request: &'a str },
-    /// A list of nodes was taken.
+    /// An endpoint list was applied.
     List { entries: usize },
 }
 
@@ -81,14 +81,14 @@
     }
 }
 
-/// Starts the trace where it is asked for.
+/// Starts the trace if the environment enables it.
 pub fn start() {
     if std::env::var_os(VARIABLE).is_some() {
         START.set(Some(Instant::now()));
     }
 }
 
-/// Writes an event down, where a trace is kept.
+/// Writes an event if the trace is enabled.
 pub fn event<'a>(event: impl FnOnce() -> Event<'a>) {
     if let Some(start) = START.get() {
         let _ =
