--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `rushquay check FILE`: reads a file as the program would, and names file, field and what was expected.
+//! `rushquay check FILE`: parses a file as the program would, and reports the file, the field and what was expected.
 
 use rushquay::proxy::config::Config;
 use rushquay::proxy::control::policy_settings::PolicySource;
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// What a file turned out to be and hold, or what is wrong with it.
+/// Detects the kind of a file and describes its content, or what is wrong with it.
 pub fn check(path: &Path) -> Result<String, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
@@ -22,7 +22,10 @@
         let table: toml::Table = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
         if table.contains_key("bootstrap") {
             let source = EnvoySource::read(path)?;
-            return Ok(format!("{name}: good (clusters in Envoy's form)\n{}", told(&source.bootstrap)));
+            return Ok(format!(
+                "{name}: good (clusters in Envoy's form)\n{}",
+                describe_bootstrap(&source.bootstrap)
+            ));
         }
         if table.contains_key("addresses") {
             let source = ControlSource::read(path)?;
@@ -36,12 +39,12 @@
             return Ok(format!("{name}: good (a host, of proxy {})", settings.name));
         }
         if table.contains_key("report_ms") {
-            // Without a zone of its own it is that of the proxy's settings.
+            // A file without a zone uses that of the proxy's settings, so check it against placeholder settings.
             RolloutSource::read(path, &serde_json::json!({"localities": ["its own"], "zone": 0}))?;
             return Ok(format!("{name}: good (a proxy's part in changes of settings)"));
         }
         if table.contains_key("ask_ms") {
-            // Classes that a floor names are those of the proxy's settings, which are not here.
+            // The classes that a fallback policy names are defined in the proxy's settings, which are not available here.
             PolicySource::read_unchecked(path)?;
             return Ok(format!("{name}: good (a proxy's part in changes of policy)"));
         }
@@ -50,7 +53,7 @@
     }
     if path.extension().is_some_and(|e| e == "yaml" || e == "yml") {
         let read = read_bootstrap(path)?;
-        return Ok(format!("{name}: good (an Envoy bootstrap file)\n{}", told(&read)));
+        return Ok(format!("{name}: good (an Envoy bootstrap file)\n{}", describe_bootstrap(&read)));
     }
     let root: Value =
         serde_json::from_str(&text).map_err(|e| format!("{name}: (file): expected JSON: {e}"))?;
@@ -71,20 +74,20 @@
         .any(|f| root.get(f).is_some())
     {
         let read = read_bootstrap(path)?;
-        return Ok(format!("{name}: good (an Envoy bootstrap file)\n{}", told(&read)));
+        return Ok(format!("{name}: good (an Envoy bootstrap file)\n{}", describe_bootstrap(&read)));
     }
     Err(format!("{name}: (file): expected servers (a node list) or settings (a proxy's configuration)"))
 }
 
-fn from(source: &Source) -> String {
+fn source_name(source: &Source) -> String {
     match source {
         Source::Ads => "the stream".into(),
         Source::File(path) => path.display().to_string(),
     }
 }
 
-/// What a bootstrap file has the proxy do, line by line.
-fn told(read: &Bootstrap) -> String {
+/// Describes the effect of a bootstrap file, line by line.
+fn describe_bootstrap(read: &Bootstrap) -> String {
     let mut lines = Vec::new();
     if let Some(ads) = &read.ads {
         let addresses: Vec<String> = ads.addresses.iter().map(|a| a.to_string()).collect();
@@ -94,7 +97,7 @@
     }
     for (kind, source) in [("clusters", &read.cds), ("listeners", &read.lds)] {
         if let Some(source) = source {
-            lines.push(format!("{kind}: also from {}", from(&source.source)));
+            lines.push(format!("{kind}: also from {}", source_name(&source.source)));
         }
     }
     if let Some(admin) = read.admin {
@@ -108,7 +111,7 @@
                 lines.extend(routes(table));
             }
             Routes::Rds { name, from: source, .. } => {
-                let source = from(&source.source);
+                let source = source_name(&source.source);
                 lines.push(format!("listener {:?}{at}, routes {name:?} from {source}", listener.name));
             }
         }
@@ -129,7 +132,10 @@
                 }
             }
             Members::Eds { service, from: source } => {
-                lines.push(format!("cluster {name:?}: endpoints {service:?} from {}", from(&source.source)));
+                lines.push(format!(
+                    "cluster {name:?}: endpoints {service:?} from {}",
+                    source_name(&source.source)
+                ));
             }
             Members::Dns { .. } => lines.push(format!("cluster {name:?}: names that are looked up")),
             Members::Aggregate(of) => lines.push(format!("cluster {name:?}: stands for {}", of.join(", "))),
--- a/src/cli/host.rs
+++ b/src/cli/host.rs
@@ -1,4 +1,4 @@
-//! `rushquay host`: the hand on a machine.
+//! `rushquay host`: the supervisor of the proxy on a machine.
 
 use super::ending;
 use clap::{Args, Subcommand};
@@ -13,34 +13,34 @@
 
 #[derive(Subcommand)]
 enum HostCommand {
-    /// Starts the proxy, replaces it by hand-over as a control service or its own file says, and goes back by itself.
+    /// Runs the proxy, replaces it by hand-over as a control service or the settings request, and rolls back on failure.
     Run {
-        /// What to run and how to judge it (TOML); see deploy/host.toml.
+        /// The settings of the host (TOML); see deploy/host.toml.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Shows what runs under a host, what it holds for good, and what it went back from.
+    /// Shows the processes under a host, its last good program, and the program that it rolled back from.
     Status {
         /// The host's settings.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// The digest by which a program is named.
+    /// Prints the digest that identifies a program.
     Digest {
         /// The program.
         file: PathBuf,
     },
-    /// Puts a program into a folder under its digest, and says which.
+    /// Copies a program into a directory under its digest, and prints the digest.
     Add {
         /// The program.
         file: PathBuf,
-        /// The folder that hosts' settings name as programs.
+        /// The directory that the settings of hosts name as `programs`.
         #[arg(long, value_name = "FOLDER")]
         programs: PathBuf,
     },
 }
 
-/// Does what the command says.
+/// Runs the command.
 pub fn run(args: HostArgs) -> Result<(), String> {
     match args.command {
         HostCommand::Run { config } => {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A proxy for a fleet of cache nodes, and the control service that hands such proxies their nodes.
+/// A proxy for a fleet of cache nodes, and the control service that gives such proxies their endpoints.
 #[derive(Parser)]
 #[command(name = "rushquay", version)]
 struct Cli {
@@ -29,37 +29,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One proxy, as the PROXY_* variables say; the same as no command at all.
+    /// Runs a proxy, configured by the PROXY_* variables; the default without a command.
     Proxy {
-        /// Subscribe to a control service as this file (TOML) says.
+        /// Subscribe to a control service, with the settings in this file (TOML).
         #[arg(long, value_name = "FILE")]
         control: Option<PathBuf>,
-        /// Take clusters, endpoints and routes in Envoy's form as this file (TOML) says, in place of discovery.
+        /// Use clusters, endpoints and routes in Envoy's format in place of discovery, with the settings in this file (TOML).
         #[arg(long, value_name = "FILE", conflicts_with = "control")]
         envoy: Option<PathBuf>,
     },
-    /// The control service: follows the node list and hands it out as xDS.
+    /// Runs the control service: follows the node list and serves it over xDS.
     #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
     Control {
-        /// Where subscribers connect (xDS over gRPC); port 0 takes a free one.
+        /// The address for subscribers (xDS over gRPC); port 0 selects a free port.
         #[arg(long, value_name = "ADDR", required = true)]
         listen: Option<SocketAddr>,
-        /// Follow the list at discovery.
+        /// Follow the list of discovery at this address.
         #[arg(long, value_name = "ADDR", required_unless_present = "nodes", conflicts_with = "nodes")]
         discovery: Option<SocketAddr>,
-        /// Follow the list in a file, in discovery's JSON form; read again when it changes and on SIGHUP.
+        /// Follow the list in a file, in discovery's JSON format; reread when it changes and on SIGHUP.
         #[arg(long, value_name = "FILE")]
         nodes: Option<PathBuf>,
         /// Name of the cluster of cache nodes [default: cache-nodes, or what the settings say].
         #[arg(long, value_name = "NAME")]
         cluster: Option<String>,
-        /// Where the admin page is: /status, /metrics, /healthz.
+        /// The address of the admin pages: /status, /metrics, /healthz.
         #[arg(long, value_name = "ADDR")]
         admin: Option<SocketAddr>,
         /// Further settings (TOML): weights, TLS, limits.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// Keep what is known in this file, and go on from it after a restart. Without: in memory alone.
+        /// Persist the state in this file, and resume from it after a restart. Without this option: in memory only.
         #[arg(long, value_name = "FILE")]
         state: Option<PathBuf>,
         #[command(flatten)]
@@ -69,34 +69,34 @@
     },
     /// Operators' overrides on nodes, each with an expiry: set, list, lift, history.
     Override(overrides::OverrideArgs),
-    /// Runs the proxy on a machine: starts it, replaces it by hand-over, watches it, goes back by itself.
+    /// Supervises the proxy on a machine: starts it, replaces it by hand-over, watches it, rolls back on failure.
     Host(host::HostArgs),
-    /// Changes of settings and of the program over the fleet in stages, stopped when a stage does worse.
+    /// Rolls out changes of settings and of the program to the fleet in stages, and stops when a stage does worse.
     Rollout(rollout::RolloutArgs),
-    /// Changes of policy that take hold everywhere or nowhere.
+    /// Changes the policy of the fleet atomically: everywhere or nowhere.
     Policy(policy::PolicyArgs),
-    /// A small installation on loopback: requests, a drain, and how soon each proxy left the node.
+    /// Runs a small installation on loopback: requests, a drain, and how soon each proxy stopped sending to the node.
     Demo {
-        /// End when it has been shown; else Ctrl-C ends it.
+        /// Exit after the demonstration; otherwise Ctrl-C ends it.
         #[arg(long)]
         once: bool,
     },
-    /// Sums the accounts that proxies wrote into their logs with PROXY_ACCOUNT=1: what the fleet is asked for, by cause.
+    /// Sums the statistics that proxies wrote to their logs with PROXY_ACCOUNT=1: the requests and attempts of the fleet, by cause.
     Account {
-        /// Seconds in a column.
+        /// Seconds per column.
         #[arg(long, default_value_t = 5)]
         every: u64,
         /// The proxies' logs.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Checks a node list, a proxy's configuration, settings of either command, or an Envoy bootstrap file; names what is
-    /// wrong, and of a bootstrap file what will be obeyed.
+    /// Checks a node list, a proxy's configuration, settings of either command, or an Envoy bootstrap file. Reports what is
+    /// wrong, and for a bootstrap file what takes effect.
     Check {
         /// The file: .json, .yaml or .toml.
         #[arg(required_unless_present = "fields")]
         file: Option<PathBuf>,
-        /// Print what becomes of every field of Envoy's form, as Markdown.
+        /// Print how every field of Envoy's format is handled, as Markdown.
         #[arg(long, conflicts_with = "file")]
         fields: bool,
     },
@@ -104,24 +104,24 @@
 
 #[derive(Subcommand)]
 enum ControlCommand {
-    /// Looks into the file that --state names, or replaces what it holds. No service may hold it meanwhile.
+    /// Inspects or replaces the content of the file that --state names. No service may have it open meanwhile.
     State {
         #[command(subcommand)]
         command: state::StateCommand,
     },
 }
 
-/// Why a command ends otherwise than well.
+/// The failure of a command.
 pub struct Failure {
-    /// For people.
+    /// The message for people.
     pub text: String,
     /// The exit status.
     pub status: u8,
 }
 
-/// What was asked for could not be done.
+/// The exit status of a command that failed.
 const FAILED: u8 = 1;
-/// It was done, and is held in memory alone for now.
+/// The exit status of a change that was applied, but is held in memory only for now.
 pub const NOT_KEPT: u8 = 3;
 
 impl From<String> for Failure {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Does what the command line says.
+/// Runs the command on the command line.
 pub fn run() -> Result<(), Failure> {
     match Cli::parse().command {
         Command::Override(args) => threads()?.block_on(overrides::run(args)),
@@ -140,7 +140,7 @@
 
 fn run_other(command: Command) -> Result<(), String> {
     match command {
-        // Its failures have statuses of their own.
+        // Handled by `run`, since its failures have their own exit statuses.
         Command::Override(_) => Ok(()),
         Command::Proxy { control, envoy } => proxy(control, envoy),
         Command::Control { command: Some(ControlCommand::State { command }), .. } => state::run(command),
@@ -189,18 +189,18 @@
     }
 }
 
-/// SIGTERM or SIGINT.
+/// A future that completes on SIGTERM or SIGINT.
 fn ending() -> Result<impl Future<Output = ()>, String> {
     let ending = SignalFlag::ending()?;
     Ok(async move { ending.raised().await })
 }
 
-/// One proxy, on one thread. It rereads its file on SIGHUP and ends on SIGTERM or SIGINT.
+/// Runs a proxy on one thread. It rereads its file on SIGHUP and ends on SIGTERM or SIGINT.
 pub fn proxy(control: Option<PathBuf>, envoy: Option<PathBuf>) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     let run = async {
-        // Danger: until it is handled this signal ends the process.
+        // Danger: SIGHUP ends the process until a handler is registered, so register it first.
         let hangup = SignalFlag::hang_up()?;
         let envoy = envoy.map(|path| (proxy::config::ENVOY, path.display().to_string()));
         let mut config = proxy::config::Config::from_env_and(envoy.as_slice())?;
@@ -215,13 +215,14 @@
     tokio::task::LocalSet::new().block_on(&runtime, run)
 }
 
+/// A runtime with a few worker threads.
 fn threads() -> Result<tokio::runtime::Runtime, String> {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().clamp(2, 8));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build();
     runtime.map_err(|e| format!("the runtime: {e}"))
 }
 
-/// The control service, on a few threads.
+/// Runs the control service on a few threads.
 fn control(options: Options) -> Result<(), String> {
     threads()?.block_on(async {
         let hangup = SignalFlag::hang_up()?;
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,13 +1,13 @@
-//! What the commands for operators print: an answer as JSON or as a table.
+//! Output of the commands for operators: a response as JSON or as a table.
 
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use serde_json::Value;
 
-/// Renders an answer for people.
+/// Renders a response as readable text.
 pub type Render = fn(&Value) -> String;
 
-/// Prints an answer, as JSON or as `render` has it.
+/// Prints a response as JSON, or as rendered by `render`.
 pub fn print_answer(answer: &Value, as_json: bool, render: Render) {
     match as_json {
         true => println!("{answer:#}"),
@@ -15,7 +15,7 @@
     }
 }
 
-/// Rows with their columns aligned; the first row is the heading.
+/// Formats rows with aligned columns; the first row is the heading.
 pub fn aligned(rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
@@ -32,12 +32,12 @@
     vec![columns.map(str::to_owned).to_vec()]
 }
 
-/// A text; empty where there is none.
+/// The string in a value; empty if it holds none.
 pub fn text(value: &Value) -> &str {
     value.as_str().unwrap_or("")
 }
 
-/// Unix time in nanoseconds as the time of this machine's zone; empty where there is none.
+/// Formats Unix time in nanoseconds in this machine's time zone; empty if the value holds none.
 pub fn time(nanos: &Value) -> String {
     let at = nanos.as_u64().and_then(|nanos| Timestamp::from_nanosecond(i128::from(nanos)).ok());
     at.map_or_else(String::new, |at| at.to_zoned(TimeZone::system()).strftime("%F %T").to_string())
--- a/src/cli/overrides.rs
+++ b/src/cli/overrides.rs
@@ -14,7 +14,7 @@
     /// The control service's admin address.
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:18001", global = true)]
     admin: SocketAddr,
-    /// Print what the service answers, as JSON.
+    /// Print the response of the service as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -23,21 +23,21 @@
 
 #[derive(Subcommand)]
 enum OverrideCommand {
-    /// Sets one.
+    /// Sets an override.
     Set(Box<SetArgs>),
-    /// Lists those that are live, and which are masked by which.
+    /// Lists the active overrides, and which one masks which.
     List,
-    /// Lifts one before its time.
+    /// Lifts an override before it expires.
     Lift {
-        /// Its number.
+        /// The number of the override.
         id: u64,
-        /// Who lifts it.
+        /// The author of the command.
         #[arg(long, env = "USER")]
         author: String,
     },
-    /// What happened, the newest first.
+    /// Shows the history, newest first.
     History {
-        /// Events at most.
+        /// The maximum number of events.
         #[arg(long, default_value_t = 50)]
         limit: usize,
     },
@@ -52,13 +52,13 @@
     what: What,
     #[command(flatten)]
     end: End,
-    /// Who sets it.
+    /// The author of the override.
     #[arg(long, env = "USER")]
     author: String,
-    /// Why.
+    /// The reason.
     #[arg(long)]
     reason: String,
-    /// Though too little stays in service, or no such node is known.
+    /// Set it even if too few nodes would stay in service, or the node is unknown.
     #[arg(long)]
     force: bool,
 }
@@ -66,16 +66,16 @@
 #[derive(Args)]
 #[group(required = true, multiple = false)]
 struct On {
-    /// On one node, by its id.
+    /// Apply to one node, by its id.
     #[arg(long, value_name = "ID")]
     node: Option<String>,
-    /// On a machine kind.
+    /// Apply to a machine kind.
     #[arg(long, value_name = "KIND")]
     kind: Option<String>,
-    /// On a data centre.
+    /// Apply to a data centre.
     #[arg(long, value_name = "ZONE")]
     zone: Option<String>,
-    /// On all nodes.
+    /// Apply to all nodes.
     #[arg(long)]
     all: bool,
 }
@@ -83,16 +83,16 @@
 #[derive(Args)]
 #[group(required = true, multiple = true)]
 struct What {
-    /// Out of service: nothing new is sent there.
+    /// Take out of service: no new requests are sent there.
     #[arg(long, conflicts_with_all = ["weight", "pin_keys", "pin_class"])]
     out: bool,
-    /// A factor on the weight.
+    /// Multiply the weight by this factor.
     #[arg(long, value_name = "FACTOR", conflicts_with_all = ["pin_keys", "pin_class"])]
     weight: Option<f64>,
-    /// Pins these keys to the node: one, or with a * at the end all that begin so.
+    /// Pin these keys to the node: a single key, or a prefix that ends in *.
     #[arg(long, value_name = "KEYS")]
     pin_keys: Option<String>,
-    /// Pins a class of requests to the node; with --pin-keys those keys of the class alone.
+    /// Pin a class of requests to the node; with --pin-keys only those keys of the class.
     #[arg(long, value_name = "CLASS")]
     pin_class: Option<String>,
 }
@@ -100,16 +100,16 @@
 #[derive(Args)]
 #[group(required = true, multiple = false)]
 struct End {
-    /// For so long: 90m, 2h, 1h 30m.
+    /// How long it applies: 90m, 2h, 1h 30m.
     #[arg(long = "for", value_name = "SPAN")]
     span: Option<String>,
-    /// Until then: 07:30 (the next one here), or 2026-12-01T07:30:00+05:30.
+    /// When it ends: 07:30 (the next one in local time), or 2026-12-01T07:30:00+05:30.
     #[arg(long, value_name = "TIME")]
     until: Option<String>,
 }
 
 impl End {
-    /// Unix time in nanoseconds.
+    /// The end as Unix time in nanoseconds.
     fn at(&self, now: &Zoned) -> Result<u64, String> {
         let nanos =
             |t: Timestamp| u64::try_from(t.as_nanosecond()).map_err(|_| "lies before 1970".to_owned());
@@ -118,10 +118,10 @@
                 .map_err(|e| format!("--for {span}: {e}; such as 2h or 90m"))?;
             return Ok(nanos(now.timestamp())?.saturating_add(span.as_nanos() as u64));
         }
-        let told = self.until.as_deref().unwrap_or("");
-        if let Ok(time) = told.parse::<jiff::civil::Time>() {
+        let input = self.until.as_deref().unwrap_or("");
+        if let Ok(time) = input.parse::<jiff::civil::Time>() {
             let today = now.date().to_datetime(time).to_zoned(now.time_zone().clone());
-            let mut at = today.map_err(|e| format!("--until {told}: {e}"))?;
+            let mut at = today.map_err(|e| format!("--until {input}: {e}"))?;
             if at <= *now {
                 let tomorrow = now.date().tomorrow().map_err(|e| e.to_string())?;
                 at = tomorrow
@@ -131,8 +131,8 @@
             }
             return nanos(at.timestamp());
         }
-        let at: Timestamp = told.parse().map_err(|_| {
-            format!("--until {told}: expected a time such as 07:30 or 2026-12-01T07:30:00+05:30")
+        let at: Timestamp = input.parse().map_err(|_| {
+            format!("--until {input}: expected a time such as 07:30 or 2026-12-01T07:30:00+05:30")
         })?;
         nanos(at)
     }
@@ -141,7 +141,7 @@
 const OVERRIDES: &str = "/v1/overrides";
 
 impl On {
-    /// The scope as the control service reads it.
+    /// The scope in the JSON format of the control service.
     fn scope(self) -> Value {
         match (self.node, self.kind, self.zone) {
             (Some(id), ..) => json!({"node": id}),
@@ -153,7 +153,7 @@
 }
 
 impl What {
-    /// The effect as the control service reads it.
+    /// The effect in the JSON format of the control service.
     fn effect(self) -> Value {
         match self {
             What { out: true, .. } => json!("out"),
@@ -169,7 +169,7 @@
 }
 
 impl SetArgs {
-    /// The request as the control service reads it.
+    /// The request in the JSON format of the control service.
     fn request(self) -> Result<Value, String> {
         let until = self.end.at(&Zoned::now())?;
         Ok(json!({"scope": self.on.scope(), "effect": self.what.effect(), "until": until,
@@ -187,21 +187,21 @@
         }
         OverrideCommand::Set(set) => {
             let request = set.request()?;
-            // The revision that is read now is the one that the change is made on.
+            // The change is made on the revision that is read here.
             let etag = client.get(OVERRIDES).await?.etag;
-            (client.post(OVERRIDES, etag, request).await?, changed)
+            (client.post(OVERRIDES, etag, request).await?, render_change)
         }
         OverrideCommand::Lift { id, author } => {
             let etag = client.get(OVERRIDES).await?.etag;
             let path = format!("{OVERRIDES}/{id}?by={}", percent_encoded(&author));
-            (client.delete(&path, etag).await?, changed)
+            (client.delete(&path, etag).await?, render_change)
         }
     };
     print_answer(&response.body, args.json, render);
     persisted(&response.body)
 }
 
-/// A value of a query (RFC 3986, 2.1).
+/// Percent-encodes a value of a query (RFC 3986, 2.1).
 fn percent_encoded(text: &str) -> String {
     let encoded = |byte: u8| match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' => (byte as char).to_string(),
@@ -210,7 +210,7 @@
     text.bytes().map(encoded).collect()
 }
 
-/// Fails where the control service has a store and the change is not in it.
+/// Fails if the control service has a store and the change was not persisted.
 fn persisted(answer: &Value) -> Result<(), Failure> {
     match answer["why"].as_str().filter(|why| !why.starts_with("no --state")) {
         None => Ok(()),
@@ -283,7 +283,7 @@
     aligned(&rows)
 }
 
-fn changed(answer: &Value) -> String {
+fn render_change(answer: &Value) -> String {
     let o = &answer["override"];
     let durable = match answer["why"].as_str() {
         Some(why) => format!("held in memory alone: {why}\n"),
--- a/src/cli/policy.rs
+++ b/src/cli/policy.rs
@@ -1,4 +1,4 @@
-//! `rushquay policy`: changes of policy that take hold everywhere or nowhere, over the control service's admin address.
+//! `rushquay policy`: atomic changes of policy for the whole fleet, over the control service's admin address.
 
 use super::admin_client::{AdminClient, AdminResponse};
 use super::output::{aligned, heading, print_answer, text, time, Render};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// `propose --wait` looks so often.
+/// How often `propose --wait` reads the status.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
@@ -20,7 +20,7 @@
     /// The control service's admin address.
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:18001", global = true)]
     admin: SocketAddr,
-    /// Print what the service answers, as JSON.
+    /// Print the response of the service as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -29,46 +29,46 @@
 
 #[derive(Subcommand)]
 enum PolicyCommand {
-    /// Checks a policy by itself. Asks nobody and changes nothing.
+    /// Checks a policy offline, without contacting the control service.
     Check(BodyArgs),
-    /// Shows what a policy would change, field by field, and what holds until it is decided. Changes nothing.
+    /// Shows what a policy would change, field by field, and what is in force until it is decided. Changes nothing.
     Diff(BodyArgs),
-    /// Proposes a policy: it holds everywhere in the end, or nowhere.
+    /// Proposes a policy, which in the end is applied everywhere or nowhere.
     Propose {
         #[command(flatten)]
         body: BodyArgs,
-        /// Who proposes it.
+        /// The author of the proposal.
         #[arg(long, env = "USER")]
         author: String,
-        /// Why.
+        /// The reason.
         #[arg(long)]
         reason: String,
-        /// Tell how it stands until it is decided; fail if it was aborted.
+        /// Print the progress until the change is decided; fail if it was aborted.
         #[arg(long)]
         wait: bool,
-        /// Go on from a store that was lost or set back, behind all that was ever told.
+        /// Continue after the store was lost or restored from an older state, after everything that was ever published.
         #[arg(long)]
         anew: bool,
     },
-    /// Shows what holds, who acts by what, whom a change waits for, and when it gives up.
+    /// Shows the policy in force, the policy that each proxy applies, which proxies a change waits for, and when it is aborted.
     Status,
-    /// Ends the change that is not decided: it holds nowhere.
+    /// Aborts the undecided change: it is applied nowhere.
     Abort {
-        /// Who does it.
+        /// The author of the command.
         #[arg(long, env = "USER")]
         author: String,
     },
-    /// What happened, the newest first.
+    /// Shows the history, newest first.
     History {
-        /// Events at most.
+        /// The maximum number of events.
         #[arg(long, default_value_t = 50)]
         limit: usize,
     },
-    /// By which policy a proxy acted, and when.
+    /// Shows which policy a proxy applied, and when.
     Explain {
         /// The proxy.
         proxy: String,
-        /// At a moment alone: 06:02 of today, or 2026-12-02 06:02, in this machine's time zone.
+        /// Only at this time: 06:02 of today, or 2026-12-02 06:02, in this machine's time zone.
         #[arg(long, value_name = "TIME")]
         at: Option<String>,
     },
@@ -76,16 +76,16 @@
 
 #[derive(Args)]
 struct BodyArgs {
-    /// The settings that are to hold (JSON), laid over each proxy's own file.
+    /// The new settings (JSON), overlaid on each proxy's own file.
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// What holds for a proxy that has no leave (JSON), never looser than the settings; `nobody`: it serves nobody. Without it that of the
-    /// policy that holds.
+    /// The fallback policy (JSON) for a proxy without a policy lease, never looser than the settings; `nobody`: it serves nobody. Without
+    /// this option, that of the policy in force.
     #[arg(long, value_name = "FILE")]
     floor: Option<PathBuf>,
 }
 
-fn json_of(path: &Path) -> Result<Value, String> {
+fn read_json(path: &Path) -> Result<Value, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -95,17 +95,17 @@
         let floor = match &self.floor {
             None => Value::Null,
             Some(word) if word.as_os_str() == "nobody" => "nobody".into(),
-            Some(path) => json_of(path)?,
+            Some(path) => read_json(path)?,
         };
-        Ok(json!({"settings": json_of(&self.settings)?, "floor": floor}))
+        Ok(json!({"settings": read_json(&self.settings)?, "floor": floor}))
     }
 }
 
-/// A moment as a person says it, in Unix nanoseconds.
-fn moment(told: &str, now: &Zoned) -> Result<u64, String> {
-    let expected = || format!("--at {told:?}: expected 06:02 or 2026-12-02 06:02");
-    // Danger: a time is also read from what has a date before it, which would be passed over.
-    let at = match (told.parse::<DateTime>(), told.parse::<jiff::civil::Time>()) {
+/// Parses a time as a person writes it to Unix nanoseconds.
+fn parse_time(input: &str, now: &Zoned) -> Result<u64, String> {
+    let expected = || format!("--at {input:?}: expected 06:02 or 2026-12-02 06:02");
+    // Danger: the parser of a time also accepts a date with a time and ignores the date, so the date is tried first.
+    let at = match (input.parse::<DateTime>(), input.parse::<jiff::civil::Time>()) {
         (Ok(at), _) => at,
         (Err(_), Ok(time)) => now.date().to_datetime(time),
         (Err(_), Err(_)) => return Err(expected()),
@@ -120,45 +120,48 @@
 pub async fn run(args: PolicyArgs) -> Result<(), String> {
     let client = AdminClient::new(args.admin);
     let (answer, render): (Value, Render) = match args.command {
-        PolicyCommand::Check(body) => (checked(&body.request()?)?, good),
-        PolicyCommand::Diff(body) => (client.query("/v1/policy/diff", body.request()?).await?.body, compared),
+        PolicyCommand::Check(body) => (validate_offline(&body.request()?)?, render_valid),
+        PolicyCommand::Diff(body) => {
+            (client.query("/v1/policy/diff", body.request()?).await?.body, render_diff)
+        }
         PolicyCommand::Propose { body, author, reason, wait, anew } => {
-            // The revision that is read now is the one that the change is made on.
+            // The change is made on the revision that is read here.
             let etag = client.get(POLICY).await?.etag;
             let mut request = body.request()?;
             (request["author"], request["reason"], request["anew"]) =
                 (json!(author), json!(reason), json!(anew));
             let answer = client.post(POLICY, etag, request).await?.body;
             if wait {
-                print!("{}", proposed(&answer));
+                print!("{}", render_proposal(&answer));
                 return until_decided(&client, &answer["policy"]).await;
             }
-            (answer, proposed)
+            (answer, render_proposal)
         }
         PolicyCommand::Status => (client.get(POLICY).await?.body, status),
         PolicyCommand::Abort { author } => {
             let etag = client.get(POLICY).await?.etag;
-            (client.post("/v1/policy/abort", etag, json!({"by": author})).await?.body, aborted)
+            (client.post("/v1/policy/abort", etag, json!({"by": author})).await?.body, render_abort)
         }
         PolicyCommand::History { limit } => {
             (client.get(&format!("{POLICY}/history?limit={limit}")).await?.body, history)
         }
         PolicyCommand::Explain { proxy, at } => {
             let now = Timestamp::now().to_zoned(TimeZone::system());
-            let at = at.map(|at| moment(&at, &now)).transpose()?;
+            let at = at.map(|at| parse_time(&at, &now)).transpose()?;
             let query = at.map_or_else(String::new, |at| format!("?at={at}"));
-            (client.get(&format!("{POLICY}/explain/{proxy}{query}")).await?.body, explained)
+            (client.get(&format!("{POLICY}/explain/{proxy}{query}")).await?.body, render_explanation)
         }
     };
     print_answer(&answer, args.json, render);
     Ok(())
 }
 
+/// Prints the progress of a proposal until it is decided; fails if it was aborted.
 async fn until_decided(client: &AdminClient, policy: &Value) -> Result<(), String> {
     let mut last = String::new();
     loop {
         let line = match client.get(POLICY).await {
-            // Nothing is lost by that: whoever leads next decides.
+            // The proposal is not lost if the service is unreachable: the next leader decides it.
             Err(e) => format!("no answer: {e}"),
             Ok(AdminResponse { body: status, .. }) => {
                 if status["last"]["policy"] == *policy {
@@ -171,7 +174,7 @@
                         false => Err(words),
                     };
                 }
-                waits_for(&status)
+                describe_blockers(&status)
             }
         };
         if line != last {
@@ -182,16 +185,17 @@
     }
 }
 
-fn checked(ask: &Value) -> Result<Value, String> {
+/// Validates a policy as the control service would, without its present state.
+fn validate_offline(ask: &Value) -> Result<Value, String> {
     let floor = match &ask["floor"] {
         Value::Null => FallbackPolicy::Nobody,
-        told => FallbackPolicy::read(told).map_err(|e| e.to_string())?,
+        input => FallbackPolicy::read(input).map_err(|e| e.to_string())?,
     };
     let policy = Policy::validated(&ask["settings"], floor).map_err(|e| e.to_string())?;
     Ok(policy.document())
 }
 
-fn good(_: &Value) -> String {
+fn render_valid(_: &Value) -> String {
     "good by itself; rushquay policy diff tells what it would change\n".into()
 }
 
@@ -199,7 +203,7 @@
     format!("{:.1} s", of.as_f64().unwrap_or(0.0))
 }
 
-fn compared(answer: &Value) -> String {
+fn render_diff(answer: &Value) -> String {
     let mut rows = heading(["FIELD", "OLD", "UNTIL DECIDED", "NEW"]);
     let by_file = |v: &Value| if v.is_null() { "(each file's)".to_owned() } else { v.to_string() };
     for f in answer["fields"].as_array().into_iter().flatten() {
@@ -220,18 +224,19 @@
     out + &format!("the floor for who has no leave: {}\n", answer["floor"])
 }
 
-fn proposed(answer: &Value) -> String {
+fn render_proposal(answer: &Value) -> String {
     let mut out =
         format!("policy {} is proposed; until it is decided old and new both hold\n", answer["policy"]);
-    out += &compared(answer);
+    out += &render_diff(answer);
     out + "rushquay policy status\n"
 }
 
-fn aborted(answer: &Value) -> String {
+fn render_abort(answer: &Value) -> String {
     format!("it holds nowhere, at revision {}\n", answer["revision"])
 }
 
-fn waits_for(answer: &Value) -> String {
+/// Describes which processes hold up the decision, ten at most.
+fn describe_blockers(answer: &Value) -> String {
     let all = answer["waits_for"].as_array();
     let one = |h: &Value| format!("{} (fenced in {})", text(&h["name"]), seconds(&h["fenced_in_s"]));
     let names: Vec<String> = all.into_iter().flatten().take(10).map(one).collect();
@@ -258,11 +263,11 @@
             text(&change["reason"]),
             answer["joined"],
             answer["processes"],
-            waits_for(answer),
+            describe_blockers(answer),
             seconds(&change["since_s"]),
             seconds(&change["gives_up_in_s"]),
         );
-        out += &compared(&change["compared"]);
+        out += &render_diff(&change["compared"]);
     }
     if !answer["last"].is_null() {
         out += &format!("last: policy {} {}\n", answer["last"]["policy"], text(&answer["last"]["in_words"]));
@@ -287,7 +292,7 @@
     aligned(&rows)
 }
 
-fn explained(answer: &Value) -> String {
+fn render_explanation(answer: &Value) -> String {
     let mut rows = heading(["FROM", "UNTIL", "PROCESS", "ACTED BY"]);
     for a in answer["acted"].as_array().into_iter().flatten() {
         let process = format!("{:x}", a["boot"].as_u64().unwrap_or(0));
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -10,15 +10,15 @@
 
 /// How often `watch` reads the status.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// The control service may be away while it is watched: it says so, and looks on.
-const AWAY: &str = "the control service does not answer; nobody moves meanwhile";
+/// `watch` tolerates an unreachable control service: it reports the failure and keeps polling.
+const UNREACHABLE: &str = "the control service does not answer; nobody moves meanwhile";
 
 #[derive(Args)]
 pub struct RolloutArgs {
     /// The control service's admin address.
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:18001", global = true)]
     admin: SocketAddr,
-    /// Print what the service answers, as JSON.
+    /// Print the response of the service as JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -27,56 +27,56 @@
 
 #[derive(Subcommand)]
 enum RolloutCommand {
-    /// Shows what a change would do: which proxies in which stage, and how long it takes at least. Changes nothing.
+    /// Shows what a change would do: the proxies in each stage, and the minimum duration. Changes nothing.
     Plan(ChangeArgs),
-    /// Begins a change.
+    /// Starts a change.
     Start(ChangeArgs),
-    /// Shows in one screen how the change stands, who runs what, the evidence, and what it waits for.
+    /// Shows the state of the change, what each proxy runs, the evidence, and what the change waits for.
     Status,
-    /// Tells each step until the change is over; fails if it went back.
+    /// Prints each step until the change is complete; fails if it was rolled back.
     Watch,
-    /// Holds the change where it is.
+    /// Pauses the change at its present stage.
     Hold(ByArgs),
-    /// Lets a change that is held go on.
+    /// Resumes a paused change.
     Resume(ByArgs),
-    /// Takes the change back.
+    /// Rolls the change back.
     Back(ByArgs),
-    /// What happened, the newest first.
+    /// Shows the history, newest first.
     History {
-        /// Events at most.
+        /// The maximum number of events.
         #[arg(long, default_value_t = 50)]
         limit: usize,
     },
-    /// Every proxy that is known, and how it stands.
+    /// Lists all known proxies with their state.
     Roster,
 }
 
 #[derive(Args)]
 struct ChangeArgs {
-    /// The settings that are to hold (JSON), whole: what does not stand there is as each proxy's own file says. Without it
-    /// those that hold stay.
+    /// The complete new settings (JSON); fields that are missing come from each proxy's own file. Without this option the
+    /// present settings stay.
     #[arg(long, value_name = "FILE", required_unless_present = "program")]
     settings: Option<PathBuf>,
-    /// The program that hosts are to run, by its digest; see rushquay host digest. `own`: the one that each host's file says.
+    /// The digest of the program that hosts are to run; see rushquay host digest. `own`: the program in each host's file.
     #[arg(long, value_name = "DIGEST")]
     program: Option<String>,
-    /// The stages (TOML); without it one proxy, a tenth, half, all.
+    /// The stages (TOML). Without this option: one proxy, a tenth, half, all.
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Who makes it.
+    /// The author of the change.
     #[arg(long, env = "USER")]
     author: String,
-    /// Why.
+    /// The reason.
     #[arg(long)]
     reason: String,
-    /// Take the place of a change that runs; what it leaves behind goes back at once.
+    /// Replace a running change; whatever it leaves behind is rolled back at once.
     #[arg(long)]
     displace: bool,
 }
 
 #[derive(Args)]
 struct ByArgs {
-    /// Who does it.
+    /// The author of the command.
     #[arg(long, env = "USER")]
     author: String,
 }
@@ -86,7 +86,7 @@
 }
 
 impl ChangeArgs {
-    /// The request as the control service reads it; `current` are the settings that hold now.
+    /// Builds the request for the control service; `current` holds the settings in force.
     fn request(self, current: Value) -> Result<Value, String> {
         let mut settings = match &self.settings {
             None => current,
@@ -112,8 +112,8 @@
 
 const ROLLOUT: &str = "/v1/rollout";
 
-/// Holds, resumes or rolls back, on the revision that is read now.
-async fn steer(client: &AdminClient, action: &str, by: ByArgs) -> Result<AdminResponse, String> {
+/// Holds, resumes or rolls back the change, on the revision that is read here.
+async fn post_action(client: &AdminClient, action: &str, by: ByArgs) -> Result<AdminResponse, String> {
     let etag = client.get(ROLLOUT).await?.etag;
     client.post(&format!("{ROLLOUT}/{action}"), etag, json!({"by": by.author})).await
 }
@@ -125,22 +125,22 @@
         RolloutCommand::Plan(change) => {
             let mut current = client.get(ROLLOUT).await?.body;
             let request = change.request(current["holding"].take())?;
-            (client.query("/v1/rollout/plan", request).await?, planned)
+            (client.query("/v1/rollout/plan", request).await?, render_plan)
         }
         RolloutCommand::Start(change) => {
             let AdminResponse { etag, body: mut current } = client.get(ROLLOUT).await?;
             let request = change.request(current["holding"].take())?;
-            (client.post(ROLLOUT, etag, request).await?, started)
+            (client.post(ROLLOUT, etag, request).await?, render_start)
         }
         RolloutCommand::Status => (client.get(ROLLOUT).await?, status),
         RolloutCommand::Watch => return watch(&client).await,
-        RolloutCommand::Hold(by) => (steer(&client, "hold", by).await?, steered),
-        RolloutCommand::Resume(by) => (steer(&client, "resume", by).await?, steered),
-        RolloutCommand::Back(by) => (steer(&client, "back", by).await?, steered),
+        RolloutCommand::Hold(by) => (post_action(&client, "hold", by).await?, render_action),
+        RolloutCommand::Resume(by) => (post_action(&client, "resume", by).await?, render_action),
+        RolloutCommand::Back(by) => (post_action(&client, "back", by).await?, render_action),
         RolloutCommand::History { limit } => {
             (client.get(&format!("{ROLLOUT}/history?limit={limit}")).await?, history)
         }
-        RolloutCommand::Roster => (client.get("/v1/roster").await?, roster),
+        RolloutCommand::Roster => (client.get("/v1/roster").await?, render_roster),
     };
     print_answer(&response.body, args.json, render);
     Ok(())
@@ -162,9 +162,9 @@
                     text(&status["waits_for"])
                 )
             }
-            Err(_) => AWAY.to_owned(),
+            Err(_) => UNREACHABLE.to_owned(),
         };
-        // The countdown alone is no news.
+        // A change of only the countdown is not printed.
         let shown = line
             .split(" s to the next look")
             .next()
@@ -196,7 +196,7 @@
     words.join(" ")
 }
 
-fn planned(answer: &Value) -> String {
+fn render_plan(answer: &Value) -> String {
     let mut out = format!("from {} to {}\n", short(&answer["from"]), short(&answer["to"]));
     for (n, stage) in answer["stages"].as_array().into_iter().flatten().enumerate() {
         let count = stage["names"].as_array().map_or(0, Vec::len);
@@ -211,7 +211,7 @@
     out
 }
 
-fn started(answer: &Value) -> String {
+fn render_start(answer: &Value) -> String {
     let change = &answer["change"];
     let left = answer["left_behind"].as_array().map_or(0, Vec::len);
     let left = if left > 0 {
@@ -222,7 +222,7 @@
     format!("change {} to {} begins{left}\nrushquay rollout watch\n", change["id"], short(&change["to"]))
 }
 
-fn steered(answer: &Value) -> String {
+fn render_action(answer: &Value) -> String {
     format!("done, at revision {}\n", answer["revision"])
 }
 
@@ -262,7 +262,7 @@
     let scores = answer["evidence"].as_array().filter(|s| !s.is_empty());
     if let Some(scores) = scores {
         let mut rows = heading(["CLASS", "IN", "MEASURE", "NEW", "OLD", "EVIDENCE"]);
-        // Of single data centres only what speaks against the new: the rest stands in the figures of all.
+        // For single data centres show only evidence against the new version; the totals include the rest.
         let against = |s: &&Value| text(&s["zone"]).is_empty() || s["evidence"].as_f64().unwrap_or(0.0) > 0.0;
         for s in scores.iter().filter(against) {
             let of = |n: usize| format!("{} of {}", s["bad"][n], s["all"][n]);
@@ -306,8 +306,8 @@
     aligned(&rows)
 }
 
-/// What a proxy's host says, in words.
-fn by_host(host: &Value) -> String {
+/// Describes the report of a proxy's host.
+fn describe_host(host: &Value) -> String {
     if host.is_null() {
         return String::new();
     }
@@ -322,7 +322,7 @@
     }
 }
 
-fn roster(answer: &Value) -> String {
+fn render_roster(answer: &Value) -> String {
     let mut rows =
         heading(["NAME", "ZONE", "STANDS", "ACTS BY", "GIVEN", "VERSION", "PROGRAM", "RESTARTS", "HOST"]);
     for p in answer["proxies"].as_array().into_iter().flatten() {
@@ -335,7 +335,7 @@
             text(&p["version"]).into(),
             short(&p["program"]).into(),
             p["restarts"].to_string(),
-            by_host(&p["host"]),
+            describe_host(&p["host"]),
         ]);
     }
     aligned(&rows)
--- a/src/cli/state.rs
+++ b/src/cli/state.rs
@@ -1,4 +1,4 @@
-//! `rushquay control state`: what a control service keeps, as text and back.
+//! `rushquay control state`: dumps, verifies and restores the state file of a control service.
 
 use clap::Subcommand;
 use rushquay_overrides::{OverrideLimits, OverrideSet};
@@ -9,7 +9,7 @@
 
 #[derive(Subcommand)]
 pub enum StateCommand {
-    /// Prints all that the file holds, a line of JSON each: a backup.
+    /// Prints the whole content of the file as a backup, one line of JSON per record.
     Dump {
         /// The file.
         file: PathBuf,
@@ -19,16 +19,16 @@
         /// The file.
         file: PathBuf,
     },
-    /// Puts a dump in place of what the file holds.
+    /// Replaces the content of the file with a dump.
     Restore {
-        /// The file; begun where there is none.
+        /// The file; created if it does not exist.
         file: PathBuf,
         /// The dump.
         dump: PathBuf,
     },
 }
 
-/// Does what the command says.
+/// Runs the command.
 pub fn run(command: StateCommand) -> Result<(), String> {
     match command {
         StateCommand::Dump { file } => {
@@ -67,7 +67,7 @@
     if !file.exists() {
         return Err(format!("{}: no such file; name the one that --state names", file.display()));
     }
-    // All events that there are, whatever a service's settings say.
+    // Read all events, regardless of the limit in the settings of a service.
     let policy = OverrideLimits { history: usize::MAX, ..OverrideLimits::default() };
     let read = |s: StateStore| Ok((s.read()?, s.read_book(policy)?, s.read_records()?));
     StateStore::open(&newest_file(file)).and_then(read).map_err(|e| e.to_string())
