--- a/crates/services/control-service/src/leadership_loop.rs
+++ b/crates/services/control-service/src/leadership_loop.rs
@@ -1,4 +1,4 @@
-//! The thread that campaigns for the lease, renews it and steps down: it does what [`Elector`] says, against a store of leases.
+//! The thread that campaigns for the lease, renews it and steps down. It carries out the actions of [`Elector`] on a lease store.
 
 use crate::durable_store::LeasedStore;
 use crate::leadership::Leadership;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// The longest wait before the thread checks whether it is to end.
+/// The longest wait before the thread checks whether it has to end.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
@@ -49,13 +49,13 @@
     timing: RenewalTiming,
 }
 
-/// When the last renewal was sent and answered, and how late the thread woke for it, in nanoseconds. Logged when the leader steps down: it
-/// tells a store that is slow from a thread that got no processor.
+/// When the last renewal was sent, how long it took, and how late the thread woke up, in nanoseconds. Logged when the leader steps down,
+/// to distinguish a slow store from a thread that was not scheduled.
 #[derive(Default)]
 struct RenewalTiming {
     sent_at: u64,
-    took: u64,
-    woke_late: u64,
+    round_trip: u64,
+    wake_up_delay: u64,
 }
 
 impl LeadershipLoop<'_> {
@@ -83,7 +83,7 @@
         self.leadership.set_lease_valid_until(until);
     }
 
-    /// Waits at most this long; a standby for the lease to become free, a leader for an end or a refused write.
+    /// Waits at most this long: a standby until the lease is released, a leader until the service stops or a write is fenced.
     fn wait(&mut self, nanos: u64) {
         let timeout = Duration::from_nanos(nanos).min(MAX_WAIT);
         if matches!(self.elector.role(), Role::Standby { .. }) {
@@ -94,7 +94,7 @@
         let start = self.now();
         self.leadership.wait(timeout);
         let passed = self.now().saturating_sub(start);
-        self.timing.woke_late = passed.saturating_sub(timeout.as_nanos() as u64);
+        self.timing.wake_up_delay = passed.saturating_sub(timeout.as_nanos() as u64);
     }
 
     fn renew(&mut self) {
@@ -102,7 +102,7 @@
         let requested_at = self.now();
         let renewed = self.leadership.store.renew(held);
         self.timing.sent_at = requested_at;
-        self.timing.took = self.now().saturating_sub(requested_at);
+        self.timing.round_trip = self.now().saturating_sub(requested_at);
         match renewed {
             Ok(()) => {
                 self.on_store_reached();
@@ -132,20 +132,20 @@
         }
     }
 
-    /// Leads from now on, under a lease that was just won.
+    /// Takes over as the leader under a lease that was just won.
     fn take_over(&mut self, held: HeldLease) {
         let (start, leadership) = (self.now(), self.leadership);
         let (stored, overrides, records) = match self.load() {
             Ok(loaded) => loaded,
             Err(error) => {
-                // Danger: leading on from nothing would forget every drain and override.
+                // Danger: a leader that started from an empty state would lose every drain and override.
                 error!(epoch = held.epoch, %error, "stored state unreadable; lease resigned");
                 let _ = leadership.store.resign(held);
                 leadership.set_store_error(Some(&error));
                 return self.elector.lease_lost(self.now());
             }
         };
-        // Reading took its time; nothing is published under a lease that has expired.
+        // The lease may have expired while the state was read, and nothing may be published under an expired lease.
         if !self.confirm(held) {
             return self.elector.lease_lost(self.now());
         }
@@ -155,7 +155,7 @@
         leadership.on_takeover(held.epoch, (self.now() - start) / NANOS_PER_MILLI);
     }
 
-    /// Reads what the last leader persisted.
+    /// Reads the state that the previous leader persisted.
     fn load(&self) -> Result<(StoredState, OverrideSet, Records), SharedError> {
         let limits = *self.service.overrides.set().limits();
         let (stored, overrides) = self.leadership.store.load(limits)?;
@@ -178,8 +178,8 @@
             self.service.step_down();
             let timing = &self.timing;
             let sent_ms_ago = self.now().saturating_sub(timing.sent_at) / NANOS_PER_MILLI;
-            let took_ms = timing.took / NANOS_PER_MILLI;
-            let woke_late_ms = timing.woke_late / NANOS_PER_MILLI;
+            let took_ms = timing.round_trip / NANOS_PER_MILLI;
+            let woke_late_ms = timing.wake_up_delay / NANOS_PER_MILLI;
             warn!(epoch = held.epoch, reason, sent_ms_ago, took_ms, woke_late_ms, "stepped down");
         }
         self.leadership.on_step_down();
--- a/crates/services/control-service/src/persistence.rs
+++ b/crates/services/control-service/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes the state of the service to a store, the endpoint list on a thread of its own: a disk that is slow or full holds nobody up.
+//! Writes the state of the service to a store. A dedicated thread writes the endpoint list, so that a slow or full disk blocks nothing.
 
 use crate::durable_store::{DurableStore, PersistError, PersistFailure};
 use crate::reopening_store::ReopeningStore;
@@ -20,7 +20,7 @@
 /// The delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The delay before opening a file is retried after a disk error, and the most attempts.
+/// The delay before opening a file is retried after a disk error.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(250);
 const MAX_OPEN_ATTEMPTS: u32 = 20;
 
@@ -30,9 +30,9 @@
 /// The state of persistence, for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct PersistenceState {
-    /// Why nothing is persisted, or not all; `None`: all is.
+    /// Why some or all of the state is not persisted; `None` if all of it is.
     pub error: Option<String>,
-    /// Version of the list last persisted.
+    /// Version of the last persisted list.
     pub version: Option<u64>,
     /// Write transactions.
     pub writes: u64,
@@ -46,13 +46,13 @@
 
 #[derive(Default)]
 struct Inner {
-    /// The newest list that is to be written; those that it replaced need not be.
+    /// The newest list to write; it supersedes earlier lists that were not written.
     pending: Option<VersionedList>,
     is_ending: bool,
     state: PersistenceState,
 }
 
-/// What the writing thread has in common with the rest of the service.
+/// State shared between the writer thread and the rest of the service.
 #[derive(Default)]
 struct Mailbox {
     inner: Mutex<Inner>,
@@ -64,7 +64,7 @@
         lock(&self.inner)
     }
 
-    /// Waits for a list; `None`: none is left and the thread is to end. Also returns whether it is to end after this one.
+    /// Waits for a list to write, and returns it with whether the thread has to end after it; `None` if it has to end at once.
     fn wait(&self) -> Option<(VersionedList, bool)> {
         let mut inner = self.lock();
         while inner.pending.is_none() && !inner.is_ending {
@@ -74,21 +74,21 @@
     }
 }
 
-/// A store and the thread that writes to it. Dropping it writes what is still pending.
+/// A store and the thread that writes to it. Dropping it writes the pending list.
 pub struct Persistence {
-    /// The file; `None`: state that instances share.
+    /// The file; `None` if the state is shared by several instances.
     pub path: Option<PathBuf>,
     mailbox: Arc<Mailbox>,
     store: Option<Arc<dyn DurableStore>>,
     thread: WriterThread,
 }
 
-/// The writing thread; when this is dropped it writes what is still pending, and ends.
+/// The writer thread. Dropping this waits until the thread has written the pending list and ended.
 struct WriterThread(Option<(JoinHandle<()>, Arc<Mailbox>)>);
 
 impl Persistence {
-    /// Opens the file and reads what it holds. One that can't be used is logged; the service then runs from memory, and the file stays as
-    /// it is.
+    /// Opens the file and reads its content. If the file can't be used, this is logged, the service runs from memory, and the file is
+    /// not changed.
     pub fn open(path: &Path, limits: OverrideLimits) -> (Persistence, StoredState, OverrideSet, Records) {
         match open_with_retries(path, limits) {
             Ok((store, stored, overrides, records)) => {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Writes to a store what differs from what it holds already.
+    /// Starts the writer thread of a store. It writes the differences from `stored`, the store's present content.
     pub fn on(store: Arc<dyn DurableStore>, stored: StoredState) -> Persistence {
         let mailbox = Arc::new(Mailbox::default());
         mailbox.lock().state.version = stored.version;
@@ -118,7 +118,7 @@
         Persistence { path: None, mailbox, store: Some(store), thread }
     }
 
-    /// Has the thread write this endpoint list; does not wait for it.
+    /// Queues this endpoint list for the writer thread, without waiting for the write.
     pub fn write_endpoints(&self, version: u64, nodes: Vec<SourcedEndpoint>) {
         if self.thread.0.is_some() {
             self.mailbox.lock().pending = Some(VersionedList { version, nodes });
@@ -129,7 +129,7 @@
     /// Writes a change of the override set and returns once it is durable. Blocks on the store.
     ///
     /// # Errors
-    /// Why it is not durable.
+    /// The reason why the change is not durable.
     pub fn write_overrides(&self, write: &OverrideWrite) -> Result<(), PersistError> {
         Ok(self.store()?.write_overrides(write)?)
     }
@@ -137,7 +137,7 @@
     /// Writes records of the controllers and returns once they are durable. Blocks on the store.
     ///
     /// # Errors
-    /// Why they are not durable.
+    /// The reason why the records are not durable.
     pub fn write_records(&self, write: &RecordWrite) -> Result<(), PersistError> {
         Ok(self.store()?.write_records(write)?)
     }
@@ -149,7 +149,7 @@
         })
     }
 
-    /// A copy of the present state.
+    /// A copy of the current state.
     pub fn state(&self) -> PersistenceState {
         self.mailbox.lock().state.clone()
     }
@@ -165,7 +165,7 @@
     }
 }
 
-/// Opens a store and reads what it holds, with retries for a while where the disk fails.
+/// Opens a store and reads its content. Disk errors are retried up to [`MAX_OPEN_ATTEMPTS`] times.
 fn open_with_retries(
     path: &Path,
     limits: OverrideLimits,
@@ -188,14 +188,14 @@
     }
 }
 
-/// The work of the writing thread.
+/// The state of the writer thread.
 struct EndpointWriter {
     store: Arc<dyn DurableStore>,
     mailbox: Arc<Mailbox>,
-    /// What the store holds, by endpoint id.
+    /// The endpoints in the store, by id.
     stored: BTreeMap<String, SourcedEndpoint>,
     stored_version: Option<u64>,
-    /// A write failed: how much of it the store holds is not known.
+    /// A write failed, and it is not known how much of it took effect.
     is_in_doubt: bool,
     outage: Outage,
 }
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Writes what differs from what the store holds, until the end.
+    /// Writes each queued list until the thread has to end.
     fn run(&mut self) {
         let mailbox = self.mailbox.clone();
         while let Some((list, is_ending)) = mailbox.wait() {
@@ -228,11 +228,11 @@
                     self.log_failure(&error);
                     let mut inner = mailbox.lock();
                     inner.state.error = Some(error.to_string());
-                    // What belongs to a lease that is over is the next leader's to write.
+                    // The lease is over: the next leader writes the list.
                     if matches!(error, SharedError::Fenced(_)) {
                         return;
                     }
-                    // Unless a newer list has arrived meanwhile.
+                    // Retries this list unless a newer one has arrived meanwhile.
                     inner.pending.get_or_insert(list);
                     if is_ending {
                         return;
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Writes what differs; returns whether anything did.
+    /// Writes the differences from the store's content; returns whether there were any.
     fn write(&mut self, list: &VersionedList) -> Result<bool, SharedError> {
         if self.is_in_doubt {
             let stored = self.store.read_endpoints()?;
@@ -274,7 +274,7 @@
     }
 }
 
-/// What is to be written; `None`: nothing.
+/// The difference between the store's content and a list; `None` if there is none.
 fn difference(
     stored: &BTreeMap<String, SourcedEndpoint>,
     stored_version: Option<u64>,
--- a/crates/services/control-service/src/service_state/mod.rs
+++ b/crates/services/control-service/src/service_state/mod.rs
@@ -1,7 +1,7 @@
 //! State that the tasks of the control service share. Endpoint lists arrive from the source and commands from the admin API; the xDS
-//! hub publishes the result. Of several instances only the leader publishes and takes commands.
+//! hub publishes the result. Among several instances only the leader publishes and accepts commands.
 //!
-//! The order of locks is in [`crate::state`].
+//! The lock order is documented in [`crate::state`].
 
 mod override_commands;
 
@@ -29,28 +29,28 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::info;
 
-/// The components of the service, joined.
+/// All components of the service.
 pub struct ServiceState {
-    /// The hub, the clock, the lease and the store: all that a controller is given.
+    /// The hub, the clock, the lease and the store, which controllers use.
     pub leader: LeaderContext,
     /// The endpoint list.
     pub endpoints: Endpoints,
     /// The operators' overrides.
     pub overrides: Overrides,
-    /// Rollouts; `None`: they are switched off.
+    /// Rollouts; `None` if they are disabled.
     pub rollout: Option<RolloutController>,
-    /// Policy changes; `None`: they are switched off.
+    /// Policy changes; `None` if they are disabled.
     pub policies: Option<PolicyController>,
-    /// Lets one rollout or policy change start at a time.
+    /// Serializes the start of rollouts and policy changes.
     pub change_lock: ChangeLock,
     settings: Settings,
 }
 
 impl ServiceState {
-    /// An empty state. With other instances configured, nothing is published before this one leads.
+    /// An empty state. With standby instances configured, nothing is published until this one leads.
     pub(crate) fn new(
         settings: Settings,
-        origin: ListSource,
+        list_source: ListSource,
         source_name: String,
         leadership: Option<Arc<Leadership>>,
         clocks: Clocks,
@@ -61,7 +61,7 @@
         let hub = Hub::with_clock(store, settings.limits(), Box::new(move || hub_clock.now()));
         let gate = LeadershipGate::new(hub.clone(), leadership);
         let state = Arc::new(ServiceState {
-            endpoints: Endpoints::new(hub.clone(), settings.control.clone(), origin, source_name),
+            endpoints: Endpoints::new(hub.clone(), settings.control.clone(), list_source, source_name),
             overrides: Overrides::new(settings.overrides.policy()),
             rollout: settings.rollout.map(RolloutController::new),
             policies: settings.policy.clone().map(PolicyController::new),
@@ -73,12 +73,12 @@
         state
     }
 
-    /// Has the controllers receive what subscribers report on their streams.
+    /// Subscribes the controllers to the events of subscribers' streams.
     fn subscribe_to_streams(self: &Arc<Self>) {
         if self.rollout.is_none() && self.policies.is_none() {
             return;
         }
-        // Weak: the hub must not keep the state, which owns it, alive.
+        // Weak, because the state owns the hub: a strong reference would be a cycle.
         let subscriber = Arc::downgrade(self);
         self.leader.hub.on_stream_event(move |node, event| {
             let Some(state) = subscriber.upgrade() else { return };
@@ -88,17 +88,17 @@
         });
     }
 
-    /// The period of the rollout controller; `None`: rollouts are switched off.
+    /// The period of the rollout controller; `None` if rollouts are disabled.
     pub(crate) fn rollout_period(&self) -> Option<Duration> {
         self.settings.rollout.map(|r| r.period())
     }
 
-    /// The period of the policy controller; `None`: policy changes are switched off.
+    /// The period of the policy controller; `None` if policy changes are disabled.
     pub(crate) fn policy_period(&self) -> Option<Duration> {
         self.policies.as_ref().map(PolicyController::period)
     }
 
-    /// Continues from the state file that this instance alone wrote before a restart.
+    /// Restores the state file of a single instance after a restart.
     pub(crate) fn restore_from(&self, path: &Path) {
         let limits = self.settings.overrides.policy();
         let (persistence, stored, overrides, records) = Persistence::open(path, limits);
@@ -108,13 +108,13 @@
         self.leader.persistence.install(persistence);
         self.rollout.iter().for_each(|r| r.lead(&records, self.leader.unix_now()));
         self.policies.iter().for_each(|p| p.lead(&records, &self.leader));
-        // What expired while the service was down is over, and the rest applies before anything is published.
+        // Removes overrides that expired while the service was down, and applies the others before anything is published.
         self.expire_overrides();
         self.apply_overrides();
     }
 
-    /// Takes over as the leader, continuing from what the last leader persisted. The list that this instance has followed meanwhile comes
-    /// on top, as the first list after a restart would.
+    /// Takes over as the leader from the state that the previous leader persisted. The list that this instance received from the source
+    /// meanwhile is processed on top, like the first list after a restart.
     pub(crate) fn lead(
         &self,
         epoch: Epoch,
@@ -123,7 +123,7 @@
         records: &Records,
         store: Arc<dyn DurableStore>,
     ) {
-        // No event of the source is taken meanwhile.
+        // Blocks events of the source during the takeover.
         let source = self.endpoints.lock_source();
         let mut persisted_mark = self.overrides.lock_persisted_mark();
         let mut control = source.lock_control();
@@ -141,7 +141,7 @@
         control.replace(new_state);
         self.leader.persistence.install(Persistence::on(store, stored));
         self.endpoints.restart_restored_delay();
-        // What an earlier lease left unpersisted does not belong to this one.
+        // A write that failed under an earlier lease does not concern this one.
         self.overrides.clear_unpersisted();
         self.rollout.iter().for_each(|r| r.lead(records, unix_now));
         self.policies.iter().for_each(|p| p.lead(records, &self.leader));
@@ -154,7 +154,7 @@
         self.persist_overrides();
     }
 
-    /// Publishes nothing more and takes no commands. The source is still followed.
+    /// Stops publishing and accepting commands, and keeps following the source.
     pub(crate) fn step_down(&self) {
         self.leader.hub.suspend();
         self.rollout.iter().for_each(RolloutController::step_down);
@@ -163,7 +163,7 @@
         self.overrides.replace(OverrideSet::new(self.settings.overrides.policy()));
     }
 
-    /// Takes an event of the endpoint source.
+    /// Processes an event of the endpoint source.
     pub(crate) fn on_source_event(&self, event: SourceEvent) {
         self.endpoints.on_source_event(event, &self.leader.persistence, || self.leader.is_leading());
     }
@@ -179,10 +179,10 @@
     info!(id = expired.id, effect = %expired.effect, on = %expired.scope, "override has expired");
 }
 
-/// A name for this process and its term as the leader, and for no other. Danger: subscribers tell an old process from a new one by it.
+/// A name that is unique to this process and its term as the leader. Danger: subscribers distinguish an old process from a new one by it.
 fn incarnation_name(epoch: Epoch) -> String {
     static STARTED: AtomicU64 = AtomicU64::new(0);
-    #[expect(clippy::disallowed_methods, reason = "names an incarnation; no span is measured by it")]
+    #[expect(clippy::disallowed_methods, reason = "names an incarnation; no duration is measured by it")]
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let number = STARTED.fetch_add(1, Ordering::Relaxed);
     epoch.name(&format!("rushquay-{:x}-{:x}-{number}", now.as_nanos(), std::process::id()))
--- a/crates/services/control-service/src/service_state/override_commands.rs
+++ b/crates/services/control-service/src/service_state/override_commands.rs
@@ -9,7 +9,7 @@
 pub struct OverrideOutcome {
     /// The override that was set or lifted.
     pub value: Override,
-    /// Why it is held in memory alone; `None`: it is durable.
+    /// Why it is held only in memory; `None` if it is durable.
     pub not_durable: Option<String>,
 }
 
@@ -54,20 +54,20 @@
         let snapshot = writer.snapshot();
         let value = change(&mut self.overrides.set())?;
         let written = self.overrides.persist(&self.leader.persistence);
-        // Danger: a store that does not take the write does not renew the lease either, and with the lease goes what is held in memory.
-        // So what was not persisted is undone; the set from before is written again as soon as that can be.
+        // Danger: a store that rejects the write does not renew the lease either, and the state in memory is lost with the lease. So a
+        // change that was not persisted is rolled back, and the previous set is written again as soon as the store works.
         if let (Err(error), Some(_)) = (&written, self.leader.gate.leadership()) {
             writer.roll_back(snapshot);
             self.leader.gate.relinquish_if_fenced(error);
             self.leader.require_leadership()?;
             return Err(CommandError::not_persisted(error));
         }
-        // Danger: a leader whose lease ended meanwhile would acknowledge what its successor doesn't know.
+        // Danger: a leader whose lease ended meanwhile would acknowledge a change that the next leader doesn't have.
         self.leader.require_leadership()?;
         Ok(OverrideOutcome { value, not_durable: written.err().map(|error| error.reason) })
     }
 
-    /// Imposes the live overrides on the endpoint list.
+    /// Applies the live overrides to the endpoint list.
     pub(super) fn apply_overrides(&self) {
         let live_overrides = || {
             let set = self.overrides.set();
@@ -76,14 +76,14 @@
         self.endpoints.apply_overrides(live_overrides, || self.leader.unix_now());
     }
 
-    /// Persists the override set; steps down where the write was fenced. A failure is retried by [`ServiceState::expire_overrides`].
+    /// Persists the override set; steps down if the write was fenced. A failure is retried by [`ServiceState::expire_overrides`].
     pub(super) fn persist_overrides(&self) {
         if let Err(error) = self.overrides.persist(&self.leader.persistence) {
             self.leader.gate.relinquish_if_fenced(&error);
         }
     }
 
-    /// Removes overrides that have expired, and announces those that soon will. Only the leader does: its set is the one that counts.
+    /// Removes overrides that have expired, and logs those that will expire soon. Only the leader does, since its set is authoritative.
     pub(crate) fn expire_overrides(&self) {
         if !self.leader.is_leading() {
             return;
@@ -101,7 +101,7 @@
         if !expired.is_empty() {
             self.apply_overrides();
         }
-        // A write that failed is owed until it succeeds.
+        // A failed write is retried until it succeeds.
         if !expired.is_empty() || self.overrides.has_unpersisted() {
             self.persist_overrides();
         }
--- a/crates/services/control-service/src/state/change_lock.rs
+++ b/crates/services/control-service/src/state/change_lock.rs
@@ -1,13 +1,13 @@
-//! The lock that lets one rollout or policy change start at a time.
+//! The lock that serializes the start of rollouts and policy changes.
 
 use crate::sync::lock;
 use std::sync::{Mutex, MutexGuard};
 
-/// Held while a rollout or a policy change is started, so that each sees whether the other is under way. Locked before all else.
+/// Held while a rollout or a policy change is started, because neither may start while the other is running. First in the lock order.
 #[derive(Default)]
 pub struct ChangeLock(Mutex<()>);
 
-/// Proof that no other change is being started. Whoever starts one has to be given it.
+/// Proof that the [`ChangeLock`] is held. Functions that start a change take it as an argument.
 pub struct ChangeGuard<'a>(#[expect(dead_code, reason = "held for its drop")] MutexGuard<'a, ()>);
 
 impl ChangeLock {
--- a/crates/services/control-service/src/state/endpoints.rs
+++ b/crates/services/control-service/src/state/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what the source says, what is decided from it, and its declaration to the xDS hub.
+//! The endpoint list: the state of its source, the control state that is derived from it, and its publication through the xDS hub.
 
 use super::persistence_handle::PersistenceHandle;
 use crate::sync::lock;
@@ -14,14 +14,14 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long a restored list waits for the source's first list. Danger: published at once it might name nodes that went while the
-/// service was down; never published it would be of no use while the source is down too.
+/// How long a restored list waits for the source's first list before it is published. Danger: published at once, it might name nodes
+/// that were removed while the service was down; never published, it would be of no use while the source is down too.
 const RESTORED_LIST_DELAY: Duration = Duration::from_secs(5);
 
 /// An event from the endpoint source.
 #[derive(Debug)]
 pub enum SourceEvent {
-    /// A list, whole or with changes alone.
+    /// A complete list, or the changes since an earlier one.
     EndpointList(EndpointList),
     /// The source can't be reached or read.
     Unavailable(String),
@@ -30,7 +30,7 @@
 /// The state of the endpoint source, for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct SourceState {
-    /// Why the source can't be reached; `None`: it can.
+    /// Why the source can't be reached or read; `None` while it can.
     pub error: Option<String>,
     /// Lists received.
     pub lists: u64,
@@ -44,47 +44,47 @@
 pub struct Endpoints {
     hub: Arc<Hub>,
     source_name: String,
-    origin: ListSource,
+    list_source: ListSource,
     config: ControlConfig,
     source: Mutex<SourceState>,
     control: Mutex<ControlState>,
-    /// Since when a restored list waits for the source.
+    /// When the wait of a restored list for the source began.
     restored_at: Mutex<Instant>,
 }
 
-/// Holds up the source's events.
+/// The locked source state. Events of the source block while it is held.
 pub struct SourceGuard<'a> {
     endpoints: &'a Endpoints,
     state: MutexGuard<'a, SourceState>,
 }
 
 impl<'a> SourceGuard<'a> {
-    /// Locks what is decided, too. The lock order makes this possible only after the source is locked.
+    /// Locks the control state as well. The lock order requires the source to be locked first.
     pub fn lock_control(&self) -> ControlGuard<'a> {
         self.endpoints.lock_control()
     }
 }
 
-/// Holds what is decided, and publishes it.
+/// The locked control state, with the operations that publish and persist it.
 pub struct ControlGuard<'a> {
     endpoints: &'a Endpoints,
     state: MutexGuard<'a, ControlState>,
 }
 
 impl Endpoints {
-    pub fn new(hub: Arc<Hub>, config: ControlConfig, origin: ListSource, source_name: String) -> Self {
+    pub fn new(hub: Arc<Hub>, config: ControlConfig, list_source: ListSource, source_name: String) -> Self {
         Endpoints {
             hub,
             source_name,
-            origin,
-            control: Mutex::new(ControlState::new(config.clone(), origin)),
+            list_source,
+            control: Mutex::new(ControlState::new(config.clone(), list_source)),
             config,
             source: Mutex::default(),
             restored_at: Mutex::new(Instant::now()),
         }
     }
 
-    /// Where the list comes from, for people.
+    /// The source of the list, as shown on the admin page.
     pub fn source_name(&self) -> &str {
         &self.source_name
     }
@@ -93,7 +93,7 @@
         lock(&self.source).clone()
     }
 
-    /// The version of the present list; `None`: there is none yet.
+    /// The version of the current list; `None` before the first one.
     pub fn version(&self) -> Option<u64> {
         lock(&self.control).version()
     }
@@ -102,12 +102,12 @@
         lock(&self.control).nodes()
     }
 
-    /// The capacity that the override limits count with.
+    /// The capacity of the fleet, against which override limits are checked.
     pub fn fleet(&self) -> Vec<FleetCapacity> {
         lock(&self.control).cache_capacities()
     }
 
-    /// Holds up the source's events until the guard is dropped.
+    /// Blocks the source's events until the guard is dropped.
     pub fn lock_source(&self) -> SourceGuard<'_> {
         SourceGuard { endpoints: self, state: lock(&self.source) }
     }
@@ -116,7 +116,7 @@
         ControlGuard { endpoints: self, state: lock(&self.control) }
     }
 
-    /// Continues from a list that was persisted, if there is one.
+    /// Restores a persisted list, if there is one.
     pub fn restore(&self, stored: StoredState) {
         if let Some(version) = stored.version {
             info!(nodes = stored.nodes.len(), list = version, "endpoint list restored");
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes an event of the source; publishes the list where this instance leads.
+    /// Processes an event of the source, and publishes the result if this instance leads.
     pub fn on_source_event(
         &self,
         event: SourceEvent,
@@ -161,7 +161,7 @@
         control.persist(persistence);
     }
 
-    /// Imposes the live overrides on the list and publishes what changes by it.
+    /// Applies the live overrides to the list and publishes the endpoints that change.
     pub fn apply_overrides(
         &self,
         live_overrides: impl FnOnce() -> (Vec<Override>, Nanos),
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Advances the list's timers; publishes what changes by it where this instance leads.
+    /// Advances the list's timers, and publishes the endpoints that change if this instance leads.
     pub fn tick(&self, persistence: &PersistenceHandle, is_leading: impl Fn() -> bool) {
         let mut control = self.lock_control();
         let change = control.state.tick(self.hub.now());
@@ -193,33 +193,33 @@
         }
     }
 
-    /// Counts the wait for the source's first list from now on.
+    /// Restarts the wait for the source's first list.
     pub fn restart_restored_delay(&self) {
         *lock(&self.restored_at) = Instant::now();
     }
 }
 
 impl ControlGuard<'_> {
-    /// The list that this instance has followed from the source by itself.
+    /// The list that this instance received from the source while it did not lead.
     pub fn followed(&self) -> Option<EndpointList> {
         self.state.current_list()
     }
 
-    /// A fresh state that continues from a persisted list.
+    /// A new control state, restored from a persisted list.
     pub fn restored_state(&self, stored: &StoredState, now: Nanos) -> ControlState {
-        let mut state = ControlState::new(self.endpoints.config.clone(), self.endpoints.origin);
+        let mut state = ControlState::new(self.endpoints.config.clone(), self.endpoints.list_source);
         if let Some(version) = stored.version {
             state.restore(version, stored.nodes.clone(), now);
         }
         state
     }
 
-    /// Puts another state in place of this one.
+    /// Replaces the control state.
     pub fn replace(&mut self, state: ControlState) {
         *self.state = state;
     }
 
-    /// Whether there is a list of which nothing has been published yet.
+    /// Whether there is a list and nothing has been published yet.
     fn awaits_first_publication(&self) -> bool {
         self.state.version().is_some() && !self.endpoints.hub.store().is_open()
     }
@@ -250,7 +250,7 @@
         });
     }
 
-    /// Hands the list to the store's thread; does not wait for it.
+    /// Queues the list for the store's writer thread, without waiting for the write.
     pub fn persist(&self, persistence: &PersistenceHandle) {
         if let (Some(persistence), Some(version)) = (persistence.current(), self.state.version()) {
             persistence.write_endpoints(version, self.state.stored_endpoints());
--- a/crates/services/control-service/src/state/mod.rs
+++ b/crates/services/control-service/src/state/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! Lock order, outermost first; each component documents the order of its own locks:
 //!
-//! 1. [`ChangeLock`]: held while a rollout or policy change is started, and handed on as a [`ChangeGuard`].
-//! 2. Of [`Overrides`]: the write lock of a command.
-//! 3. Of [`Endpoints`]: the source. [`SourceGuard`](endpoints::SourceGuard) gives access to 5 while it is held.
-//! 4. Of [`Overrides`]: the mark of the last durable event.
-//! 5. Of [`Endpoints`]: the decided list.
-//! 6. Of [`Overrides`]: the set itself.
-//! 7. [`PersistenceHandle`]: a leaf. So is the time since which a restored list waits.
+//! 1. [`ChangeLock`]: held while a rollout or policy change is started, and passed on as a [`ChangeGuard`].
+//! 2. [`Overrides`]: the write lock of a command.
+//! 3. [`Endpoints`]: the source state. [`SourceGuard`](endpoints::SourceGuard) gives access to 5 while it is held.
+//! 4. [`Overrides`]: the number of the last durable event.
+//! 5. [`Endpoints`]: the control state.
+//! 6. [`Overrides`]: the set itself.
+//! 7. [`PersistenceHandle`]: a leaf lock, like the one of the time at which a restored list began to wait.
 //!
-//! A takeover holds 3, 4 and 5 until the new store is served, and has the controllers restored under them. A controller never locks any
-//! of 2 to 6; its own locks come after them. The hub's store may be locked under all of these.
+//! A takeover holds 3, 4 and 5 while it restores the controllers and until the new store is served. A controller never takes locks 2 to
+//! 6; its own locks come after them. The hub's store may be locked under all of these.
 
 mod change_lock;
 mod endpoints;
--- a/crates/services/control-service/src/state/overrides.rs
+++ b/crates/services/control-service/src/state/overrides.rs
@@ -1,4 +1,4 @@
-//! The operators' overrides and what of them is durable.
+//! The operators' overrides, and which of their events are durable.
 
 use super::persistence_handle::PersistenceHandle;
 use crate::durable_store::{PersistError, PersistFailure};
@@ -9,12 +9,12 @@
 use std::sync::{Mutex, MutexGuard};
 use tracing::{info, warn};
 
-/// The override set, with the mark up to which its events are durable.
+/// The override set and the number of its last durable event.
 ///
 /// Lock order: write lock, persisted mark, set.
 pub struct Overrides {
     set: Mutex<OverrideSet>,
-    /// Held from a command's change of the set until it is durable or undone.
+    /// Held from a command's change of the set until the change is durable or rolled back.
     write_lock: Mutex<()>,
     /// The number of the last event that is durable.
     last_persisted_event: Mutex<u64>,
@@ -22,11 +22,11 @@
     has_unpersisted: AtomicBool,
 }
 
-/// Holds the mark of the last durable event, so that nothing is persisted meanwhile.
+/// The locked number of the last durable event. No overrides are persisted while it is held.
 pub struct PersistedMark<'a>(MutexGuard<'a, u64>);
 
 impl PersistedMark<'_> {
-    /// Moves the mark to the last event of a set that was read from the store.
+    /// Sets it to the last event of a set that was read from the store.
     pub fn reset_to(&mut self, set: &OverrideSet) {
         *self.0 = last_event(set);
     }
@@ -39,12 +39,12 @@
 }
 
 impl OverrideWriter<'_> {
-    /// A copy of the set, to be put back by [`OverrideWriter::roll_back`].
+    /// A copy of the set, for [`OverrideWriter::roll_back`].
     pub fn snapshot(&self) -> OverrideSet {
         self.overrides.set().clone()
     }
 
-    /// Undoes a change that could not be made durable.
+    /// Restores the set from before a change that could not be persisted.
     pub fn roll_back(&self, snapshot: OverrideSet) {
         self.overrides.replace(snapshot);
     }
@@ -65,7 +65,7 @@
         lock(&self.set)
     }
 
-    /// Puts another set in place of this one.
+    /// Replaces the set.
     pub fn replace(&self, set: OverrideSet) {
         *self.set() = set;
     }
@@ -75,7 +75,7 @@
         OverrideWriter { overrides: self, _guard: lock(&self.write_lock) }
     }
 
-    /// Locks the mark of the last durable event.
+    /// Locks the number of the last durable event.
     pub fn lock_persisted_mark(&self) -> PersistedMark<'_> {
         PersistedMark(lock(&self.last_persisted_event))
     }
@@ -85,14 +85,14 @@
         self.has_unpersisted.load(Ordering::SeqCst)
     }
 
-    /// Forgets a failed write: it belonged to an earlier lease.
+    /// Clears a failed write that belonged to an earlier lease.
     pub fn clear_unpersisted(&self) {
         self.has_unpersisted.store(false, Ordering::SeqCst);
     }
 
     /// Writes what has changed since the last durable event. Blocks on the store.
     pub fn persist(&self, persistence: &PersistenceHandle) -> Result<(), PersistError> {
-        // Held across the write: writes go out one at a time, in the order of the events.
+        // Held during the write, so that writes are made one at a time, in the order of their events.
         let mut last_persisted = lock(&self.last_persisted_event);
         let Some(persistence) = persistence.current() else {
             return Err(PersistError {
@@ -105,7 +105,7 @@
             Ok(()) => {
                 *last_persisted = last_event;
                 if self.has_unpersisted.swap(false, Ordering::SeqCst) {
-                    info!(overrides = write.live.len(), "overrides are kept again");
+                    info!(overrides = write.live.len(), "overrides are persisted again");
                 }
                 Ok(())
             }
@@ -113,14 +113,14 @@
                 // The disk may have lost more than this write: the whole set is written next time.
                 *last_persisted = 0;
                 if !self.has_unpersisted.swap(true, Ordering::SeqCst) {
-                    warn!(error = %error.reason, "overrides are held in memory");
+                    warn!(error = %error.reason, "overrides not persisted; held in memory");
                 }
                 Err(error)
             }
         }
     }
 
-    /// The write that makes all events after `last_persisted` durable, and the number of the last of them.
+    /// The write with all events after `last_persisted`, and the number of the last of them.
     fn write_since(&self, last_persisted: u64) -> (OverrideWrite, u64) {
         let set = self.set();
         let mut events: Vec<_> = set.history().take_while(|e| e.number > last_persisted).cloned().collect();
--- a/crates/services/control-service/src/state/persistence_handle.rs
+++ b/crates/services/control-service/src/state/persistence_handle.rs
@@ -1,28 +1,28 @@
-//! The store that is in use at present, if any.
+//! The store that is currently in use, if any.
 
 use crate::persistence::Persistence;
 use crate::sync::lock;
 use std::sync::{Arc, Mutex};
 
-/// A slot for the present store. Its lock is a leaf: nothing else is locked under it.
+/// A slot for the current store. Its lock is a leaf: no other lock is taken under it.
 #[derive(Default)]
 pub struct PersistenceHandle(Mutex<Option<Arc<Persistence>>>);
 
 impl PersistenceHandle {
-    /// The present store; `None`: nothing is persisted.
+    /// The current store; `None` if nothing is persisted.
     pub fn current(&self) -> Option<Arc<Persistence>> {
         lock(&self.0).clone()
     }
 
-    /// Uses this store from now on.
+    /// Installs this store.
     pub fn install(&self, persistence: Persistence) {
         *lock(&self.0) = Some(Arc::new(persistence));
     }
 
-    /// Uses no store from now on.
+    /// Removes the store; nothing is persisted until another one is installed.
     pub fn remove(&self) {
         let persistence = lock(&self.0).take();
-        // Dropped outside the lock: its thread may be in the middle of a write, which ends by itself.
+        // Dropped outside the lock, because dropping it waits for a write in progress.
         drop(persistence);
     }
 }
