--- a/crates/services/control-service/src/error.rs
+++ b/crates/services/control-service/src/error.rs
@@ -5,13 +5,13 @@
 use rushquay_policy::{ProposalError, RecordError};
 use rushquay_rollout::RegistryError;
 
-/// Why an operator's command was rejected.
+/// The reason why an operator's command was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The override set rejected it.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// Another instance leads.
+    /// This instance does not lead.
     #[error("this control service stands by: {0}")]
     NotLeader(String),
     /// The rollout registry rejected it.
@@ -20,43 +20,45 @@
     /// A policy change could not be proposed or withdrawn.
     #[error(transparent)]
     Policy(#[from] PolicyCommandError),
-    /// The command was rejected because its record could not be written durably.
-    #[error("not done, since it can't be kept: {0}")]
+    /// The command was rejected because its record could not be persisted.
+    #[error("not done, because the change can't be kept: {0}")]
     NotPersisted(String),
 }
 
 impl CommandError {
-    /// The error for a failed write, with what is known of the state that the store is left in.
+    /// The error for a failed write, with what is known about the content of the store.
     pub(crate) fn not_persisted(error: &PersistError) -> Self {
         let reason = &error.reason;
         CommandError::NotPersisted(match error.failure {
             PersistFailure::NoStore | PersistFailure::Fenced => reason.clone(),
             PersistFailure::Unsure => {
-                format!("{reason}; whether it stands is for the next leader to find: look again")
+                format!(
+                    "{reason}; the write may have taken effect, which the next leader finds out: check again"
+                )
             }
             PersistFailure::Failed => {
-                format!("{reason}; what held before is written again once the store works: look again")
+                format!("{reason}; the previous state is written again once the store works: check again")
             }
         })
     }
 }
 
-/// Why a policy change was not proposed or withdrawn.
+/// The reason why a policy change could not be proposed or withdrawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyCommandError {
     /// The policy record rejected it.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// It is no valid policy, or can't hold now.
+    /// The policy is not valid, or can't be put in force now.
     #[error(transparent)]
-    Unfit(#[from] ProposalError),
+    InvalidProposal(#[from] ProposalError),
     /// The store lacks a revision that was already broadcast.
     #[error(
-        "the store stands at revision {store_revision}, and {proxy} has heard of {known_revision}: \
-         it was lost, or is an older copy, and nobody has leave. Put back what was kept \
-         (rushquay control state restore), or go on from a new policy: rushquay policy propose --anew"
+        "the store is at revision {store_revision}, and {proxy} has heard of {known_revision}: \
+         it was lost, or is an older copy, and no policy leases are granted. Restore a backup \
+         (rushquay control state restore), or continue with a new policy: rushquay policy propose --anew"
     )]
-    Behind {
+    StoreBehind {
         /// The revision in the store.
         store_revision: u64,
         /// A proxy that knows a later one.
@@ -64,22 +66,26 @@
         /// The revision that it knows.
         known_revision: u64,
     },
-    /// The store lacks nothing, so there is nothing to begin anew.
-    #[error("the store is whole: propose without --anew")]
+    /// The store is complete, so there is no reason to start anew.
+    #[error("the store is complete: propose without --anew")]
     StoreComplete,
-    /// A lease for a policy that is lost may still run, for this many seconds.
-    #[error("somebody may still act by what is lost, for {0} s: ask again then")]
-    TooSoon(u64),
-    /// A class that no proxy has, and those that proxies have.
+    /// A lease for a lost policy may be valid for this many more seconds.
+    #[error("a proxy may still act under a lost policy for {0} s: retry after that")]
+    LeasesOutstanding(u64),
+    /// No proxy has the class; the second field lists the classes that proxies have.
     #[error("policy: settings.categories: expected classes that proxies have, not {0:?}; they have {1}")]
     UnknownClass(String, String),
-    /// A rollout of this id is running.
-    #[error("change {0} of settings runs in stages; wait for its end, or take it back, and propose again")]
+    /// The rollout with this id is running.
+    #[error("change {0} of settings runs in stages; wait until it ends, or roll it back, and propose again")]
     RolloutRuns(u64),
-    /// A policy of this number is proposed and not decided.
-    #[error("policy {0} is proposed and not decided yet; wait for its end, or abort it, and start again")]
+    /// The policy with this number is proposed and not decided yet.
+    #[error(
+        "policy {0} is proposed and not decided yet; wait for the decision, or abort it, and start again"
+    )]
     PolicyUndecided(u64),
     /// A proxy of this name has never requested a lease.
-    #[error("no proxy {0:?} has asked for leave here; rushquay policy status names those that have")]
+    #[error(
+        "no proxy {0:?} has requested a policy lease here; rushquay policy status lists those that have"
+    )]
     UnknownProxy(String),
 }
--- a/crates/services/control-service/src/http/metrics.rs
+++ b/crates/services/control-service/src/http/metrics.rs
@@ -131,7 +131,7 @@
     scrape.gauge("policy_up", help, i64::from(stats.is_up));
     scrape.gauge("policy_revision", "The revision of the record of policies", stats.revision as i64);
     let help = "The number of the policy that holds; of two the old";
-    scrape.gauge("policy_holds", help, stats.holds as i64);
+    scrape.gauge("policy_holds", help, stats.in_force as i64);
     let help = "1 while a change of policy is not decided";
     scrape.gauge("policy_joint", help, i64::from(stats.is_joint));
     scrape.gauge("policy_members", "Processes that have leave", stats.members);
--- a/crates/services/control-service/src/http/rejection.rs
+++ b/crates/services/control-service/src/http/rejection.rs
@@ -66,14 +66,14 @@
     match error {
         PolicyCommandError::Record(RecordError::Changed { .. }) => StatusCode::PRECONDITION_FAILED,
         PolicyCommandError::Record(RecordError::Field(..))
-        | PolicyCommandError::Unfit(_)
+        | PolicyCommandError::InvalidProposal(_)
         | PolicyCommandError::UnknownClass(..) => StatusCode::UNPROCESSABLE_ENTITY,
         PolicyCommandError::Record(_)
         | PolicyCommandError::RolloutRuns(_)
         | PolicyCommandError::PolicyUndecided(_)
-        | PolicyCommandError::Behind { .. }
+        | PolicyCommandError::StoreBehind { .. }
         | PolicyCommandError::StoreComplete
-        | PolicyCommandError::TooSoon(_) => StatusCode::CONFLICT,
+        | PolicyCommandError::LeasesOutstanding(_) => StatusCode::CONFLICT,
         PolicyCommandError::UnknownProxy(_) => StatusCode::NOT_FOUND,
     }
 }
--- a/crates/services/control-service/src/policy/controller.rs
+++ b/crates/services/control-service/src/policy/controller.rs
@@ -1,4 +1,4 @@
-//! The policy controller: its life under a leader, and the commands of operators.
+//! The policy controller: leadership changes, its periodic tick, and the commands of operators.
 
 use super::record::read_records;
 use super::settings::PolicySettings;
@@ -19,34 +19,34 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Lease requests that wait for the next tick. Danger: a peer that requests without end would fill the memory.
+/// The most lease requests queued for the next tick. Danger: without a limit, a peer that keeps requesting would exhaust the memory.
 const MAX_PENDING_REQUESTS: usize = 100_000;
 
 /// What an operator proposes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// Settings that are laid over each proxy's own.
+    /// Settings that override those in each proxy's settings file.
     pub settings: Value,
-    /// The fallback policy; left out: that of the policy that holds.
+    /// The fallback policy; if left out, the one of the policy in force.
     #[serde(default, rename = "floor")]
     pub fallback: Option<Value>,
     /// Who proposes it.
     #[serde(default)]
     pub author: String,
-    /// Why.
+    /// The reason for the change.
     #[serde(default)]
     pub reason: String,
-    /// Continue after the loss of the store, or its return to an older state: behind all that was ever broadcast.
+    /// Continue after the store was lost or restored from an older copy, with a revision higher than any that was broadcast.
     #[serde(default)]
     pub anew: bool,
 }
 
-/// A proposal that fits, checked and not persisted yet.
-struct FittedProposal {
+/// A proposal that was validated and is not persisted yet.
+struct ValidatedProposal {
     record: PolicyRecord,
     policy: Policy,
-    /// How it differs from the policy that holds, for people.
+    /// Its differences from the policy in force, for operators.
     comparison: Value,
 }
 
@@ -56,7 +56,7 @@
 pub struct PolicyController {
     pub(super) settings: PolicySettings,
     pub(super) state: Mutex<PolicyState>,
-    /// Held from a decision until it is persisted and applied: one at a time.
+    /// Held from a decision until it is persisted and applied, so that decisions are made one at a time.
     decision: Mutex<()>,
 }
 
@@ -70,7 +70,7 @@
         Duration::from_millis(self.settings.look_ms)
     }
 
-    /// Continues from what was persisted, under this leader.
+    /// Restores the persisted state when this instance becomes the leader.
     pub(crate) fn lead(&self, records: &Records, leader: &LeaderContext) {
         let _decision = lock(&self.decision);
         let now = leader.monotonic_now();
@@ -79,12 +79,11 @@
             (None, BTreeSet::new(), Vec::new());
         match read_records(records) {
             Ok(stored) => state.restore(stored, &self.settings, now),
-            // Danger: if the record were begun anew, nobody would know what was decided.
+            // Danger: an empty record in its place would lose the decisions made so far.
             Err(error) => {
                 warn!(%error, "policy record unreadable; no leases are granted");
-                state.error = Some(format!(
-                    "the record of policies can't be read: {error}; use the version that wrote it"
-                ));
+                state.error =
+                    Some(format!("the policy record can't be read: {error}; use the version that wrote it"));
             }
         }
     }
@@ -95,7 +94,7 @@
         state.requests.clear();
     }
 
-    /// The policy that is proposed and not decided.
+    /// The policy that is proposed and not decided yet.
     pub(crate) fn undecided(&self) -> Option<PolicyNumber> {
         lock(&self.state).coordinator.record().policy_set().numbers().nth(1)
     }
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Decides what can be decided, persists it, and answers lease requests. Blocks on the store.
+    /// Advances the pending change if that is possible, persists the decision, and answers lease requests. Blocks on the store.
     pub(crate) fn tick(&self, leader: &LeaderContext) {
         let _decision = lock(&self.decision);
         if !leader.holds_valid_lease() || lock(&self.state).error.is_some() {
@@ -130,7 +129,7 @@
             (state.coordinator.step(now), unused)
         };
         if let Some(record) = decided {
-            // Danger: where the store takes no writes a decision waits; leases for what holds are renewed all the same.
+            // Danger: while the store rejects writes the decision is delayed, but leases for the policy in force must still be renewed.
             let _ = self.persist_record(leader, record, None);
         }
         self.resolve_doubt(leader);
@@ -153,11 +152,11 @@
         if let Some(id) = rollout.and_then(|r| r.running()) {
             return Err(PolicyCommandError::RolloutRuns(id).into());
         }
-        let fitted = self.fit(leader, rollout, proposal, expected_revision)?;
-        let number = fitted.record.policy_set().numbers().nth(1);
-        let revision = fitted.record.revision.0;
-        self.persist_record(leader, fitted.record, Some(fitted.policy))?;
-        let mut body = fitted.comparison;
+        let validated = self.validate(leader, rollout, proposal, expected_revision)?;
+        let number = validated.record.policy_set().numbers().nth(1);
+        let revision = validated.record.revision.0;
+        self.persist_record(leader, validated.record, Some(validated.policy))?;
+        let mut body = validated.comparison;
         body["policy"] = json!(number);
         body["revision"] = json!(revision);
         Ok(Versioned { body, revision })
@@ -183,7 +182,7 @@
         Ok(Versioned { body: json!({"revision": revision}), revision })
     }
 
-    /// What a proposal would change now, and the record's revision.
+    /// The differences that a proposal would make now, with the record's revision.
     pub(crate) fn diff(
         &self,
         leader: &LeaderContext,
@@ -191,14 +190,14 @@
         proposal: &Proposal,
     ) -> Result<Versioned, CommandError> {
         self.require_ready(leader)?;
-        // A record needs an author and a reason, and a comparison has neither.
+        // A record requires an author and a reason, which a comparison doesn't have.
         let nobody = || "nobody".to_owned();
         let proposal = Proposal { author: nobody(), reason: nobody(), ..proposal.clone() };
-        let fitted = self.fit(leader, rollout, &proposal, None)?;
-        Ok(Versioned { body: fitted.comparison, revision: fitted.record.revision.0 - 1 })
+        let validated = self.validate(leader, rollout, &proposal, None)?;
+        Ok(Versioned { body: validated.comparison, revision: validated.record.revision.0 - 1 })
     }
 
-    /// Rejects a command where another instance leads or the stored record is unusable.
+    /// Rejects a command if this instance does not lead or the stored record is unusable.
     fn require_ready(&self, leader: &LeaderContext) -> Result<(), CommandError> {
         leader.require_leadership()?;
         match &lock(&self.state).error {
@@ -207,14 +206,14 @@
         }
     }
 
-    /// Checks a proposal against what holds.
-    fn fit(
+    /// Validates a proposal against the policy in force.
+    fn validate(
         &self,
         leader: &LeaderContext,
         rollout: Option<&RolloutController>,
         proposal: &Proposal,
         expected_revision: Option<u64>,
-    ) -> Result<FittedProposal, CommandError> {
+    ) -> Result<ValidatedProposal, CommandError> {
         let now = leader.monotonic_now();
         let state = lock(&self.state);
         let record = state.coordinator.record();
@@ -223,22 +222,22 @@
             .archive
             .validate_proposal(&proposal.settings, proposal.fallback.as_ref(), (record, &terms), now)
             .map_err(PolicyCommandError::from)?;
-        // Where proxies report, a class that none has is a mistake that need not be tried on all of them.
+        // If proxies report their classes, a class that none of them has is rejected here and not by each proxy.
         require_known_classes(&policy, &rollout.map(|r| r.classes()).unwrap_or_default())?;
         let comparison = state.compare(record.in_force, &policy);
         let base = state.proposal_base(proposal.anew, now)?;
-        // The expected revision is that of the store, not of the base.
+        // The expected revision is compared with the store's, not with that of the base.
         if let Some(expected) = expected_revision.filter(|e| *e != record.revision.0) {
             let changed = RecordError::Changed { expected, now: record.revision.0 };
             return Err(PolicyCommandError::from(changed).into());
         }
         let proposed = base.propose((&proposal.author, &proposal.reason), None);
         let record = proposed.map_err(PolicyCommandError::from)?;
-        Ok(FittedProposal { record, policy, comparison })
+        Ok(ValidatedProposal { record, policy, comparison })
     }
 }
 
-/// Rejects a policy for a class that no proxy has; with no known classes, none is rejected.
+/// Rejects a policy for a class that no proxy has. If no classes are known, any class is accepted.
 fn require_known_classes(policy: &Policy, known: &BTreeSet<String>) -> Result<(), PolicyCommandError> {
     let settings = policy.settings.document();
     let mut names =
--- a/crates/services/control-service/src/policy/history.rs
+++ b/crates/services/control-service/src/policy/history.rs
@@ -1,4 +1,4 @@
-//! Which revision each proxy applied, and when: for people who ask later.
+//! Which revision each proxy applied, and when: an audit trail for operators.
 
 use rushquay_endpoints::Nanos;
 use rushquay_policy::{Incarnation, Revision};
@@ -6,12 +6,12 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Changes that are remembered of a proxy.
+/// The most changes kept for one proxy.
 const MAX_CHANGES: usize = 64;
-/// Proxies that are remembered.
+/// The most proxies with a history.
 const MAX_PROXIES: usize = 20_000;
 
-/// The revision that a process applied from a moment on.
+/// The revision that a process applied from a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionChange {
     /// When the leader received it, in Unix nanoseconds.
@@ -19,7 +19,7 @@
     /// The process.
     #[serde(rename = "boot")]
     pub incarnation: Incarnation,
-    /// What it applies; 0: it has no lease, or is gone.
+    /// The revision that it applies; 0 if it has no lease or has ended.
     pub revision: Revision,
 }
 
@@ -29,26 +29,26 @@
     by_proxy: BTreeMap<String, VecDeque<RevisionChange>>,
     /// Proxies with changes that are not persisted.
     unpersisted: BTreeSet<String>,
-    /// When records were last handed out to be persisted.
-    last_due: Nanos,
+    /// When records were last taken to be persisted.
+    last_taken_at: Nanos,
 }
 
 impl PolicyHistory {
-    /// Restores what was persisted. A record that can't be read is skipped: it decides nothing.
+    /// Restores the persisted history. A record that can't be read is skipped, because no decision depends on it.
     pub fn restore<'a>(records: impl Iterator<Item = (&'a str, &'a Value)>) -> Self {
         let read =
             |(name, json): (&str, &Value)| Some((name.to_owned(), Deserialize::deserialize(json).ok()?));
         PolicyHistory { by_proxy: records.filter_map(read).collect(), ..PolicyHistory::default() }
     }
 
-    /// Records the revision that a process reports to apply.
+    /// Records the revision that a process reports as applied.
     pub fn record(&mut self, name: &str, incarnation: Incarnation, revision: Revision, at: Nanos) {
         if !self.by_proxy.contains_key(name) && self.by_proxy.len() >= MAX_PROXIES {
             return;
         }
         let changes = self.by_proxy.entry(name.to_owned()).or_default();
         let last = changes.iter().rev().find(|c| c.incarnation == incarnation).map(|c| c.revision);
-        // A process that is new and applies nothing is no change.
+        // A new process that applies nothing is not recorded.
         if last.unwrap_or_default() == revision {
             return;
         }
@@ -69,12 +69,12 @@
         self.by_proxy.get(name)
     }
 
-    /// Takes the records that are to be persisted now: at most `limit`, and none sooner than `period` after the last.
-    pub fn take_due(&mut self, now: Nanos, period: Nanos, limit: usize) -> Vec<(String, Value)> {
-        if self.unpersisted.is_empty() || now.saturating_sub(self.last_due) < period {
+    /// Takes at most `limit` records to persist; none if less than `period` has passed since the last call that took any.
+    pub fn take_unpersisted(&mut self, now: Nanos, period: Nanos, limit: usize) -> Vec<(String, Value)> {
+        if self.unpersisted.is_empty() || now.saturating_sub(self.last_taken_at) < period {
             return Vec::new();
         }
-        self.last_due = now;
+        self.last_taken_at = now;
         let names: Vec<String> = self.unpersisted.iter().take(limit).cloned().collect();
         let take = |name: String| {
             self.unpersisted.remove(&name);
@@ -84,7 +84,7 @@
         names.into_iter().map(take).collect()
     }
 
-    /// Has records that could not be persisted taken again.
+    /// Marks records whose write failed as unpersisted again.
     pub fn retry(&mut self, names: impl IntoIterator<Item = String>) {
         self.unpersisted.extend(names);
     }
--- a/crates/services/control-service/src/policy/leases.rs
+++ b/crates/services/control-service/src/policy/leases.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl PolicyController {
-    /// Answers the pending lease requests, and withdraws the leases of processes that are gone.
+    /// Answers the pending lease requests, and removes the leases of processes that are no longer members.
     pub(super) fn grant_leases(&self, leader: &LeaderContext) {
         let mut state = lock(&self.state);
         if !leader.hub.store().is_open() {
@@ -18,7 +18,7 @@
         }
         state.broadcast(leader);
         let (unix_now, requests) = (leader.unix_now(), std::mem::take(&mut state.requests));
-        // Danger: a process that was suspended since the tick began would grant leases that no successor knows of.
+        // Danger: a process that was suspended since the tick began would grant leases that the next leader doesn't know of.
         let now = leader.monotonic_now();
         if !leader.holds_valid_lease() {
             return;
@@ -32,15 +32,15 @@
             grants.push((policy_lease_name(&name, request.incarnation.0), grant.text()));
             state.declared_leases.insert((name, request.incarnation));
         }
-        let gone = state.remove_gone(unix_now);
-        if grants.is_empty() && gone.is_empty() {
+        let departed = state.remove_departed(unix_now);
+        if grants.is_empty() && departed.is_empty() {
             return;
         }
         leader.hub.change(|store, at| {
             for (name, text) in &grants {
                 declare_text(store, name, text, at);
             }
-            for (name, incarnation) in &gone {
+            for (name, incarnation) in &departed {
                 remove_text(store, &policy_lease_name(name, incarnation.0), at);
             }
         });
@@ -48,15 +48,16 @@
 }
 
 impl PolicyState {
-    /// Removes and returns the declared leases of processes that are no members any more.
-    fn remove_gone(&mut self, unix_now: Nanos) -> Vec<(String, Incarnation)> {
+    /// Removes and returns the declared leases of processes that are no longer members.
+    fn remove_departed(&mut self, unix_now: Nanos) -> Vec<(String, Incarnation)> {
         let members: BTreeSet<(String, Incarnation)> =
             self.coordinator.members().map(|(name, incarnation, _)| (name.to_owned(), incarnation)).collect();
-        let gone: Vec<(String, Incarnation)> = self.declared_leases.difference(&members).cloned().collect();
-        for lease in &gone {
+        let departed: Vec<(String, Incarnation)> =
+            self.declared_leases.difference(&members).cloned().collect();
+        for lease in &departed {
             self.declared_leases.remove(lease);
             self.history.record_lease_end(&lease.0, lease.1, unix_now);
         }
-        gone
+        departed
     }
 }
--- a/crates/services/control-service/src/policy/mod.rs
+++ b/crates/services/control-service/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Policy changes: proxies request leases, the coordinator decides, and each step is persisted before anyone is told
+//! Policy changes: proxies request leases, the coordinator decides, and each step is persisted before it is broadcast
 //! (`docs/design-policy.md`).
 
 mod controller;
--- a/crates/services/control-service/src/policy/persistence.rs
+++ b/crates/services/control-service/src/policy/persistence.rs
@@ -1,7 +1,7 @@
-//! Writing what the policy controller decides.
+//! Persists the decisions of the policy controller.
 
 use super::controller::PolicyController;
-use super::record::{history_record_name, policy_record_name, StoredRecord, HOLDS_RECORD};
+use super::record::{history_record_name, policy_record_name, StoredRecord, POLICY_RECORD};
 use crate::durable_store::PersistError;
 use crate::error::CommandError;
 use crate::state::LeaderContext;
@@ -10,14 +10,15 @@
 use rushquay_state::RecordWrite;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records of how proxies acted that go into one write. Danger: a fleet that moves at once would hold the store, and the lease with it.
+/// The most history records in one write. Danger: if a whole fleet changed at once, a single write of all of them would occupy the
+/// store and delay the renewal of the lease.
 const MAX_HISTORY_RECORDS_PER_WRITE: usize = 500;
-/// The least time between such writes, for the same reason.
+/// The minimum time between such writes, for the same reason.
 const HISTORY_WRITE_PERIOD_NANOS: u64 = 1_000_000_000;
 
 impl PolicyController {
-    /// Persists a record and the policy that is new in it, and applies it only then. Danger: broadcast first, a decision would be known to
-    /// proxies and to no successor.
+    /// Persists a record with its new policy, if any, and applies it only then. Danger: a decision that was broadcast first would be known
+    /// to proxies but not to the next leader.
     pub(super) fn persist_record(
         &self,
         leader: &LeaderContext,
@@ -27,18 +28,18 @@
         let new = policy.and_then(|policy| Some((record.policy_set().numbers().nth(1)?, policy)));
         let revision_starts = lock(&self.state).revision_starts.clone();
         let stored = StoredRecord::starting_at(record, revision_starts, leader.unix_now());
-        let mut set = BTreeMap::from([(HOLDS_RECORD.to_owned(), stored.to_json())]);
+        let mut set = BTreeMap::from([(POLICY_RECORD.to_owned(), stored.to_json())]);
         if let Some((number, policy)) = &new {
             set.insert(policy_record_name(*number), policy.document());
         }
         if let Err(error) = leader.persist_records(&RecordWrite { set, gone: Vec::new() }) {
             return Err(self.on_write_failed(leader, &error));
         }
-        // Danger: the lease may have ended meanwhile, and the next leader have decided on what it found. Only that one may broadcast what
-        // was persisted.
+        // Danger: the lease may have ended meanwhile, and the next leader may have decided from what it read. Only that leader may
+        // broadcast the persisted record.
         if !leader.holds_valid_lease() {
             return Err(CommandError::NotPersisted(
-                "this instance leads no longer; ask the one that does how it stands".into(),
+                "this instance no longer leads; ask the current leader for the status".into(),
             ));
         }
         let now = leader.monotonic_now();
@@ -54,21 +55,21 @@
         leader.reject_unpersisted(error)
     }
 
-    /// Writes the record that holds once more where a write of another failed: nobody was told of that one.
+    /// Writes the record in force again if a write of another record failed, which may have taken effect but was not broadcast.
     pub(super) fn resolve_doubt(&self, leader: &LeaderContext) {
         let stored = {
             let state = lock(&self.state);
             state.record_status.is_in_doubt().then(|| state.stored_record())
         };
         let Some(stored) = stored else { return };
-        let set = BTreeMap::from([(HOLDS_RECORD.to_owned(), stored.to_json())]);
+        let set = BTreeMap::from([(POLICY_RECORD.to_owned(), stored.to_json())]);
         // A failure is retried at the next tick.
         if leader.persist_records(&RecordWrite { set, gone: Vec::new() }).is_ok() {
             lock(&self.state).record_status.on_written();
         }
     }
 
-    /// Removes policies that nobody can refer to any more.
+    /// Removes stored policies that no proxy can refer to any longer.
     pub(super) fn remove_unused_policies(&self, leader: &LeaderContext, unused: &[PolicyNumber]) {
         if unused.is_empty() {
             return;
@@ -79,19 +80,20 @@
         }
     }
 
-    /// Persists how proxies acted. It is for people alone: a failure is retried.
+    /// Persists the history of proxies. Nothing depends on it, so a failure is only retried.
     pub(super) fn persist_history(&self, leader: &LeaderContext) {
-        let due = lock(&self.state).history.take_due(
+        let unpersisted = lock(&self.state).history.take_unpersisted(
             leader.monotonic_now(),
             HISTORY_WRITE_PERIOD_NANOS,
             MAX_HISTORY_RECORDS_PER_WRITE,
         );
-        if due.is_empty() {
+        if unpersisted.is_empty() {
             return;
         }
-        let set = due.iter().map(|(proxy, json)| (history_record_name(proxy), json.clone())).collect();
+        let set =
+            unpersisted.iter().map(|(proxy, json)| (history_record_name(proxy), json.clone())).collect();
         if leader.persist_records(&RecordWrite { set, gone: Vec::new() }).is_err() {
-            let proxies = due.into_iter().map(|(proxy, _)| proxy).collect::<BTreeSet<_>>();
+            let proxies = unpersisted.into_iter().map(|(proxy, _)| proxy).collect::<BTreeSet<_>>();
             lock(&self.state).history.retry(proxies);
         }
     }
--- a/crates/services/control-service/src/policy/record.rs
+++ b/crates/services/control-service/src/policy/record.rs
@@ -1,4 +1,4 @@
-//! The stored form of policies: the record of what holds, each policy, and how proxies acted.
+//! The stored form of policies: the policy record, the policies themselves, and the history of each proxy.
 
 use super::history::PolicyHistory;
 use rushquay_endpoints::Nanos;
@@ -7,16 +7,16 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Name of the record of what holds.
-pub const HOLDS_RECORD: &str = "policy/holds";
-/// Prefix of the records of policies; their number follows.
+/// Name of the policy record, which says which policy is in force and whether a change is pending.
+pub const POLICY_RECORD: &str = "policy/holds";
+/// Prefix of the names of policies, followed by the policy's number.
 const POLICY_PREFIX: &str = "policy/number/";
-/// Prefix of the records of how proxies acted; the proxy's name follows.
+/// Prefix of the names of history records, followed by the proxy's name.
 const HISTORY_PREFIX: &str = "policy/acted/";
-/// Revisions whose start is remembered.
+/// The most revisions whose start is kept.
 const MAX_REVISION_STARTS: usize = 500;
 
-/// Since when the record has been at a revision.
+/// When a revision of the record started.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionStart {
     /// Unix time in nanoseconds.
@@ -55,7 +55,7 @@
     }
 }
 
-/// All that the store holds of policies.
+/// All policy state in the store.
 pub struct StoredPolicies {
     pub record: StoredRecord,
     pub policies: BTreeMap<PolicyNumber, Policy>,
@@ -65,22 +65,22 @@
 /// Why stored policies can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The record of what holds is malformed.
+    /// The policy record is malformed.
     #[error("policy/holds: {0}")]
     Record(#[source] serde_json::Error),
-    /// The name of a policy's record ends in no number.
+    /// The name of a stored policy does not end in a number.
     #[error("{0}: expected a number")]
     Number(String),
     /// A policy is malformed.
     #[error("{name}: {reason}")]
     Policy {
-        /// Of the record.
+        /// The name of the record.
         name: String,
-        /// What is wrong with it.
+        /// Why it is malformed.
         reason: String,
     },
     /// The record names a policy that is not stored.
-    #[error("policy {0} holds and is not there")]
+    #[error("policy {0} is in force but not stored")]
     Missing(u64),
 }
 
@@ -89,14 +89,14 @@
     format!("{POLICY_PREFIX}{}", number.0)
 }
 
-/// Name of the record of how a proxy acted.
+/// Name of a proxy's history record.
 pub fn history_record_name(proxy: &str) -> String {
     format!("{HISTORY_PREFIX}{proxy}")
 }
 
-/// Reads what an earlier leader stored.
+/// Reads the policy state that an earlier leader stored.
 pub fn read_records(records: &BTreeMap<String, Value>) -> Result<StoredPolicies, ReadError> {
-    let record = match records.get(HOLDS_RECORD) {
+    let record = match records.get(POLICY_RECORD) {
         None => StoredRecord { record: PolicyRecord::default(), revision_starts: BTreeMap::new() },
         Some(json) => StoredRecord::deserialize(json).map_err(ReadError::Record)?,
     };
--- a/crates/services/control-service/src/policy/settings.rs
+++ b/crates/services/control-service/src/policy/settings.rs
@@ -7,21 +7,21 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// `[policy]` of the settings file: its presence has the service grant policy leases and accept policy changes.
+/// `[policy]` of the settings file. If it is present, the service grants policy leases and accepts policy changes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
-    /// Duration of a policy lease in seconds, by the proxy's clock. A decision may wait that long for a proxy that is down.
+    /// Duration of a policy lease in seconds, by the proxy's clock. A decision may be delayed that long by a proxy that is down.
     pub leave_s: f64,
-    /// The most that a clock runs fast or slow, in parts per million.
+    /// Maximum drift of a clock, in parts per million.
     pub drift_ppm: u64,
     /// Seconds after which a change that is not decided is aborted.
     pub limit_s: f64,
-    /// Seconds after its lease for which a proxy applies the fallback policy; then it serves nobody.
+    /// Seconds for which a proxy applies the fallback policy after its lease expires; after that it rejects all requests.
     pub floor_s: f64,
     /// The period of the policy controller in milliseconds, 20 to 10000.
     pub look_ms: u64,
-    /// The fallback policy before any policy names one: settings, or "nobody".
+    /// The fallback policy until a policy names one: settings, or "nobody".
     pub floor: Value,
 }
 
@@ -33,14 +33,14 @@
 }
 
 impl PolicySettings {
-    /// The first field that is out of its range, and what is expected of it.
+    /// The first field that is out of range, and the expected range.
     pub(crate) fn out_of_range(&self) -> Option<(&'static str, String)> {
         let within = |name, value: f64, from: f64, to: f64| {
             (!(from..=to).contains(&value))
                 .then(|| (name, format!("seconds from {from} to {to}, found {value}")))
         };
         within("leave_s", self.leave_s, 0.5, 300.0)
-            // A change that could not outlast one lease would never be decided while a proxy is down.
+            // A change that timed out within one lease could never be decided while a proxy is down.
             .or(within("limit_s", self.limit_s, 2.0 * self.leave_s, 86_400.0))
             .or(within("floor_s", self.floor_s, 0.0, 2_592_000.0))
             .or((self.drift_ppm > 200_000).then(|| ("drift_ppm", "0 to 200000".into())))
@@ -50,12 +50,12 @@
 
     pub(super) fn terms(&self) -> LeaseTerms {
         let nanos = |seconds: f64| (seconds * NANOS_PER_SECOND) as Nanos;
-        let (span, limit, floor) = (nanos(self.leave_s), nanos(self.limit_s), nanos(self.floor_s));
+        let (lease, change, fallback) = (nanos(self.leave_s), nanos(self.limit_s), nanos(self.floor_s));
         LeaseTerms {
-            lease_duration: span,
+            lease_duration: lease,
             drift_ppm: self.drift_ppm,
-            change_timeout: limit,
-            fallback_duration: floor,
+            change_timeout: change,
+            fallback_duration: fallback,
         }
     }
 }
--- a/crates/services/control-service/src/policy/state.rs
+++ b/crates/services/control-service/src/policy/state.rs
@@ -1,4 +1,4 @@
-//! What the policy controller holds in memory while it leads.
+//! The in-memory state of the policy controller while this instance leads.
 
 use super::history::PolicyHistory;
 use super::record::{RevisionStart, StoredPolicies, StoredRecord};
@@ -15,24 +15,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Names that a log line lists at most.
+/// The most names in one log line.
 const MAX_LOGGED_NAMES: usize = 20;
 
 pub struct PolicyState {
     pub coordinator: Coordinator,
     pub archive: PolicyArchive,
-    /// Since when the record has been at each of its recent revisions.
+    /// When each of the record's recent revisions started.
     pub revision_starts: BTreeMap<u64, RevisionStart>,
     /// Lease requests of proxies since the last tick.
     pub requests: Vec<(String, LeaseRequest)>,
     /// The revision that was last broadcast.
     pub broadcast_revision: Option<Revision>,
-    /// Leases that are declared to the hub.
+    /// Leases that are published in the hub.
     pub declared_leases: BTreeSet<(String, Incarnation)>,
     pub history: PolicyHistory,
-    /// Why nothing is decided and no leases are granted; `None`: they are.
+    /// Why no decisions are made and no leases granted; `None` in normal operation.
     pub error: Option<String>,
-    /// Who the change waited for at the last tick.
+    /// The processes that the pending change waited for at the last tick.
     pub blocked_by: BTreeSet<String>,
     pub record_status: RecordStatus,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Continues from what an earlier leader stored.
+    /// Restores the state that an earlier leader stored.
     pub fn restore(&mut self, stored: StoredPolicies, settings: &PolicySettings, now: Nanos) {
         let StoredRecord { record, revision_starts } = stored.record;
         // The settings were validated when they were read.
@@ -74,7 +74,7 @@
         StoredRecord { record, revision_starts: self.revision_starts.clone() }
     }
 
-    /// Takes a record that was persisted, and the policy that is new in it.
+    /// Applies a record that was persisted, with its new policy, if any.
     pub fn apply(&mut self, stored: StoredRecord, new: Option<(PolicyNumber, Policy)>, now: Nanos) {
         if let Some((number, policy)) = new {
             self.archive.put(number, policy);
@@ -87,10 +87,10 @@
         self.revision_starts = revision_starts;
     }
 
-    /// Rejects where the store lacks a revision that was already broadcast.
+    /// Fails if the store lacks a revision that was already broadcast.
     pub fn require_complete_store(&self) -> Result<(), PolicyCommandError> {
         match self.coordinator.member_ahead_of_store() {
-            Some((proxy, known)) => Err(PolicyCommandError::Behind {
+            Some((proxy, known)) => Err(PolicyCommandError::StoreBehind {
                 store_revision: self.coordinator.record().revision.0,
                 proxy: proxy.into(),
                 known_revision: known.0,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The record that a proposal continues from; with `anew` one that lies after all that was broadcast before the store was lost.
+    /// The record that a proposal is based on; with `anew`, one with a higher revision than any that was broadcast before the store was lost.
     pub fn proposal_base(&self, anew: bool, now: Nanos) -> Result<PolicyRecord, PolicyCommandError> {
         let record = self.coordinator.record();
         let Some((_, known_revision)) = self.coordinator.member_ahead_of_store() else {
@@ -108,14 +108,16 @@
         if !anew {
             self.require_complete_store()?;
         }
-        // Danger: if another policy were broadcast while a lease for the lost one runs, two would hold at once.
+        // Danger: if another policy were broadcast while a lease for the lost one is valid, two policies would be in force at once.
         match self.coordinator.previous_leases_expire_at() {
-            at if now <= at => Err(PolicyCommandError::TooSoon((at - now).div_ceil(1_000_000_000).max(1))),
+            at if now <= at => {
+                Err(PolicyCommandError::LeasesOutstanding((at - now).div_ceil(1_000_000_000).max(1)))
+            }
             _ => Ok(record.resumed_after(known_revision)),
         }
     }
 
-    /// Broadcasts what holds, unless that revision has been broadcast already.
+    /// Broadcasts the current revision, unless it has been broadcast already.
     pub fn broadcast(&mut self, leader: &LeaderContext) {
         let record = self.coordinator.record();
         if self.broadcast_revision == Some(record.revision)
@@ -132,7 +134,7 @@
         self.broadcast_revision = Some(record.revision);
     }
 
-    /// Logs whom the change waits for whenever that changes.
+    /// Logs the processes that the pending change waits for, whenever they change.
     pub fn log_blocked_by(&mut self, now: Nanos) {
         if self.coordinator.record().policy_set().numbers().nth(1).is_none() {
             self.blocked_by.clear();
@@ -148,7 +150,7 @@
     }
 }
 
-/// Whom a change waits for, in words.
+/// The name of a process that a change waits for. An empty name stands for a leader that started too recently to know all processes.
 pub fn blocker_name(name: &str) -> String {
     match name {
         "" => "a leader that has only just begun".into(),
--- a/crates/services/control-service/src/policy/view.rs
+++ b/crates/services/control-service/src/policy/view.rs
@@ -1,4 +1,4 @@
-//! Policies as JSON for the admin API, and as figures for `/metrics`.
+//! Policies as JSON for the admin API and as values for `/metrics`.
 
 use super::controller::PolicyController;
 use super::record::RevisionStart;
@@ -14,18 +14,18 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Members that a status lists at most.
+/// The most members listed in a status.
 const MAX_LISTED_MEMBERS: usize = 1000;
 
-/// A policy set in words.
-fn in_words(policy_set: PolicySet) -> String {
+/// A textual description of a policy set.
+fn describe_policy_set(policy_set: PolicySet) -> String {
     match policy_set {
         PolicySet::Pure(one) => format!("policy {} alone", one.0),
         PolicySet::Joint(old, new) => format!("policies {} and {} at once", old.0, new.0),
     }
 }
 
-/// Collects the fields that hold no objects by their paths; classes and tenants by name.
+/// Collects the leaf fields of a document by path. Items of a list with names, such as classes and tenants, are keyed by name.
 fn flatten(path: &str, value: &Value, into: &mut Map<String, Value>) {
     match value {
         Value::Object(fields) => {
@@ -43,15 +43,15 @@
     }
 }
 
-/// Figures for `/metrics`.
+/// Values for `/metrics`.
 pub(crate) struct PolicyStats {
     /// The record's revision.
     pub revision: u64,
-    /// The policy that holds.
-    pub holds: u64,
+    /// The policy in force.
+    pub in_force: u64,
     /// Whether a change is pending.
     pub is_joint: bool,
-    /// Processes that hold a lease.
+    /// Processes with a lease.
     pub members: i64,
     /// Processes that the change waits for.
     pub blockers: i64,
@@ -60,9 +60,9 @@
 }
 
 impl PolicyState {
-    /// What changes from one policy to another, field by field, and what holds during the joint phase.
-    pub(super) fn compare(&self, holds: PolicyNumber, new: &Policy) -> Value {
-        let old = self.archive.get(holds).map_or(json!({}), |p| p.settings.document());
+    /// The differences between the policy in force and a new one, field by field, with the values that apply during the joint phase.
+    pub(super) fn compare(&self, in_force: PolicyNumber, new: &Policy) -> Value {
+        let old = self.archive.get(in_force).map_or(json!({}), |p| p.settings.document());
         let new_settings = new.settings.document();
         let (mut before, mut after, mut joint) = (Map::new(), Map::new(), Map::new());
         flatten("", &old, &mut before);
@@ -79,13 +79,13 @@
                 json!({"field": path, "old": value(&before), "new": value(&after), "joint": value(&joint)})
             })
             .collect();
-        json!({"from": holds, "fields": fields, "stops": rejected_classes, "floor": new.fallback.document(),
-               "note": "what is null is as each proxy's file says"})
+        json!({"from": in_force, "fields": fields, "stops": rejected_classes, "floor": new.fallback.document(),
+               "note": "null: as in each proxy's settings file"})
     }
 }
 
-/// The intersection of two documents that name only some classes each. A proxy intersects whole settings; here a class that only one
-/// document names is as in that document, because the other leaves it to each proxy's file.
+/// The intersection of two documents, each of which may name only some classes. A proxy intersects complete settings. Here a class that
+/// only one document names is taken from that document, because the other leaves it to each proxy's settings file.
 fn intersect_by_name(old: &Value, new: &Value) -> (Value, Vec<String>) {
     let classes = |document: &Value| document["categories"].as_array().cloned().unwrap_or_default();
     let (old_classes, new_classes) = (classes(old), classes(new));
@@ -111,13 +111,13 @@
     (settings, intersection.rejected_classes.iter().map(ToString::to_string).collect())
 }
 
-/// The seconds from one moment to a later one; 0 where that is not later.
+/// The seconds from one time to a later one; 0 if it is not later.
 fn seconds_between(from: Nanos, to: Nanos) -> f64 {
     to.saturating_sub(from) as f64 / NANOS_PER_SECOND
 }
 
 impl PolicyState {
-    /// Whom the pending change waits for.
+    /// The processes that the pending change waits for.
     fn blockers_json(&self, now: Nanos) -> Vec<Value> {
         if matches!(self.coordinator.record().phase, Phase::Settled) {
             return Vec::new();
@@ -145,7 +145,7 @@
         }))
     }
 
-    /// The members, cut off after [`MAX_LISTED_MEMBERS`].
+    /// The first [`MAX_LISTED_MEMBERS`] members.
     fn members_json(&self) -> Vec<Value> {
         let members = self.coordinator.members().take(MAX_LISTED_MEMBERS);
         members
@@ -166,7 +166,7 @@
         );
         let store_error = state.require_complete_store().err().map(|e| e.to_string());
         let body = json!({
-            "revision": record.revision, "holds": record.in_force, "in_words": in_words(record.policy_set()),
+            "revision": record.revision, "holds": record.in_force, "in_words": describe_policy_set(record.policy_set()),
             "holding": state.archive.get(record.in_force).map(Policy::document),
             "change": state.change_json(now, leader), "waits_for": state.blockers_json(now), "last": last,
             "members": state.members_json(), "processes": state.coordinator.members().count(),
@@ -175,27 +175,27 @@
         Versioned { body, revision: record.revision.0 }
     }
 
-    /// The last events, the newest first.
+    /// The most recent events, newest first.
     pub(crate) fn history(&self, limit: usize) -> Value {
         let state = lock(&self.state);
         let events = state.coordinator.record().events.iter().rev().take(limit).map(|e| {
             let start = state.revision_starts.get(&e.revision.0);
             json!({"revision": e.revision, "policy": e.policy, "what": e.what, "at": start.map(|s| s.at),
-                   "told": start.map(|s| in_words(s.policy_set))})
+                   "told": start.map(|s| describe_policy_set(s.policy_set))})
         });
         json!({"events": events.collect::<Vec<_>>()})
     }
 
-    /// Which revisions a proxy applied, the newest last; with `at` (Unix nanoseconds) only the ones of that moment.
+    /// The revisions that a proxy applied, oldest first; with `at` (Unix nanoseconds) only those that it applied at that time.
     pub(crate) fn explain(&self, name: &str, at: Option<Nanos>) -> Result<Value, CommandError> {
         let state = lock(&self.state);
         let changes =
             state.history.changes(name).ok_or_else(|| PolicyCommandError::UnknownProxy(name.into()))?;
         let describe = |revision: u64| match (revision, state.revision_starts.get(&revision)) {
-            (0, _) => "no leave: by the floor, or not there".to_owned(),
-            (1, None) => in_words(PolicySet::Pure(PolicyNumber(0))),
-            (_, Some(RevisionStart { policy_set, .. })) => in_words(*policy_set),
-            (_, None) => "a revision from too long ago".into(),
+            (0, _) => "no policy lease: fallback policy, or not running".to_owned(),
+            (1, None) => describe_policy_set(PolicySet::Pure(PolicyNumber(0))),
+            (_, Some(RevisionStart { policy_set, .. })) => describe_policy_set(*policy_set),
+            (_, None) => "a revision that is no longer recorded".into(),
         };
         let spans = changes.iter().enumerate().map(|(i, change)| {
             let same_process = changes.iter().skip(i + 1).find(|next| next.incarnation == change.incarnation);
@@ -212,12 +212,12 @@
             })
             .collect();
         let note =
-            "times are those at which the leader was told; a change of policy is never told late in a \
+            "times are those at which the leader received a report; a policy change is never reported late in a \
                     way that matters";
         Ok(json!({"proxy": name, "at": at, "acted": acted, "note": note}))
     }
 
-    /// Figures for `/metrics`.
+    /// Values for `/metrics`.
     pub(crate) fn stats(&self, leader: &LeaderContext) -> PolicyStats {
         let now = leader.monotonic_now();
         let state = lock(&self.state);
@@ -225,7 +225,7 @@
         let is_joint = matches!(record.phase, Phase::Joint(_));
         PolicyStats {
             revision: record.revision.0,
-            holds: record.in_force.0,
+            in_force: record.in_force.0,
             is_joint,
             members: state.coordinator.members().count() as i64,
             blockers: if is_joint { state.coordinator.blocking_members(now).len() as i64 } else { 0 },
