--- a/crates/services/control-service/src/rollout/assignment.rs
+++ b/crates/services/control-service/src/rollout/assignment.rs
@@ -1,4 +1,4 @@
-//! Publishing to each proxy the config version that it is to apply.
+//! Publishes the config version that each proxy is assigned.
 
 use super::controller::RolloutController;
 use super::state::RolloutState;
@@ -7,10 +7,10 @@
 use rushquay_config_version::{ConfigAssignment, Digest};
 use rushquay_xds_resources::declare_settings;
 
-/// An assignment that has not been published.
+/// An assignment that has not been published yet.
 struct NewAssignment {
     proxy: String,
-    /// The rollout and the config version.
+    /// The rollout's id and the config version's digest.
     key: (u64, Digest),
     assignment: ConfigAssignment,
 }
@@ -30,7 +30,7 @@
             });
             return;
         }
-        // Nothing is published before the first endpoint list; a later tick tries again.
+        // Nothing is published before the first endpoint list; a later tick retries.
         let mut state = lock(&self.state);
         for NewAssignment { proxy, .. } in &new {
             state.declared.remove(proxy);
@@ -39,10 +39,10 @@
 }
 
 impl RolloutState {
-    /// The assignments that differ from those declared; they count as declared from now on.
+    /// Takes the assignments that differ from the declared ones, and marks them as declared.
     fn take_new_assignments(&mut self) -> Vec<NewAssignment> {
-        // Danger: a store that was lost or begun anew knows of no rollout. If that were published, all proxies would go back to what their
-        // files say at once, in no stages.
+        // Danger: a store that was lost or recreated holds no rollout. If that were published, all proxies would return to the settings
+        // of their files at once, not in stages.
         if !self.registry.has_started_any() {
             return Vec::new();
         }
--- a/crates/services/control-service/src/rollout/controller.rs
+++ b/crates/services/control-service/src/rollout/controller.rs
@@ -1,4 +1,4 @@
-//! The rollout controller: its life under a leader, and the commands of operators.
+//! The rollout controller: leadership changes, its periodic tick, and the commands of operators.
 
 use super::record::{read_members, read_registry};
 use super::settings::RolloutSettings;
@@ -17,7 +17,7 @@
 use std::sync::Mutex;
 use tracing::warn;
 
-/// Supervisors put this before the name of their proxy in their node id.
+/// The node id of a supervisor is this prefix and the name of its proxy.
 const SUPERVISOR_PREFIX: &str = "host/";
 
 /// The fleet and its rollouts.
@@ -26,7 +26,7 @@
 pub struct RolloutController {
     pub(super) settings: RolloutSettings,
     pub(super) state: Mutex<RolloutState>,
-    /// Held from a decision until it is persisted and applied: one at a time.
+    /// Held from a decision until it is persisted and applied, so that decisions are made one at a time.
     decision: Mutex<()>,
 }
 
@@ -41,13 +41,13 @@
         lock(&self.state).registry.running().map(|rollout| rollout.id)
     }
 
-    /// The classes that any proxy has reported; none before the first report.
+    /// The classes that any proxy has reported; empty before the first report.
     pub(crate) fn classes(&self) -> BTreeSet<String> {
         let state = lock(&self.state);
         state.membership.members().flat_map(|member| member.figures.classes.keys().cloned()).collect()
     }
 
-    /// Continues from what was persisted, under this leader.
+    /// Restores the persisted state when this instance becomes the leader.
     pub(crate) fn lead(&self, records: &Records, now: Nanos) {
         let _decision = lock(&self.decision);
         let registry = read_registry(records, now);
@@ -56,12 +56,11 @@
         state.restore_members(members, &self.settings, now);
         match registry {
             Ok(registry) => state.restore_registry(registry, now),
-            // Danger: if the registry were begun anew, it would publish the base to a fleet that applies something else.
+            // Danger: an empty registry in its place would publish the base version to a fleet that applies another one.
             Err(error) => {
                 warn!(%error, "rollout record unreadable; proxies keep their config versions");
-                state.error = Some(format!(
-                    "the record of changes can't be read: {error}; use the version that wrote it"
-                ));
+                state.error =
+                    Some(format!("the rollout record can't be read: {error}; use the version that wrote it"));
             }
         }
     }
@@ -70,7 +69,7 @@
         lock(&self.state).error = Some("another instance leads".into());
     }
 
-    /// Takes what a subscriber reports, or the end of its stream.
+    /// Processes a report of a subscriber or the end of its stream.
     pub(crate) fn on_stream_event(&self, node: &str, event: StreamEvent, now: Nanos) {
         let mut state = lock(&self.state);
         if let Some(proxy) = node.strip_prefix(SUPERVISOR_PREFIX) {
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Analyzes the fleet, moves the rollout on, persists what has changed and publishes what was persisted. Blocks on the store.
+    /// Analyzes the fleet, advances the rollout, persists the changes and then publishes them. Blocks on the store.
     pub(crate) fn tick(&self, leader: &LeaderContext) {
         let _decision = lock(&self.decision);
         let now = leader.unix_now();
@@ -101,7 +100,7 @@
         self.publish_assignments(leader);
     }
 
-    /// Moves the running rollout on by what the fleet reports. Fails where the step could not be persisted.
+    /// Advances the running rollout according to the fleet's reports. Fails if the step could not be persisted.
     fn step(&self, leader: &LeaderContext, now: Nanos) -> Result<(), CommandError> {
         let stepped = {
             let mut state = lock(&self.state);
@@ -109,14 +108,14 @@
             state.verdict = describe(&verdict);
             state.registry.running().is_some().then(|| {
                 let mut registry = state.registry.clone();
-                let has_moved = registry.step(&state.fleet_view(now), &verdict, now);
-                (has_moved, registry)
+                let has_advanced = registry.step(&state.fleet_view(now), &verdict, now);
+                (has_advanced, registry)
             })
         };
         match stepped {
             None => Ok(()),
-            // Nothing but its time has advanced. Danger: if that were dropped, a soak of minutes would count as time without a leader, and
-            // a rollout would never run out of its own.
+            // Only the running time has advanced. Danger: if it were dropped, a soak of minutes would count as time without a leader, and a
+            // rollout would never reach its time limit.
             Some((false, registry)) => {
                 lock(&self.state).registry = registry;
                 Ok(())
@@ -164,22 +163,22 @@
         Ok((result, revision))
     }
 
-    /// What a rollout would do now, and the registry's revision.
+    /// The stages that a rollout would have now, with the registry's revision.
     pub(crate) fn plan(&self, request: &RolloutRequest, now: Nanos) -> Result<Versioned, CommandError> {
         let state = lock(&self.state);
         let (config_version, plan) = state.registry.check(request, None)?;
         let record = state.registry.record();
         let stages = preview(&plan, &state.fleet_view(now), record.next);
-        let least_s: f64 = stages.iter().map(|s| s.soak_s).sum();
+        let min_duration_s: f64 = stages.iter().map(|s| s.soak_s).sum();
         let unfinished = record.change.as_ref().filter(|rollout| !rollout.phase.has_ended());
         let displaced = unfinished.map(|rollout| rollout.moved.keys().collect::<Vec<_>>());
         let body = json!({"from": record.holds, "to": config_version.digest(), "stages": stages,
-                          "least_s": least_s, "displaced_leaves": displaced});
+                          "least_s": min_duration_s, "displaced_leaves": displaced});
         Ok(Versioned { body, revision: record.revision })
     }
 }
 
-/// A verdict in words.
+/// A textual description of a verdict.
 fn describe(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Waiting(what) | Verdict::FleetProblem(what) => what.clone(),
--- a/crates/services/control-service/src/rollout/persistence.rs
+++ b/crates/services/control-service/src/rollout/persistence.rs
@@ -1,4 +1,4 @@
-//! Writing what the rollout controller decides and which proxies it knows.
+//! Persists the decisions of the rollout controller and the membership.
 
 use super::controller::RolloutController;
 use super::record::{member_record_name, REGISTRY_RECORD};
@@ -14,13 +14,14 @@
 use rushquay_xds_resources::remove_settings;
 use std::collections::BTreeMap;
 
-/// Member records in one write. Danger: a fleet that comes back at once would hold the store, and the lease with it.
+/// The most member records in one write. Danger: if a whole fleet rejoined at once, a single write of all of them would occupy the store
+/// and delay the renewal of the lease.
 const MAX_MEMBERS_PER_WRITE: usize = 500;
 
-/// Changes of the membership that are to be persisted.
+/// Changes of the membership to persist.
 struct MemberWrite {
     set: Vec<MemberRecord>,
-    gone: Vec<String>,
+    removed: Vec<String>,
 }
 
 impl MemberWrite {
@@ -28,13 +29,14 @@
         let json = |member| serde_json::to_value(member).unwrap_or_default();
         RecordWrite {
             set: self.set.iter().map(|member| (member_record_name(&member.name), json(member))).collect(),
-            gone: self.gone.iter().map(|proxy| member_record_name(proxy)).collect(),
+            gone: self.removed.iter().map(|proxy| member_record_name(proxy)).collect(),
         }
     }
 }
 
 impl RolloutController {
-    /// Persists a registry, and applies it only then. Danger: published first, a step would be known to proxies and to no successor.
+    /// Persists a registry, and applies it only then. Danger: a step that was published first would be known to proxies but not to the
+    /// next leader.
     pub(super) fn persist_registry(
         &self,
         leader: &LeaderContext,
@@ -48,7 +50,7 @@
         }
         let mut state = lock(&self.state);
         state.record_status.on_written();
-        // The lease may have ended meanwhile: the next leader finds the step and makes it.
+        // The lease may have ended meanwhile. The next leader then reads the step and applies it.
         leader.require_leadership()?;
         state.apply(registry, now);
         Ok(())
@@ -59,7 +61,7 @@
         leader.reject_unpersisted(error)
     }
 
-    /// Writes the registry that counts once more where a write of another failed.
+    /// Writes the current registry again if a write of another one failed, which may have taken effect.
     pub(super) fn resolve_doubt(&self, leader: &LeaderContext, now: Nanos) {
         let registry = {
             let state = lock(&self.state);
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Persists what has changed of the members, and forgets those that are gone for good.
+    /// Persists changed members, and removes those that are permanently absent.
     pub(super) fn persist_members(&self, leader: &LeaderContext, now: Nanos) {
         let write = lock(&self.state).member_write(now);
         let records = write.to_records();
@@ -84,12 +86,12 @@
         }
         let mut state = lock(&self.state);
         state.persisted_members.extend(write.set.into_iter().map(|member| (member.name.clone(), member)));
-        for proxy in &write.gone {
+        for proxy in &write.removed {
             state.persisted_members.remove(proxy);
         }
-        if !write.gone.is_empty() {
+        if !write.removed.is_empty() {
             leader.hub.change(|store, at| {
-                for proxy in &write.gone {
+                for proxy in &write.removed {
                     remove_settings(store, proxy, at);
                 }
             });
@@ -98,7 +100,7 @@
 }
 
 impl RolloutState {
-    /// Retires members that are gone for good; returns what differs from what is persisted.
+    /// Retires members that are permanently absent; returns the differences from the persisted members.
     fn member_write(&mut self, now: Nanos) -> MemberWrite {
         for proxy in self.membership.remove_retired(now) {
             self.declared.remove(&proxy);
@@ -108,8 +110,8 @@
             |member: &&Member| self.persisted_members.get(&member.record.name) != Some(&member.record);
         let changed = self.membership.members().filter(has_changed);
         let set = changed.take(MAX_MEMBERS_PER_WRITE).map(|member| member.record.clone()).collect();
-        let is_gone = |name: &&String| self.membership.get(name).is_none();
-        let gone = self.persisted_members.keys().filter(is_gone).cloned().collect();
-        MemberWrite { set, gone }
+        let is_removed = |name: &&String| self.membership.get(name).is_none();
+        let removed = self.persisted_members.keys().filter(is_removed).cloned().collect();
+        MemberWrite { set, removed }
     }
 }
--- a/crates/services/control-service/src/rollout/record.rs
+++ b/crates/services/control-service/src/rollout/record.rs
@@ -1,4 +1,4 @@
-//! The stored form of rollouts: the registry, and the members that are known.
+//! The stored form of rollouts: the registry and the known members.
 
 use crate::persistence::Records;
 use rushquay_endpoints::Nanos;
@@ -8,7 +8,7 @@
 
 /// Name of the registry's record.
 pub const REGISTRY_RECORD: &str = "rollout/board";
-/// Prefix of the records of members; the proxy's name follows.
+/// Prefix of the names of member records, followed by the proxy's name.
 const MEMBER_PREFIX: &str = "roster/";
 /// Name of a member's record.
 pub fn member_record_name(proxy: &str) -> String {
@@ -27,15 +27,15 @@
 pub enum ReadError {
     /// It is malformed.
     #[error(transparent)]
-    Form(#[from] serde_json::Error),
-    /// It contradicts itself.
+    Malformed(#[from] serde_json::Error),
+    /// Its content is inconsistent.
     #[error("{0}")]
-    Content(String),
+    Inconsistent(String),
 }
 
-/// Reads the registry that an earlier leader persisted, if one did.
+/// Reads the registry that an earlier leader persisted, if there is one.
 pub fn read_registry(records: &Records, now: Nanos) -> Result<RolloutRegistry, ReadError> {
     let Some(record) = records.get(REGISTRY_RECORD) else { return Ok(RolloutRegistry::default()) };
     let record: RegistryRecord = serde_json::from_value(record.clone())?;
-    RolloutRegistry::restore(record, now).map_err(|e| ReadError::Content(e.to_string()))
+    RolloutRegistry::restore(record, now).map_err(|e| ReadError::Inconsistent(e.to_string()))
 }
--- a/crates/services/control-service/src/rollout/settings.rs
+++ b/crates/services/control-service/src/rollout/settings.rs
@@ -6,27 +6,27 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// `[rollout]` of the settings file: its presence has the service track proxies and accept rollouts.
+/// `[rollout]` of the settings file. If it is present, the service tracks proxies and accepts rollouts.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutSettings {
     /// A proxy that reported within this many seconds counts as serving.
     pub late_s: f64,
-    /// Seconds within which a proxy that ended is expected to have restarted.
+    /// Seconds within which a proxy that ended should have restarted.
     pub restart_s: f64,
-    /// Seconds of absence after which a proxy is forgotten.
+    /// Seconds of absence after which a proxy is removed from the membership.
     pub retire_s: f64,
-    /// The most proxies that are known at once.
+    /// The maximum number of members.
     pub most: usize,
     /// The period of the rollout controller in milliseconds, 100 to 60000.
     pub look_ms: u64,
-    /// The probability that a rollout that is no worse is stopped.
+    /// The probability that a rollout is stopped although its config version is no worse.
     pub alpha: f64,
     /// The probability that a stage passes although the new config version is worse than allowed.
     pub beta: f64,
-    /// The new config version may have this many times the bad outcomes of the old...
+    /// The factor by which the new config version's rate of bad outcomes may exceed that of the old...
     pub times: f64,
-    /// ...and this part of all requests on top.
+    /// ...plus this share of all requests.
     pub beyond: f64,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl RolloutSettings {
-    /// The first field that is out of its range, and what is expected of it.
+    /// The first field that is out of range, and the expected range.
     pub(crate) fn out_of_range(&self) -> Option<(&'static str, String)> {
         let spans = [("late_s", self.late_s), ("restart_s", self.restart_s), ("retire_s", self.retire_s)];
         let span = spans.into_iter().find(|(_, seconds)| !(0.1..=2_592_000.0).contains(seconds));
--- a/crates/services/control-service/src/rollout/state.rs
+++ b/crates/services/control-service/src/rollout/state.rs
@@ -1,4 +1,4 @@
-//! What the rollout controller holds in memory while it leads.
+//! The in-memory state of the rollout controller while this instance leads.
 
 use super::settings::RolloutSettings;
 use crate::record_status::RecordStatus;
@@ -14,7 +14,7 @@
 pub struct SupervisorEntry {
     pub report: SupervisorReport,
     pub received_at: Nanos,
-    /// The stream that it came on.
+    /// The stream on which it was received.
     stream: u64,
 }
 
@@ -24,17 +24,17 @@
     /// The last report of each proxy's supervisor, by proxy. Reports come every second and are not persisted.
     pub supervisors: BTreeMap<String, SupervisorEntry>,
     pub analysis: Analysis,
-    /// What was measured of the last rollout, for people.
+    /// The measurements of the last rollout, for its report.
     pub timeline: Timeline,
-    /// What is persisted of each member.
+    /// The persisted record of each member.
     pub persisted_members: BTreeMap<String, MemberRecord>,
-    /// What was last published to each member: the rollout and the config version.
+    /// The rollout and config version last published to each member.
     pub declared: BTreeMap<String, (u64, Digest)>,
-    /// What the analysis last said, for people.
+    /// The last verdict of the analysis, for operators.
     pub verdict: String,
-    last_analyzed: Nanos,
+    last_analyzed_at: Nanos,
     pub record_status: RecordStatus,
-    /// Why nothing is decided or published; `None`: it is.
+    /// Why nothing is decided or published; `None` in normal operation.
     pub error: Option<String>,
 }
 
@@ -50,13 +50,13 @@
             persisted_members: BTreeMap::new(),
             declared: BTreeMap::new(),
             verdict: String::new(),
-            last_analyzed: 0,
+            last_analyzed_at: 0,
             record_status: RecordStatus::default(),
             error: Some("this instance has not led yet".into()),
         }
     }
 
-    /// Continues with the members that an earlier leader persisted, and with no measurements.
+    /// Restores the members that an earlier leader persisted, and discards all measurements.
     pub fn restore_members(
         &mut self,
         members: BTreeMap<String, MemberRecord>,
@@ -66,13 +66,13 @@
         self.membership = Membership::restore(settings.timeouts(), members.values().cloned(), now);
         self.analysis = Analysis::new(settings.bounds());
         self.timeline = Timeline::default();
-        (self.persisted_members, self.declared, self.last_analyzed) = (members, BTreeMap::new(), now);
+        (self.persisted_members, self.declared, self.last_analyzed_at) = (members, BTreeMap::new(), now);
         self.supervisors = BTreeMap::new();
         self.record_status.on_read();
-        self.verdict = "this instance leads since a moment".into();
+        self.verdict = "this instance has just become the leader".into();
     }
 
-    /// Continues with the registry that an earlier leader persisted.
+    /// Restores the registry that an earlier leader persisted.
     pub fn restore_registry(&mut self, registry: RolloutRegistry, now: Nanos) {
         if let Some(rollout) = registry.running() {
             info!(rollout_id = rollout.id, phase = %rollout.phase, "rollout restored");
@@ -85,9 +85,9 @@
         (self.registry, self.error) = (registry, None);
     }
 
-    /// The fleet as a rollout sees it.
+    /// The members of the fleet, as input to a rollout's steps.
     pub fn fleet_view(&self, now: Nanos) -> Vec<FleetView<'_>> {
-        // A proxy can't apply what its own process rejects, or what its supervisor could not start.
+        // A proxy can't apply a config version that its process rejects or that its supervisor could not start.
         let rejected_by_supervisor = |member: &Member| {
             let report = &self.supervisors.get(&member.record.name)?.report;
             report.refused.as_ref().map(|(version, reason)| (*version, reason.as_str()))
@@ -99,7 +99,7 @@
         self.membership.members().map(with_supervisor).collect()
     }
 
-    /// Takes a proxy's report, or a malformed one.
+    /// Processes a proxy's report; a malformed one is logged and dropped.
     pub fn on_report(&mut self, proxy: &str, text: &str, stream: u64, now: Nanos) {
         let report = match Report::read(text) {
             Ok(report) => report,
@@ -113,13 +113,14 @@
         }
     }
 
-    /// Takes a supervisor's report. Danger: a report that is late or of an earlier supervisor would reject what is applied by now.
+    /// Processes a supervisor's report. Danger: a report that is out of order or from an earlier supervisor would mark a config version as
+    /// rejected that is applied by now.
     pub fn on_supervisor_report(&mut self, proxy: &str, text: &str, stream: u64, now: Nanos) {
         let report = match SupervisorReport::read(text) {
             Ok(report) => report,
             Err(error) => return warn!(proxy, %error, "supervisor report rejected"),
         };
-        // No more supervisors are known than proxies: one without a proxy is of no use to any rollout.
+        // A supervisor without a known proxy is of no use to a rollout; ignoring it bounds the number of entries.
         if self.membership.get(proxy).is_none() {
             return;
         }
@@ -135,9 +136,9 @@
         self.supervisors.insert(proxy.to_owned(), SupervisorEntry { report, received_at: now, stream });
     }
 
-    /// Analyzes what the fleet has reported since the last tick.
+    /// Analyzes the fleet's reports since the last tick.
     pub fn analyze(&mut self, now: Nanos) -> Verdict {
-        let span = now.saturating_sub(std::mem::replace(&mut self.last_analyzed, now));
+        let span = now.saturating_sub(std::mem::replace(&mut self.last_analyzed_at, now));
         let membership = &self.membership;
         let serving =
             membership.members().filter(|member| membership.status(member, now) == MemberStatus::Serving);
@@ -161,7 +162,7 @@
         self.analysis.verdict(rollout.plan.stage(stage).soak, is_last, now)
     }
 
-    /// Takes a registry that was persisted.
+    /// Applies a registry that was persisted.
     pub fn apply(&mut self, registry: RolloutRegistry, now: Nanos) {
         let before = rollout_phase(self.registry.record().change.as_ref());
         let after = rollout_phase(registry.record().change.as_ref());
@@ -174,14 +175,14 @@
         self.registry = registry;
     }
 
-    /// A rollout is in another phase than before.
+    /// Handles a change of the rollout's phase.
     fn on_phase(&mut self, rollout: &Rollout, was_silent: bool, now: Nanos) {
         info!(rollout_id = rollout.id, phase = %rollout.phase, "rollout phase changed");
         if self.timeline.change == rollout.id {
             self.timeline.mark(now, rollout.phase.to_string());
         }
         match rollout.phase {
-            // Proxies that were silent have gone on counting; after any other hold the counts are no evidence of anything.
+            // Silent proxies kept counting, so their counts stay valid; after any other hold the counts are no longer evidence.
             Phase::Moving { .. } if was_silent => {}
             Phase::Moving { .. } => self.analysis.begin_stage(rollout.plan.stages().len()),
             Phase::Soaking { .. } => self.analysis.begin_soak(now),
--- a/crates/services/control-service/src/rollout/view.rs
+++ b/crates/services/control-service/src/rollout/view.rs
@@ -1,4 +1,4 @@
-//! The fleet and its rollouts as JSON for the admin API, and as figures for `/metrics`.
+//! The fleet and its rollouts as JSON for the admin API and as values for `/metrics`.
 
 use super::controller::RolloutController;
 use super::state::RolloutState;
@@ -11,32 +11,32 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Proxies that a status lists at most.
+/// The most proxies listed in a status.
 const MAX_LISTED_PROXIES: usize = 50;
 
-/// Figures for `/metrics`.
+/// Values for `/metrics`.
 pub(crate) struct RolloutStats {
     /// Proxies by status.
     pub by_status: BTreeMap<&'static str, i64>,
-    /// Proxies that serve and don't apply what they were assigned.
+    /// Serving proxies that don't apply their assigned config version.
     pub not_as_assigned: i64,
-    /// The id of the running rollout; 0: none.
+    /// The id of the running rollout; 0 if there is none.
     pub rollout_id: u64,
     /// The phase of the last rollout.
     pub phase: &'static str,
-    /// Its stage, from 1; 0: in none.
+    /// The current stage, from 1; 0 if there is none.
     pub stage: i64,
     /// Proxies that were assigned the new config version.
     pub moved: i64,
     /// How long the rollout has run.
     pub run_time: Nanos,
-    /// The strongest evidence that the new config version does worse, as a part of what stops the rollout.
+    /// The strongest evidence that the new config version is worse, as a fraction of the threshold that stops the rollout.
     pub evidence: f64,
-    /// Whether anything is decided or published.
+    /// Whether rollouts are decided and published.
     pub is_up: bool,
 }
 
-/// A rollout without the proxies that it has moved.
+/// A rollout, with the number of moved proxies instead of their list.
 fn rollout_json(rollout: &Rollout) -> Value {
     let mut json = json!(rollout);
     json["told"] = json!(rollout.moved.len());
@@ -55,7 +55,7 @@
         self.registry.assigned_version(&member.record.name).1.digest()
     }
 
-    /// How many proxies of each zone apply which config version, by status.
+    /// The number of proxies by zone, applied config version and status.
     fn fleet_json(&self, now: Nanos) -> Vec<Value> {
         let mut fleet: BTreeMap<(String, String), BTreeMap<MemberStatus, usize>> = BTreeMap::new();
         for member in self.membership.members() {
@@ -67,7 +67,7 @@
         fleet.into_iter().map(group_json).collect()
     }
 
-    /// The proxies that don't apply what they are assigned, cut off after [`MAX_LISTED_PROXIES`].
+    /// The first [`MAX_LISTED_PROXIES`] proxies that don't apply their assigned config version.
     fn not_as_assigned_json(&self, now: Nanos) -> Vec<Value> {
         let members =
             self.membership.members().filter(|member| self.assigned(member) != member.record.acting);
@@ -122,13 +122,13 @@
         json!({"now_ns": now, "proxies": members})
     }
 
-    /// The last rollout and what was measured of it.
+    /// The last rollout and its measurements.
     pub(crate) fn last_rollout(&self) -> (Option<Rollout>, Timeline) {
         let state = lock(&self.state);
         (state.registry.record().change.clone(), state.timeline.clone())
     }
 
-    /// Figures for `/metrics`.
+    /// Values for `/metrics`.
     pub(crate) fn stats(&self, now: Nanos) -> RolloutStats {
         let state = lock(&self.state);
         let mut by_status: BTreeMap<&'static str, i64> = BTreeMap::new();
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The last events, the newest first.
+    /// The most recent events, newest first.
     pub(crate) fn history(&self, limit: usize) -> Value {
         let state = lock(&self.state);
         let events: Vec<_> = state.registry.record().events.iter().rev().take(limit).collect();
