--- a/crates/services/control-service/src/discovery.rs
+++ b/crates/services/control-service/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list at discovery: the whole list first, then a watch that is renewed at once.
+//! Follows the endpoint list of a discovery service: requests the whole list first, then long-polls for changes.
 
 use crate::state::SourceEvent;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -17,23 +17,23 @@
 use tokio::time::timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long discovery holds a watch without a change. Danger: a connection whose other end vanished is as silent as a watch without a
-/// change. For as long as it is held the service, and all its subscribers with it, would learn of no drain.
+/// How long discovery holds a watch request if there is no change. Danger: a connection whose peer vanished is as silent as a watch
+/// without changes. Until the hold ends, the service and all its subscribers would miss every drain.
 const WATCH_HOLD: Duration = Duration::from_secs(2);
-/// How long discovery may take beyond the hold that it was asked for, if any.
+/// How long a response may take beyond the requested hold, if any.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The first backoff after a failure, and the longest.
+/// The first backoff after a failure; the maximum follows.
 const MIN_BACKOFF_NANOS: u64 = 100_000_000;
 const MAX_BACKOFF_NANOS: u64 = 2_000_000_000;
-/// The longest list; ten thousand entries take half of it.
+/// The maximum size of a list; ten thousand entries take half of it.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no connection in time")]
+    #[error("connection timed out")]
     ConnectTimeout,
-    #[error("no connection: {}", .0.source())]
+    #[error("connection failed: {}", .0.source())]
     Connect(ConnectError),
     #[error(transparent)]
     Http(#[from] hyper::Error),
@@ -41,22 +41,22 @@
     Request(#[from] hyper::http::Error),
     #[error("connection lost: {0}")]
     ConnectionLost(#[source] hyper::Error),
-    #[error("no answer in time")]
+    #[error("response timed out")]
     ResponseTimeout,
-    #[error("no answer: {0}")]
+    #[error("no response: {0}")]
     NoResponse(#[source] hyper::Error),
-    #[error("broken answer: {0}")]
+    #[error("response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("response status {0}")]
     Status(u16),
-    #[error("not a list: {0}")]
+    #[error("malformed list: {0}")]
     Malformed(#[source] serde_json::Error),
     #[error("the service has ended")]
     ServiceEnded,
 }
 
-/// Follows discovery for good. After each break the whole list is requested: a discovery that was restarted counts versions from
-/// elsewhere.
+/// Follows discovery until the receiver of `events` is dropped. After each failure the whole list is requested, because a restarted
+/// discovery numbers its versions anew.
 pub async fn follow(addr: SocketAddr, events: mpsc::Sender<SourceEvent>) {
     let mut backoff = Backoff::new(MIN_BACKOFF_NANOS, MAX_BACKOFF_NANOS);
     loop {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Connects and watches until that fails.
+/// Connects and watches until an error occurs.
 async fn watch(
     addr: SocketAddr,
     events: &mpsc::Sender<SourceEvent>,
@@ -85,7 +85,7 @@
     ended
 }
 
-/// Watches over a connection until that fails.
+/// Watches over a connection until an error occurs.
 async fn watch_on(
     sender: &mut SendRequest<Empty<Bytes>>,
     addr: SocketAddr,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Requests the whole list, or what has changed since the cursor.
+/// Requests the whole list, or the changes since the cursor.
 async fn request_list(
     sender: &mut SendRequest<Empty<Bytes>>,
     addr: SocketAddr,
--- a/crates/services/control-service/src/durable_store.rs
+++ b/crates/services/control-service/src/durable_store.rs
@@ -6,7 +6,7 @@
 };
 use std::sync::Arc;
 
-/// A store that writes survive in: a file of this instance alone, or state that instances share.
+/// A store whose writes survive a restart: a file of this instance, or state shared by several instances.
 pub trait DurableStore: Send + Sync {
     /// Writes a change of the endpoint list.
     ///
@@ -30,7 +30,7 @@
     fn read_endpoints(&self) -> Result<StoredState, SharedError>;
 }
 
-/// State that instances share, written under a lease.
+/// State shared by several instances, written under a lease.
 pub struct LeasedStore {
     pub store: Arc<dyn SharedState>,
     pub held: HeldLease,
@@ -51,25 +51,25 @@
     }
 }
 
-/// What is known of a write that failed.
+/// What is known about a failed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PersistFailure {
     /// There is no store: nothing was written.
     NoStore,
-    /// Another instance leads, or soon will: the write will never take effect.
+    /// Another instance leads or is about to: the write will never take effect.
     Fenced,
     /// No response arrived: the write may still take effect.
     Unsure,
-    /// The store failed: the write may be there in full, in part or not at all.
+    /// The store failed: the write may have taken effect in full, in part or not at all.
     Failed,
 }
 
 /// A write that did not succeed.
 #[derive(Clone, Debug)]
 pub struct PersistError {
-    /// The store's error, in words for an operator.
+    /// The store's error as text for operators.
     pub reason: String,
-    /// What is known of the write.
+    /// What is known about the write.
     pub failure: PersistFailure,
 }
 
--- a/crates/services/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How often a file is checked for a change.
+/// The interval at which a file is checked for changes.
 pub const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Checks after a change at which the file is read again whatever its stamp is. Danger: two writes within one tick of the file system's
-/// clock leave the same stamp.
+/// The number of checks after a change at which the file is read even if its stamp is unchanged. Danger: two writes within one tick of
+/// the file system's clock leave the same stamp.
 const READS_AFTER_CHANGE: u32 = 3;
 
-/// What distinguishes one state of a file from another; replacing it by a rename gives another inode.
+/// Metadata that changes with the file's content. Replacing the file by a rename changes the inode.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Stamp {
     inode: u64,
@@ -30,25 +30,26 @@
 /// A file that is polled for changes.
 #[derive(Default)]
 pub struct Watched {
-    /// The stamp at the last check, if there was one; `None` within it: the file was not there.
+    /// The stamp at the last check, if there was one; the inner `None` means that the file did not exist.
     last_stamp: Option<Option<Stamp>>,
-    /// Checks at which the file is still to be read.
+    /// The number of coming checks at which the file is read again.
     remaining_reads: u32,
 }
 
 impl Watched {
-    /// Has it read at the next checks, whatever its stamp is.
+    /// Makes the next checks read the file even if its stamp is unchanged.
     pub fn force_reread(&mut self) {
         self.remaining_reads = READS_AFTER_CHANGE;
     }
 
-    /// It could not be opened or read just now: it is read again at the next check. Danger: its content would be missed until it changes
-    /// again.
+    /// Records that the file could not be read, so that the next check reads it again. Danger: otherwise its content would be missed
+    /// until the file changes again.
     pub fn unread(&mut self) {
         self.remaining_reads = self.remaining_reads.max(1);
     }
 
-    /// Checks whether it is to be read now. `Some(true)`: and again soon, so that an error may still pass.
+    /// Checks whether the file has to be read now: `None` if not; `Some(true)` if it will be read again soon, so that an error may be
+    /// temporary.
     pub fn look(&mut self, path: &Path) -> Option<bool> {
         let stamp = Some(stamp(path));
         if stamp != self.last_stamp {
@@ -59,10 +60,10 @@
     }
 }
 
-/// Why a file gives no list.
+/// The reason why no list could be read from a file.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It could not be opened or read, which may pass.
+    /// It could not be opened or read, which may be temporary.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file.
@@ -87,7 +88,7 @@
     validate_list(&text).map_err(|source| ReadError::Invalid { path: path.to_owned(), source })
 }
 
-/// What has been read of a file so far.
+/// A followed file, with its last list and error.
 #[derive(Default)]
 struct FileFollower {
     watched: Watched,
@@ -96,9 +97,9 @@
 }
 
 impl FileFollower {
-    /// Reads the file where that is due; returns what is new.
+    /// Reads the file if it may have changed; returns a new list or a new error.
     fn poll(&mut self, path: &Path) -> Option<SourceEvent> {
-        let is_read_again_soon = self.watched.look(path)?;
+        let will_be_reread = self.watched.look(path)?;
         match read(path) {
             Ok(list) => {
                 self.last_error.clear();
@@ -114,7 +115,7 @@
                 }
                 let error = error.to_string();
                 // A half-written file is complete soon; each error is reported once.
-                if is_read_again_soon || error == self.last_error {
+                if will_be_reread || error == self.last_error {
                     return None;
                 }
                 self.last_error.clone_from(&error);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Has the file read at the next poll, and its content reported even if it is as before.
+    /// Makes the next poll read the file, and report its content even if it is unchanged.
     fn force_reread(&mut self) {
         self.watched.force_reread();
         self.last_list = None;
@@ -133,7 +134,8 @@
     }
 }
 
-/// Follows the file for good; a message on `reread_requests` has it read at once. A file that can't be read changes nothing.
+/// Follows the file until the receiver of `events` is dropped. A message on `reread_requests` causes an immediate read. A file that can't
+/// be read leaves the last list in use.
 pub async fn follow(
     path: PathBuf,
     events: mpsc::Sender<SourceEvent>,
--- a/crates/services/control-service/src/http/metrics.rs
+++ b/crates/services/control-service/src/http/metrics.rs
@@ -1,4 +1,4 @@
-//! `/metrics`: the state of the service as OpenMetrics text. Collected anew at each scrape, which are rare.
+//! `/metrics`: the state of the service as OpenMetrics text, collected at each scrape because scrapes are rare.
 
 use crate::policy::PolicyStats;
 use crate::rollout::RolloutStats;
@@ -84,24 +84,24 @@
     let subscribers = service.leader.hub.subscribers();
     scrape.gauge("subscribers", "Open streams", subscribers.len() as i64);
     let lag = subscribers.iter().map(|s| s.lag).max().unwrap_or(0) as f64;
-    scrape.seconds("lag_seconds_max", "Longest time that a subscriber has lacked something", lag);
+    scrape.seconds("lag_seconds_max", "Longest time that a subscriber has lacked a resource version", lag);
     let is_up = source.error.is_none();
-    scrape.gauge("source_up", "1 while the node list's source can be read", i64::from(is_up));
+    scrape.gauge("source_up", "1 while the endpoint source can be read", i64::from(is_up));
 }
 
 fn leadership_metrics(scrape: &mut Scrape, service: &ServiceState) {
     if let Some(persistence) = service.leader.persistence.current() {
         let is_up = persistence.state().error.is_none();
-        scrape.gauge("state_up", "1 while all that is known is kept", i64::from(is_up));
+        scrape.gauge("state_up", "1 while all state is persisted", i64::from(is_up));
     }
     if let Some(leadership) = service.leader.gate.leadership() {
         let state = leadership.state();
         let leads = i64::from(service.leader.is_leading());
         scrape.gauge("leads", "1 while this instance leads", leads);
-        let help = "The epoch in which this instance leads, 0 where it does not";
+        let help = "The epoch in which this instance leads, 0 if it does not";
         scrape.gauge("epoch", help, state.epoch as i64);
         let is_up = i64::from(state.fault.is_none());
-        scrape.gauge("lease_store_up", "1 while the store of leases answers", is_up);
+        scrape.gauge("lease_store_up", "1 while the lease store is reachable", is_up);
         scrape.counter("takeovers", "Times that this instance took over", state.takeovers);
     }
 }
@@ -109,44 +109,44 @@
 fn rollout_metrics(scrape: &mut Scrape, stats: &RolloutStats) {
     let statuses = MemberStatus::ALL.into_iter().map(MemberStatus::as_str);
     let count = |status: &str| stats.by_status.get(status).copied().unwrap_or(0);
-    let help = "Proxies on the roster, by how they stand";
+    let help = "Known proxies, by status";
     scrape.family(("rollout_proxies", help, "standing"), statuses, count);
     let is_phase = |phase: &str| i64::from(phase == stats.phase);
-    let help = "1 for where the last change stands";
+    let help = "1 for the phase of the last rollout";
     scrape.family(("rollout_phase", help, "phase"), Phase::NAMES.into_iter(), is_phase);
-    scrape.gauge("rollout_up", "1 while changes are decided and handed out", i64::from(stats.is_up));
-    let help = "The number of the change that runs, 0: none";
+    scrape.gauge("rollout_up", "1 while rollouts are decided and published", i64::from(stats.is_up));
+    let help = "The id of the running rollout, 0 if none";
     scrape.gauge("rollout_change", help, stats.rollout_id as i64);
-    scrape.gauge("rollout_stage", "Its stage, from 1; 0: in none", stats.stage);
-    scrape.gauge("rollout_told", "Proxies that were told the new", stats.moved);
-    let help = "Proxies that serve and don't act by what they were given";
+    scrape.gauge("rollout_stage", "The stage of the running rollout, from 1; 0 if none", stats.stage);
+    scrape.gauge("rollout_told", "Proxies that were assigned the new config version", stats.moved);
+    let help = "Serving proxies that don't apply their assigned config version";
     scrape.gauge("rollout_not_as_given", help, stats.not_as_assigned);
-    scrape.seconds("rollout_ran_seconds", "For how long the change has run", stats.run_time as f64);
-    let help = "The most evidence that the new do worse, as a part of what stops the change";
+    scrape.seconds("rollout_ran_seconds", "How long the running rollout has run", stats.run_time as f64);
+    let help = "Strongest evidence that the new config version is worse, as a fraction of the stop threshold";
     scrape.seconds("rollout_evidence", help, stats.evidence * 1e9);
 }
 
 fn policy_metrics(scrape: &mut Scrape, stats: &PolicyStats) {
-    let help = "1 while leaves are given and changes of policy decided";
+    let help = "1 while policy leases are granted and policy changes decided";
     scrape.gauge("policy_up", help, i64::from(stats.is_up));
-    scrape.gauge("policy_revision", "The revision of the record of policies", stats.revision as i64);
-    let help = "The number of the policy that holds; of two the old";
+    scrape.gauge("policy_revision", "The revision of the policy record", stats.revision as i64);
+    let help = "The number of the policy in force; during a change, the old one";
     scrape.gauge("policy_holds", help, stats.in_force as i64);
-    let help = "1 while a change of policy is not decided";
+    let help = "1 while a policy change is pending";
     scrape.gauge("policy_joint", help, i64::from(stats.is_joint));
-    scrape.gauge("policy_members", "Processes that have leave", stats.members);
-    scrape.gauge("policy_holdups", "Processes that a change waits for", stats.blockers);
+    scrape.gauge("policy_members", "Processes with a policy lease", stats.members);
+    scrape.gauge("policy_holdups", "Processes that the policy change waits for", stats.blockers);
 }
 
 fn total_metrics(scrape: &mut Scrape, service: &ServiceState, source: &SourceState) {
     let (ahead, jumps) = service.leader.clock.wall_offset();
-    let help = "How far the wall clock is ahead of the service's";
+    let help = "How far the wall clock is ahead of the service clock";
     scrape.seconds("wall_clock_ahead_seconds", help, ahead as f64);
-    scrape.counter("wall_clock_jumps", "Times that the wall clock jumped", jumps);
+    scrape.counter("wall_clock_jumps", "Number of wall-clock jumps", jumps);
     let overrides = service.overrides.set().live().count();
-    scrape.gauge("overrides", "Overrides that are live", overrides as i64);
-    scrape.counter("lists", "Lists taken", source.lists);
-    scrape.counter("lists_refused", "Lists that were not obeyed", source.rejected);
+    scrape.gauge("overrides", "Live overrides", overrides as i64);
+    scrape.counter("lists", "Endpoint lists received", source.lists);
+    scrape.counter("lists_refused", "Endpoint lists rejected", source.rejected);
     scrape.counter("changes", "Changes of resources", service.leader.hub.store().seq());
     let totals = &service.leader.hub.counters;
     let counters = [
@@ -155,7 +155,7 @@
         ("acks", "Answers acknowledged", &totals.acks),
         ("nacks", "Answers refused", &totals.nacks),
         ("streams", "Streams opened", &totals.opened),
-        ("stream_faults", "Streams ended for a peer's fault", &totals.faults),
+        ("stream_faults", "Streams ended because of a peer's error", &totals.faults),
     ];
     for (name, help, value) in counters {
         scrape.counter(name, help, value.load(Relaxed));
--- a/crates/services/control-service/src/http/overrides.rs
+++ b/crates/services/control-service/src/http/overrides.rs
@@ -1,4 +1,4 @@
-//! The overrides of operators over HTTP: `/v1/overrides`.
+//! The HTTP API of overrides: `/v1/overrides`.
 
 use super::rejection::Rejection;
 use super::versioned::{change, respond, Author, HistoryQuery};
@@ -22,14 +22,14 @@
         .route("/v1/overrides/{id}", delete(lift))
 }
 
-/// Where an override is effective, and what masks it elsewhere.
+/// The nodes that an override applies to, and the overrides that mask it.
 struct Effect {
     nodes: usize,
     masked_on: usize,
     masked_by: BTreeSet<u64>,
 }
 
-/// The effect of one override, from the statuses of all on each node and the pins that are masked everywhere.
+/// The effect of one override, from the statuses of all overrides on each node and the pins that are masked everywhere.
 fn effect(id: u64, statuses: &[(u64, OverrideStatus)], masked_pins: &[(u64, u64)]) -> Effect {
     let of_this = || statuses.iter().filter(|(other, _)| *other == id).map(|(_, status)| status);
     let mut masked_by: BTreeSet<u64> = of_this()
@@ -73,7 +73,7 @@
 }
 
 async fn list(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
-    // Danger: a standby's set is empty, and an engineer would take that for the truth.
+    // Danger: a standby's set is empty, which an engineer would mistake for the actual state.
     service.leader.require_leadership()?;
     Ok(respond(StatusCode::OK, overrides_json(&service)))
 }
--- a/crates/services/control-service/src/http/policy.rs
+++ b/crates/services/control-service/src/http/policy.rs
@@ -1,4 +1,4 @@
-//! Policies over HTTP: `/v1/policy`.
+//! The HTTP API of policies: `/v1/policy`.
 
 use super::rejection::Rejection;
 use super::versioned::{change, require_component, respond, Author, HistoryQuery};
@@ -23,8 +23,8 @@
 }
 
 fn controller(service: &ServiceState) -> Result<&PolicyController, Rejection> {
-    let off = "changes of policy are off; give the control service's settings a [policy] section";
-    require_component(service, service.policies.as_ref(), off)
+    let disabled = "policy changes are disabled; add a [policy] section to the control service's settings";
+    require_component(service, service.policies.as_ref(), disabled)
 }
 
 async fn status(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
@@ -38,7 +38,7 @@
     Ok(Json(controller(&service)?.history(query.limit())))
 }
 
-/// A moment in Unix nanoseconds; left out: all of them.
+/// A time in Unix nanoseconds; if left out, all times.
 #[derive(Deserialize)]
 struct Moment {
     at: Option<u64>,
--- a/crates/services/control-service/src/http/rejection.rs
+++ b/crates/services/control-service/src/http/rejection.rs
@@ -1,4 +1,4 @@
-//! Rejected requests: errors of commands as HTTP responses.
+//! Maps errors of commands to HTTP responses.
 
 use crate::error::{CommandError, PolicyCommandError};
 use axum::http::StatusCode;
@@ -9,7 +9,7 @@
 use rushquay_rollout::RegistryError;
 use serde_json::json;
 
-/// A request that was rejected, with the response that says why.
+/// The response to a rejected request.
 pub struct Rejection(Box<Response>);
 
 impl Rejection {
--- a/crates/services/control-service/src/http/report.rs
+++ b/crates/services/control-service/src/http/report.rs
@@ -1,5 +1,5 @@
-//! The report of a rollout as an HTML page: plots of the old config version against the new, by class over time, with the phases marked.
-//! One self-contained file, to be archived or sent on.
+//! The report of a rollout as an HTML page, which plots the old config version against the new one for each class over time, with marks
+//! for the phases. The page is self-contained, so that it can be archived or forwarded.
 
 use plotters::prelude::*;
 use rushquay_rollout::{Rollout, Sample, Timeline};
@@ -26,7 +26,7 @@
 /// Which requests of a sample are counted.
 type Counted = fn(&Sample) -> u64;
 
-/// The counted share of all requests for one side: seconds since the first point, and the share. Points without requests are left out.
+/// The share of counted requests of one side at each point, with the seconds since the first point. Points without requests are skipped.
 fn series(timeline: &Timeline, class: &str, side: usize, counted: Counted) -> Vec<(f64, f64)> {
     let first = timeline.points.first().map_or(0, |p| p.at);
     let point = |p: &rushquay_rollout::Point| {
--- a/crates/services/control-service/src/http/rollout.rs
+++ b/crates/services/control-service/src/http/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts and the proxies that take part in them over HTTP: `/v1/rollout` and `/v1/roster`.
+//! The HTTP API of rollouts and of the proxies in them: `/v1/rollout` and `/v1/roster`.
 
 use super::rejection::Rejection;
 use super::report::render_report;
@@ -24,13 +24,13 @@
         .route("/v1/rollout/plan", post(plan))
         .route("/v1/rollout/history", get(history))
         .route("/v1/rollout/report", get(report))
-        .route("/v1/rollout/{action}", post(steer))
+        .route("/v1/rollout/{action}", post(run_action))
         .route("/v1/roster", get(members))
 }
 
 fn controller(service: &ServiceState) -> Result<&RolloutController, Rejection> {
-    let off = "changes in stages are off; give the control service's settings a [rollout] section";
-    require_component(service, service.rollout.as_ref(), off)
+    let disabled = "rollouts are disabled; add a [rollout] section to the control service's settings";
+    require_component(service, service.rollout.as_ref(), disabled)
 }
 
 async fn status(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
@@ -48,11 +48,11 @@
     Ok(Json(controller(&service)?.history(query.limit())))
 }
 
-/// The last rollout as an HTML page. Danger: rendered on an async worker it would hold up the streams.
+/// The last rollout as an HTML page. Danger: rendering it on an async worker thread would block the xDS streams.
 async fn report(State(service): State<Arc<ServiceState>>) -> Result<Response, Rejection> {
     let (rollout, timeline) = controller(&service)?.last_rollout();
     let Some(rollout) = rollout else {
-        return Err(Rejection::new(StatusCode::NOT_FOUND, "no change was ever begun here"));
+        return Err(Rejection::new(StatusCode::NOT_FOUND, "no rollout has been started here"));
     };
     let internal = |error: String| Rejection::new(StatusCode::INTERNAL_SERVER_ERROR, error);
     let rendered = tokio::task::spawn_blocking(move || render_report(&rollout, &timeline)).await;
@@ -84,21 +84,21 @@
     .await
 }
 
-async fn steer(
+async fn run_action(
     State(service): State<Arc<ServiceState>>,
     Path(action): Path<String>,
     headers: HeaderMap,
     Json(Author { by }): Json<Author>,
 ) -> Result<Response, Rejection> {
     change(service, headers, StatusCode::OK, move |service, expected| {
-        let steered =
+        let outcome =
             controller(service)?.command(&service.leader, |registry, _, now| match action.as_str() {
                 "hold" => registry.hold(&by, expected, now),
                 "resume" => registry.resume(&by, expected, now),
                 "back" => registry.roll_back(&by, expected, now),
                 _ => Err(RegistryError::Field("path", "hold, resume or back")),
             });
-        let ((), revision) = steered?;
+        let ((), revision) = outcome?;
         Ok(Versioned { body: json!({"revision": revision}), revision })
     })
     .await
--- a/crates/services/control-service/src/http/server.rs
+++ b/crates/services/control-service/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The admin listener: plain HTTP/1 with a bound on connections.
+//! The admin listener: plain HTTP/1 with a limit on connections.
 
 use super::metrics::{encode_metrics, CONTENT_TYPE_OPENMETRICS};
 use super::status::status_json;
@@ -19,18 +19,18 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Connections at once. Danger: each that is accepted holds a descriptor, and the subscribers need them.
+/// Maximum concurrent connections. Danger: each one uses a file descriptor that a subscriber may need.
 const MAX_CONNECTIONS: usize = 64;
-/// The time within which a request's head has to arrive.
+/// The timeout for reading a request's head.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest body of a command.
+/// Maximum size of a command's body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The longest that a connection lasts.
+/// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves the admin page and API of a service, for good.
+/// Serves the admin page and API of a service. Does not return.
 pub async fn serve(listener: TcpListener, service: Arc<ServiceState>) {
     let routes = Router::new()
         .route("/status", get(status))
@@ -50,7 +50,7 @@
     serve_pages(listener, routes, MAX_CONNECTIONS).await;
 }
 
-/// Serves pages for operators for good, with at most this many connections at once.
+/// Serves pages for operators with at most this many concurrent connections. Does not return.
 pub async fn serve_pages(listener: TcpListener, pages: Router, max_connections: usize) {
     let slots = Arc::new(Semaphore::new(max_connections));
     loop {
--- a/crates/services/control-service/src/http/status.rs
+++ b/crates/services/control-service/src/http/status.rs
@@ -1,4 +1,4 @@
-//! `/status`: the state of the service as JSON, for people.
+//! `/status`: the state of the service as JSON, for operators.
 
 use crate::leadership::Leadership;
 use crate::service_state::ServiceState;
@@ -56,7 +56,7 @@
 
 fn leadership_json(service: &ServiceState, leadership: &Leadership) -> Value {
     let state = leadership.state();
-    // Publishing starts a moment before the epoch is recorded.
+    // Publishing starts slightly before the epoch is recorded.
     let leads = state.epoch > 0 && service.leader.is_leading();
     json!({
         "name": leadership.instance_name, "leads": leads, "epoch": state.epoch, "leader": state.leader,
--- a/crates/services/control-service/src/http/versioned.rs
+++ b/crates/services/control-service/src/http/versioned.rs
@@ -1,5 +1,5 @@
 //! Versioned resources over HTTP. Each response has an `ETag`, the resource's revision; each change requires it back in `If-Match`
-//! (RFC 9110, 13.1.1), so that two engineers can't overwrite each other unseen.
+//! (RFC 9110, 13.1.1), so that two engineers can't overwrite each other's changes unnoticed.
 
 use super::rejection::Rejection;
 use crate::service_state::ServiceState;
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Events that a history returns where the request gives no limit.
+/// The number of events that a history returns if the request gives no limit.
 const DEFAULT_HISTORY_LIMIT: usize = 100;
 
 /// The query of a history.
@@ -20,13 +20,13 @@
 }
 
 impl HistoryQuery {
-    /// The most events to return.
+    /// The maximum number of events to return.
     pub fn limit(&self) -> usize {
         self.limit.unwrap_or(DEFAULT_HISTORY_LIMIT)
     }
 }
 
-/// The author of a change that has no other content.
+/// The author of a change whose request has no other content.
 #[derive(Deserialize)]
 pub struct Author {
     pub by: String,
@@ -38,15 +38,15 @@
     (status, [(header::ETAG, format!("\"{revision}\""))], Json(body)).into_response()
 }
 
-/// A component that may be switched off, where this instance leads.
+/// Returns a component that may be disabled; fails if it is, or if this instance does not lead.
 pub fn require_component<'s, T>(
     service: &ServiceState,
     component: Option<&'s T>,
-    switched_off: &'static str,
+    disabled: &'static str,
 ) -> Result<&'s T, Rejection> {
-    // Danger: what a standby shows is what once was.
+    // Danger: the state of a standby is out of date.
     service.leader.require_leadership()?;
-    component.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, switched_off))
+    component.ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, disabled))
 }
 
 /// Changes a resource from the revision that `If-Match` gives; responds with the result and the new revision. The change may block on the
--- a/crates/services/control-service/src/leadership.rs
+++ b/crates/services/control-service/src/leadership.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of who leads. The thread that campaigns for the lease is in [`crate::leadership_loop`].
+//! Which instance leads, as far as this instance knows. The thread that campaigns for the lease is in [`crate::leadership_loop`].
 
 use crate::sync::lock;
 use rushquay_lease::LeaseTerms;
@@ -11,28 +11,28 @@
 /// The leadership of this instance, for the admin page.
 #[derive(Clone, Debug, Default)]
 pub struct LeadershipState {
-    /// Who leads, by the store's last response.
+    /// The leader's name, from the store's last response.
     pub leader: Option<String>,
-    /// The epoch in which this instance leads; 0: it does not.
+    /// The epoch in which this instance leads; 0 if it does not.
     pub epoch: u64,
     /// How often this instance has taken over.
     pub takeovers: u64,
     /// How long the last takeover took, from winning the lease to publishing, in milliseconds.
     pub takeover_ms: u64,
-    /// Why the store can't be reached; `None`: it can.
+    /// Why the store can't be reached or read; `None` while it can.
     pub fault: Option<String>,
 }
 
-/// What the thread and the rest of the service tell one another.
+/// State shared between the leadership thread and the rest of the service.
 #[derive(Default)]
 struct Inner {
     state: LeadershipState,
     is_ending: bool,
-    /// A write was refused because another instance holds the lease.
+    /// A write was fenced because another instance holds the lease.
     is_fenced: bool,
 }
 
-/// This instance as one of several.
+/// The leadership state of one instance among several.
 pub struct Leadership {
     /// The name of this instance.
     pub instance_name: String,
@@ -41,7 +41,7 @@
     pub(crate) terms: LeaseTerms,
     inner: Mutex<Inner>,
     wake: Condvar,
-    /// When the lease expires, by this instance's monotonic clock; 0: it does not lead.
+    /// When the lease expires, by this instance's monotonic clock; 0 if it does not lead.
     lease_valid_until: AtomicU64,
 }
 
@@ -61,21 +61,21 @@
         lock(&self.inner)
     }
 
-    /// A copy of the present state.
+    /// A copy of the current state.
     pub fn state(&self) -> LeadershipState {
         self.lock().state.clone()
     }
 
-    /// Which instance to send a command to instead, in words.
+    /// A hint for operators about the instance to which a command should be sent.
     pub(crate) fn leader_hint(&self) -> String {
         match self.lock().state.leader.clone() {
-            Some(leader) if leader != self.instance_name => format!("{leader} leads, ask there"),
-            _ => "nobody leads yet, ask again soon".into(),
+            Some(leader) if leader != self.instance_name => format!("{leader} leads, send the command there"),
+            _ => "no instance leads yet, retry soon".into(),
         }
     }
 
-    /// When the lease expires, by this instance's monotonic clock; 0: it does not lead. Danger: a process that was suspended and resumes
-    /// has not stepped down yet, and its clock alone says that it must.
+    /// When the lease expires, by this instance's monotonic clock; 0 if it does not lead. Danger: a process that resumes after being
+    /// suspended has not stepped down yet; only this time shows that its lease has expired.
     pub(crate) fn lease_valid_until(&self) -> u64 {
         self.lease_valid_until.load(Ordering::SeqCst)
     }
@@ -84,19 +84,19 @@
         self.lease_valid_until.store(until, Ordering::SeqCst);
     }
 
-    /// Waits until the time is over, or the thread is to end or to step down.
+    /// Waits for the timeout, or until the thread has to end or to step down.
     pub(crate) fn wait(&self, timeout: Duration) {
         let inner = self.lock();
-        let is_undisturbed = |inner: &mut Inner| !inner.is_ending && !inner.is_fenced;
-        drop(self.wake.wait_timeout_while(inner, timeout, is_undisturbed));
+        let keep_waiting = |inner: &mut Inner| !inner.is_ending && !inner.is_fenced;
+        drop(self.wake.wait_timeout_while(inner, timeout, keep_waiting));
     }
 
-    /// Whether the thread is to end.
+    /// Whether the thread has to end.
     pub(crate) fn is_ending(&self) -> bool {
         self.lock().is_ending
     }
 
-    /// Whether a write has been refused since the last call.
+    /// Whether a write has been fenced since the last call.
     pub(crate) fn take_fenced(&self) -> bool {
         std::mem::take(&mut self.lock().is_fenced)
     }
@@ -120,24 +120,24 @@
         info!(leader = %self.instance_name, epoch, took_ms, "this instance leads");
     }
 
-    /// This instance has stepped down, and it is not known who leads.
+    /// This instance has stepped down, and the new leader is not known yet.
     pub(crate) fn on_step_down(&self) {
         let mut inner = self.lock();
         (inner.state.epoch, inner.state.leader) = (0, None);
     }
 
-    /// Sets why the store can't be reached or read; `None`: it can.
+    /// Sets why the store can't be reached or read; `None` while it can.
     pub(crate) fn set_store_error(&self, error: Option<&SharedError>) {
         self.lock().state.fault = error.map(ToString::to_string);
     }
 
-    /// A write was refused: the thread is to step down.
+    /// A write was fenced: makes the thread step down.
     pub(crate) fn on_fenced(&self) {
         self.lock().is_fenced = true;
         self.wake.notify_all();
     }
 
-    /// Has the thread resign and end.
+    /// Makes the thread resign the lease and end.
     pub(crate) fn end(&self) {
         self.lock().is_ending = true;
         self.wake.notify_all();
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control service: follows the endpoint list at discovery or in a file and serves it over xDS, with an admin page and API. Several
-//! instances elect a leader; it alone publishes, and runs rollouts and policy changes.
+//! instances elect a leader, and only the leader publishes and runs rollouts and policy changes.
 //!
-//! [`start`] is the entry. The decisions are those of the core crates; this crate has the sockets, the clocks, the threads and the order
-//! of locks (module `state`).
+//! [`start`] is the entry point. Decisions are made in the core crates; this crate provides the sockets, clocks and threads, and defines
+//! the lock order (module `state`).
 #![forbid(unsafe_code)]
 
 mod discovery;
--- a/crates/services/control-service/src/record_status.rs
+++ b/crates/services/control-service/src/record_status.rs
@@ -1,12 +1,12 @@
-//! What is known of a controller's record in the store after a write of it failed.
+//! Whether the stored record of a controller is known after a failed write.
 
 use crate::durable_store::{PersistError, PersistFailure};
 use rushquay_xds::client::Outage;
 use tracing::warn;
 
-/// The outcome of the last writes of a record. A write that failed may still have taken effect, in full or in part; until the record that
-/// counts is written again, the store's content is in doubt. Danger: taken for not written, the record would be acted on by the next
-/// process that reads it, beside what is decided here.
+/// The outcome of the last writes of a record. A failed write may still have taken effect, in full or in part, so the store's content is
+/// in doubt until the current record is written again. Danger: if the write were treated as without effect, the next process that reads
+/// the store could act on that record, in conflict with the decisions made here.
 #[derive(Default)]
 pub struct RecordStatus {
     outage: Outage,
@@ -14,12 +14,12 @@
 }
 
 impl RecordStatus {
-    /// Whether the record that counts has to be written once more.
+    /// Whether the current record has to be written again.
     pub fn is_in_doubt(&self) -> bool {
         self.is_in_doubt
     }
 
-    /// The record was read from the store: what it holds is known.
+    /// The record was read from the store, so its content is known.
     pub fn on_read(&mut self) {
         self.is_in_doubt = false;
     }
@@ -30,7 +30,7 @@
         self.is_in_doubt = false;
     }
 
-    /// A write of the record failed. A run of failures is logged now and then.
+    /// A write of the record failed. Logging of consecutive failures is rate-limited.
     pub fn on_write_failed(&mut self, record: &'static str, error: &PersistError) {
         if let Some(failure) = self.outage.failed(&error.reason) {
             warn!(record, error = %error.reason, failure, "record not persisted; step not applied");
--- a/crates/services/control-service/src/reopening_store.rs
+++ b/crates/services/control-service/src/reopening_store.rs
@@ -1,8 +1,8 @@
-//! A store in a file of this instance alone that is reopened after a failure.
+//! A file store of a single instance that is reopened after a failure.
 //!
-//! The embedded store rejects every call after an I/O error, for good: what it holds in memory may differ from what is on the disk. A
-//! disk that fails for a while (EIO, ENOSPC, a failed sync) must not end persistence, so the store is closed, and the next call opens
-//! it again and reads what the disk really holds.
+//! After an I/O error the embedded store rejects all further calls, because its state in memory may differ from the disk. A temporary
+//! disk failure (EIO, ENOSPC, a failed sync) must not end persistence, so the store is closed, and the next call reopens it and reads
+//! the actual content of the disk.
 
 use crate::durable_store::DurableStore;
 use crate::sync::lock;
@@ -24,7 +24,7 @@
         ReopeningStore { path: path.to_owned(), store: Mutex::new(Some(store)) }
     }
 
-    /// Runs an operation on the store, which is opened first where the last one failed.
+    /// Runs an operation on the store, and reopens the store first if the last operation failed.
     fn with<T>(
         &self,
         operation: impl FnOnce(&StateStore) -> Result<T, StateError>,
@@ -35,7 +35,7 @@
             None => StateStore::open(&self.path)?,
         };
         let result = operation(&store);
-        // A damaged record says nothing of the store; after any other error the store is not to be trusted.
+        // A damaged record does not affect the rest of the store; after any other error the store is closed.
         if matches!(result, Ok(_) | Err(StateError::Record { .. })) {
             *slot = Some(store);
         }
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -19,31 +19,31 @@
 
 /// The period of the endpoint list's timers and of override expiry.
 const TICK_PERIOD: Duration = Duration::from_secs(1);
-/// Events of the endpoint source that wait to be taken.
+/// Capacity of the queue of events from the endpoint source.
 const SOURCE_EVENT_QUEUE: usize = 16;
 
 /// What to start.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where subscribers connect.
+    /// The address of the xDS listener.
     pub listen: SocketAddr,
     /// The endpoint source.
     pub source: SourceOption,
-    /// Where the admin page is.
+    /// The address of the admin page, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The settings file.
+    /// The settings.
     pub settings: Settings,
-    /// The state file; `None`: state is held in memory alone.
+    /// The state file; if `None`, the state is held only in memory.
     pub state: Option<PathBuf>,
 }
 
-/// Why the service can't start.
+/// The reason why the service can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// TLS files that can't be used, or TLS that is missing.
+    /// TLS files can't be used, or TLS is required and missing.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// An address that can't be listened on.
+    /// A listener can't be bound.
     #[error("--{option} {addr}: {source}; give an address of this machine with a free port, or port 0")]
     Listen {
         /// The option that names it.
@@ -53,19 +53,19 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// An endpoint list file that can't be used at the start.
+    /// The endpoint list file can't be used.
     #[error("--nodes: {0}")]
     Nodes(String),
-    /// Settings of several instances that can't be used.
+    /// The settings for several instances can't be used.
     #[error("{0}")]
     Standby(String),
 }
 
-/// A running service. Dropping it ends it.
+/// A running service. Dropping it stops the service.
 pub struct ControlService {
-    /// Where subscribers connect.
+    /// The bound address of the xDS listener.
     pub xds: SocketAddr,
-    /// Where the admin page is.
+    /// The bound address of the admin page, if there is one.
     pub admin: Option<SocketAddr>,
     state: Arc<ServiceState>,
     reread: mpsc::Sender<()>,
@@ -80,22 +80,22 @@
         let _ = self.reread.try_send(());
     }
 
-    /// The subscribers' side, for tests and measurements.
+    /// The xDS hub, for tests and measurements.
     pub fn hub(&self) -> &Arc<Hub> {
         &self.state.leader.hub
     }
 
-    /// Takes a list as if the source had sent it, for tests and measurements: the moment is then known.
+    /// Processes a list as if the source had sent it, for tests and measurements that need to know the time of arrival.
     pub fn tell(&self, list: EndpointList) {
         self.state.on_source_event(SourceEvent::EndpointList(list));
     }
 
-    /// The leadership of this instance; `None`: it is the only one.
+    /// The leadership state of this instance; `None` if it is the only one.
     pub fn standby(&self) -> Option<LeadershipState> {
         self.state.leader.gate.leadership().map(|leadership| leadership.state())
     }
 
-    /// Ends the service: no new streams, and those that are open are cut. A lease is resigned.
+    /// Stops the service: accepts no new streams, closes the open ones, and resigns the lease if it holds one.
     pub async fn stop(mut self) {
         let thread = self.leadership_thread.take();
         if let (Some(leadership), Some(thread)) = (self.state.leader.gate.leadership(), thread) {
@@ -123,7 +123,7 @@
 /// The tick of a controller.
 type ControllerTick = fn(&ServiceState);
 
-/// Ticks a controller at this period, for good.
+/// Ticks a controller at this period. Does not return.
 async fn run_controller(state: Arc<ServiceState>, period: Duration, controller_tick: ControllerTick) {
     let mut interval = tokio::time::interval(period);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -135,7 +135,7 @@
     }
 }
 
-/// Starts the service on the runtime that this is called on.
+/// Starts the service on the current runtime.
 ///
 /// # Errors
 /// See [`StartError`]; nothing is left running.
@@ -143,7 +143,7 @@
     start_by(options, Clocks::default()).await
 }
 
-/// As [`start`], with these clocks.
+/// Like [`start`], with the given clocks.
 ///
 /// # Errors
 /// See [`StartError`]; nothing is left running.
@@ -165,10 +165,10 @@
         None => (None, None),
     };
 
-    let (origin, source_name) = describe_source(&options.source);
-    let state = ServiceState::new(options.settings, origin, source_name, leadership.clone(), clocks);
+    let (list_source, source_name) = describe_source(&options.source);
+    let state = ServiceState::new(options.settings, list_source, source_name, leadership.clone(), clocks);
     if let Some(path) = options.state {
-        // Reading the state of a fleet takes a millisecond, and nothing runs yet.
+        // Blocks, but reading the state of a fleet takes a millisecond, and no task runs yet.
         state.restore_from(&path);
     }
     if let Some(list) = first_list {
@@ -196,11 +196,11 @@
     bound.map_err(|source| StartError::Listen { option, addr, source })
 }
 
-/// This instance among several, where the settings name others.
+/// The leadership state, if the settings configure several instances.
 fn leadership(options: &Options, clocks: &Clocks) -> Result<Option<Arc<Leadership>>, StartError> {
     let Some(standby) = &options.settings.standby else { return Ok(None) };
     if options.state.is_some() {
-        let reason = "--state and [standby] name two places for one state; give one of them";
+        let reason = "--state and [standby] both configure the state's store; give only one of them";
         return Err(StartError::Standby(reason.into()));
     }
     let unusable = |error: StandbyError| StartError::Standby(error.to_string());
@@ -216,7 +216,7 @@
     }
 }
 
-/// Spawns the task that follows the endpoint source, and the one that takes its events.
+/// Spawns the task that follows the endpoint source, and the one that processes its events.
 fn spawn_source(
     state: &Arc<ServiceState>,
     source: SourceOption,
@@ -227,11 +227,11 @@
         SourceOption::Discovery(addr) => tokio::spawn(discovery::follow(addr, events)),
         SourceOption::Nodes(path) => tokio::spawn(file::follow(path, events, reread_requests)),
     };
-    vec![follower, tokio::spawn(take_events(state.clone(), received))]
+    vec![follower, tokio::spawn(process_events(state.clone(), received))]
 }
 
-/// Takes the events of the endpoint source, and ticks in between.
-async fn take_events(state: Arc<ServiceState>, mut events: mpsc::Receiver<SourceEvent>) {
+/// Processes the events of the endpoint source, and runs the periodic tick.
+async fn process_events(state: Arc<ServiceState>, mut events: mpsc::Receiver<SourceEvent>) {
     let mut interval = tokio::time::interval(TICK_PERIOD);
     loop {
         tokio::select! {
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// What is decided of the endpoint list.
+    /// Settings of the control state, which decides about the endpoint list.
     pub control: ControlConfig,
     /// Mutual TLS for the xDS listener.
     pub tls: Option<TlsFiles>,
@@ -36,11 +36,11 @@
     pub limits: LimitSettings,
     /// Limits of operators' overrides.
     pub overrides: OverrideSettings,
-    /// Several instances, one of which leads; `None`: this is the only one.
+    /// Several instances, one of which leads; `None` if this is the only one.
     pub standby: Option<StandbySettings>,
-    /// Policy changes, which hold everywhere or nowhere; `None`: none are accepted and no leases are granted.
+    /// Policy changes, which take effect on all proxies or none; if `None`, no changes are accepted and no leases granted.
     pub policy: Option<PolicySettings>,
-    /// Rollouts; `None`: none are accepted, and proxies are not tracked.
+    /// Rollouts; if `None`, no rollouts are accepted and proxies are not tracked.
     pub rollout: Option<RolloutSettings>,
 }
 
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StandbySettings {
-    /// The name of this instance, which no other may have.
+    /// The name of this instance, unique among all instances.
     pub name: String,
-    /// The lease's time to live in seconds, 1 to 300: a leader silent for that long is taken to be gone.
+    /// The lease's time to live in seconds, 1 to 300. A leader that does not renew it for that long loses its leadership.
     #[serde(default = "default_ttl_s")]
     pub ttl_s: f64,
     /// The file that instances on one machine share.
@@ -63,7 +63,7 @@
     /// The prefix of their keys in etcd; all keys under it belong to these instances.
     #[serde(default = "default_prefix")]
     pub prefix: String,
-    /// Mutual TLS towards etcd.
+    /// Mutual TLS for connections to etcd.
     #[serde(default)]
     pub tls: Option<TlsFiles>,
 }
@@ -97,7 +97,7 @@
         }
         let prefix = Prefix::new(&self.prefix).ok_or(StandbyError::Prefix)?;
         let tls = self.tls.as_ref().map(Tls::read).transpose()?;
-        // Each call ends well within a lease.
+        // Short enough for several calls within one lease.
         let call_timeout = Duration::from_secs_f64(self.ttl_s / 5.0);
         let tls = tls.map(|tls| tls.client(None));
         Ok(Arc::new(
@@ -130,7 +130,7 @@
     }
 }
 
-/// Why the store that instances share can't be used.
+/// The reason why the shared store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StandbyError {
     /// A field is out of its range.
@@ -156,7 +156,7 @@
 pub struct OverrideSettings {
     /// The longest duration of an override in seconds, 60 to 604800.
     pub longest_s: u64,
-    /// The part of the fleet's weight that must stay in service, 0 to 1.
+    /// The fraction of the fleet's weight that must stay in service, 0 to 1.
     pub stay: f64,
     /// How long before its expiry an override is announced, in seconds.
     pub announce_s: u64,
@@ -180,7 +180,7 @@
 }
 
 impl OverrideSettings {
-    /// The limits as the override set takes them.
+    /// The limits, in the form that the override set uses.
     pub fn policy(&self) -> OverrideLimits {
         OverrideLimits {
             max_duration: self.longest_s.saturating_mul(SECOND),
@@ -197,11 +197,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// The most streams at once, 1 to 1000000.
+    /// Maximum concurrent streams, 1 to 1000000.
     pub streams: usize,
-    /// The most names of one kind that a stream subscribes to, 1 to 1000000.
+    /// Maximum number of names of one resource type to which a stream subscribes, 1 to 1000000.
     pub names: usize,
-    /// The longest message from a subscriber, in KiB, 4 to 65536.
+    /// Maximum size of a subscriber's message in KiB, 4 to 65536.
     pub message_kb: usize,
 }
 
@@ -227,12 +227,12 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// It is no valid TOML, or a field is unknown or of another type.
+    /// It is not valid TOML, or a field is unknown or has the wrong type.
     #[error("{path}: {why}")]
     Form {
         /// The file.
         path: PathBuf,
-        /// Where and what.
+        /// The position and the problem.
         why: String,
     },
     /// A field is out of its range.
@@ -240,13 +240,13 @@
     Field {
         /// The file.
         path: PathBuf,
-        /// Which.
+        /// The field and the expected range.
         fault: ConfigError,
     },
 }
 
 impl Settings {
-    /// The limits as the xDS server takes them.
+    /// The limits, in the form that the xDS server uses.
     pub fn limits(&self) -> ServerLimits {
         let defaults = ServerLimits::default();
         let stream = rushquay_xds::server::Limits { names: self.limits.names, ..defaults.stream };
@@ -286,7 +286,7 @@
 /// Reads and validates a settings file.
 ///
 /// # Errors
-/// What is wrong, with the file and the field.
+/// See [`SettingsError`]; the message names the file and the field.
 pub fn read_settings(path: &Path) -> Result<Settings, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.to_owned(), source })?;
--- a/crates/services/control-service/src/sync.rs
+++ b/crates/services/control-service/src/sync.rs
@@ -1,8 +1,8 @@
-//! Locking of mutexes whose data stays usable after a panic of another holder.
+//! Locking of mutexes whose data stays valid after a panic of a thread that held the lock.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex; a poisoned one is used as it is.
+/// Locks a mutex and ignores poisoning.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/services/control-service/src/time.rs
+++ b/crates/services/control-service/src/time.rs
@@ -1,17 +1,17 @@
-//! The machine's clocks, and the service's clock that wall-clock jumps don't disturb.
+//! The machine's clocks, and a service clock that is not affected by wall-clock jumps.
 
 use crate::sync::lock;
 use rushquay_lease::{Clock, ClockReading, Nanos};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time since the machine's start, suspended time included; the same for all processes.
+/// The time since the machine booted, including suspended time. All processes read the same value.
 pub fn steady() -> Nanos {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as Nanos * rushquay_lease::SECOND + t.tv_nsec as Nanos
 }
 
-/// The id of the machine's present boot; empty where the kernel gives none.
+/// The id of the machine's current boot; empty if the kernel provides none.
 pub fn boot_id() -> String {
     let id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
     id.map(|id| id.trim().to_owned()).unwrap_or_default()
@@ -25,7 +25,7 @@
 /// The clocks that a service uses.
 #[derive(Clone)]
 pub struct Clocks {
-    /// Monotonic time from any start, suspended time included; instances that share a file need the same one.
+    /// Monotonic time with an arbitrary epoch, including suspended time. Instances that share a file need the same epoch.
     pub steady: Arc<dyn Fn() -> Nanos + Send + Sync>,
     /// Unix time.
     pub wall: Arc<dyn Fn() -> Nanos + Send + Sync>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Unix time that advances evenly whatever the wall clock does.
+/// Unix time that advances steadily, regardless of jumps of the wall clock.
 pub struct ServiceClock {
     clock: Mutex<Clock>,
     sources: Clocks,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// How far the wall clock is ahead of this one, in nanoseconds, and how often it jumped.
+    /// The wall clock's lead over this clock in nanoseconds, and the number of its jumps.
     pub fn wall_offset(&self) -> (i64, u64) {
         self.lock().offset()
     }
--- a/crates/services/control-service/src/versioned.rs
+++ b/crates/services/control-service/src/versioned.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// The JSON of a resource or of a change's result, with the resource's revision.
+/// The JSON of a resource or of the result of a change, with the resource's revision.
 pub struct Versioned {
     pub body: Value,
     pub revision: u64,
