--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -59,7 +59,7 @@
     pub dedup_window: Nanos,
     /// Fraction of the value that an answer after the latency objective earns.
     pub late_value: f64,
-    /// Value of a request, or of a unit of its work (see [`Settings::worth_by_work`]).
+    /// Value of a request, or of a unit of its work (see [`Settings::value_is_per_work_unit`]).
     pub worth: f64,
     /// Whether its answers are streamed.
     pub is_streamed: bool,
