--- a/crates/core/supervisor/src/heartbeat.rs
+++ b/crates/core/supervisor/src/heartbeat.rs
@@ -5,10 +5,10 @@
 /// The longest heartbeat, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 512;
 
-/// A heartbeat.
+/// Reports that a process is alive, and whether it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The process.
+    /// The id of the process.
     pub pid: u32,
     /// Whether it serves.
     pub yes: bool,
@@ -17,11 +17,11 @@
 impl Heartbeat {
     /// Encodes the heartbeat.
     pub fn bytes(&self) -> Vec<u8> {
-        // Plain fields always have a JSON form.
+        // A struct of plain fields can't fail to serialize.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes a heartbeat; unknown fields of later programs are ignored. `None`: it is not valid.
+    /// Decodes a heartbeat; unknown fields of later versions are ignored. Returns `None` if it is invalid.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         (bytes.len() <= MAX_HEARTBEAT_BYTES).then(|| serde_json::from_slice(bytes).ok())?
     }
--- a/crates/core/supervisor/src/lib.rs
+++ b/crates/core/supervisor/src/lib.rs
@@ -1,9 +1,9 @@
 //! The supervisor of a proxy as a state machine: which program runs, when it is replaced by a process of another one,
-//! and when that is rolled back. [`Supervisor`] receives events of processes and the wanted target, and returns the
+//! and when that is rolled back. [`Supervisor`] receives process events and the wanted target, and returns the
 //! actions to take. No I/O; time is passed in.
 //!
-//! Processes are identified by what the operating system reports and not by what was written down: a supervisor that
-//! was killed finds them again, and never starts a second one beside a first by mistake (`docs/design-host.md`).
+//! Running processes are identified by what the operating system reports, not by a persisted list: after a supervisor
+//! was killed, the next one finds them again and never starts a duplicate by mistake (`docs/design-host.md`).
 #![forbid(unsafe_code)]
 
 mod heartbeat;
--- a/crates/core/supervisor/src/process.rs
+++ b/crates/core/supervisor/src/process.rs
@@ -6,7 +6,7 @@
 /// The identity of a process. A reused process id is distinguished by the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId {
-    /// The start by the operating system's own count, which is higher for the later of two.
+    /// The start time as the operating system counts it: a later process has a higher one.
     pub start: u64,
     /// The process id.
     pub pid: u32,
@@ -21,7 +21,7 @@
     pub program: Digest,
 }
 
-/// A process whose last heartbeat is younger than this is not silent.
+/// The maximum age of the last heartbeat of a process that counts as serving.
 const HEARTBEAT_FRESHNESS: Nanos = SECOND;
 
 /// The role of a process.
@@ -31,7 +31,8 @@
     Main,
     /// The successor, which starts beside the one that serves, or is observed there.
     Trying,
-    /// A process that was found, and whose origin is unknown: it is ended once another serves, or serves itself.
+    /// A process that was found, and that is neither: it is ended once another serves, or becomes the main one if none
+    /// does.
     Stray,
     /// It was asked to end at this time.
     Ending(Nanos),
@@ -48,7 +49,7 @@
     pub started_at: Nanos,
     /// Since when it has been serving.
     pub serving_since: Option<Nanos>,
-    /// The start of its silence: the last heartbeat, and no time in which this supervisor was suspended itself.
+    /// From when its silence is counted: the last heartbeat, shifted by the time for which this supervisor was suspended.
     pub last_active: Nanos,
     /// The last heartbeat; `None`: this supervisor has received none.
     pub last_heartbeat: Option<Nanos>,
--- a/crates/core/supervisor/src/record.rs
+++ b/crates/core/supervisor/src/record.rs
@@ -6,7 +6,7 @@
 /// The format version of the record.
 const FORMAT_VERSION: u32 = 1;
 
-/// What is to run, and with which settings.
+/// The program to run, and the config version to run it with.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The program, by the digest of its file.
@@ -42,9 +42,9 @@
     /// Whether the assignment names its program, or leaves that to the supervisor's own file.
     #[serde(default)]
     pub named: bool,
-    /// The last target that served well, which is started where nothing runs.
+    /// The last target that served well, which is started if nothing runs.
     pub good: Target,
-    /// The one before that.
+    /// The target that was good before that, to which a failure rolls back.
     #[serde(default)]
     pub before: Option<Target>,
     /// The target of the successor, if one runs.
@@ -58,16 +58,16 @@
 /// Why a record can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It can't be read.
-    #[error("not a host's record: {0}")]
+    /// It is not valid JSON of a record.
+    #[error("not a supervisor's record: {0}")]
     Malformed(String),
-    /// It is of a later format version.
-    #[error("a record of form {0}; this program reads form {FORMAT_VERSION}: use the version that wrote it")]
-    Form(u32),
+    /// Its format version is unknown to this program.
+    #[error("a record of format version {0}; this program reads format version {FORMAT_VERSION}: use the program version that wrote it")]
+    UnsupportedVersion(u32),
 }
 
 impl SupervisorRecord {
-    /// A record without an assignment: the target of the supervisor's own file is good.
+    /// Creates a record without an assignment, in which the target of the supervisor's own file counts as good.
     pub fn new(good: Target) -> Self {
         let (wanted, before, trying, failed) = (None, None, None, None);
         SupervisorRecord {
@@ -84,7 +84,7 @@
 
     /// Encodes the record.
     pub fn text(&self) -> String {
-        // Plain fields always have a JSON form.
+        // A struct of plain fields can't fail to serialize.
         serde_json::to_string(self).unwrap_or_default()
     }
 
@@ -96,7 +96,9 @@
         let malformed = |e: serde_json::Error| RecordError::Malformed(e.to_string());
         let value: serde_json::Value = serde_json::from_str(text).map_err(malformed)?;
         match value["form"].as_u64() {
-            Some(form) if form != u64::from(FORMAT_VERSION) => Err(RecordError::Form(form as u32)),
+            Some(form) if form != u64::from(FORMAT_VERSION) => {
+                Err(RecordError::UnsupportedVersion(form as u32))
+            }
             _ => serde_json::from_value(value).map_err(malformed),
         }
     }
--- a/crates/core/supervisor/src/report.rs
+++ b/crates/core/supervisor/src/report.rs
@@ -39,16 +39,16 @@
 /// Why a report is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SupervisorReportError {
-    /// It can't be read.
-    #[error("not a host's report: {0}")]
+    /// It is not valid JSON of a report.
+    #[error("not a supervisor's report: {0}")]
     Malformed(String),
-    /// It is of a later format version.
+    /// Its format version is unknown to this program.
     #[error(
-        "a host's report of form {0}; this control service reads form {FORMAT_VERSION}: upgrade it first"
+        "a supervisor's report of format version {0}; this control service reads format version {FORMAT_VERSION}: upgrade it first"
     )]
     Form(u32),
     /// It is too long.
-    #[error("a host's report beyond its bound of {MAX_REPORT_BYTES} bytes")]
+    #[error("a supervisor's report longer than {MAX_REPORT_BYTES} bytes")]
     Large,
 }
 
@@ -61,11 +61,11 @@
 
     /// Encodes the report.
     pub fn text(&self) -> String {
-        // Plain fields always have a JSON form.
+        // A struct of plain fields can't fail to serialize.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Decodes a report; unknown fields of later programs are ignored.
+    /// Decodes a report; unknown fields of later versions are ignored.
     ///
     /// # Errors
     /// See [`SupervisorReportError`].
--- a/crates/core/supervisor/src/state_machine.rs
+++ b/crates/core/supervisor/src/state_machine.rs
@@ -12,9 +12,9 @@
 pub enum Action {
     /// Start a process of this target.
     Start(Target),
-    /// Ask it to end.
+    /// Ask this process to end.
     End(ProcessId),
-    /// Kill it.
+    /// Kill this process.
     Kill(ProcessId),
 }
 
@@ -22,8 +22,8 @@
 #[derive(Clone, Debug)]
 pub struct Supervisor {
     timeouts: Timeouts,
-    /// The target of this machine's own file, which applies where no assignment names a program.
-    own: Target,
+    /// The target of this machine's own file, which applies if no assignment names a program.
+    default_target: Target,
     record: SupervisorRecord,
     processes: Vec<Process>,
     /// The target being started, and its role.
@@ -34,15 +34,16 @@
     retry_at: Nanos,
     /// Unexpected ends in a row of the serving process, without a steady run.
     failures_in_row: u32,
-    /// The number of unexpected ends.
+    /// The number of unexpected ends since the start of this supervisor.
     ends: u64,
     /// An assignment that could not be persisted, and so is not applied.
     unpersisted: Option<(Digest, String)>,
+    /// The error on this machine.
     fault: Option<String>,
     last_tick: Nanos,
 }
 
-/// Ticks further apart than this: the supervisor itself was suspended, or had no CPU, and received no heartbeats.
+/// If two ticks are further apart, the supervisor was suspended or had no CPU, and could not receive heartbeats.
 const MAX_TICK_INTERVAL: Nanos = SECOND;
 
 fn truncate(reason: &str) -> String {
@@ -54,14 +55,14 @@
     /// can start any.
     pub fn new(
         timeouts: Timeouts,
-        own: Target,
+        default_target: Target,
         record: SupervisorRecord,
         found: &[FoundProcess],
         now: Nanos,
     ) -> Self {
         let mut supervisor = Supervisor {
             timeouts,
-            own,
+            default_target,
             record,
             processes: Vec::new(),
             starting: None,
@@ -74,7 +75,7 @@
             last_tick: now,
         };
         if let Some(failed) = &supervisor.record.failed {
-            supervisor.retry_at = now.saturating_add(timeouts.pause_after(failed.times));
+            supervisor.retry_at = now.saturating_add(timeouts.backoff_after(failed.times));
         }
         supervisor.adopt(found, now);
         supervisor
@@ -87,17 +88,17 @@
         found.sort_by_key(|f| std::cmp::Reverse(f.id));
         let good = self.record.good.program;
         let trying = self.record.trying.as_ref().map(|t| t.program).filter(|program| *program != good);
-        for one in found {
-            let has = |role| self.processes.iter().any(|p: &Process| p.role == role);
-            let role = match one.program {
-                program if program == good && !has(Role::Main) => Role::Main,
-                program if Some(program) == trying && !has(Role::Trying) => Role::Trying,
+        for process in found {
+            let is_assigned = |role| self.processes.iter().any(|p: &Process| p.role == role);
+            let role = match process.program {
+                program if program == good && !is_assigned(Role::Main) => Role::Main,
+                program if Some(program) == trying && !is_assigned(Role::Trying) => Role::Trying,
                 _ => Role::Stray,
             };
-            self.processes.push(Process::new(one.id, one.program, role, now));
+            self.processes.push(Process::new(process.id, process.program, role, now));
         }
         if !self.processes.iter().any(|p| p.role == Role::Trying) {
-            // The previous supervisor ended before it could start it, or it has ended since: it is tried anew.
+            // The previous supervisor ended before it started the successor, or the successor has ended since: it is retried.
             self.record.trying = None;
         }
     }
@@ -113,7 +114,7 @@
     }
 
     /// The number of processes that serve or may come to serve, without those that were asked to end.
-    pub fn standing(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.processes.iter().filter(|p| matches!(p.role, Role::Main | Role::Trying)).count()
     }
 
@@ -121,23 +122,23 @@
     pub fn target(&self) -> Target {
         match &self.record.wanted {
             Some(wanted) if self.record.named => wanted.clone(),
-            Some(wanted) => Target { program: self.own.program, ..wanted.clone() },
-            None => self.own.clone(),
+            Some(wanted) => Target { program: self.default_target.program, ..wanted.clone() },
+            None => self.default_target.clone(),
         }
     }
 
-    /// Handles an assignment of a control service of this epoch. Returns false where the epoch is over: nothing
-    /// changes.
-    pub fn told(&mut self, epoch: u64, given: &ConfigAssignment) -> bool {
+    /// Handles an assignment from the control service of this epoch. Returns false, and changes nothing, if a later epoch
+    /// is known.
+    pub fn handle_assignment(&mut self, epoch: u64, assignment: &ConfigAssignment) -> bool {
         if epoch < self.record.epoch {
             return false;
         }
         self.record.epoch = epoch;
-        let named = given.version.program();
+        let named = assignment.version.program();
         let target = Target {
-            program: named.unwrap_or(self.own.program),
-            generation: given.version.digest(),
-            given: Some(given.text()),
+            program: named.unwrap_or(self.default_target.program),
+            generation: assignment.version.digest(),
+            given: Some(assignment.text()),
         };
         // A target that failed may be retried at once under another config version.
         if self.record.failed.as_ref().is_some_and(|f| f.target.generation != target.generation) {
@@ -149,35 +150,35 @@
     }
 
     /// Whether an assignment may be applied though it can't be persisted: it leads to a program that has served well
-    /// here. Danger: a full disk must not hold a machine at a bad version.
-    pub fn known_good(&self, given: &ConfigAssignment) -> bool {
-        let program = given.version.program().unwrap_or(self.own.program);
-        let served = [Some(&self.record.good), self.record.before.as_ref(), Some(&self.own)];
+    /// here. Danger: a full disk must not keep a machine on a bad version.
+    pub fn is_known_good(&self, assignment: &ConfigAssignment) -> bool {
+        let program = assignment.version.program().unwrap_or(self.default_target.program);
+        let served = [Some(&self.record.good), self.record.before.as_ref(), Some(&self.default_target)];
         served.into_iter().flatten().any(|t| t.program == program)
     }
 
     /// Records that an assignment could not be persisted and so is not applied.
-    pub fn not_kept(&mut self, given: &ConfigAssignment, why: &str) {
-        self.unpersisted = Some((given.version.digest(), truncate(why)));
+    pub fn handle_unpersisted(&mut self, assignment: &ConfigAssignment, why: &str) {
+        self.unpersisted = Some((assignment.version.digest(), truncate(why)));
     }
 
     /// Sets or clears the error on this machine.
-    pub fn fault(&mut self, fault: Option<String>) {
+    pub fn set_fault(&mut self, fault: Option<String>) {
         self.fault = fault.map(|f| truncate(&f));
     }
 
     /// Handles a heartbeat.
-    pub fn pulse(&mut self, pid: u32, yes: bool, now: Nanos) {
-        if let Some(one) = self.processes.iter_mut().find(|p| p.id.pid == pid) {
-            (one.last_active, one.last_heartbeat) = (now, Some(now));
+    pub fn handle_heartbeat(&mut self, pid: u32, yes: bool, now: Nanos) {
+        if let Some(process) = self.processes.iter_mut().find(|p| p.id.pid == pid) {
+            (process.last_active, process.last_heartbeat) = (now, Some(now));
             if yes {
-                one.serving_since.get_or_insert(now);
+                process.serving_since.get_or_insert(now);
             }
         }
     }
 
     /// Called when the process that was to be started runs.
-    pub fn started(&mut self, id: ProcessId, now: Nanos) {
+    pub fn handle_started(&mut self, id: ProcessId, now: Nanos) {
         if let Some((target, role)) = self.starting.take() {
             self.fault = None;
             self.processes.push(Process::new(id, target.program, role, now));
@@ -185,7 +186,7 @@
     }
 
     /// Called when the process could not be started.
-    pub fn not_started(&mut self, why: &str, now: Nanos) {
+    pub fn handle_start_failure(&mut self, why: &str, now: Nanos) {
         match self.starting.take() {
             Some((target, Role::Trying)) => {
                 self.record.trying = None;
@@ -193,21 +194,21 @@
             }
             Some((target, _)) => {
                 self.fault = Some(truncate(why));
-                self.ended(&target, why, now);
+                self.record_main_failure(&target, why, now);
             }
             None => {}
         }
     }
 
     /// Called when a process has ended.
-    pub fn gone(&mut self, id: ProcessId, how: &str, now: Nanos) {
-        let Some(at) = self.processes.iter().position(|p| p.id == id) else { return };
-        let one = self.processes.remove(at);
-        match one.role {
-            Role::Main => self.main_ended(one, &format!("its process ended by itself: {how}"), now),
+    pub fn handle_exit(&mut self, id: ProcessId, how: &str, now: Nanos) {
+        let Some(index) = self.processes.iter().position(|p| p.id == id) else { return };
+        let process = self.processes.remove(index);
+        match process.role {
+            Role::Main => self.main_ended(process, &format!("its process ended by itself: {how}"), now),
             Role::Trying => {
                 self.ends += 1;
-                let why = match one.serving_since {
+                let why = match process.serving_since {
                     None => format!("its process ended without a yes: {how}"),
                     Some(yes) => {
                         let after = now.saturating_sub(yes) as f64 / SECOND as f64;
@@ -228,22 +229,22 @@
         if now.saturating_sub(main.started_at) >= self.timeouts.steady {
             self.failures_in_row = 0;
         }
-        // A process of another program that happened to run proves nothing about the good one.
+        // The end of a process of another program, which was found running, is no failure of the good program.
         if main.program == self.record.good.program {
-            self.ended(&self.record.good.clone(), why, now);
+            self.record_main_failure(&self.record.good.clone(), why, now);
         }
     }
 
     /// Records that the serving process has ended, or could not be started, and rolls back after too many failures.
-    fn ended(&mut self, target: &Target, why: &str, now: Nanos) {
+    fn record_main_failure(&mut self, target: &Target, why: &str, now: Nanos) {
         self.failures_in_row += 1;
-        self.not_before = now.saturating_add(self.timeouts.pause_after(self.failures_in_row));
-        if self.failures_in_row < self.timeouts.ends_most {
+        self.not_before = now.saturating_add(self.timeouts.backoff_after(self.failures_in_row));
+        if self.failures_in_row < self.timeouts.max_failures {
             return;
         }
-        // The target that served before; else the wanted one; else that of this machine's own file.
-        let others = [self.record.before.take(), Some(self.target()), Some(self.own.clone())];
-        if let Some(other) = others.into_iter().flatten().find(|t| t.program != target.program) {
+        // In order of preference: the target that served before, the wanted one, that of this machine's own file.
+        let candidates = [self.record.before.take(), Some(self.target()), Some(self.default_target.clone())];
+        if let Some(other) = candidates.into_iter().flatten().find(|t| t.program != target.program) {
             let why = format!("{} times without a steady run: {why}", self.failures_in_row);
             self.record.good = other;
             self.record_failure(target.clone(), why, now);
@@ -255,7 +256,7 @@
     fn record_failure(&mut self, target: Target, why: String, now: Nanos) {
         let same = self.record.failed.take().filter(|f| f.target.program == target.program);
         let times = same.map_or(1, |f| f.times + 1);
-        self.retry_at = now.saturating_add(self.timeouts.pause_after(times));
+        self.retry_at = now.saturating_add(self.timeouts.backoff_after(times));
         self.record.failed = Some(FailedTarget { target, why: truncate(&why), times });
     }
 
@@ -268,23 +269,23 @@
     }
 
     /// Advances to the time `now`, and returns the actions to take. At most one process is started at a time.
-    pub fn look(&mut self, now: Nanos) -> Vec<Action> {
+    pub fn tick(&mut self, now: Nanos) -> Vec<Action> {
         // Danger: heartbeats sent while this supervisor was suspended are read after its first tick; the silence that
         // it caused itself must not be blamed on a process.
         let missed = now.saturating_sub(std::mem::replace(&mut self.last_tick, now));
         if missed > MAX_TICK_INTERVAL {
-            for one in &mut self.processes {
-                one.last_active = one.last_active.saturating_add(missed).min(now);
-                one.started_at = one.started_at.saturating_add(missed).min(now);
-                // It was not observed meanwhile.
-                one.serving_since = one.serving_since.map(|yes| yes.saturating_add(missed).min(now));
+            for process in &mut self.processes {
+                process.last_active = process.last_active.saturating_add(missed).min(now);
+                process.started_at = process.started_at.saturating_add(missed).min(now);
+                // The suspended time does not count as observation.
+                process.serving_since = process.serving_since.map(|yes| yes.saturating_add(missed).min(now));
             }
         }
         let mut actions = Vec::new();
         self.tick_ending(now, &mut actions);
         self.tick_main(now, &mut actions);
         self.tick_trying(now, &mut actions);
-        self.take_settings();
+        self.adopt_settings();
         if let Some((target, role)) = self.next_start(now) {
             if role == Role::Trying {
                 self.record.trying = Some(target.clone());
@@ -297,28 +298,28 @@
 
     fn tick_ending(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let drain = self.timeouts.drain;
-        // Danger: where the record is older than what runs, a stray process may be all that serves.
-        if self.standing() == 0 {
+        // Danger: if the record is older than the running processes, a stray process may be the only one that serves.
+        if self.active_count() == 0 {
             let strays = self.processes.iter_mut().filter(|p| p.role == Role::Stray);
             strays.max_by_key(|p| p.id).into_iter().for_each(|p| p.role = Role::Main);
         }
         let serves = |p: &Process| matches!(p.role, Role::Main | Role::Trying) && p.is_serving(now);
-        let others = self.processes.iter().any(serves);
-        for one in &mut self.processes {
-            match one.role {
+        let any_serves = self.processes.iter().any(serves);
+        for process in &mut self.processes {
+            match process.role {
                 // The previous supervisor may have asked it to end, or not.
-                Role::Stray if others => {
-                    one.role = Role::Ending(now);
-                    actions.push(Action::End(one.id));
+                Role::Stray if any_serves => {
+                    process.role = Role::Ending(now);
+                    actions.push(Action::End(process.id));
                 }
                 Role::Ending(since) if now.saturating_sub(since) >= drain => {
-                    one.role = Role::Killed(now);
-                    actions.push(Action::Kill(one.id));
+                    process.role = Role::Killed(now);
+                    actions.push(Action::Kill(process.id));
                 }
-                // It was killed before, which may have failed.
+                // It was killed before, but has not ended: the kill may have failed.
                 Role::Killed(since) if now.saturating_sub(since) >= drain => {
-                    one.role = Role::Killed(now);
-                    actions.push(Action::Kill(one.id));
+                    process.role = Role::Killed(now);
+                    actions.push(Action::Kill(process.id));
                 }
                 _ => {}
             }
@@ -334,12 +335,12 @@
             && main.program == target.program
             && main.program != self.record.good.program
         {
-            // It was found running: the wanted target serves, and so it is good.
+            // The process was found running from the wanted program, and has served steadily: its target is good.
             self.record.before = Some(std::mem::replace(&mut self.record.good, target));
         }
         self.record.failed.take_if(|f| is_steady && f.target.program == main.program);
         let why = match main.serving_since {
-            None if now.saturating_sub(main.started_at) >= self.timeouts.yes_within => {
+            None if now.saturating_sub(main.started_at) >= self.timeouts.startup => {
                 "it did not say yes in time"
             }
             Some(_) if now.saturating_sub(main.last_active) >= self.timeouts.hang => "it hung",
@@ -356,8 +357,8 @@
         let silent = now.saturating_sub(new.last_active);
         let seconds = |span: Nanos| span as f64 / SECOND as f64;
         let why = match new.serving_since {
-            None if now.saturating_sub(new.started_at) >= self.timeouts.yes_within => {
-                Some(format!("it did not say yes within {} s", seconds(self.timeouts.yes_within)))
+            None if now.saturating_sub(new.started_at) >= self.timeouts.startup => {
+                Some(format!("it did not say yes within {} s", seconds(self.timeouts.startup)))
             }
             Some(_) if silent >= self.timeouts.hang => {
                 Some(format!("it hung after its yes: nothing heard for {:.1} s", seconds(silent)))
@@ -372,7 +373,7 @@
             return;
         }
         let main = self.find_role(Role::Main);
-        // Danger: the incumbent may hang, or be starting itself.
+        // Danger: the successor may be ended only if the incumbent serves; the incumbent may hang, or be starting itself.
         if self.target().program != target.program && main.is_some_and(|m| m.is_serving(now)) {
             // The successor is no longer wanted: the incumbent continues.
             self.record.trying = None;
@@ -380,9 +381,9 @@
             actions.push(Action::End(new.id));
             return;
         }
-        // Danger: a successor that has just fallen silent would have the incumbent ended, and then be found to hang.
+        // Danger: without the check for a recent heartbeat, a successor that has just hung would replace the incumbent.
         if new.is_serving(now)
-            && new.serving_since.is_some_and(|yes| now.saturating_sub(yes) >= self.timeouts.watch)
+            && new.serving_since.is_some_and(|yes| now.saturating_sub(yes) >= self.timeouts.observation)
         {
             let before = std::mem::replace(&mut self.record.good, target);
             // The record of its earlier failures stays until it has run steadily, so that the backoff grows.
@@ -396,8 +397,9 @@
         }
     }
 
-    /// Settings without another program are applied by the running process: the target follows.
-    fn take_settings(&mut self) {
+    /// Adopts a wanted target that differs from the good one only in its config version: the running process applies that
+    /// itself.
+    fn adopt_settings(&mut self) {
         let target = self.target();
         if target.program == self.record.good.program && target != self.record.good {
             self.record.good = target;
@@ -413,11 +415,11 @@
             return (now >= self.not_before).then(|| (self.record.good.clone(), Role::Main));
         };
         let target = self.target();
-        let waits = self.record.failed.as_ref().is_some_and(|f| f.target.program == target.program);
-        // Danger: beside a process that is still ending a successor would be told to wait, and would miss its time to
-        // serve.
-        let alone = self.processes.len() == 1;
-        let due = main.is_serving(now) && alone && !(waits && now < self.retry_at);
+        let has_failed = self.record.failed.as_ref().is_some_and(|f| f.target.program == target.program);
+        // Danger: a successor that starts while another process is still ending is told to wait, and may miss its startup
+        // timeout.
+        let is_alone = self.processes.len() == 1;
+        let due = main.is_serving(now) && is_alone && !(has_failed && now < self.retry_at);
         (due && target.program != main.program).then_some((target, Role::Trying))
     }
 
@@ -425,8 +427,9 @@
     pub fn report(&self, boot: u64, seq: u64) -> SupervisorReport {
         let target = self.target();
         let main = self.find_role(Role::Main).map(|p| p.program);
-        let fails = |f: &&FailedTarget| f.target.program == target.program && main != Some(target.program);
-        let failed = self.record.failed.as_ref().filter(fails);
+        let is_current_failure =
+            |f: &&FailedTarget| f.target.program == target.program && main != Some(target.program);
+        let failed = self.record.failed.as_ref().filter(is_current_failure);
         let failed =
             failed.map(|f| (target.generation, format!("program {:?}: {}", f.target.program, f.why)));
         SupervisorReport {
--- a/crates/core/supervisor/tests/simulated_machine.rs
+++ b/crates/core/supervisor/tests/simulated_machine.rs
@@ -1,5 +1,5 @@
 //! The supervisor on a simulated machine: processes that do not start serving, end, hang or leave files behind,
-//! supervisors that are killed between any two steps, disks that persist nothing, and assignments of earlier epochs.
+//! supervisors that are killed between any two actions, disks that can't be written, and assignments of earlier epochs.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,312 +12,355 @@
 
 /// How the processes of a program behave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
-    Well,
-    NeverYes,
+enum Behaviour {
+    Healthy,
+    NeverServes,
+    /// Ends this long after it began to serve.
     Ends(u64),
+    /// Hangs this long after it began to serve.
     Hangs(u64),
+    /// The program file is missing.
     NoFile,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct SimProcess {
     id: ProcessId,
     program: usize,
-    born: u64,
-    yes: Option<u64>,
-    told: bool,
-    hung: Option<u64>,
+    started_at: u64,
+    serving_since: Option<u64>,
+    asked_to_end: bool,
+    hung_since: Option<u64>,
 }
 
-impl Life {
-    /// It serves, and nobody has asked it to end.
-    fn well(&self) -> bool {
-        self.yes.is_some() && !self.told && self.hung.is_none()
+impl SimProcess {
+    /// Whether it serves and was not asked to end.
+    fn is_healthy(&self) -> bool {
+        self.serving_since.is_some() && !self.asked_to_end && self.hung_since.is_none()
     }
 }
 
-struct World {
-    kinds: Vec<Kind>,
-    lives: Vec<Life>,
-    host: Supervisor,
+struct Machine {
+    behaviours: Vec<Behaviour>,
+    processes: Vec<SimProcess>,
+    supervisor: Supervisor,
     /// The record on the disk.
-    kept: SupervisorRecord,
-    full: bool,
+    persisted: SupervisorRecord,
+    disk_full: bool,
     now: u64,
     starts: u64,
     epoch: u64,
-    terms: Timeouts,
+    timeouts: Timeouts,
 }
 
 fn digest(program: usize) -> Digest {
     Digest::of(&[program as u8])
 }
 
-fn own() -> Target {
+fn default_target() -> Target {
     Target { program: digest(0), generation: ConfigVersion::base().digest(), given: None }
 }
 
-fn wants(program: usize, change: u64) -> ConfigAssignment {
-    let settings = serde_json::json!({"over_share_worth": change as f64 / 1e6});
-    let generation = ConfigVersion::read(&settings).expect("good").with_program(digest(program));
-    ConfigAssignment { rollout: change, version: generation }
+fn assignment(program: usize, rollout: u64) -> ConfigAssignment {
+    let settings = serde_json::json!({"over_share_worth": rollout as f64 / 1e6});
+    let version = ConfigVersion::read(&settings).expect("valid settings").with_program(digest(program));
+    ConfigAssignment { rollout, version }
 }
 
-impl World {
-    fn new(kinds: &[Kind]) -> Self {
-        let terms = Timeouts::default();
-        let kept = SupervisorRecord::new(own());
-        let host = Supervisor::new(terms, own(), kept.clone(), &[], 0);
-        let kinds = kinds.to_vec();
-        World { kinds, lives: Vec::new(), host, kept, full: false, now: 0, starts: 0, epoch: 1, terms }
+impl Machine {
+    fn new(behaviours: &[Behaviour]) -> Self {
+        let timeouts = Timeouts::default();
+        let persisted = SupervisorRecord::new(default_target());
+        let supervisor = Supervisor::new(timeouts, default_target(), persisted.clone(), &[], 0);
+        let behaviours = behaviours.to_vec();
+        Machine {
+            behaviours,
+            processes: Vec::new(),
+            supervisor,
+            persisted,
+            disk_full: false,
+            now: 0,
+            starts: 0,
+            epoch: 1,
+            timeouts,
+        }
     }
 
-    fn keep(&mut self) {
-        if !self.full {
-            self.kept = self.host.record().clone();
+    fn persist(&mut self) {
+        if !self.disk_full {
+            self.persisted = self.supervisor.record().clone();
         }
     }
 
-    /// As the adapter does: an assignment is applied once it is persisted, or where it leads back.
-    fn tell(&mut self, epoch: u64, program: usize, change: u64) {
-        let (before, given) = (self.host.clone(), wants(program, change));
-        if !self.host.told(epoch, &given) {
-            assert_eq!(self.host.record(), before.record(), "word of an epoch that is over");
+    /// Delivers an assignment. As in the adapter, it is applied once it is persisted, or if its program is known to be good.
+    fn assign(&mut self, epoch: u64, program: usize, rollout: u64) {
+        let (before, assignment) = (self.supervisor.clone(), assignment(program, rollout));
+        if !self.supervisor.handle_assignment(epoch, &assignment) {
+            assert_eq!(
+                self.supervisor.record(),
+                before.record(),
+                "an assignment of an earlier epoch changed the record"
+            );
             return;
         }
-        if self.full && !self.host.known_good(&given) {
-            self.host = before;
-            self.host.not_kept(&given, "no space");
+        if self.disk_full && !self.supervisor.is_known_good(&assignment) {
+            self.supervisor = before;
+            self.supervisor.handle_unpersisted(&assignment, "no space");
         }
-        self.keep();
+        self.persist();
     }
 
     /// The supervisor is killed and another one starts.
-    fn kill_host(&mut self) {
+    fn restart_supervisor(&mut self) {
         let found: Vec<FoundProcess> =
-            self.lives.iter().map(|l| FoundProcess { id: l.id, program: digest(l.program) }).collect();
-        self.host = Supervisor::new(self.terms, own(), self.kept.clone(), &found, self.now);
+            self.processes.iter().map(|l| FoundProcess { id: l.id, program: digest(l.program) }).collect();
+        self.supervisor =
+            Supervisor::new(self.timeouts, default_target(), self.persisted.clone(), &found, self.now);
     }
 
-    fn standing(&self) -> Vec<Life> {
-        self.lives.iter().copied().filter(|l| !l.told).collect()
+    fn active(&self) -> Vec<SimProcess> {
+        self.processes.iter().copied().filter(|l| !l.asked_to_end).collect()
     }
 
-    /// One step of time; `dies`: the supervisor is killed after this many actions.
-    fn step(&mut self, dies: Option<usize>) {
+    /// One step of time; `killed_after`: the supervisor is killed after this many actions.
+    fn step(&mut self, killed_after: Option<usize>) {
         self.now += STEP;
         let now = self.now;
-        let mut gone = Vec::new();
-        for life in &mut self.lives {
-            let age = now - life.born;
-            match self.kinds[life.program] {
-                Kind::NeverYes => {}
+        let mut ended = Vec::new();
+        for process in &mut self.processes {
+            let age = now - process.started_at;
+            match self.behaviours[process.program] {
+                Behaviour::NeverServes => {}
                 _ if age < SECOND => {}
                 _ => {
-                    life.yes.get_or_insert(now);
+                    process.serving_since.get_or_insert(now);
                 }
             }
-            match (self.kinds[life.program], life.yes) {
-                (Kind::Ends(after), Some(yes)) if now - yes >= after => gone.push(life.id),
-                (Kind::Hangs(after), Some(yes)) if now - yes >= after => drop(life.hung.get_or_insert(now)),
+            match (self.behaviours[process.program], process.serving_since) {
+                (Behaviour::Ends(after), Some(since)) if now - since >= after => ended.push(process.id),
+                (Behaviour::Hangs(after), Some(since)) if now - since >= after => {
+                    drop(process.hung_since.get_or_insert(now))
+                }
                 _ => {}
             }
-            if life.told && life.hung.is_none() {
-                gone.push(life.id);
+            if process.asked_to_end && process.hung_since.is_none() {
+                ended.push(process.id);
             }
         }
-        self.lives.retain(|l| !gone.contains(&l.id));
-        gone.iter().for_each(|id| self.host.gone(*id, "exit status 1", now));
-        for life in &self.lives {
-            if life.hung.is_none() {
-                self.host.pulse(life.id.pid, life.yes.is_some(), now);
+        self.processes.retain(|l| !ended.contains(&l.id));
+        ended.iter().for_each(|id| self.supervisor.handle_exit(*id, "exit status 1", now));
+        for process in &self.processes {
+            if process.hung_since.is_none() {
+                self.supervisor.handle_heartbeat(process.id.pid, process.serving_since.is_some(), now);
             }
         }
-        self.look(dies);
+        self.tick(killed_after);
     }
 
-    fn look(&mut self, dies: Option<usize>) {
+    fn tick(&mut self, killed_after: Option<usize>) {
         let now = self.now;
-        let well = self.lives.iter().filter(|l| l.well()).count();
-        let (before, lives) = (format!("{:?}", self.host), self.lives.clone());
-        let acts = self.host.look(now);
-        self.keep();
-        let did = acts.clone();
-        for (n, act) in acts.into_iter().enumerate() {
-            if dies == Some(n) {
-                return self.kill_host();
+        let healthy_before = self.processes.iter().filter(|l| l.is_healthy()).count();
+        let (before, processes_before) = (format!("{:?}", self.supervisor), self.processes.clone());
+        let actions = self.supervisor.tick(now);
+        self.persist();
+        let taken = actions.clone();
+        for (n, action) in actions.into_iter().enumerate() {
+            if killed_after == Some(n) {
+                return self.restart_supervisor();
             }
-            match act {
+            match action {
                 Action::Start(target) => {
                     let program =
-                        (0..self.kinds.len()).find(|p| digest(*p) == target.program).expect("known");
-                    let standing = self.standing();
-                    assert!(standing.len() <= 1, "a third process: {standing:?}");
+                        (0..self.behaviours.len()).find(|p| digest(*p) == target.program).expect("known");
+                    let active = self.active();
+                    assert!(active.len() <= 1, "a third process: {active:?}");
                     assert!(
-                        standing.iter().all(|l| l.program != program && l.yes.is_some()),
-                        "a second one of the same, or beside one that doesn't serve: {standing:?}"
+                        active.iter().all(|l| l.program != program && l.serving_since.is_some()),
+                        "a second process of the same program, or a successor beside a process that does not serve: {active:?}"
                     );
-                    if self.kinds[program] == Kind::NoFile {
-                        self.host.not_started("the file is gone", now);
+                    if self.behaviours[program] == Behaviour::NoFile {
+                        self.supervisor.handle_start_failure("the file is gone", now);
                         continue;
                     }
                     self.starts += 1;
                     let id = ProcessId { start: self.starts, pid: self.starts as u32 };
-                    let life = Life { id, program, born: now, yes: None, told: false, hung: None };
-                    self.lives.push(life);
-                    // Killed just after the start, before anything is known of the process.
-                    if dies == Some(n + 1) {
-                        return self.kill_host();
+                    let process = SimProcess {
+                        id,
+                        program,
+                        started_at: now,
+                        serving_since: None,
+                        asked_to_end: false,
+                        hung_since: None,
+                    };
+                    self.processes.push(process);
+                    // The supervisor is killed just after the start, before it has registered the process.
+                    if killed_after == Some(n + 1) {
+                        return self.restart_supervisor();
                     }
-                    self.host.started(id, now);
+                    self.supervisor.handle_started(id, now);
+                }
+                Action::End(id) => {
+                    self.processes.iter_mut().filter(|l| l.id == id).for_each(|l| l.asked_to_end = true)
                 }
-                Action::End(id) => self.lives.iter_mut().filter(|l| l.id == id).for_each(|l| l.told = true),
                 Action::Kill(id) => {
-                    self.lives.retain(|l| l.id != id);
-                    self.host.gone(id, "killed", now);
+                    self.processes.retain(|l| l.id != id);
+                    self.supervisor.handle_exit(id, "killed", now);
                 }
             }
         }
-        // A process that fell silent just now is not known to be.
-        let just = |l: &&Life| l.hung.is_some_and(|at| now - at < SECOND) && !l.told;
-        let left = self.lives.iter().filter(|l| l.well() || just(l)).count();
-        assert!(well == 0 || left > 0, "nobody is left that serves of {lives:?}: {did:?} by {before}");
+        // The supervisor can't know yet of a process that has just hung.
+        let just_hung = |l: &&SimProcess| l.hung_since.is_some_and(|at| now - at < SECOND) && !l.asked_to_end;
+        let left = self.processes.iter().filter(|l| l.is_healthy() || just_hung(l)).count();
+        assert!(
+            healthy_before == 0 || left > 0,
+            "no serving process is left of {processes_before:?}: {taken:?} by {before}"
+        );
     }
 
     fn run(&mut self, seconds: u64) {
         (0..seconds * SECOND / STEP).for_each(|_| self.step(None));
     }
 
-    fn serves(&self) -> Vec<usize> {
-        self.lives.iter().filter(|l| l.well()).map(|l| l.program).collect()
+    fn serving(&self) -> Vec<usize> {
+        self.processes.iter().filter(|l| l.is_healthy()).map(|l| l.program).collect()
     }
 }
 
 #[test]
 fn a_successor_is_observed_beside_the_incumbent_and_takes_over() {
-    let mut world = World::new(&[Kind::Well, Kind::Well]);
-    world.run(5);
-    assert_eq!(world.serves(), [0]);
-    world.tell(1, 1, 1);
-    world.run(5);
-    assert_eq!(world.serves(), [0, 1], "both, while the new one is watched");
-    world.run(10);
-    assert_eq!(world.serves(), [1]);
-    assert_eq!(world.host.record().before, Some(own()));
-    assert_eq!(world.host.report(1, 1).refused, None);
+    let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Healthy]);
+    machine.run(5);
+    assert_eq!(machine.serving(), [0]);
+    machine.assign(1, 1, 1);
+    machine.run(5);
+    assert_eq!(machine.serving(), [0, 1], "both serve during the observation");
+    machine.run(10);
+    assert_eq!(machine.serving(), [1]);
+    assert_eq!(machine.supervisor.record().before, Some(default_target()));
+    assert_eq!(machine.supervisor.report(1, 1).refused, None);
 }
 
 #[test]
 fn a_failing_target_is_rolled_back_and_reported() {
     let cases = [
-        (Kind::NeverYes, "did not say yes within 10 s"),
-        (Kind::Ends(SECOND), "ended 1.0 s after its yes: exit status 1"),
-        (Kind::Hangs(2 * SECOND), "hung after its yes"),
-        (Kind::NoFile, "the file is gone"),
+        (Behaviour::NeverServes, "did not say yes within 10 s"),
+        (Behaviour::Ends(SECOND), "ended 1.0 s after its yes: exit status 1"),
+        (Behaviour::Hangs(2 * SECOND), "hung after its yes"),
+        (Behaviour::NoFile, "the file is gone"),
     ];
-    for (kind, why) in cases {
-        let mut world = World::new(&[Kind::Well, kind]);
-        world.run(5);
-        world.tell(1, 1, 1);
-        world.run(13);
-        assert!(world.serves().contains(&0), "{kind:?}: {:?}", world.lives);
-        let (generation, said) = world.host.report(1, 1).refused.expect("told");
-        assert!(said.contains(why) && generation == wants(1, 1).version.digest(), "{kind:?}: {said}");
-        // It is retried, but ever less often.
-        let before = world.starts;
-        world.run(2000);
-        let times = world.host.record().failed.as_ref().expect("failed").times;
-        assert!((6..=14).contains(&times), "{kind:?}: tried {times} times");
-        assert!(world.starts - before <= 13 && world.serves().contains(&0), "{kind:?}");
-        // With an assignment that leads back it has nothing left to reject.
-        world.tell(1, 0, 2);
-        world.run(80);
-        assert_eq!((world.serves(), world.host.report(1, 1).refused), (vec![0], None), "{kind:?}");
+    for (behaviour, why) in cases {
+        let mut machine = Machine::new(&[Behaviour::Healthy, behaviour]);
+        machine.run(5);
+        machine.assign(1, 1, 1);
+        machine.run(13);
+        assert!(machine.serving().contains(&0), "{behaviour:?}: {:?}", machine.processes);
+        let (version, reason) = machine.supervisor.report(1, 1).refused.expect("a reported failure");
+        assert!(
+            reason.contains(why) && version == assignment(1, 1).version.digest(),
+            "{behaviour:?}: {reason}"
+        );
+        // It is retried, with growing backoff.
+        let starts_before = machine.starts;
+        machine.run(2000);
+        let times = machine.supervisor.record().failed.as_ref().expect("failed").times;
+        assert!((6..=14).contains(&times), "{behaviour:?}: tried {times} times");
+        assert!(machine.starts - starts_before <= 13 && machine.serving().contains(&0), "{behaviour:?}");
+        // After an assignment of the good program nothing is rejected any more.
+        machine.assign(1, 0, 2);
+        machine.run(80);
+        assert_eq!(
+            (machine.serving(), machine.supervisor.report(1, 1).refused),
+            (vec![0], None),
+            "{behaviour:?}"
+        );
     }
 }
 
 #[test]
 fn a_good_program_that_ends_repeatedly_is_rolled_back() {
-    let mut world = World::new(&[Kind::Well, Kind::Ends(15 * SECOND)]);
-    world.run(3);
-    world.tell(1, 1, 1);
-    world.run(14);
-    assert_eq!(world.host.record().good.program, digest(1));
-    let mut told = None;
+    let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Ends(15 * SECOND)]);
+    machine.run(3);
+    machine.assign(1, 1, 1);
+    machine.run(14);
+    assert_eq!(machine.supervisor.record().good.program, digest(1));
+    let mut reported = None;
     for _ in 0..400 {
-        world.step(None);
-        told = told.or(world
-            .host
+        machine.step(None);
+        reported = reported.or(machine
+            .supervisor
             .report(1, 1)
             .refused
-            .filter(|_| world.host.record().good.program == digest(0)));
+            .filter(|_| machine.supervisor.record().good.program == digest(0)));
     }
-    assert!(told.expect("told").1.contains("3 times without a steady run"));
-    // It passes each observation, and is retried ever less often all the same.
-    let before = world.starts;
-    world.run(4000);
-    let times = world.host.record().failed.as_ref().expect("failed").times;
-    assert!((4..=15).contains(&times) && world.starts - before <= 60, "{times}, {}", world.starts - before);
+    assert!(reported.expect("a reported failure").1.contains("3 times without a steady run"));
+    // It passes each observation, but the backoff grows nevertheless.
+    let starts_before = machine.starts;
+    machine.run(4000);
+    let times = machine.supervisor.record().failed.as_ref().expect("failed").times;
+    assert!(
+        (4..=15).contains(&times) && machine.starts - starts_before <= 60,
+        "{times}, {}",
+        machine.starts - starts_before
+    );
 }
 
 #[test]
 fn a_suspended_supervisor_does_not_kill_processes_for_its_own_silence() {
-    let mut world = World::new(&[Kind::Well]);
-    world.run(5);
-    world.now += 3600 * SECOND;
-    world.look(None);
-    assert_eq!(world.serves(), [0]);
-    world.run(30);
-    assert_eq!((world.serves(), world.starts), (vec![0], 1));
+    let mut machine = Machine::new(&[Behaviour::Healthy]);
+    machine.run(5);
+    machine.now += 3600 * SECOND;
+    machine.tick(None);
+    assert_eq!(machine.serving(), [0]);
+    machine.run(30);
+    assert_eq!((machine.serving(), machine.starts), (vec![0], 1));
 }
 
 #[test]
 fn an_assignment_of_an_earlier_epoch_changes_nothing() {
-    let mut world = World::new(&[Kind::Well, Kind::Well]);
-    world.run(5);
-    world.tell(7, 0, 2);
-    world.tell(6, 1, 1);
-    world.kill_host();
-    world.tell(6, 1, 1);
-    world.run(60);
-    assert_eq!((world.serves(), world.starts), (vec![0], 1));
+    let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Healthy]);
+    machine.run(5);
+    machine.assign(7, 0, 2);
+    machine.assign(6, 1, 1);
+    machine.restart_supervisor();
+    machine.assign(6, 1, 1);
+    machine.run(60);
+    assert_eq!((machine.serving(), machine.starts), (vec![0], 1));
 }
 
 #[test]
 fn with_a_full_disk_it_rolls_back_but_not_forward() {
-    let mut world = World::new(&[Kind::Well, Kind::Well, Kind::Well]);
-    world.run(5);
-    world.tell(1, 1, 1);
-    world.run(30);
-    world.full = true;
-    world.tell(1, 2, 2);
-    world.run(60);
-    assert_eq!(world.serves(), [1]);
-    assert!(world.host.report(1, 1).refused.expect("told").1.contains("no space"));
-    world.tell(1, 0, 3);
-    world.run(60);
-    assert_eq!((world.serves(), world.host.report(1, 1).refused), (vec![0], None));
+    let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Healthy, Behaviour::Healthy]);
+    machine.run(5);
+    machine.assign(1, 1, 1);
+    machine.run(30);
+    machine.disk_full = true;
+    machine.assign(1, 2, 2);
+    machine.run(60);
+    assert_eq!(machine.serving(), [1]);
+    assert!(machine.supervisor.report(1, 1).refused.expect("a reported failure").1.contains("no space"));
+    machine.assign(1, 0, 3);
+    machine.run(60);
+    assert_eq!((machine.serving(), machine.supervisor.report(1, 1).refused), (vec![0], None));
 }
 
-/// Supervisors killed at any action of a change, with one and with two processes running: the next one finds them.
+/// The supervisor is killed at any action of a rollout, while one or two processes run: the next one finds them all.
 #[test]
 fn a_supervisor_killed_between_any_two_actions_is_followed_by_one_that_finds_all_processes() {
     for at in 0..200 {
-        for act in 0..2 {
-            let mut world = World::new(&[Kind::Well, Kind::Well]);
+        for action in 0..2 {
+            let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Healthy]);
             for step in 0..200 {
                 if step == 20 {
-                    world.tell(1, 1, 1);
+                    machine.assign(1, 1, 1);
                 }
-                world.step((step == at).then_some(act));
+                machine.step((step == at).then_some(action));
                 if step == at {
-                    world.kill_host();
+                    machine.restart_supervisor();
                 }
             }
-            world.run(60);
-            assert_eq!(world.serves(), [1], "killed in step {at} at act {act}");
-            assert_eq!(world.starts, 2, "killed in step {at} at act {act}");
+            machine.run(60);
+            assert_eq!(machine.serving(), [1], "killed in step {at} at action {action}");
+            assert_eq!(machine.starts, 2, "killed in step {at} at action {action}");
         }
     }
 }
@@ -325,14 +368,14 @@
 /// The record is older than what runs, and its target can't be started: the serving process stays, and is observed.
 #[test]
 fn a_serving_process_stays_whatever_the_record_says() {
-    let mut world = World::new(&[Kind::Well, Kind::Well]);
-    world.run(5);
-    world.tell(1, 1, 1);
-    world.run(30);
-    (world.kept, world.kinds[0]) = (SupervisorRecord::new(own()), Kind::NoFile);
-    world.kill_host();
-    world.run(30);
-    assert_eq!((world.serves(), world.host.report(1, 1).runs), (vec![1], Some(digest(1))));
+    let mut machine = Machine::new(&[Behaviour::Healthy, Behaviour::Healthy]);
+    machine.run(5);
+    machine.assign(1, 1, 1);
+    machine.run(30);
+    (machine.persisted, machine.behaviours[0]) = (SupervisorRecord::new(default_target()), Behaviour::NoFile);
+    machine.restart_supervisor();
+    machine.run(30);
+    assert_eq!((machine.serving(), machine.supervisor.report(1, 1).runs), (vec![1], Some(digest(1))));
 }
 
 /// Everything at once, from a seed: in no step is the last serving process asked to end, and in the end, when nothing
@@ -341,53 +384,56 @@
 fn one_process_serves_in_the_end_whatever_fails() {
     let seed = std::env::var("RUSHQUAY_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(31u64);
     println!("seed {seed}");
-    for play in 0..100u64 {
-        let mut random = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9).wrapping_add(play));
-        let mut kind = || match random.random_range(0..8u32) {
-            0 => Kind::NeverYes,
-            1 => Kind::Ends(random.random_range(1..40) * SECOND),
-            2 => Kind::Hangs(random.random_range(1..40) * SECOND),
-            3 => Kind::NoFile,
-            _ => Kind::Well,
+    for round in 0..100u64 {
+        let mut random = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9).wrapping_add(round));
+        let mut behaviour = || match random.random_range(0..8u32) {
+            0 => Behaviour::NeverServes,
+            1 => Behaviour::Ends(random.random_range(1..40) * SECOND),
+            2 => Behaviour::Hangs(random.random_range(1..40) * SECOND),
+            3 => Behaviour::NoFile,
+            _ => Behaviour::Healthy,
         };
-        let mut world = World::new(&[Kind::Well, kind(), kind()]);
-        let mut change = 0;
+        let mut machine = Machine::new(&[Behaviour::Healthy, behaviour(), behaviour()]);
+        let mut rollout = 0;
         for _ in 0..600 {
             match random.random_range(0..120u32) {
-                0 => world.kill_host(),
+                0 => machine.restart_supervisor(),
                 1 | 2 => {
-                    change += 1;
-                    world.epoch += u64::from(random.random_bool(0.2));
+                    rollout += 1;
+                    machine.epoch += u64::from(random.random_bool(0.2));
                     let program = random.random_range(0..3usize);
-                    world.tell(world.epoch, program, change);
+                    machine.assign(machine.epoch, program, rollout);
                 }
-                3 => world.tell(world.epoch - 1, random.random_range(0..3usize), change),
-                4 => world.full = !world.full,
+                3 => machine.assign(machine.epoch - 1, random.random_range(0..3usize), rollout),
+                4 => machine.disk_full = !machine.disk_full,
                 5 => {
                     // Any process may end at any time.
-                    let any = random.random_range(0..2usize);
-                    if let Some(life) = world.lives.get(any).copied() {
-                        world.lives.retain(|l| l.id != life.id);
-                        world.host.gone(life.id, "killed by somebody", world.now);
+                    let index = random.random_range(0..2usize);
+                    if let Some(process) = machine.processes.get(index).copied() {
+                        machine.processes.retain(|l| l.id != process.id);
+                        machine.supervisor.handle_exit(process.id, "killed by an operator", machine.now);
                     }
                 }
-                6 => world.now += 30 * SECOND,
+                6 => machine.now += 30 * SECOND,
                 _ => {}
             }
-            let dies = random.random_bool(0.02).then(|| random.random_range(0..3usize));
-            world.step(dies);
+            let killed_after = random.random_bool(0.02).then(|| random.random_range(0..3usize));
+            machine.step(killed_after);
         }
-        world.full = false;
-        let wanted = world.host.target();
+        machine.disk_full = false;
+        let wanted = machine.supervisor.target();
         let program = (0..3).find(|p| digest(*p) == wanted.program).expect("known");
-        world.run(1500);
-        let serves = world.serves();
-        match world.kinds[program] {
-            Kind::Well => assert_eq!(serves, [program], "play {play}: {:?}", world.host.record()),
+        machine.run(1500);
+        let serving = machine.serving();
+        match machine.behaviours[program] {
+            Behaviour::Healthy => {
+                assert_eq!(serving, [program], "round {round}: {:?}", machine.supervisor.record())
+            }
             _ => {
-                let good = (0..3).find(|p| digest(*p) == world.host.record().good.program).expect("known");
-                let served = world.kinds[good] != Kind::Well || !serves.is_empty();
-                assert!(served, "play {play}: {:?} {:?}", world.kinds, world.host);
+                let good =
+                    (0..3).find(|p| digest(*p) == machine.supervisor.record().good.program).expect("known");
+                let is_served = machine.behaviours[good] != Behaviour::Healthy || !serving.is_empty();
+                assert!(is_served, "round {round}: {:?} {:?}", machine.behaviours, machine.supervisor);
             }
         }
     }
--- a/src/supervisor/follow.rs
+++ b/src/supervisor/follow.rs
@@ -1,7 +1,8 @@
-//! What a control service says is to run, and what it is told of this host: the resource that the proxy itself follows, on a stream
-//! of the host's own, so that a proxy that hangs or hears nothing is not what the host depends on.
+//! The supervisor's connection to the control service: receives config assignments and sends reports. It subscribes to
+//! the same resource as the proxy, but on a stream of its own, so that it does not depend on a proxy that hangs or is
+//! disconnected.
 
-use super::say;
+use super::log;
 use crate::proxy::control::settings::ControlSource;
 use rushquay_config_version::ConfigAssignment;
 use rushquay_lease::Epoch;
@@ -12,25 +13,27 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, Notify};
 
-/// An answer is at most this long.
-const ANSWER_MOST: usize = 1 << 20;
+/// The longest response of the control service, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Follows for good.
+/// Follows the control service until the task is dropped. `epoch` is the highest epoch seen so far; `report_due` wakes
+/// the sender of reports; `next_report` returns the report to send; `assignments` receives each assignment with its epoch.
 pub async fn follow(
     source: ControlSource,
     name: String,
     epoch: u64,
-    news: Arc<Notify>,
-    tells: impl FnMut() -> Option<String> + 'static,
-    told: mpsc::UnboundedSender<(u64, ConfigAssignment)>,
+    report_due: Arc<Notify>,
+    next_report: impl FnMut() -> Option<String> + 'static,
+    assignments: mpsc::UnboundedSender<(u64, ConfigAssignment)>,
 ) {
     let tls = match &source.tls {
         None => None,
-        Some(t) => {
-            let files = TlsFiles { cert: t.cert.clone(), key: t.key.clone(), ca: t.ca.clone() };
+        Some(settings) => {
+            let files =
+                TlsFiles { cert: settings.cert.clone(), key: settings.key.clone(), ca: settings.ca.clone() };
             match Tls::read(&files) {
-                Ok(tls) => Some((tls, t.server_name.clone())),
-                Err(e) => return say(format_args!("no control service is followed: {e}")),
+                Ok(tls) => Some((tls, settings.server_name.clone())),
+                Err(e) => return log(format_args!("the control service is not used: {e}")),
             }
         }
     };
@@ -39,9 +42,9 @@
         node: format!("host/{name}"),
         cluster: "hosts".into(),
         tls,
-        message: ANSWER_MOST,
+        message: MAX_RESPONSE_BYTES,
         identity: None,
-        wake: Some(news),
+        wake: Some(report_due),
     };
     let millis = |ms: u64| ms.saturating_mul(1_000_000);
     let mut follow = ControlFollower::new(FollowerConfig {
@@ -52,28 +55,30 @@
         most: 16,
     });
     follow.since_epoch(Epoch(epoch));
-    // What this machine can't bring to run is told with the next report, with what came of it.
-    follow.settings(&name, |_| Ok(()), tells);
-    let begin = Instant::now();
+    // Every assignment is accepted here: one that fails on this machine is reported with the reason in the next report.
+    follow.settings(&name, |_| Ok(()), next_report);
+    let started_at = Instant::now();
     let mut outage = Outage::default();
     let notice = |_: &ControlFollower, notice: ClientEvent<FollowerEvent>| match notice {
         ClientEvent::Connected(addr) => {
             outage.over();
-            say(format_args!("control service at {addr}: connected"));
+            log(format_args!("control service at {addr}: connected"));
         }
-        ClientEvent::News(said) => {
-            if let Some(given) = said.settings {
-                // The receiver is gone only when the host ends.
-                let _ = told.send((Epoch::from_name(&said.process).0, given));
+        ClientEvent::News(event) => {
+            if let Some(assignment) = event.settings {
+                // The receiver is dropped only when the supervisor ends.
+                let _ = assignments.send((Epoch::from_name(&event.process).0, assignment));
             }
         }
-        ClientEvent::Refused(why) => say(format_args!("control service: refused an answer: {why}")),
+        ClientEvent::Refused(why) => log(format_args!("control service: rejected a response: {why}")),
         ClientEvent::Lost(addr, why) => {
             if let Some(n) = outage.failed(&format!("{addr}: {why}")) {
-                say(format_args!("control service at {addr}: {why}; what runs stays (failure {n})"));
+                log(format_args!(
+                    "control service at {addr}: {why}; the running program stays (failure {n})"
+                ));
             }
         }
         ClientEvent::Ahead(..) => {}
     };
-    run(options, &mut follow, fastrand::f64, move || begin.elapsed().as_nanos() as u64, notice).await;
+    run(options, &mut follow, fastrand::f64, move || started_at.elapsed().as_nanos() as u64, notice).await;
 }
--- a/src/supervisor/settings.rs
+++ b/src/supervisor/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a host, checked.
+//! The settings file of a supervisor and its validation.
 
 use crate::proxy::control::settings::ControlSource;
 use rushquay_config_version::Digest;
@@ -7,33 +7,35 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// A Unix socket's path is at most this long, with what a hand-over adds to the folder's.
-const DIR_MOST: usize = 64;
+/// The longest folder path, in bytes: the sockets of a hand-over are in the folder, and Unix limits the length of their
+/// paths.
+const MAX_DIR_BYTES: usize = 64;
 
-/// What a host runs, and how it judges it.
+/// What a supervisor runs, and the timeouts by which it judges its processes.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
     /// The proxy's name.
     pub name: String,
-    /// A folder of its own.
+    /// The supervisor's own folder.
     pub dir: PathBuf,
-    /// Programs, each under its digest.
+    /// The folder of the programs, each named by its digest.
     pub programs: PathBuf,
-    /// What runs where no change names a program.
+    /// The digest of the program that runs if no assignment names one.
     pub program: Digest,
     /// Arguments of the program.
     pub args: Vec<String>,
-    /// Its environment, and nothing else.
+    /// The whole environment of the program: nothing is inherited from the supervisor.
     pub environment: BTreeMap<String, String>,
-    /// Spans.
-    pub terms: Timeouts,
-    /// Control services; `None`: its own file says all.
+    /// Timeouts.
+    pub timeouts: Timeouts,
+    /// The control services; `None`: only this file determines what runs.
     pub control: Option<ControlSource>,
 }
 
+/// The settings as written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct RawSettings {
     name: String,
     dir: PathBuf,
     programs: PathBuf,
@@ -43,13 +45,14 @@
     #[serde(default)]
     environment: BTreeMap<String, String>,
     #[serde(default)]
-    terms: WrittenTerms,
+    terms: RawTimeouts,
     control: Option<ControlSource>,
 }
 
+/// The timeouts as written in the file; missing ones have their default.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct WrittenTerms {
+struct RawTimeouts {
     yes_within_s: Option<f64>,
     watch_s: Option<f64>,
     hang_s: Option<f64>,
@@ -61,49 +64,48 @@
 }
 
 impl HostSettings {
-    /// Reads a file (TOML).
+    /// Reads and validates a settings file (TOML).
     ///
     /// # Errors
-    /// What is wrong, with the file and the field.
+    /// What is invalid, with the file and the field.
     pub fn read(path: &Path) -> Result<Self, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Self::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
     }
 
     fn parse(text: &str) -> Result<Self, String> {
-        let written: Written = toml::from_str(text).map_err(|e| e.to_string())?;
-        let need = |holds: bool, what: &str| if holds { Ok(()) } else { Err(what.to_owned()) };
-        need(!written.name.trim().is_empty(), "name: expected the proxy's name")?;
-        need(written.dir.is_absolute(), "dir: expected a path from the root")?;
-        let short = written.dir.as_os_str().len() <= DIR_MOST;
-        need(short, "dir: expected 64 bytes at most, since sockets stand in it")?;
-        need(written.programs.is_absolute(), "programs: expected a path from the root")?;
-        let program =
-            written.program.parse().map_err(|e| format!("program: {e}; see rushquay host digest"))?;
+        let raw: RawSettings = toml::from_str(text).map_err(|e| e.to_string())?;
+        let require = |valid: bool, error: &str| if valid { Ok(()) } else { Err(error.to_owned()) };
+        require(!raw.name.trim().is_empty(), "name: expected the proxy's name")?;
+        require(raw.dir.is_absolute(), "dir: expected an absolute path")?;
+        let is_short_enough = raw.dir.as_os_str().len() <= MAX_DIR_BYTES;
+        require(is_short_enough, "dir: expected at most 64 bytes, since it contains sockets")?;
+        require(raw.programs.is_absolute(), "programs: expected an absolute path")?;
+        let program = raw.program.parse().map_err(|e| format!("program: {e}; see rushquay host digest"))?;
         if let Some(name) =
-            written.environment.keys().find(|n| crate::proxy::process::supervised::ALL.contains(&n.as_str()))
+            raw.environment.keys().find(|n| crate::proxy::process::supervised::ALL.contains(&n.as_str()))
         {
-            return Err(format!("environment.{name}: the host sets it itself"));
+            return Err(format!("environment.{name}: reserved: the supervisor sets it"));
         }
-        let named = written.environment.get("PROXY_NAME").is_none_or(|n| *n == written.name);
-        need(named, "environment.PROXY_NAME: expected what name says")?;
-        let (usual, told) = (Timeouts::default(), written.terms);
-        let span = |told: Option<f64>, usual| told.map_or(usual, |s| (s.max(0.0) * 1e9) as u64);
-        let terms = Timeouts {
-            yes_within: span(told.yes_within_s, usual.yes_within),
-            watch: span(told.watch_s, usual.watch),
-            hang: span(told.hang_s, usual.hang),
-            drain: span(told.drain_s, usual.drain),
-            pause: span(told.pause_s, usual.pause),
-            pause_most: span(told.pause_most_s, usual.pause_most),
-            steady: span(told.steady_s, usual.steady),
-            ends_most: told.ends_most.unwrap_or(usual.ends_most),
+        let name_matches = raw.environment.get("PROXY_NAME").is_none_or(|n| *n == raw.name);
+        require(name_matches, "environment.PROXY_NAME: expected the value of name")?;
+        let (defaults, given) = (Timeouts::default(), raw.terms);
+        let nanos = |given: Option<f64>, default| given.map_or(default, |s| (s.max(0.0) * 1e9) as u64);
+        let timeouts = Timeouts {
+            startup: nanos(given.yes_within_s, defaults.startup),
+            observation: nanos(given.watch_s, defaults.observation),
+            hang: nanos(given.hang_s, defaults.hang),
+            drain: nanos(given.drain_s, defaults.drain),
+            min_backoff: nanos(given.pause_s, defaults.min_backoff),
+            max_backoff: nanos(given.pause_most_s, defaults.max_backoff),
+            steady: nanos(given.steady_s, defaults.steady),
+            max_failures: given.ends_most.unwrap_or(defaults.max_failures),
         };
-        let terms = terms.checked().map_err(|e| format!("terms.{e}"))?;
-        let control = written.control.map(ControlSource::validate).transpose();
+        let timeouts = timeouts.validate().map_err(|e| format!("terms.{e}"))?;
+        let control = raw.control.map(ControlSource::validate).transpose();
         let control = control.map_err(|e| format!("control.{e}"))?;
-        let Written { name, dir, programs, args, environment, .. } = written;
-        Ok(HostSettings { name, dir, programs, program, args, environment, terms, control })
+        let RawSettings { name, dir, programs, args, environment, .. } = raw;
+        Ok(HostSettings { name, dir, programs, program, args, environment, timeouts, control })
     }
 }
 
