--- a/crates/core/handover/src/incumbent.rs
+++ b/crates/core/handover/src/incumbent.rs
@@ -1,102 +1,108 @@
-//! The incumbent: the process that listens, and may hand its listener over.
+//! The incumbent: the process that listens, and can hand its listener over to a successor.
 
 use crate::{HandoverState, IncumbentMessage, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 
-/// A connection of a possible successor; its number is never reused.
+/// The connection of a process that may become the successor. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Peer(pub u64);
 
 /// The reply to a successor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// This message with the listening socket.
+    /// Send this message with the listening socket.
     WithListener(IncumbentMessage),
-    /// This message only; the connection stays open.
+    /// Send this message without a socket, and keep the connection open.
     And(IncumbentMessage),
-    /// This message only; then the connection is closed.
+    /// Send this message without a socket, then close the connection.
     Only(IncumbentMessage),
 }
 
+/// The progress of a hand-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// There is no successor.
     Alone,
+    /// The listener was offered to this successor, which does not serve yet.
     Offered(Peer),
-    /// The successor serves.
+    /// This successor serves.
     Succeeded(Peer),
 }
 
-/// The process that listens.
+/// The state machine of the process that listens.
 #[derive(Debug)]
 pub struct Incumbent {
-    whole: ResourceShare,
+    /// The limits of the whole proxy.
+    total: ResourceShare,
     state: State,
-    /// Its share while the process before it still runs.
-    beside: Option<ResourceShare>,
-    /// It no longer listens.
+    /// Its share while its predecessor still runs; `None`: the predecessor has ended, or there was none.
+    share_beside_predecessor: Option<ResourceShare>,
+    /// Whether it has closed its listener.
     is_closed: bool,
 }
 
 impl Incumbent {
-    /// An incumbent with the limits of the whole proxy.
-    pub fn new(whole: ResourceShare) -> Self {
-        Incumbent { whole, state: State::Alone, beside: None, is_closed: false }
+    /// Creates an incumbent that has the limits of the whole proxy.
+    pub fn new(total: ResourceShare) -> Self {
+        Incumbent { total, state: State::Alone, share_beside_predecessor: None, is_closed: false }
     }
 
-    /// An incumbent with this share while the process runs that it took over from.
-    pub fn beside(whole: ResourceShare, share: ResourceShare) -> Self {
-        Incumbent { beside: Some(share), ..Incumbent::new(whole) }
+    /// Creates an incumbent that has this share until its predecessor has ended.
+    pub fn beside(total: ResourceShare, share: ResourceShare) -> Self {
+        Incumbent { share_beside_predecessor: Some(share), ..Incumbent::new(total) }
     }
 
-    /// Called when the process before it has ended.
+    /// Called when its predecessor has ended.
     pub fn alone(&mut self) {
-        self.beside = None;
+        self.share_beside_predecessor = None;
     }
 
-    /// The present share of this process.
+    /// The current share of this process.
     pub fn share(&self) -> ResourceShare {
-        match (self.state, self.beside) {
+        match (self.state, self.share_beside_predecessor) {
             (State::Alone, Some(share)) => share,
-            (State::Alone, None) => self.whole,
-            (State::Offered(_) | State::Succeeded(_), _) => self.whole.kept(),
+            (State::Alone, None) => self.total,
+            (State::Offered(_) | State::Succeeded(_), _) => self.total.kept(),
         }
     }
 
-    /// Whether a successor serves, so that this process need not accept any more.
+    /// Whether a successor serves, so that this process no longer has to accept connections.
     pub fn succeeded(&self) -> bool {
         matches!(self.state, State::Succeeded(_))
     }
 
-    /// Handles a message of a possible successor; `held`: the descriptors that this process has open; `known`:
-    /// returns the state to hand over, called only if it is handed over, since it may be given away by the call.
-    /// `None`: there is no reply.
+    /// Handles a message of a process that may become the successor, and returns the reply, if any. `open_sockets` is the
+    /// number of descriptors that this process has open. `take_state` returns the state to hand over; it is called only if
+    /// the hand-over is offered, since the call may give up that state (slow-start allowances).
     pub fn said(
         &mut self,
         peer: Peer,
         message: &SuccessorMessage,
-        held: usize,
-        known: impl FnOnce() -> HandoverState,
+        open_sockets: usize,
+        take_state: impl FnOnce() -> HandoverState,
     ) -> Option<Reply> {
         match message {
-            SuccessorMessage::Hello { forms } => Some(self.hello(peer, forms, held, known)),
+            SuccessorMessage::Hello { forms } => {
+                Some(self.handle_hello(peer, forms, open_sockets, take_state))
+            }
             SuccessorMessage::Ready => {
-                // A process without an offer can't take over.
+                // Only the process that got the offer can take over.
                 if self.state != State::Offered(peer) {
                     return None;
                 }
                 self.state = State::Succeeded(peer);
-                // Danger: a successor that reported itself serving before this is known here would have the incumbent
-                // ended as if it had no successor.
+                // Danger: the successor must wait for this confirmation before it reports itself as serving; otherwise the
+                // incumbent could be asked to end while it still believes that it has no successor.
                 Some(Reply::And(IncumbentMessage::Heard))
             }
         }
     }
 
-    fn hello(
+    fn handle_hello(
         &mut self,
         peer: Peer,
         forms: &[u32],
-        held: usize,
-        known: impl FnOnce() -> HandoverState,
+        open_sockets: usize,
+        take_state: impl FnOnce() -> HandoverState,
     ) -> Reply {
         let Some(version) = PROTOCOL_VERSIONS.into_iter().filter(|version| forms.contains(version)).max()
         else {
@@ -105,13 +111,14 @@
         if self.is_closed {
             return Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() });
         }
-        // Danger: two successors with the other half each, and the incumbent with its own, would exceed the limits.
-        if self.state != State::Alone || self.beside.is_some() {
+        // Danger: two successors with one half of the limits each, beside the incumbent with its half, would exceed
+        // the limits.
+        if self.state != State::Alone || self.share_beside_predecessor.is_some() {
             return Reply::Only(IncumbentMessage::Busy);
         }
         self.state = State::Offered(peer);
-        let ResourceShare { sockets, memory } = self.whole.beside(self.whole.kept(), held);
-        let HandoverState { list, settings, policy, cold } = known();
+        let ResourceShare { sockets, memory } = self.total.beside(self.total.kept(), open_sockets);
+        let HandoverState { list, settings, policy, cold } = take_state();
         Reply::WithListener(IncumbentMessage::Offer {
             form: version,
             sockets,
@@ -129,9 +136,9 @@
         self.is_closed = true;
     }
 
-    /// Called when the connection of a process has ended. Danger: one that dies before it serves must leave
-    /// everything unchanged. Returns whether it had been serving, and so had taken over the socket for hand-over
-    /// requests, which has to be taken back.
+    /// Called when the connection of a process has ended. Danger: a successor that dies before it serves must leave
+    /// everything unchanged. Returns whether the incumbent has to reopen its socket for hand-over requests, which a
+    /// serving successor had taken over.
     pub fn lost(&mut self, peer: Peer) -> bool {
         let was_serving = self.state == State::Succeeded(peer);
         if was_serving || self.state == State::Offered(peer) {
--- a/crates/core/handover/src/lib.rs
+++ b/crates/core/handover/src/lib.rs
@@ -1,5 +1,5 @@
-//! The hand-over from a running proxy (the incumbent) to a new version of it (the successor): their messages, what
-//! each side does next, and how they share the resource limits while both run. No I/O and no clock: the adapter
+//! The hand-over from a running proxy (the incumbent) to a new version of it (the successor): their messages, the
+//! state machine of each side, and how they share the resource limits while both run. No I/O and no clock: the adapter
 //! transports the messages and the listening socket, and reports timeouts.
 
 mod incumbent;
--- a/crates/core/handover/src/messages.rs
+++ b/crates/core/handover/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of incumbent and successor: JSON after its length in four bytes, most significant first.
+//! The messages between incumbent and successor. Each is JSON, preceded by its length in four bytes (big-endian).
 
 use crate::ResourceShare;
 use rushquay_endpoints::EndpointList;
@@ -10,22 +10,22 @@
 /// number.
 pub const PROTOCOL_VERSIONS: [u32; 1] = [1];
 
-/// The longest message: a list of a thousand endpoints takes a fifth of it.
+/// The longest message, in bytes. A list of a thousand endpoints takes a fifth of it.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Allowances from this number of requests on are invalid.
-const MAX_ALLOWANCE: f64 = 1e9;
+/// Allowances of this many requests or more are invalid.
+const ALLOWANCE_LIMIT: f64 = 1e9;
 
 /// A message of the successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum SuccessorMessage {
-    /// It requests the hand-over.
+    /// Requests the hand-over.
     Hello {
-        /// The protocol versions that it supports.
+        /// The protocol versions that the successor supports.
         forms: Vec<u32>,
     },
-    /// It serves; the incumbent may end.
+    /// Reports that the successor serves; the incumbent may end.
     Ready,
 }
 
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum IncumbentMessage {
-    /// An offer, sent with the listening socket.
+    /// Offers the hand-over; sent with the listening socket.
     Offer {
         /// The protocol version of the hand-over.
         form: u32,
-        /// Descriptors that the successor may hold beside the incumbent.
+        /// The number of descriptors that the successor may have open while the incumbent runs.
         sockets: usize,
-        /// Bytes that it may hold.
+        /// The bytes of memory that the successor may use meanwhile.
         memory: usize,
         /// The endpoint list of the incumbent, in discovery's format; null: it has none.
         list: Value,
@@ -53,11 +53,12 @@
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         cold: Vec<SlowStartAllowance>,
     },
-    /// It has registered that the successor serves.
+    /// Confirms [`SuccessorMessage::Ready`].
     Heard,
-    /// Another successor is starting.
+    /// Rejects the request: another hand-over is in progress.
     Busy,
-    /// No protocol version is shared.
+    /// Rejects the request: there is no common protocol version, or the incumbent has closed its listener (`forms` is
+    /// empty then).
     Unknown {
         /// The protocol versions that the incumbent supports.
         forms: Vec<u32>,
@@ -69,7 +70,7 @@
 pub struct Offer {
     /// The share of the successor while the incumbent runs.
     pub share: ResourceShare,
-    /// The endpoint list of the incumbent, where it had a usable one.
+    /// The endpoint list of the incumbent, if it had a usable one.
     pub list: Option<EndpointList>,
     /// The settings assigned to the incumbent.
     pub settings: Option<String>,
@@ -79,14 +80,14 @@
     pub cold: Vec<SlowStartAllowance>,
 }
 
-/// The requests that may still be sent to an endpoint in slow start.
+/// The number of requests that may still be sent to an endpoint in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartAllowance {
-    /// The endpoint, by the number that its name has in both processes.
+    /// The endpoint, as the number derived from its name, which is the same in both processes.
     pub node: u64,
-    /// When its process started, Unix time in nanoseconds.
+    /// When the endpoint's process started, in Unix time in nanoseconds.
     pub started: u64,
-    /// The number of requests, from 0.
+    /// The number of requests, 0 or more; it may be fractional.
     pub left: f64,
 }
 
@@ -107,55 +108,58 @@
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// It is too long.
-    #[error("a message of {0} bytes, at most {MAX_MESSAGE_BYTES} are taken; is the other side a rushquay?")]
-    Long(usize),
-    /// It is no message of a known protocol version.
-    #[error("not a message of the hand-over: {0}; is the other side a rushquay?")]
-    Spoilt(#[from] serde_json::Error),
+    #[error(
+        "a message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES}; is the peer a rushquay process?"
+    )]
+    TooLong(usize),
+    /// It is not a message of a known protocol version.
+    #[error("not a hand-over message: {0}; is the peer a rushquay process?")]
+    Malformed(#[from] serde_json::Error),
 }
 
-/// Encodes a message with its length before it.
-fn framed(message: &impl Serialize) -> Vec<u8> {
-    // Plain fields always have a JSON form.
+/// Encodes a message, preceded by its length.
+fn encode_framed(message: &impl Serialize) -> Vec<u8> {
+    // Messages of plain fields can't fail to serialize.
     let body = serde_json::to_vec(message).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
     bytes
 }
 
-/// Decodes the length before a message.
+/// Decodes the length that precedes a message.
 ///
 /// # Errors
 /// It exceeds [`MAX_MESSAGE_BYTES`].
-pub(crate) fn length(head: [u8; 4]) -> Result<usize, MessageError> {
-    match u32::from_be_bytes(head) as usize {
-        length if length > MAX_MESSAGE_BYTES => Err(MessageError::Long(length)),
+pub(crate) fn length(prefix: [u8; 4]) -> Result<usize, MessageError> {
+    match u32::from_be_bytes(prefix) as usize {
+        length if length > MAX_MESSAGE_BYTES => Err(MessageError::TooLong(length)),
         length => Ok(length),
     }
 }
 
+/// Implements encoding and decoding of the messages of one side.
 macro_rules! framed_messages {
     ($($message:ty),+) => {$(
         impl $message {
-            /// Encodes the message, with its length before it.
+            /// Encodes the message, preceded by its length.
             pub fn bytes(&self) -> Vec<u8> {
-                framed(self)
+                encode_framed(self)
             }
 
-            /// Decodes a message from the bytes after the length.
+            /// Decodes a message from the bytes that follow the length.
             ///
             /// # Errors
-            /// The bytes are no such message.
+            /// The bytes are not such a message.
             pub fn read(body: &[u8]) -> Result<Self, MessageError> {
                 Ok(serde_json::from_slice(body)?)
             }
 
-            /// The number of bytes after these four.
+            /// Decodes the length prefix: the number of bytes that follow it.
             ///
             /// # Errors
             /// It exceeds [`MAX_MESSAGE_BYTES`].
-            pub fn length(head: [u8; 4]) -> Result<usize, MessageError> {
-                length(head)
+            pub fn length(prefix: [u8; 4]) -> Result<usize, MessageError> {
+                length(prefix)
             }
         }
     )+};
@@ -163,13 +167,16 @@
 
 framed_messages!(SuccessorMessage, IncumbentMessage);
 
-/// The valid allowances of an incumbent. Danger: a value that is no number would be an allowance without bound.
+/// Filters out the invalid allowances of an incumbent. Danger: a NaN or infinite value would be an unlimited allowance.
 pub(crate) fn valid_allowances(allowances: Vec<SlowStartAllowance>) -> Vec<SlowStartAllowance> {
-    allowances.into_iter().filter(|a| a.left.is_finite() && (0.0..MAX_ALLOWANCE).contains(&a.left)).collect()
+    allowances
+        .into_iter()
+        .filter(|a| a.left.is_finite() && (0.0..ALLOWANCE_LIMIT).contains(&a.left))
+        .collect()
 }
 
-/// The valid list of an incumbent. Danger: an empty list, or an incremental one, would leave the successor without
-/// endpoints; its own configuration has a list that is older and better.
+/// Validates the endpoint list of an incumbent. Danger: an empty or an incremental list would leave the successor without
+/// endpoints; the older list of its own configuration is better than that.
 pub(crate) fn valid_list(list: Value) -> Option<EndpointList> {
     let list: EndpointList = serde_json::from_value(list).ok()?;
     (list.full && !list.servers.is_empty()).then_some(list)
--- a/crates/core/handover/src/resource_share.rs
+++ b/crates/core/handover/src/resource_share.rs
@@ -1,6 +1,6 @@
 //! How the processes of one proxy share its resource limits.
 
-/// A part of the limits.
+/// One process's share of the limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceShare {
     /// File descriptors.
@@ -10,16 +10,17 @@
 }
 
 impl ResourceShare {
-    /// The part that an incumbent keeps while a successor starts: half.
+    /// The share that an incumbent keeps while a successor starts: half.
     pub fn kept(self) -> ResourceShare {
         ResourceShare { sockets: self.sockets / 2, memory: self.memory / 2 }
     }
 
-    /// What is left of the limits beside what the incumbent keeps, or still holds if that is more. Danger: it closes
-    /// no connection under a request, so for a moment it may hold more than it keeps.
-    pub fn beside(self, kept: ResourceShare, held: usize) -> ResourceShare {
+    /// The share left for a successor: the limits without the incumbent's share `kept`, or without its `open_sockets` if
+    /// these are more. Danger: the incumbent closes no connection during a request, so for a moment it may have more
+    /// sockets open than its share allows.
+    pub fn beside(self, kept: ResourceShare, open_sockets: usize) -> ResourceShare {
         ResourceShare {
-            sockets: self.sockets.saturating_sub(kept.sockets.max(held)),
+            sockets: self.sockets.saturating_sub(kept.sockets.max(open_sockets)),
             memory: self.memory.saturating_sub(kept.memory),
         }
     }
--- a/crates/core/handover/src/successor.rs
+++ b/crates/core/handover/src/successor.rs
@@ -1,24 +1,24 @@
-//! The successor: a process that starts, and tries to take over from an incumbent.
+//! The successor: a starting process that tries to take over from an incumbent.
 
 use crate::messages::{valid_allowances, valid_list};
 use crate::{IncumbentMessage, Offer, ResourceShare, SuccessorMessage, PROTOCOL_VERSIONS};
 use thiserror::Error;
 
-/// How often a process requests a hand-over while another one is in progress, before it gives up.
+/// After this many requests, while another hand-over is in progress, a process gives up.
 const MAX_REQUESTS: u32 = 50;
 
 /// The result of a request for a hand-over.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    /// There is no incumbent: no socket, or one that a dead process left.
+    /// There is no incumbent: the socket does not exist, or a dead process left it behind.
     Nobody,
-    /// No valid answer: a timeout, a broken connection, or an unusable message.
+    /// There was no valid answer: a timeout, a broken connection, or an unusable message.
     Nothing,
-    /// An answer; `listener`: it came with a socket that listens at this process's address.
+    /// The incumbent answered.
     Answer {
         /// The message.
         said: IncumbentMessage,
-        /// Whether the right socket came with it.
+        /// Whether a socket that listens at this process's address came with it.
         listener: bool,
     },
 }
@@ -26,30 +26,30 @@
 /// What to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Use the received socket.
+    /// Use the received listener.
     Take(Offer),
-    /// Open a listener; where the address is in use by a process that does not answer, beside it.
+    /// Open a listener, beside that of an unresponsive process if the address is in use.
     Listen,
-    /// Request the hand-over again after a moment.
+    /// Request the hand-over again after a short wait.
     AskAgain,
 }
 
 /// Why a process can't start.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HandoverError {
-    /// There is another successor.
-    #[error("another new version is coming up beside the old one; wait for its yes, or end it, and start this one again")]
-    Another,
+    /// Another successor is already starting.
+    #[error("another new version is coming up beside the old one; wait until it serves, or end it, then start this one again")]
+    AnotherSuccessor,
 }
 
-/// A starting process.
+/// The state machine of a starting process.
 #[derive(Debug, Default)]
 pub struct Successor {
     requests: u32,
 }
 
 impl Successor {
-    /// The first message.
+    /// The message that requests the hand-over.
     pub fn hello(&self) -> SuccessorMessage {
         SuccessorMessage::Hello { forms: PROTOCOL_VERSIONS.to_vec() }
     }
@@ -72,7 +72,7 @@
             Heard::Answer { said: IncumbentMessage::Busy, .. } if self.requests < MAX_REQUESTS => {
                 Ok(Step::AskAgain)
             }
-            Heard::Answer { said: IncumbentMessage::Busy, .. } => Err(HandoverError::Another),
+            Heard::Answer { said: IncumbentMessage::Busy, .. } => Err(HandoverError::AnotherSuccessor),
             Heard::Answer { .. } | Heard::Nobody | Heard::Nothing => Ok(Step::Listen),
         }
     }
--- a/crates/core/handover/tests/handover.rs
+++ b/crates/core/handover/tests/handover.rs
@@ -1,4 +1,5 @@
-//! Incumbent and successor in every order of events: the limits hold together, and there is at most one successor.
+//! The state machines of incumbent and successor under any order of events: together they stay within the limits, and
+//! there is at most one successor.
 
 use proptest::prelude::*;
 use rushquay_handover::{
@@ -8,9 +9,9 @@
 };
 use serde_json::{json, Value};
 
-const WHOLE: ResourceShare = ResourceShare { sockets: 384, memory: 48 << 20 };
+const TOTAL: ResourceShare = ResourceShare { sockets: 384, memory: 48 << 20 };
 
-fn nothing() -> HandoverState {
+fn empty_state() -> HandoverState {
     HandoverState::default()
 }
 
@@ -18,7 +19,7 @@
     Successor::default().hello()
 }
 
-fn offered(reply: Option<Reply>) -> ResourceShare {
+fn expect_offer(reply: Option<Reply>) -> ResourceShare {
     match reply {
         Some(Reply::WithListener(IncumbentMessage::Offer { sockets, memory, .. })) => {
             ResourceShare { sockets, memory }
@@ -29,41 +30,45 @@
 
 #[test]
 fn limits_are_shared_and_restored() {
-    let mut old = Incumbent::new(WHOLE);
-    let new = offered(old.said(Peer(1), &hello(), 100, nothing));
+    let mut old = Incumbent::new(TOTAL);
+    let new = expect_offer(old.said(Peer(1), &hello(), 100, empty_state));
     assert_eq!((old.share().sockets + new.sockets, old.share().memory + new.memory), (384, 48 << 20));
-    assert!(!old.lost(Peer(1)), "it had not said yes");
-    assert_eq!(old.share(), WHOLE, "the new one died before its yes");
-    // What the incumbent still holds over its half is not given away.
-    let new = offered(old.said(Peer(2), &hello(), 300, nothing));
+    assert!(!old.lost(Peer(1)), "it had not reported itself as serving");
+    assert_eq!(old.share(), TOTAL, "the successor died before it served");
+    // Sockets that the incumbent has open beyond its half are not offered.
+    let new = expect_offer(old.said(Peer(2), &hello(), 300, empty_state));
     assert_eq!(new.sockets, 84);
     assert!(!old.succeeded());
     assert_eq!(
-        old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing),
+        old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
         Some(Reply::And(IncumbentMessage::Heard))
     );
-    assert_eq!(old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing), None, "told twice");
+    assert_eq!(
+        old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
+        None,
+        "the second message has no effect"
+    );
     assert!(old.succeeded());
-    assert!(old.lost(Peer(2)), "it had taken the place where new processes ask");
-    assert!(!old.succeeded(), "the successor is gone, so it has to serve alone");
+    assert!(old.lost(Peer(2)), "it had taken over the socket for hand-over requests");
+    assert!(!old.succeeded(), "the successor has ended, so the incumbent serves alone");
 }
 
 #[test]
 fn a_second_successor_waits_and_gives_up_with_an_error() {
-    let mut old = Incumbent::new(WHOLE);
-    offered(old.said(Peer(1), &hello(), 0, nothing));
-    assert_eq!(old.said(Peer(2), &hello(), 0, nothing), Some(Reply::Only(IncumbentMessage::Busy)));
-    // No process takes over without an offer.
-    old.said(Peer(2), &SuccessorMessage::Ready, 0, nothing);
+    let mut old = Incumbent::new(TOTAL);
+    expect_offer(old.said(Peer(1), &hello(), 0, empty_state));
+    assert_eq!(old.said(Peer(2), &hello(), 0, empty_state), Some(Reply::Only(IncumbentMessage::Busy)));
+    // A process without an offer can't take over.
+    old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state);
     assert!(!old.succeeded());
     let mut second = Successor::default();
     let busy = || Heard::Answer { said: IncumbentMessage::Busy, listener: false };
-    let mut asked = 0;
+    let mut requests = 0;
     while second.heard(busy()) == Ok(Step::AskAgain) {
-        asked += 1;
+        requests += 1;
     }
-    assert!(asked > 10);
-    assert_eq!(second.heard(busy()), Err(HandoverError::Another));
+    assert!(requests > 10);
+    assert_eq!(second.heard(busy()), Err(HandoverError::AnotherSuccessor));
 }
 
 #[test]
@@ -88,7 +93,11 @@
         Ok(Step::Listen),
         "no socket, or one for another address"
     );
-    assert_eq!(heard(offer(99, Value::Null), true), Ok(Step::Listen), "a form that was never asked for");
+    assert_eq!(
+        heard(offer(99, Value::Null), true),
+        Ok(Step::Listen),
+        "a protocol version that was not requested"
+    );
     assert_eq!(heard(IncumbentMessage::Unknown { forms: vec![99] }, false), Ok(Step::Listen));
     assert_eq!(Successor::default().heard(Heard::Nothing), Ok(Step::Listen));
     assert_eq!(Successor::default().heard(Heard::Nobody), Ok(Step::Listen));
@@ -112,36 +121,36 @@
 
 #[test]
 fn a_version_mismatch_is_reported() {
-    let mut old = Incumbent::new(WHOLE);
-    let reply = old.said(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, nothing);
+    let mut old = Incumbent::new(TOTAL);
+    let reply = old.said(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, empty_state);
     assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() })));
-    assert_eq!(old.share(), WHOLE);
+    assert_eq!(old.share(), TOTAL);
     // Of several versions, the newest that both support.
-    let reply = old.said(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, nothing);
+    let reply = old.said(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, empty_state);
     assert!(matches!(reply, Some(Reply::WithListener(IncumbentMessage::Offer { form: 1, .. }))));
 }
 
 #[test]
 fn a_second_upgrade_waits_until_the_first_incumbent_has_ended() {
-    // Danger: three processes with a half each would exceed the limits.
-    let part = ResourceShare { sockets: 100, memory: 20 << 20 };
-    let mut new = Incumbent::beside(WHOLE, part);
-    assert_eq!(new.share(), part);
-    assert_eq!(new.said(Peer(1), &hello(), 0, nothing), Some(Reply::Only(IncumbentMessage::Busy)));
+    // Danger: three processes with one half of the limits each would exceed them.
+    let share = ResourceShare { sockets: 100, memory: 20 << 20 };
+    let mut new = Incumbent::beside(TOTAL, share);
+    assert_eq!(new.share(), share);
+    assert_eq!(new.said(Peer(1), &hello(), 0, empty_state), Some(Reply::Only(IncumbentMessage::Busy)));
     new.alone();
-    assert_eq!(new.share(), WHOLE);
-    assert_eq!(offered(new.said(Peer(1), &hello(), 0, nothing)), WHOLE.beside(WHOLE.kept(), 0));
+    assert_eq!(new.share(), TOTAL);
+    assert_eq!(expect_offer(new.said(Peer(1), &hello(), 0, empty_state)), TOTAL.beside(TOTAL.kept(), 0));
 }
 
 #[test]
 fn an_incumbent_that_closed_its_listener_offers_nothing() {
-    let mut old = Incumbent::new(WHOLE);
-    offered(old.said(Peer(1), &hello(), 0, nothing));
+    let mut old = Incumbent::new(TOTAL);
+    expect_offer(old.said(Peer(1), &hello(), 0, empty_state));
     old.close();
-    old.said(Peer(1), &SuccessorMessage::Ready, 0, nothing);
-    assert!(old.succeeded(), "what was handed on before is the other's own");
-    assert!(!old.lost(Peer(1)), "one that listens no more takes nothing back");
-    let reply = old.said(Peer(2), &hello(), 0, nothing);
+    old.said(Peer(1), &SuccessorMessage::Ready, 0, empty_state);
+    assert!(old.succeeded(), "a listener handed over earlier belongs to the successor");
+    assert!(!old.lost(Peer(1)), "a closed incumbent does not reopen the request socket");
+    let reply = old.said(Peer(2), &hello(), 0, empty_state);
     assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() })));
 }
 
@@ -172,9 +181,9 @@
         assert_eq!(SuccessorMessage::read(&message.bytes()[4..]).expect("a message"), message);
     }
     assert!(
-        matches!(SuccessorMessage::length([255; 4]), Err(MessageError::Long(n)) if n > MAX_MESSAGE_BYTES)
+        matches!(SuccessorMessage::length([255; 4]), Err(MessageError::TooLong(n)) if n > MAX_MESSAGE_BYTES)
     );
-    assert!(matches!(SuccessorMessage::read(b"{\"say\":\"what\"}"), Err(MessageError::Spoilt(_))));
+    assert!(matches!(SuccessorMessage::read(b"{\"say\":\"what\"}"), Err(MessageError::Malformed(_))));
     assert!(IncumbentMessage::read(b"GET / HTTP/1.1").is_err());
 }
 
@@ -185,9 +194,9 @@
     Lost(u64),
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (0u64..6, 0usize..500).prop_map(|(p, held)| Event::Hello(p, held)),
+        (0u64..6, 0usize..500).prop_map(|(p, open_sockets)| Event::Hello(p, open_sockets)),
         (0u64..6).prop_map(Event::Ready),
         (0u64..6).prop_map(Event::Lost),
     ]
@@ -196,23 +205,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Danger: together the processes of one proxy must stay within its limits, whatever the order of events.
+    /// Danger: all processes of one proxy together must stay within its limits, in any order of events.
     #[test]
-    fn all_processes_together_stay_within_the_limits(events in prop::collection::vec(event(), 0..80)) {
-        let mut old = Incumbent::new(WHOLE);
+    fn all_processes_together_stay_within_the_limits(events in prop::collection::vec(any_event(), 0..80)) {
+        let mut old = Incumbent::new(TOTAL);
         let mut offers: Vec<(u64, ResourceShare)> = Vec::new();
         let mut ready: Option<u64> = None;
         for event in events {
             match event {
-                Event::Hello(p, held) => match old.said(Peer(p), &hello(), held, nothing) {
+                Event::Hello(p, open_sockets) => match old.said(Peer(p), &hello(), open_sockets, empty_state) {
                     Some(Reply::WithListener(IncumbentMessage::Offer { sockets, memory, .. })) => {
-                        prop_assert!(sockets + held.max(WHOLE.kept().sockets) <= WHOLE.sockets.max(held));
+                        prop_assert!(sockets + open_sockets.max(TOTAL.kept().sockets) <= TOTAL.sockets.max(open_sockets));
                         offers.push((p, ResourceShare { sockets, memory }));
                     }
                     reply => prop_assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Busy))),
                 },
                 Event::Ready(p) => {
-                    old.said(Peer(p), &SuccessorMessage::Ready, 0, nothing);
+                    old.said(Peer(p), &SuccessorMessage::Ready, 0, empty_state);
                     if offers.iter().any(|o| o.0 == p) {
                         ready = Some(p);
                     }
@@ -229,33 +238,33 @@
                 sockets: sum.sockets + s.sockets,
                 memory: sum.memory + s.memory,
             });
-            prop_assert!(sum.sockets <= WHOLE.sockets && sum.memory <= WHOLE.memory, "{:?}", sum);
+            prop_assert!(sum.sockets <= TOTAL.sockets && sum.memory <= TOTAL.memory, "{:?}", sum);
             if offers.is_empty() {
-                prop_assert_eq!(old.share(), WHOLE);
+                prop_assert_eq!(old.share(), TOTAL);
             }
         }
     }
 }
 
-/// The settings assigned to the incumbent go to the successor; a version that does not know them uses the rest, and
-/// one that receives none uses its own file.
+/// The settings assigned to the incumbent are handed over to the successor. A version that does not know them uses the
+/// rest of the offer, and a successor that receives none uses its own file.
 #[test]
 fn settings_are_handed_over_between_versions_that_know_them() {
-    let mut old = Incumbent::new(WHOLE);
-    let known = || HandoverState { settings: Some("by these".into()), ..HandoverState::default() };
-    let Some(Reply::WithListener(offer)) = old.said(Peer(1), &hello(), 0, known) else { panic!("no offer") };
+    let mut old = Incumbent::new(TOTAL);
+    let state = || HandoverState { settings: Some("by these".into()), ..HandoverState::default() };
+    let Some(Reply::WithListener(offer)) = old.said(Peer(1), &hello(), 0, state) else { panic!("no offer") };
     let bytes = offer.bytes();
-    let taken = Successor::default().heard(Heard::Answer { said: offer, listener: true });
-    assert!(matches!(taken, Ok(Step::Take(Offer { settings: Some(s), .. })) if s == "by these"));
-    // As the previous version wrote it, and as a later one may.
+    let step = Successor::default().heard(Heard::Answer { said: offer, listener: true });
+    assert!(matches!(step, Ok(Step::Take(Offer { settings: Some(s), .. })) if s == "by these"));
+    // The same message without the field, as an earlier version writes it, and with an unknown field, as a later one may.
     let text = String::from_utf8(bytes[4..].to_vec()).expect("JSON");
-    let before = text.replace(",\"settings\":\"by these\"", "");
-    assert_ne!(before, text);
-    let said = IncumbentMessage::read(before.as_bytes()).expect("read");
+    let earlier = text.replace(",\"settings\":\"by these\"", "");
+    assert_ne!(earlier, text);
+    let said = IncumbentMessage::read(earlier.as_bytes()).expect("read");
     assert!(matches!(said, IncumbentMessage::Offer { settings: None, .. }));
-    let more = text.replacen('{', "{\"later\":[],", 1);
+    let later = text.replacen('{', "{\"later\":[],", 1);
     assert!(matches!(
-        IncumbentMessage::read(more.as_bytes()).expect("read"),
+        IncumbentMessage::read(later.as_bytes()).expect("read"),
         IncumbentMessage::Offer { settings: Some(_), .. }
     ));
 }
