--- a/crates/services/control-service/src/http/report.rs
+++ b/crates/services/control-service/src/http/report.rs
@@ -11,7 +11,7 @@
 const MARK_COLOR: RGBColor = RGBColor(150, 150, 150);
 
 const HEAD: &str =
-    "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>A change in stages</title><style>\
+    "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rollout report</title><style>\
     body{font:15px/1.45 sans-serif;margin:2em auto;max-width:900px;color:#222}\
     h1{font-size:1.4em}h2{font-size:1.1em;margin:1.6em 0 .2em}\
     table{border-collapse:collapse}td,th{padding:.15em .9em .15em 0;text-align:left;vertical-align:top}\
@@ -91,8 +91,8 @@
     write_summary(&mut page, rollout);
     if timeline.change != rollout.id || timeline.points.is_empty() {
         page.push_str(
-            "<p>This control service has seen nothing of it: \
-             what is measured stays with the one that led.</p>",
+            "<p>This instance has no measurements of this rollout: \
+             they stay with the instance that led.</p>",
         );
         return Ok(page);
     }
@@ -123,7 +123,7 @@
 
 fn write_phases(page: &mut String, timeline: &Timeline) {
     let first = timeline.points.first().map_or(0, |p| p.at);
-    page.push_str("<h2>Steps</h2><table>");
+    page.push_str("<h2>Phases</h2><table>");
     for (at, label) in &timeline.marks {
         let at = at.saturating_sub(first) as f64 / 1e9;
         let _ = write!(page, "<tr><td>{at:.1} s</td><td>{}</td></tr>", escape(label));
@@ -131,7 +131,7 @@
     let _ = write!(
         page,
         "</table><p><b class=\"new\">New</b> against <b class=\"old\">old</b> of the same data centres \
-         over the same time, a point for {:.0} s; grey: the steps above.</p>",
+         over the same time, a point for {:.0} s; grey: the phases above.</p>",
         timeline.every as f64 / 1e9
     );
 }
@@ -146,7 +146,7 @@
     let [(new_bad, new_all), (old_bad, old_all)] = [0, 1].map(|side| bad_and_all(timeline, class, side));
     let _ = write!(
         page,
-        "<h2>{}</h2><p>Ended badly: new {new_bad} of {new_all}, old {old_bad} of {old_all}.</p>",
+        "<h2>{}</h2><p>Bad outcomes: new {new_bad} of {new_all}, old {old_bad} of {old_all}.</p>",
         escape(class),
     );
     let plots: [(&str, Counted); 2] = [
--- a/crates/services/control-service/src/persistence.rs
+++ b/crates/services/control-service/src/persistence.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Starts the writer thread of a store. It writes the differences from `stored`, the store's present content.
+    /// Starts the writer thread of a store. It writes the differences from `stored`, the store's current content.
     pub fn on(store: Arc<dyn DurableStore>, stored: StoredState) -> Persistence {
         let mailbox = Arc::new(Mailbox::default());
         mailbox.lock().state.version = stored.version;
