--- a/src/proxy/http/response_reader.rs
+++ b/src/proxy/http/response_reader.rs
@@ -68,7 +68,7 @@
         Some(length) if length > BODY_MOST as u64 && head.status == StatusCode::OK => (Bytes::new(), false),
         _ => {
             // A chunked response may be a long one, whose first bytes must not be delayed for long. One that is delimited by the
-            // close of its connection is buffered without a time limit: a reset until then shows that it is incomplete.
+            // close of its connection is buffered for as long as the node makes progress: a reset until then shows that it is incomplete.
             let hold = (framing == Framing::Chunked).then_some(MAX_BUFFERING_TIME);
             match beginning(&mut body, NODE_LIMITS, hold).await {
                 Ok(read) => read,
