--- a/src/proxy/envoy/admin.rs
+++ b/src/proxy/envoy/admin.rs
@@ -91,9 +91,8 @@
     let plain = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
     for cluster in list(value, "cluster_statuses") {
         let name = plain(&cluster["name"]);
-        let mut line = |at: &str, field_name: &str, v: &Value| {
-            text += &format!("{name}::{at}{field_name}::{}\n", plain(v))
-        };
+        let mut line =
+            |at: &str, stat: &str, v: &Value| text += &format!("{name}::{at}{stat}::{}\n", plain(v));
         for (field, v) in cluster.as_object().into_iter().flatten() {
             if !matches!(field.as_str(), "name" | "host_statuses" | "priorities") {
                 line("", field, v);
