--- a/crates/core/control-state/src/state.rs
+++ b/crates/core/control-state/src/state.rs
@@ -67,7 +67,7 @@
     /// Version of the last list processed.
     version: Option<u64>,
     overrides: Vec<Override>,
-    /// Unix time of the last call of [`ControlState::impose`].
+    /// Unix time of the last call of [`ControlState::set_overrides`].
     unix_now: Nanos,
     /// The outage after which an endpoint returns with a cold cache.
     cold_after: Nanos,
--- a/crates/core/lease/src/elector.rs
+++ b/crates/core/lease/src/elector.rs
@@ -78,7 +78,7 @@
         Elector { terms, role: Role::Standby { leader: None }, next_request_at: 0 }
     }
 
-    /// The role. It may still be [`Role::Leader`] after the lease has expired; [`Elector::leads`] checks the time.
+    /// The role. It may still be [`Role::Leader`] after the lease has expired; [`Elector::leader_epoch`] checks the time.
     pub fn role(&self) -> &Role {
         &self.role
     }
--- a/crates/core/lease/src/epoch.rs
+++ b/crates/core/lease/src/epoch.rs
@@ -7,7 +7,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Appends the epoch to a process name, as `process@epoch`; [`Epoch::of`] parses it.
+    /// Appends the epoch to a process name, as `process@epoch`; [`Epoch::from_name`] parses it.
     pub fn name(self, process: &str) -> String {
         match self {
             Epoch(0) => process.to_owned(),
--- a/crates/core/load-assignment/src/breakers.rs
+++ b/crates/core/load-assignment/src/breakers.rs
@@ -89,11 +89,11 @@
 
 #[derive(Debug)]
 struct State {
-    /// Thresholds, indexed by [`Importance`].
+    /// Thresholds, indexed by [`RoutePriority`].
     limits: [Thresholds; 2],
-    /// Counts in flight, indexed by [`Importance`].
+    /// Counts in flight, indexed by [`RoutePriority`].
     in_flight: [InFlight; 2],
-    /// Number of rejections by each limit, indexed by [`Trip`].
+    /// Number of rejections by each limit, indexed by [`BreakerLimit`].
     trips: [u64; 3],
 }
 
--- a/crates/core/load-assignment/src/retry_safety.rs
+++ b/crates/core/load-assignment/src/retry_safety.rs
@@ -18,7 +18,7 @@
 
 /// Returns `true` if a further attempt may be sent to an endpoint: no attempt that may have executed was sent before the
 /// cluster got its current group (`group_since`) or before the endpoint joined that group (`node_since`,
-/// [`crate::Node::grouped`]).
+/// [`crate::Node::group_changed_at`]).
 pub fn may_retry(
     group_since: Nanos,
     node_since: Nanos,
--- a/crates/core/policy/src/archive.rs
+++ b/crates/core/policy/src/archive.rs
@@ -186,7 +186,7 @@
     /// Validates a policy that is to be proposed now. If `floor` is absent, the policy gets the fallback policy of the policy in force.
     ///
     /// # Errors
-    /// See [`UnfitPolicy`].
+    /// See [`ProposalError`].
     pub fn validate_proposal(
         &self,
         settings: &Value,
--- a/crates/core/routing/src/lib.rs
+++ b/crates/core/routing/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`Table`]: all virtual hosts of a route configuration; [`Table::find`] returns the route of a request.
 //! - [`Route`], [`Action`]: a route and what it does with a request.
 //! - [`text`]: string, header and query parameter matchers.
-//! - [`Mutations`]: header mutations. [`Retries`]: the retry policy of a route.
+//! - [`Mutations`]: header mutations. [`RetryRules`]: the retry policy of a route.
 //!
 //! Source: Envoy's documentation, "HTTP route components" (`envoy/config/route/v3/route_components.proto`).
 #![forbid(unsafe_code)]
--- a/crates/core/routing/src/retry.rs
+++ b/crates/core/routing/src/retry.rs
@@ -25,14 +25,14 @@
     pub max_retries: u32,
     /// Timeout of one attempt; 0: limited only by the timeout of the request.
     pub per_try: Nanos,
-    /// Retry conditions as a bit set of [`Retries::RESET`] and the other constants.
+    /// Retry conditions as a bit set of [`RetryRules::RESET`] and the other constants.
     pub conditions: u32,
-    /// Status codes to retry on under [`Retries::CODES`] (`retriable_status_codes`).
+    /// Status codes to retry on under [`RetryRules::CODES`] (`retriable_status_codes`).
     pub codes: Vec<u16>,
 }
 
 impl RetryRules {
-    /// `connect-failure`: the outcome [`Ended::ConnectFailure`].
+    /// `connect-failure`: the outcome [`RetryTrigger::ConnectFailure`].
     pub const CONNECT_FAILURE: u32 = 1;
     /// `reset`: no response at all was received.
     pub const RESET: u32 = 2;
@@ -42,7 +42,7 @@
     pub const GATEWAY_ERROR: u32 = 8;
     /// `retriable-4xx`: 409.
     pub const RETRIABLE_4XX: u32 = 16;
-    /// `retriable-status-codes`: the status is in [`Retries::codes`].
+    /// `retriable-status-codes`: the status is in [`RetryRules::codes`].
     pub const CODES: u32 = 32;
     /// `refused-stream`: the endpoint rejected the request without processing it.
     pub const REFUSED_STREAM: u32 = 64;
--- a/crates/core/stream-progress/src/lib.rs
+++ b/crates/core/stream-progress/src/lib.rs
@@ -1,6 +1,6 @@
 //! Tracks the transfer of message heads and bodies.
 //!
-//! [`Pace`] detects a peer that makes too little progress; [`Replay`] decides whether a request body can be sent again
+//! [`ProgressTracker`] detects a peer that makes too little progress; [`Replay`] decides whether a request body can be sent again
 //! after a part of it was forwarded.
 //! The crate does no I/O and reads no clock: time is passed in.
 #![forbid(unsafe_code)]
--- a/crates/testing/fleet-harness/src/changes.rs
+++ b/crates/testing/fleet-harness/src/changes.rs
@@ -9,7 +9,7 @@
     let ask = json!({"settings": settings, "plan": plan, "author": "ravi", "reason": "a test"});
     loop {
         let (status, said) = fleet.post("/v1/rollout", ask.clone()).await;
-        if said["error"].as_str().is_some_and(|e| e.contains("not known yet")) {
+        if said["error"].as_str().is_some_and(|e| e.contains("no baseline of the fleet yet")) {
             // After a change what is usual is learned anew.
             tokio::time::sleep(Duration::from_millis(300)).await;
             continue;
