--- a/crates/core/supervisor/tests/simulated_machine.rs
+++ b/crates/core/supervisor/tests/simulated_machine.rs
@@ -139,7 +139,7 @@
             match (self.behaviours[process.program], process.serving_since) {
                 (Behaviour::Ends(after), Some(since)) if now - since >= after => ended.push(process.id),
                 (Behaviour::Hangs(after), Some(since)) if now - since >= after => {
-                    drop(process.hung_since.get_or_insert(now))
+                    process.hung_since.get_or_insert(now);
                 }
                 _ => {}
             }
@@ -200,7 +200,7 @@
                     self.supervisor.handle_started(id, now);
                 }
                 Action::End(id) => {
-                    self.processes.iter_mut().filter(|l| l.id == id).for_each(|l| l.asked_to_end = true)
+                    self.processes.iter_mut().filter(|l| l.id == id).for_each(|l| l.asked_to_end = true);
                 }
                 Action::Kill(id) => {
                     self.processes.retain(|l| l.id != id);
@@ -427,7 +427,7 @@
         let serving = machine.serving();
         match machine.behaviours[program] {
             Behaviour::Healthy => {
-                assert_eq!(serving, [program], "round {round}: {:?}", machine.supervisor.record())
+                assert_eq!(serving, [program], "round {round}: {:?}", machine.supervisor.record());
             }
             _ => {
                 let good =
