--- a/crates/core/envoy/src/catalogue/batch.rs
+++ b/crates/core/envoy/src/catalogue/batch.rs
@@ -16,7 +16,7 @@
     /// By cluster and id: the endpoint, or `None` if it was removed.
     pub nodes: BTreeMap<Arc<str>, HashMap<Arc<str>, Option<Node>>>,
     /// By cluster: the rejected fraction of requests, and the drop overloads.
-    pub sheds: BTreeMap<Arc<str>, (f64, Vec<Overload>)>,
+    pub drop_overloads: BTreeMap<Arc<str>, (f64, Vec<Overload>)>,
     /// By aggregate cluster: the percentage for each of its clusters.
     pub splits: BTreeMap<Arc<str>, Split>,
     /// New routes; `Some(None)` if there are none any more.
@@ -38,14 +38,14 @@
                 }
             }
             Change::DropOverloads(cluster, refused, overloads) => {
-                drop(self.sheds.insert(cluster, (refused, overloads)));
+                drop(self.drop_overloads.insert(cluster, (refused, overloads)));
             }
             Change::Split(cluster, parts) => drop(self.splits.insert(cluster, parts)),
             Change::Routes(table) => self.routes = Some(table),
             Change::Gone(cluster) => {
                 self.specs.remove(&cluster);
                 self.nodes.remove(&cluster);
-                self.sheds.remove(&cluster);
+                self.drop_overloads.remove(&cluster);
                 self.splits.remove(&cluster);
                 self.gone.insert(cluster);
             }
@@ -57,7 +57,7 @@
         self.gone.is_empty()
             && self.specs.is_empty()
             && self.nodes.is_empty()
-            && self.sheds.is_empty()
+            && self.drop_overloads.is_empty()
             && self.splits.is_empty()
             && self.routes.is_none()
     }
--- a/crates/core/envoy/src/catalogue/mod.rs
+++ b/crates/core/envoy/src/catalogue/mod.rs
@@ -41,7 +41,7 @@
     /// Idle timeout of connections, in nanoseconds.
     pub idle: Option<Nanos>,
     /// Whether all connections are re-established when an endpoint is added or removed.
-    pub renew: bool,
+    pub reconnect_on_endpoint_change: bool,
     /// The deduplication group for keyed requests.
     pub group: Arc<str>,
 }
@@ -65,7 +65,7 @@
 
 /// Selects the listener to serve.
 #[derive(Clone, Debug, Default)]
-pub struct Choice {
+pub struct ListenerSelector {
     /// The listener with this name.
     pub name: Option<String>,
     /// If there are several, the listener with this address.
@@ -74,7 +74,7 @@
 
 /// Whether a cluster is ready for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Warmth {
+pub enum WarmingState {
     /// Waiting for its endpoints until this time (0: no time limit).
     Warming(Nanos),
     /// Ready for requests.
@@ -84,7 +84,7 @@
 pub(crate) struct ClusterState {
     pub spec: Cluster,
     pub pool: Pool,
-    pub warmth: Warmth,
+    pub warmth: WarmingState,
     /// The settings last reported in a change.
     reported_spec: Option<Arc<Spec>>,
     shed: (f64, Vec<Overload>),
@@ -95,20 +95,20 @@
 
 /// A resource as received, for the admin page.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct StoredResource {
     /// The version given by the server; empty for static resources.
     pub version: String,
     /// The encoded message.
     pub encoded: Vec<u8>,
     /// Whether it is static, i.e. from the bootstrap file.
-    pub fixed: bool,
+    pub is_static: bool,
     /// When it was received.
-    pub at: Nanos,
+    pub received_at: Nanos,
 }
 
 /// All declared resources and the state derived from them.
 pub struct Catalogue {
-    choice: Choice,
+    choice: ListenerSelector,
     cds: Option<Source>,
     lds: Option<Source>,
     pub(crate) clusters: BTreeMap<Arc<str>, ClusterState>,
@@ -125,13 +125,13 @@
     was_routed: bool,
     dirty: BTreeSet<Arc<str>>,
     removed_clusters: Vec<Arc<str>>,
-    kept: BTreeMap<(Kind, String), Kept>,
+    stored_resources: BTreeMap<(Kind, String), StoredResource>,
     refused: BTreeMap<Kind, (u64, String)>,
 }
 
 impl Catalogue {
     /// Creates a catalogue of the static resources of a bootstrap file.
-    pub fn new(bootstrap: &crate::Bootstrap, choice: Choice, now: Nanos) -> Self {
+    pub fn new(bootstrap: &crate::Bootstrap, choice: ListenerSelector, now: Nanos) -> Self {
         let source = |f: &Option<ResourceSource>| f.as_ref().map(|f| f.source.clone());
         let mut catalogue = Catalogue {
             choice,
@@ -147,21 +147,21 @@
             was_routed: false,
             dirty: BTreeSet::new(),
             removed_clusters: Vec::new(),
-            kept: BTreeMap::new(),
+            stored_resources: BTreeMap::new(),
             refused: BTreeMap::new(),
         };
-        let kept = |encoded: &Vec<u8>| Kept {
+        let kept = |encoded: &Vec<u8>| StoredResource {
             version: String::new(),
             encoded: encoded.clone(),
-            fixed: true,
-            at: now,
+            is_static: true,
+            received_at: now,
         };
         for (cluster, encoded) in &bootstrap.clusters {
-            catalogue.kept.insert((Kind::Cluster, cluster.name.to_string()), kept(encoded));
+            catalogue.stored_resources.insert((Kind::Cluster, cluster.name.to_string()), kept(encoded));
             catalogue.put_cluster(cluster.clone(), now);
         }
         for (listener, encoded) in &bootstrap.listeners {
-            catalogue.kept.insert((Kind::Listener, listener.name.clone()), kept(encoded));
+            catalogue.stored_resources.insert((Kind::Listener, listener.name.clone()), kept(encoded));
             catalogue.fixed_listener = Some(listener.name.clone());
             catalogue.listeners.insert(listener.name.clone(), listener.clone());
         }
@@ -230,7 +230,7 @@
     }
 
     /// Applies resources of a kind from a source. With `whole`, resources that are not listed are removed.
-    pub fn take(
+    pub fn apply(
         &mut self,
         source: &Source,
         kind: Kind,
@@ -243,14 +243,22 @@
         if whole && kind.whole() {
             let named: BTreeSet<&str> = resources.iter().map(|r| r.name.as_str()).collect();
             let left_out = |(k, name): &(Kind, String)| *k == kind && !named.contains(name.as_str());
-            gone.extend(self.kept.iter().filter(|(k, v)| left_out(k) && !v.fixed).map(|(k, _)| k.1.clone()));
+            gone.extend(
+                self.stored_resources
+                    .iter()
+                    .filter(|(k, v)| left_out(k) && !v.is_static)
+                    .map(|(k, _)| k.1.clone()),
+            );
         }
         for Resource { name, version, item, encoded } in resources {
             // Static resources can't be replaced.
-            if self.kept.get(&(kind, name.clone())).is_some_and(|k| k.fixed) {
+            if self.stored_resources.get(&(kind, name.clone())).is_some_and(|k| k.is_static) {
                 continue;
             }
-            self.kept.insert((kind, name.clone()), Kept { version, encoded, fixed: false, at: now });
+            self.stored_resources.insert(
+                (kind, name.clone()),
+                StoredResource { version, encoded, is_static: false, received_at: now },
+            );
             match item {
                 Item::Cluster(cluster) => self.put_cluster(*cluster, now),
                 Item::Endpoints(assignment) => {
@@ -263,16 +271,16 @@
             }
         }
         for name in gone {
-            if self.kept.get(&(kind, name.clone())).is_some_and(|k| k.fixed) {
+            if self.stored_resources.get(&(kind, name.clone())).is_some_and(|k| k.is_static) {
                 continue;
             }
             match kind {
                 Kind::Cluster => {
-                    self.kept.remove(&(kind, name.clone()));
+                    self.stored_resources.remove(&(kind, name.clone()));
                     self.remove_cluster(&name);
                 }
                 Kind::Listener => {
-                    self.kept.remove(&(kind, name.clone()));
+                    self.stored_resources.remove(&(kind, name.clone()));
                     self.listeners.remove(&name);
                 }
                 // The assignment does not exist, so stop waiting for it. A known one is kept: the removal of its name does not
@@ -285,7 +293,7 @@
     }
 
     /// Records that a resource of a kind was rejected.
-    pub fn refuse(&mut self, kind: Kind, why: String) {
+    pub fn record_rejection(&mut self, kind: Kind, why: String) {
         let entry = self.refused.entry(kind).or_default();
         *entry = (entry.0 + 1, why);
     }
@@ -296,12 +304,12 @@
     }
 
     /// All resources as received.
-    pub fn kept(&self) -> &BTreeMap<(Kind, String), Kept> {
-        &self.kept
+    pub fn kept(&self) -> &BTreeMap<(Kind, String), StoredResource> {
+        &self.stored_resources
     }
 
     /// All clusters with their warming state and endpoints.
-    pub fn shown(&self) -> impl Iterator<Item = (&Cluster, &Warmth, &Pool)> {
+    pub fn cluster_states(&self) -> impl Iterator<Item = (&Cluster, &WarmingState, &Pool)> {
         self.clusters.values().map(|h| (&h.spec, &h.warmth, &h.pool))
     }
 
@@ -320,7 +328,7 @@
         let state = self.clusters.entry(name.clone()).or_insert_with(|| ClusterState {
             pool: Pool::new(spec.rules),
             spec: spec.clone(),
-            warmth: Warmth::Warming(0),
+            warmth: WarmingState::Warming(0),
             reported_spec: None,
             shed: (0.0, Vec::new()),
             split: Vec::new(),
@@ -338,17 +346,18 @@
         match state.spec.members.clone() {
             Members::Static(assignment) => {
                 state.pool.assign(assignment, now);
-                state.warmth = Warmth::Active;
+                state.warmth = WarmingState::Active;
             }
-            Members::Aggregate(_) => state.warmth = Warmth::Active,
+            Members::Aggregate(_) => state.warmth = WarmingState::Active,
             Members::Dns { lookups, .. } => {
-                if state.warmth != Warmth::Active {
-                    state.warmth = Warmth::Warming(now.saturating_add(crate::common::DEFAULT_FETCH_TIMEOUT));
+                if state.warmth != WarmingState::Active {
+                    state.warmth =
+                        WarmingState::Warming(now.saturating_add(crate::common::DEFAULT_FETCH_TIMEOUT));
                 }
                 if lookups.complete() {
                     if let Ok(assignment) = lookups.assignment() {
                         state.pool.assign(assignment, now);
-                        state.warmth = Warmth::Active;
+                        state.warmth = WarmingState::Active;
                     }
                 }
             }
@@ -357,13 +366,13 @@
                 match known {
                     Some(assignment) if !same_service || !state.pool.is_assigned() => {
                         state.pool.assign((*assignment).clone(), now);
-                        state.warmth = Warmth::Active;
+                        state.warmth = WarmingState::Active;
                     }
                     Some(_) => {}
                     // Keep the previous endpoints until the new assignment arrives.
                     None if state.pool.is_assigned() => {}
-                    None if matches!(state.warmth, Warmth::Warming(0)) && from.wait > 0 => {
-                        state.warmth = Warmth::Warming(now.saturating_add(from.wait));
+                    None if matches!(state.warmth, WarmingState::Warming(0)) && from.wait > 0 => {
+                        state.warmth = WarmingState::Warming(now.saturating_add(from.wait));
                     }
                     None => {}
                 }
@@ -392,7 +401,7 @@
             let uses_service = matches!(&state.spec.members, Members::Eds { service: s, from } if s == service && from.source == *source);
             if uses_service {
                 state.pool.assign((**assignment).clone(), now);
-                state.warmth = Warmth::Active;
+                state.warmth = WarmingState::Active;
                 self.dirty.insert(name.clone());
             }
         }
@@ -402,7 +411,7 @@
         for (name, state) in &mut self.clusters {
             let uses_service = matches!(&state.spec.members, Members::Eds { service: s, from } if **s == *service && from.source == *source);
             if uses_service && !state.pool.is_assigned() {
-                state.warmth = Warmth::Active;
+                state.warmth = WarmingState::Active;
                 self.dirty.insert(name.clone());
             }
         }
@@ -417,7 +426,7 @@
         self.tables.retain(|key, _| Some(key) == rds.as_ref());
         let names: BTreeSet<&str> = wanted.iter().map(|(_, n)| &**n).collect();
         let rds = rds.as_ref().map(|(_, n)| &**n);
-        self.kept.retain(|(kind, name), _| match kind {
+        self.stored_resources.retain(|(kind, name), _| match kind {
             Kind::Endpoints => names.contains(name.as_str()),
             Kind::Route => rds == Some(name.as_str()),
             _ => true,
@@ -436,7 +445,7 @@
     }
 
     /// Handles the result of a DNS lookup.
-    pub fn looked_up(
+    pub fn handle_lookup_result(
         &mut self,
         cluster: &str,
         name: &str,
@@ -456,7 +465,7 @@
                 }
                 _ => {}
             }
-            state.warmth = Warmth::Active;
+            state.warmth = WarmingState::Active;
         }
         self.dirty.insert(cluster.into());
     }
--- a/crates/core/envoy/src/catalogue/settle.rs
+++ b/crates/core/envoy/src/catalogue/settle.rs
@@ -1,7 +1,7 @@
 //! Derives the changes since the last call from the declared resources. They are ordered so that everything exists before
 //! something refers to it.
 
-use super::{Catalogue, Change, ClusterState, Spec, Warmth, ROUTES_WAIT};
+use super::{Catalogue, Change, ClusterState, Spec, WarmingState, ROUTES_WAIT};
 use crate::cluster::Members;
 use crate::listener::Routes;
 use rushquay_load_assignment::{aggregate, Nanos, Node, NodeChange};
@@ -17,10 +17,10 @@
     pub fn settle(&mut self, now: Nanos) -> Vec<Change> {
         let mut changes = Vec::new();
         for (name, state) in &mut self.clusters {
-            let timed_out = matches!(state.warmth, Warmth::Warming(until) if until > 0 && until <= now);
+            let timed_out = matches!(state.warmth, WarmingState::Warming(until) if until > 0 && until <= now);
             if timed_out {
                 // `initial_fetch_timeout` has expired: continue without endpoints.
-                state.warmth = Warmth::Active;
+                state.warmth = WarmingState::Active;
             }
             let stale = state.pool.tick(now);
             if timed_out
@@ -48,7 +48,7 @@
     pub fn wake(&self, now: Nanos) -> Option<Nanos> {
         let clusters = self.clusters.values().flat_map(|h| {
             let warming_until = match h.warmth {
-                Warmth::Warming(until) if until > 0 => Some(until),
+                WarmingState::Warming(until) if until > 0 => Some(until),
                 _ => None,
             };
             let next_lookup = match &h.spec.members {
@@ -116,7 +116,7 @@
             let mut leaves = Vec::new();
             self.collect_leaves(&name, 0, &mut leaves);
             let levels = |leaf: &Arc<str>| match self.clusters.get(leaf) {
-                Some(state) if state.warmth == Warmth::Active => state.pool.levels(now),
+                Some(state) if state.warmth == WarmingState::Active => state.pool.levels(now),
                 _ => Vec::new(),
             };
             let levels: Vec<_> = leaves.iter().map(levels).collect();
@@ -168,7 +168,7 @@
             _ => now.saturating_add(ROUTES_WAIT),
         };
         let is_active =
-            |name: &&Arc<str>| self.clusters.get(*name).is_some_and(|h| h.warmth == Warmth::Active);
+            |name: &&Arc<str>| self.clusters.get(*name).is_some_and(|h| h.warmth == WarmingState::Active);
         if wanted.clusters().iter().all(is_active) || now >= until {
             self.pending = None;
             self.was_routed = true;
@@ -194,11 +194,11 @@
 
 impl ClusterState {
     fn needs_first_report(&self) -> bool {
-        self.warmth == Warmth::Active && self.reported_spec.is_none()
+        self.warmth == WarmingState::Active && self.reported_spec.is_none()
     }
 
     fn settle(&mut self, name: &Arc<str>, now: Nanos, changes: &mut Vec<Change>) {
-        if self.warmth != Warmth::Active {
+        if self.warmth != WarmingState::Active {
             return;
         }
         let c = &self.spec;
@@ -208,7 +208,7 @@
             limits: c.limits,
             node_connections: c.node_connections,
             idle: c.idle,
-            renew: c.renew,
+            reconnect_on_endpoint_change: c.renew,
             group: c.group.clone(),
         };
         if self.reported_spec.as_deref() != Some(&spec) {
--- a/crates/core/envoy/src/session.rs
+++ b/crates/core/envoy/src/session.rs
@@ -86,14 +86,14 @@
                 ClientRequest::Sotw(r) => Kind::of(&r.type_url),
             });
             if let Some(kind) = kind {
-                self.catalogue.borrow_mut().refuse(kind, why.clone());
+                self.catalogue.borrow_mut().record_rejection(kind, why.clone());
             }
         }
         let news = reply.update.map(|update| {
             let resources = update.upserts.into_iter().map(|(_, r)| r).collect();
             let kind = update.kind;
             let now = (self.now)();
-            self.catalogue.borrow_mut().take(&Source::Ads, kind, resources, &update.removed, whole, now);
+            self.catalogue.borrow_mut().apply(&Source::Ads, kind, resources, &update.removed, whole, now);
             kind
         });
         asks.extend(self.update_subscriptions());
--- a/crates/core/envoy/src/wire.rs
+++ b/crates/core/envoy/src/wire.rs
@@ -11,18 +11,18 @@
 
 /// Why a configuration is rejected. No part of the resource is used; it has to be corrected at its source.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{path}{}{why}", if path.is_empty() { "" } else { ": " })]
+#[error("{path}{}{reason}", if path.is_empty() { "" } else { ": " })]
 pub struct Refused {
     /// The field's path, as in `endpoints[0].lb_endpoints[2].health_status`.
     pub path: String,
     /// The reason.
-    pub why: String,
+    pub reason: String,
 }
 
 impl Refused {
     /// Creates an error at this path.
     pub fn at(path: impl fmt::Display, why: impl Into<String>) -> Self {
-        Refused { path: path.to_string(), why: why.into() }
+        Refused { path: path.to_string(), reason: why.into() }
     }
 
     /// Prefixes the path with a parent path.
--- a/crates/core/envoy/tests/catalogue.rs
+++ b/crates/core/envoy/tests/catalogue.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushquay_envoy::catalogue::{Catalogue, Change, Choice, ROUTES_WAIT};
+use rushquay_envoy::catalogue::{Catalogue, Change, ListenerSelector, ROUTES_WAIT};
 use rushquay_envoy::resource::{decode, message_of, Resource};
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::{bootstrap, Notes, Source};
@@ -63,7 +63,7 @@
 
 impl Harness {
     fn new(yaml: &str) -> Self {
-        let catalogue = Catalogue::new(&bootstrap(yaml).expect("good"), Choice::default(), SECOND);
+        let catalogue = Catalogue::new(&bootstrap(yaml).expect("good"), ListenerSelector::default(), SECOND);
         let (clusters, groups, splits) = Default::default();
         let mut harness = Harness { catalogue, now: SECOND, clusters, groups, splits, routes: None };
         harness.settle();
@@ -72,7 +72,7 @@
 
     fn receive(&mut self, kind: Kind, resources: Vec<Resource>, removed: &[&str]) {
         let removed: Vec<String> = removed.iter().map(|r| r.to_string()).collect();
-        self.catalogue.take(&Source::Ads, kind, resources, &removed, false, self.now);
+        self.catalogue.apply(&Source::Ads, kind, resources, &removed, false, self.now);
         self.settle();
     }
 
@@ -291,7 +291,7 @@
     harness.receive(Kind::Cluster, vec![eds("a")], &[]);
     harness.receive(Kind::Cluster, vec![], &["a"]);
     assert_eq!(harness.nodes("a"), Some(vec!["127.0.0.9"]));
-    harness.catalogue.take(&Source::Ads, Kind::Cluster, vec![], &[], true, harness.now);
+    harness.catalogue.apply(&Source::Ads, Kind::Cluster, vec![], &[], true, harness.now);
     harness.settle();
     assert_eq!(harness.nodes("a"), Some(vec!["127.0.0.9"]), "nor removed by a full list without it");
 }
--- a/crates/core/handover/src/incumbent.rs
+++ b/crates/core/handover/src/incumbent.rs
@@ -12,9 +12,9 @@
     /// Send this message with the listening socket.
     WithListener(IncumbentMessage),
     /// Send this message without a socket, and keep the connection open.
-    And(IncumbentMessage),
+    KeepOpen(IncumbentMessage),
     /// Send this message without a socket, then close the connection.
-    Only(IncumbentMessage),
+    ThenClose(IncumbentMessage),
 }
 
 /// The progress of a hand-over.
@@ -61,7 +61,7 @@
         match (self.state, self.share_beside_predecessor) {
             (State::Alone, Some(share)) => share,
             (State::Alone, None) => self.total,
-            (State::Offered(_) | State::Succeeded(_), _) => self.total.kept(),
+            (State::Offered(_) | State::Succeeded(_), _) => self.total.incumbent_share(),
         }
     }
 
@@ -73,7 +73,7 @@
     /// Handles a message of a process that may become the successor, and returns the reply, if any. `open_sockets` is the
     /// number of descriptors that this process has open. `take_state` returns the state to hand over; it is called only if
     /// the hand-over is offered, since the call may give up that state (slow-start allowances).
-    pub fn said(
+    pub fn handle_message(
         &mut self,
         peer: Peer,
         message: &SuccessorMessage,
@@ -92,7 +92,7 @@
                 self.state = State::Succeeded(peer);
                 // Danger: the successor must wait for this confirmation before it reports itself as serving; otherwise the
                 // incumbent could be asked to end while it still believes that it has no successor.
-                Some(Reply::And(IncumbentMessage::Heard))
+                Some(Reply::KeepOpen(IncumbentMessage::Heard))
             }
         }
     }
@@ -106,18 +106,18 @@
     ) -> Reply {
         let Some(version) = PROTOCOL_VERSIONS.into_iter().filter(|version| forms.contains(version)).max()
         else {
-            return Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() });
+            return Reply::ThenClose(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() });
         };
         if self.is_closed {
-            return Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() });
+            return Reply::ThenClose(IncumbentMessage::Unknown { forms: Vec::new() });
         }
         // Danger: two successors with one half of the limits each, beside the incumbent with its half, would exceed
         // the limits.
         if self.state != State::Alone || self.share_beside_predecessor.is_some() {
-            return Reply::Only(IncumbentMessage::Busy);
+            return Reply::ThenClose(IncumbentMessage::Busy);
         }
         self.state = State::Offered(peer);
-        let ResourceShare { sockets, memory } = self.total.beside(self.total.kept(), open_sockets);
+        let ResourceShare { sockets, memory } = self.total.beside(self.total.incumbent_share(), open_sockets);
         let HandoverState { list, settings, policy, cold } = take_state();
         Reply::WithListener(IncumbentMessage::Offer {
             form: version,
@@ -139,7 +139,7 @@
     /// Called when the connection of a process has ended. Danger: a successor that dies before it serves must leave
     /// everything unchanged. Returns whether the incumbent has to reopen its socket for hand-over requests, which a
     /// serving successor had taken over.
-    pub fn lost(&mut self, peer: Peer) -> bool {
+    pub fn handle_disconnect(&mut self, peer: Peer) -> bool {
         let was_serving = self.state == State::Succeeded(peer);
         if was_serving || self.state == State::Offered(peer) {
             self.state = State::Alone;
--- a/crates/core/handover/src/lib.rs
+++ b/crates/core/handover/src/lib.rs
@@ -13,4 +13,4 @@
     MAX_MESSAGE_BYTES, PROTOCOL_VERSIONS,
 };
 pub use resource_share::ResourceShare;
-pub use successor::{HandoverError, Heard, Step, Successor};
+pub use successor::{HandoverError, HandoverResponse, Step, Successor};
--- a/crates/core/handover/src/resource_share.rs
+++ b/crates/core/handover/src/resource_share.rs
@@ -11,7 +11,7 @@
 
 impl ResourceShare {
     /// The share that an incumbent keeps while a successor starts: half.
-    pub fn kept(self) -> ResourceShare {
+    pub fn incumbent_share(self) -> ResourceShare {
         ResourceShare { sockets: self.sockets / 2, memory: self.memory / 2 }
     }
 
--- a/crates/core/handover/src/successor.rs
+++ b/crates/core/handover/src/successor.rs
@@ -9,11 +9,11 @@
 
 /// The result of a request for a hand-over.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum HandoverResponse {
     /// There is no incumbent: the socket does not exist, or a dead process left it behind.
-    Nobody,
+    NoIncumbent,
     /// There was no valid answer: a timeout, a broken connection, or an unusable message.
-    Nothing,
+    NoAnswer,
     /// The incumbent answered.
     Answer {
         /// The message.
@@ -27,11 +27,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Use the received listener.
-    Take(Offer),
+    UseListener(Offer),
     /// Open a listener, beside that of an unresponsive process if the address is in use.
     Listen,
     /// Request the hand-over again after a short wait.
-    AskAgain,
+    Retry,
 }
 
 /// Why a process can't start.
@@ -58,22 +58,26 @@
     ///
     /// # Errors
     /// Another successor has been starting for as long as this one has requested the hand-over.
-    pub fn heard(&mut self, heard: Heard) -> Result<Step, HandoverError> {
+    pub fn handle_response(&mut self, heard: HandoverResponse) -> Result<Step, HandoverError> {
         self.requests += 1;
         match heard {
-            Heard::Answer {
+            HandoverResponse::Answer {
                 said: IncumbentMessage::Offer { form, sockets, memory, list, settings, policy, cold },
                 listener: true,
             } if PROTOCOL_VERSIONS.contains(&form) => {
                 let (share, list, cold) =
                     (ResourceShare { sockets, memory }, valid_list(list), valid_allowances(cold));
-                Ok(Step::Take(Offer { share, list, settings, policy, cold }))
+                Ok(Step::UseListener(Offer { share, list, settings, policy, cold }))
             }
-            Heard::Answer { said: IncumbentMessage::Busy, .. } if self.requests < MAX_REQUESTS => {
-                Ok(Step::AskAgain)
+            HandoverResponse::Answer { said: IncumbentMessage::Busy, .. } if self.requests < MAX_REQUESTS => {
+                Ok(Step::Retry)
+            }
+            HandoverResponse::Answer { said: IncumbentMessage::Busy, .. } => {
+                Err(HandoverError::AnotherSuccessor)
+            }
+            HandoverResponse::Answer { .. } | HandoverResponse::NoIncumbent | HandoverResponse::NoAnswer => {
+                Ok(Step::Listen)
             }
-            Heard::Answer { said: IncumbentMessage::Busy, .. } => Err(HandoverError::AnotherSuccessor),
-            Heard::Answer { .. } | Heard::Nobody | Heard::Nothing => Ok(Step::Listen),
         }
     }
 }
--- a/crates/core/handover/tests/handover.rs
+++ b/crates/core/handover/tests/handover.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use rushquay_handover::{
-    HandoverError, HandoverState, Heard, Incumbent, IncumbentMessage, MessageError, Offer, Peer, Reply,
-    ResourceShare, SlowStartAllowance, Step, Successor, SuccessorMessage, MAX_MESSAGE_BYTES,
+    HandoverError, HandoverResponse, HandoverState, Incumbent, IncumbentMessage, MessageError, Offer, Peer,
+    Reply, ResourceShare, SlowStartAllowance, Step, Successor, SuccessorMessage, MAX_MESSAGE_BYTES,
     PROTOCOL_VERSIONS,
 };
 use serde_json::{json, Value};
@@ -31,44 +31,47 @@
 #[test]
 fn limits_are_shared_and_restored() {
     let mut old = Incumbent::new(TOTAL);
-    let new = expect_offer(old.said(Peer(1), &hello(), 100, empty_state));
+    let new = expect_offer(old.handle_message(Peer(1), &hello(), 100, empty_state));
     assert_eq!((old.share().sockets + new.sockets, old.share().memory + new.memory), (384, 48 << 20));
-    assert!(!old.lost(Peer(1)), "it had not reported itself as serving");
+    assert!(!old.handle_disconnect(Peer(1)), "it had not reported itself as serving");
     assert_eq!(old.share(), TOTAL, "the successor died before it served");
     // Sockets that the incumbent has open beyond its half are not offered.
-    let new = expect_offer(old.said(Peer(2), &hello(), 300, empty_state));
+    let new = expect_offer(old.handle_message(Peer(2), &hello(), 300, empty_state));
     assert_eq!(new.sockets, 84);
     assert!(!old.succeeded());
     assert_eq!(
-        old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
-        Some(Reply::And(IncumbentMessage::Heard))
+        old.handle_message(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
+        Some(Reply::KeepOpen(IncumbentMessage::Heard))
     );
     assert_eq!(
-        old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
+        old.handle_message(Peer(2), &SuccessorMessage::Ready, 0, empty_state),
         None,
         "the second message has no effect"
     );
     assert!(old.succeeded());
-    assert!(old.lost(Peer(2)), "it had taken over the socket for hand-over requests");
+    assert!(old.handle_disconnect(Peer(2)), "it had taken over the socket for hand-over requests");
     assert!(!old.succeeded(), "the successor has ended, so the incumbent serves alone");
 }
 
 #[test]
 fn a_second_successor_waits_and_gives_up_with_an_error() {
     let mut old = Incumbent::new(TOTAL);
-    expect_offer(old.said(Peer(1), &hello(), 0, empty_state));
-    assert_eq!(old.said(Peer(2), &hello(), 0, empty_state), Some(Reply::Only(IncumbentMessage::Busy)));
+    expect_offer(old.handle_message(Peer(1), &hello(), 0, empty_state));
+    assert_eq!(
+        old.handle_message(Peer(2), &hello(), 0, empty_state),
+        Some(Reply::ThenClose(IncumbentMessage::Busy))
+    );
     // A process without an offer can't take over.
-    old.said(Peer(2), &SuccessorMessage::Ready, 0, empty_state);
+    old.handle_message(Peer(2), &SuccessorMessage::Ready, 0, empty_state);
     assert!(!old.succeeded());
     let mut second = Successor::default();
-    let busy = || Heard::Answer { said: IncumbentMessage::Busy, listener: false };
+    let busy = || HandoverResponse::Answer { said: IncumbentMessage::Busy, listener: false };
     let mut requests = 0;
-    while second.heard(busy()) == Ok(Step::AskAgain) {
+    while second.handle_response(busy()) == Ok(Step::Retry) {
         requests += 1;
     }
     assert!(requests > 10);
-    assert_eq!(second.heard(busy()), Err(HandoverError::AnotherSuccessor));
+    assert_eq!(second.handle_response(busy()), Err(HandoverError::AnotherSuccessor));
 }
 
 #[test]
@@ -83,10 +86,11 @@
         cold: Vec::new(),
     };
     let share = ResourceShare { sockets: 9, memory: 8 };
-    let heard = |said, listener| Successor::default().heard(Heard::Answer { said, listener });
+    let heard =
+        |said, listener| Successor::default().handle_response(HandoverResponse::Answer { said, listener });
     assert_eq!(
         heard(offer(1, Value::Null), true),
-        Ok(Step::Take(Offer { share, list: None, settings: None, policy: None, cold: Vec::new() }))
+        Ok(Step::UseListener(Offer { share, list: None, settings: None, policy: None, cold: Vec::new() }))
     );
     assert_eq!(
         heard(offer(1, Value::Null), false),
@@ -99,11 +103,11 @@
         "a protocol version that was not requested"
     );
     assert_eq!(heard(IncumbentMessage::Unknown { forms: vec![99] }, false), Ok(Step::Listen));
-    assert_eq!(Successor::default().heard(Heard::Nothing), Ok(Step::Listen));
-    assert_eq!(Successor::default().heard(Heard::Nobody), Ok(Step::Listen));
+    assert_eq!(Successor::default().handle_response(HandoverResponse::NoAnswer), Ok(Step::Listen));
+    assert_eq!(Successor::default().handle_response(HandoverResponse::NoIncumbent), Ok(Step::Listen));
     let node = json!({"id": "a", "addr": "10.0.0.1:80", "state": "draining"});
     let good = json!({"version": 7, "full": true, "servers": [node]});
-    let Ok(Step::Take(Offer { list: Some(list), .. })) = heard(offer(1, good), true) else {
+    let Ok(Step::UseListener(Offer { list: Some(list), .. })) = heard(offer(1, good), true) else {
         panic!("no list")
     };
     assert_eq!((list.version, list.servers.len()), (7, 1));
@@ -114,7 +118,13 @@
     ] {
         assert_eq!(
             heard(offer(1, bad), true),
-            Ok(Step::Take(Offer { share, list: None, settings: None, policy: None, cold: Vec::new() }))
+            Ok(Step::UseListener(Offer {
+                share,
+                list: None,
+                settings: None,
+                policy: None,
+                cold: Vec::new()
+            }))
         );
     }
 }
@@ -122,11 +132,14 @@
 #[test]
 fn a_version_mismatch_is_reported() {
     let mut old = Incumbent::new(TOTAL);
-    let reply = old.said(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, empty_state);
-    assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() })));
+    let reply = old.handle_message(Peer(1), &SuccessorMessage::Hello { forms: vec![2, 3] }, 0, empty_state);
+    assert_eq!(
+        reply,
+        Some(Reply::ThenClose(IncumbentMessage::Unknown { forms: PROTOCOL_VERSIONS.to_vec() }))
+    );
     assert_eq!(old.share(), TOTAL);
     // Of several versions, the newest that both support.
-    let reply = old.said(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, empty_state);
+    let reply = old.handle_message(Peer(2), &SuccessorMessage::Hello { forms: vec![9, 1] }, 0, empty_state);
     assert!(matches!(reply, Some(Reply::WithListener(IncumbentMessage::Offer { form: 1, .. }))));
 }
 
@@ -136,22 +149,28 @@
     let share = ResourceShare { sockets: 100, memory: 20 << 20 };
     let mut new = Incumbent::beside(TOTAL, share);
     assert_eq!(new.share(), share);
-    assert_eq!(new.said(Peer(1), &hello(), 0, empty_state), Some(Reply::Only(IncumbentMessage::Busy)));
+    assert_eq!(
+        new.handle_message(Peer(1), &hello(), 0, empty_state),
+        Some(Reply::ThenClose(IncumbentMessage::Busy))
+    );
     new.alone();
     assert_eq!(new.share(), TOTAL);
-    assert_eq!(expect_offer(new.said(Peer(1), &hello(), 0, empty_state)), TOTAL.beside(TOTAL.kept(), 0));
+    assert_eq!(
+        expect_offer(new.handle_message(Peer(1), &hello(), 0, empty_state)),
+        TOTAL.beside(TOTAL.incumbent_share(), 0)
+    );
 }
 
 #[test]
 fn an_incumbent_that_closed_its_listener_offers_nothing() {
     let mut old = Incumbent::new(TOTAL);
-    expect_offer(old.said(Peer(1), &hello(), 0, empty_state));
+    expect_offer(old.handle_message(Peer(1), &hello(), 0, empty_state));
     old.close();
-    old.said(Peer(1), &SuccessorMessage::Ready, 0, empty_state);
+    old.handle_message(Peer(1), &SuccessorMessage::Ready, 0, empty_state);
     assert!(old.succeeded(), "a listener handed over earlier belongs to the successor");
-    assert!(!old.lost(Peer(1)), "a closed incumbent does not reopen the request socket");
-    let reply = old.said(Peer(2), &hello(), 0, empty_state);
-    assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Unknown { forms: Vec::new() })));
+    assert!(!old.handle_disconnect(Peer(1)), "a closed incumbent does not reopen the request socket");
+    let reply = old.handle_message(Peer(2), &hello(), 0, empty_state);
+    assert_eq!(reply, Some(Reply::ThenClose(IncumbentMessage::Unknown { forms: Vec::new() })));
 }
 
 #[test]
@@ -213,21 +232,21 @@
         let mut ready: Option<u64> = None;
         for event in events {
             match event {
-                Event::Hello(p, open_sockets) => match old.said(Peer(p), &hello(), open_sockets, empty_state) {
+                Event::Hello(p, open_sockets) => match old.handle_message(Peer(p), &hello(), open_sockets, empty_state) {
                     Some(Reply::WithListener(IncumbentMessage::Offer { sockets, memory, .. })) => {
-                        prop_assert!(sockets + open_sockets.max(TOTAL.kept().sockets) <= TOTAL.sockets.max(open_sockets));
+                        prop_assert!(sockets + open_sockets.max(TOTAL.incumbent_share().sockets) <= TOTAL.sockets.max(open_sockets));
                         offers.push((p, ResourceShare { sockets, memory }));
                     }
-                    reply => prop_assert_eq!(reply, Some(Reply::Only(IncumbentMessage::Busy))),
+                    reply => prop_assert_eq!(reply, Some(Reply::ThenClose(IncumbentMessage::Busy))),
                 },
                 Event::Ready(p) => {
-                    old.said(Peer(p), &SuccessorMessage::Ready, 0, empty_state);
+                    old.handle_message(Peer(p), &SuccessorMessage::Ready, 0, empty_state);
                     if offers.iter().any(|o| o.0 == p) {
                         ready = Some(p);
                     }
                 }
                 Event::Lost(p) => {
-                    old.lost(Peer(p));
+                    old.handle_disconnect(Peer(p));
                     offers.retain(|o| o.0 != p);
                     ready = ready.filter(|r| *r != p);
                 }
@@ -252,10 +271,12 @@
 fn settings_are_handed_over_between_versions_that_know_them() {
     let mut old = Incumbent::new(TOTAL);
     let state = || HandoverState { settings: Some("by these".into()), ..HandoverState::default() };
-    let Some(Reply::WithListener(offer)) = old.said(Peer(1), &hello(), 0, state) else { panic!("no offer") };
+    let Some(Reply::WithListener(offer)) = old.handle_message(Peer(1), &hello(), 0, state) else {
+        panic!("no offer")
+    };
     let bytes = offer.bytes();
-    let step = Successor::default().heard(Heard::Answer { said: offer, listener: true });
-    assert!(matches!(step, Ok(Step::Take(Offer { settings: Some(s), .. })) if s == "by these"));
+    let step = Successor::default().handle_response(HandoverResponse::Answer { said: offer, listener: true });
+    assert!(matches!(step, Ok(Step::UseListener(Offer { settings: Some(s), .. })) if s == "by these"));
     // The same message without the field, as an earlier version writes it, and with an unknown field, as a later one may.
     let text = String::from_utf8(bytes[4..].to_vec()).expect("JSON");
     let earlier = text.replace(",\"settings\":\"by these\"", "");
--- a/crates/services/control-service/src/file.rs
+++ b/crates/services/control-service/src/file.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 /// The interval at which a file is checked for changes.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The number of checks after a change at which the file is read even if its stamp is unchanged. Danger: two writes within one tick of
 /// the file system's clock leave the same stamp.
 const READS_AFTER_CHANGE: u32 = 3;
@@ -29,14 +29,14 @@
 
 /// A file that is polled for changes.
 #[derive(Default)]
-pub struct Watched {
+pub struct FileWatcher {
     /// The stamp at the last check, if there was one; the inner `None` means that the file did not exist.
     last_stamp: Option<Option<Stamp>>,
     /// The number of coming checks at which the file is read again.
     remaining_reads: u32,
 }
 
-impl Watched {
+impl FileWatcher {
     /// Makes the next checks read the file even if its stamp is unchanged.
     pub fn force_reread(&mut self) {
         self.remaining_reads = READS_AFTER_CHANGE;
@@ -44,13 +44,13 @@
 
     /// Records that the file could not be read, so that the next check reads it again. Danger: otherwise its content would be missed
     /// until the file changes again.
-    pub fn unread(&mut self) {
+    pub fn read_failed(&mut self) {
         self.remaining_reads = self.remaining_reads.max(1);
     }
 
     /// Checks whether the file has to be read now: `None` if not; `Some(true)` if it will be read again soon, so that an error may be
     /// temporary.
-    pub fn look(&mut self, path: &Path) -> Option<bool> {
+    pub fn should_read(&mut self, path: &Path) -> Option<bool> {
         let stamp = Some(stamp(path));
         if stamp != self.last_stamp {
             (self.last_stamp, self.remaining_reads) = (stamp, READS_AFTER_CHANGE);
@@ -91,7 +91,7 @@
 /// A followed file, with its last list and error.
 #[derive(Default)]
 struct FileFollower {
-    watched: Watched,
+    watched: FileWatcher,
     last_error: String,
     last_list: Option<EndpointList>,
 }
@@ -99,7 +99,7 @@
 impl FileFollower {
     /// Reads the file if it may have changed; returns a new list or a new error.
     fn poll(&mut self, path: &Path) -> Option<SourceEvent> {
-        let will_be_reread = self.watched.look(path)?;
+        let will_be_reread = self.watched.should_read(path)?;
         match read(path) {
             Ok(list) => {
                 self.last_error.clear();
@@ -111,7 +111,7 @@
             }
             Err(error) => {
                 if matches!(error, ReadError::Io { .. }) {
-                    self.watched.unread();
+                    self.watched.read_failed();
                 }
                 let error = error.to_string();
                 // A half-written file is complete soon; each error is reported once.
@@ -149,7 +149,7 @@
             }
         }
         tokio::select! {
-            () = tokio::time::sleep(LOOK_EVERY) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             Some(()) = reread_requests.recv() => follower.force_reread(),
         }
     }
--- a/crates/services/control-service/src/lib.rs
+++ b/crates/services/control-service/src/lib.rs
@@ -25,14 +25,14 @@
 mod time;
 mod versioned;
 
-pub use file::{Watched, LOOK_EVERY};
+pub use file::{FileWatcher, POLL_INTERVAL};
 pub use http::serve_pages;
 pub use leadership::LeadershipState;
 pub use policy::PolicySettings;
 pub use rollout::RolloutSettings;
-pub use service::{start, start_by, ControlService, Options, StartError};
+pub use service::{start, start_with_clocks, ControlService, Options, StartError};
 pub use settings::{
     read_settings, LimitSettings, OverrideSettings, Settings, SettingsError, SourceOption, StandbyError,
     StandbySettings,
 };
-pub use time::{steady, Clocks};
+pub use time::{monotonic_nanos, Clocks};
--- a/crates/services/control-service/src/service.rs
+++ b/crates/services/control-service/src/service.rs
@@ -34,7 +34,7 @@
     /// The settings.
     pub settings: Settings,
     /// The state file; if `None`, the state is held only in memory.
-    pub state: Option<PathBuf>,
+    pub state_file: Option<PathBuf>,
 }
 
 /// The reason why the service can't start.
@@ -68,7 +68,7 @@
     /// The bound address of the admin page, if there is one.
     pub admin: Option<SocketAddr>,
     state: Arc<ServiceState>,
-    reread: mpsc::Sender<()>,
+    reload_endpoint_list: mpsc::Sender<()>,
     stop: watch::Sender<bool>,
     tasks: Vec<JoinHandle<()>>,
     leadership_thread: Option<std::thread::JoinHandle<()>>,
@@ -77,7 +77,7 @@
 impl ControlService {
     /// Reads the endpoint list file again.
     pub fn reread(&self) {
-        let _ = self.reread.try_send(());
+        let _ = self.reload_endpoint_list.try_send(());
     }
 
     /// The xDS hub, for tests and measurements.
@@ -86,12 +86,12 @@
     }
 
     /// Processes a list as if the source had sent it, for tests and measurements that need to know the time of arrival.
-    pub fn tell(&self, list: EndpointList) {
+    pub fn process_endpoint_list(&self, list: EndpointList) {
         self.state.on_source_event(SourceEvent::EndpointList(list));
     }
 
     /// The leadership state of this instance; `None` if it is the only one.
-    pub fn standby(&self) -> Option<LeadershipState> {
+    pub fn leadership_state(&self) -> Option<LeadershipState> {
         self.state.leader.gate.leadership().map(|leadership| leadership.state())
     }
 
@@ -140,14 +140,14 @@
 /// # Errors
 /// See [`StartError`]; nothing is left running.
 pub async fn start(options: Options) -> Result<ControlService, StartError> {
-    start_by(options, Clocks::default()).await
+    start_with_clocks(options, Clocks::default()).await
 }
 
 /// Like [`start`], with the given clocks.
 ///
 /// # Errors
 /// See [`StartError`]; nothing is left running.
-pub async fn start_by(options: Options, clocks: Clocks) -> Result<ControlService, StartError> {
+pub async fn start_with_clocks(options: Options, clocks: Clocks) -> Result<ControlService, StartError> {
     let tls = options.settings.tls.as_ref().map(Tls::read).transpose()?;
     require_tls_beyond_loopback("--listen", options.listen, tls.is_some())?;
     if let Some(admin) = options.admin {
@@ -167,7 +167,7 @@
 
     let (list_source, source_name) = describe_source(&options.source);
     let state = ServiceState::new(options.settings, list_source, source_name, leadership.clone(), clocks);
-    if let Some(path) = options.state {
+    if let Some(path) = options.state_file {
         // Blocks, but reading the state of a fleet takes a millisecond, and no task runs yet.
         state.restore_from(&path);
     }
@@ -187,7 +187,7 @@
     if let Some(listener) = admin_listener {
         tasks.push(tokio::spawn(http::serve(listener, state.clone())));
     }
-    Ok(ControlService { xds, admin, state, reread, stop, tasks, leadership_thread })
+    Ok(ControlService { xds, admin, state, reload_endpoint_list: reread, stop, tasks, leadership_thread })
 }
 
 async fn listen(option: &'static str, addr: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
@@ -199,7 +199,7 @@
 /// The leadership state, if the settings configure several instances.
 fn leadership(options: &Options, clocks: &Clocks) -> Result<Option<Arc<Leadership>>, StartError> {
     let Some(standby) = &options.settings.standby else { return Ok(None) };
-    if options.state.is_some() {
+    if options.state_file.is_some() {
         let reason = "--state and [standby] both configure the state's store; give only one of them";
         return Err(StartError::Standby(reason.into()));
     }
--- a/crates/services/control-service/src/settings.rs
+++ b/crates/services/control-service/src/settings.rs
@@ -92,7 +92,7 @@
     pub fn store(&self, clocks: &Clocks) -> Result<Arc<dyn SharedState>, StandbyError> {
         self.check()?;
         if let Some(path) = &self.file {
-            let (steady, unix_s) = (clocks.steady.clone(), (clocks.wall)() / SECOND);
+            let (steady, unix_s) = (clocks.monotonic.clone(), (clocks.wall)() / SECOND);
             return Ok(Arc::new(SharedFile::new(path, &boot_id(), move || steady()).first_epoch(unix_s)));
         }
         let prefix = Prefix::new(&self.prefix).ok_or(StandbyError::Prefix)?;
--- a/crates/services/control-service/src/time.rs
+++ b/crates/services/control-service/src/time.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The time since the machine booted, including suspended time. All processes read the same value.
-pub fn steady() -> Nanos {
+pub fn monotonic_nanos() -> Nanos {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as Nanos * rushquay_lease::SECOND + t.tv_nsec as Nanos
 }
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub struct Clocks {
     /// Monotonic time with an arbitrary epoch, including suspended time. Instances that share a file need the same epoch.
-    pub steady: Arc<dyn Fn() -> Nanos + Send + Sync>,
+    pub monotonic: Arc<dyn Fn() -> Nanos + Send + Sync>,
     /// Unix time.
     pub wall: Arc<dyn Fn() -> Nanos + Send + Sync>,
 }
@@ -34,13 +34,13 @@
 impl Default for Clocks {
     /// The machine's own clocks.
     fn default() -> Self {
-        Clocks { steady: Arc::new(steady), wall: Arc::new(unix_time) }
+        Clocks { monotonic: Arc::new(monotonic_nanos), wall: Arc::new(unix_time) }
     }
 }
 
 impl Clocks {
     fn reading(&self) -> ClockReading {
-        ClockReading { wall: (self.wall)(), steady: (self.steady)() }
+        ClockReading { wall: (self.wall)(), steady: (self.monotonic)() }
     }
 }
 
@@ -57,7 +57,7 @@
 
     /// Monotonic time.
     pub fn steady(&self) -> Nanos {
-        (self.sources.steady)()
+        (self.sources.monotonic)()
     }
 
     fn lock(&self) -> MutexGuard<'_, Clock> {
--- a/examples/bare_cost.rs
+++ b/examples/bare_cost.rs
@@ -56,11 +56,11 @@
         let any = "127.0.0.1:0".parse().expect("an address");
         let settings = Settings { policy: Some(PolicySettings::default()), ..Settings::default() };
         let source = SourceOption::Discovery(discovery.addr);
-        let options = Options { listen: any, source, admin: None, settings, state: Some(state.clone()) };
+        let options = Options { listen: any, source, admin: None, settings, state_file: Some(state.clone()) };
         let service = start(options).await.expect("a control service");
         if !flags.is_empty() {
             // What a request does for its leave: a look at this clock, and one comparison.
-            let (clock, looks) = (Clocks::default().steady, 10_000_000u32);
+            let (clock, looks) = (Clocks::default().monotonic, 10_000_000u32);
             let start = std::time::Instant::now();
             let last = (0..looks).fold(0, |last, _| last.max(clock()));
             println!("a look at the clock: {:.1} ns ({last})\n", start.elapsed().as_nanos() as f64 / f64::from(looks));
--- a/examples/control_figures.rs
+++ b/examples/control_figures.rs
@@ -83,7 +83,7 @@
         source,
         admin: Some(any),
         settings: Settings::default(),
-        state: Some(file.clone()),
+        state_file: Some(file.clone()),
     })
     .await;
     let service = service.expect("a control service");
--- a/examples/defective.rs
+++ b/examples/defective.rs
@@ -29,8 +29,8 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let hangup = SignalFlag::hang_up().expect("a signal");
-        let ending = SignalFlag::ending().expect("a signal");
+        let hangup = SignalFlag::reload().expect("a signal");
+        let ending = SignalFlag::terminate().expect("a signal");
         let stop = async move { ending.raised().await };
         let mut config = Config::from_env().expect("a configuration");
         // One class of requests, or one data centre's proxies alone.
--- a/examples/envoy_figures.rs
+++ b/examples/envoy_figures.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use http_body_util::BodyExt;
 use rushquay::proxy::local::LocalProxy;
-use rushquay_envoy::catalogue::{Catalogue, Choice};
+use rushquay_envoy::catalogue::{Catalogue, ListenerSelector};
 use rushquay_envoy::resource::{decode, message_of, Item, Resource};
 use rushquay_envoy::text::{encode, parse};
 use rushquay_envoy::{bootstrap, Notes, Source};
@@ -170,11 +170,11 @@
         (Source::File("/z".into()), Kind::Endpoints, std::fs::read(path).expect("read")),
     ];
     let fill = || {
-        let mut catalogue = Catalogue::new(&file, Choice::default(), 1);
+        let mut catalogue = Catalogue::new(&file, ListenerSelector::default(), 1);
         for (source, kind, body) in &bodies {
             let (name, item) = decode(*kind, body, &mut Notes::default()).expect("good");
             let resource = Resource { name, version: "1".into(), item, encoded: body.clone() };
-            catalogue.take(source, *kind, vec![resource], &[], true, 1);
+            catalogue.apply(source, *kind, vec![resource], &[], true, 1);
             drop(catalogue.settle(1));
         }
         catalogue
--- a/examples/skewed.rs
+++ b/examples/skewed.rs
@@ -6,7 +6,9 @@
 use rushquay::proxy::config::Config;
 use rushquay::proxy::process::signals::SignalFlag;
 use rushquay::proxy::server;
-use rushquay_control_service::{read_settings, start_by, steady, Clocks, Options, SourceOption};
+use rushquay_control_service::{
+    monotonic_nanos, read_settings, start_with_clocks, Clocks, Options, SourceOption,
+};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -16,9 +18,9 @@
 
 /// A clock that runs so many parts in a million fast.
 fn skewed(ppm: i64) -> impl Fn() -> u64 + Send + Sync + Clone {
-    let start = steady();
+    let start = monotonic_nanos();
     move || {
-        let passed = i128::from(steady() - start);
+        let passed = i128::from(monotonic_nanos() - start);
         start + (passed * i128::from(1_000_000 + ppm) / 1_000_000) as u64
     }
 }
@@ -31,7 +33,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         (now.as_nanos() as u64).saturating_add_signed(step * 1_000_000_000)
     };
-    Clocks { steady: Arc::new(steady), wall: Arc::new(wall) }
+    Clocks { monotonic: Arc::new(steady), wall: Arc::new(wall) }
 }
 
 fn main() {
@@ -42,8 +44,8 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let hangup = SignalFlag::hang_up().expect("a signal");
-        let ending = SignalFlag::ending().expect("a signal");
+        let hangup = SignalFlag::reload().expect("a signal");
+        let ending = SignalFlag::terminate().expect("a signal");
         let stop = async move { ending.raised().await };
         let mut config = Config::from_env().expect("a configuration");
         config.clocks = clocks(clock);
@@ -62,12 +64,12 @@
         source: SourceOption::Discovery(address("--discovery")),
         admin: Some(address("--admin")),
         settings: read_settings(option("--config").as_ref()).expect("settings"),
-        state: None,
+        state_file: None,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.expect("a runtime").block_on(async {
-        let ending = SignalFlag::ending().expect("a signal");
-        let service = start_by(options, clocks(clock)).await.expect("a control service");
+        let ending = SignalFlag::terminate().expect("a signal");
+        let service = start_with_clocks(options, clocks(clock)).await.expect("a control service");
         println!("listening xds={} admin={}", service.xds, service.admin.expect("an admin address"));
         ending.raised().await;
         service.stop().await;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -5,7 +5,7 @@
 use rushquay::proxy::control::rollout_settings::RolloutSource;
 use rushquay::proxy::control::settings::ControlSource;
 use rushquay::proxy::envoy::{read_bootstrap, EnvoySource};
-use rushquay::supervisor::HostSettings;
+use rushquay::supervisor::SupervisorSettings;
 use rushquay_control_service::read_settings;
 use rushquay_endpoints::validate_list;
 use rushquay_envoy::{Bootstrap, Members, Routes, Source};
@@ -35,7 +35,7 @@
             ));
         }
         if table.contains_key("programs") {
-            let settings = HostSettings::read(path)?;
+            let settings = SupervisorSettings::read(path)?;
             return Ok(format!("{name}: good (a host, of proxy {})", settings.name));
         }
         if table.contains_key("report_ms") {
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -43,7 +43,7 @@
     let any = "127.0.0.1:0".parse().map_err(|e| format!("{e}"))?;
     let source = SourceOption::Discovery(discovery.addr);
     let options =
-        Options { listen: any, source, admin: Some(any), settings: Settings::default(), state: None };
+        Options { listen: any, source, admin: Some(any), settings: Settings::default(), state_file: None };
     let control = start(options).await.map_err(|e| e.to_string())?;
     let mut proxies = Vec::new();
     for number in 0..PROXIES {
--- a/src/cli/host.rs
+++ b/src/cli/host.rs
@@ -2,7 +2,9 @@
 
 use super::ending;
 use clap::{Args, Subcommand};
-use rushquay::supervisor::{add, digest, find, run as host, Files, HostSettings};
+use rushquay::supervisor::{
+    add_program, file_digest, find_processes, run as host, Files, SupervisorSettings,
+};
 use std::path::PathBuf;
 
 #[derive(Args)]
@@ -44,31 +46,31 @@
 pub fn run(args: HostArgs) -> Result<(), String> {
     match args.command {
         HostCommand::Run { config } => {
-            let settings = HostSettings::read(&config)?;
+            let settings = SupervisorSettings::read(&config)?;
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
             let running = async { host(settings, ending()?).await };
             tokio::task::LocalSet::new().block_on(&runtime, running)
         }
         HostCommand::Status { config } => {
-            print!("{}", status(&HostSettings::read(&config)?)?);
+            print!("{}", status(&SupervisorSettings::read(&config)?)?);
             Ok(())
         }
         HostCommand::Digest { file } => {
-            println!("{}", digest(&file)?);
+            println!("{}", file_digest(&file)?);
             Ok(())
         }
         HostCommand::Add { file, programs } => {
-            println!("{}", add(&file, &programs)?);
+            println!("{}", add_program(&file, &programs)?);
             Ok(())
         }
     }
 }
 
-fn status(settings: &HostSettings) -> Result<String, String> {
+fn status(settings: &SupervisorSettings) -> Result<String, String> {
     let files = Files::open(settings)?;
     let mut out = format!("{}: its own file says {}\n", settings.name, settings.program);
-    let found = find(&files.socket());
+    let found = find_processes(&files.socket());
     for one in found.map_err(|e| format!("the processes of this machine can't be looked up: {e}"))? {
         out += &format!("process {} runs {}\n", one.id.pid, one.program);
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -168,7 +168,7 @@
                 (None, Some(path)) => SourceOption::Nodes(path),
                 (None, None) => return Err("--discovery or --nodes is needed".into()),
             };
-            control(Options { listen, source, admin, settings: settings.clone(), state })
+            control(Options { listen, source, admin, settings: settings.clone(), state_file: state })
         }
         Command::Rollout(args) => threads()?.block_on(rollout::run(args)),
         Command::Policy(args) => threads()?.block_on(policy::run(args)),
@@ -191,7 +191,7 @@
 
 /// A future that completes on SIGTERM or SIGINT.
 fn ending() -> Result<impl Future<Output = ()>, String> {
-    let ending = SignalFlag::ending()?;
+    let ending = SignalFlag::terminate()?;
     Ok(async move { ending.raised().await })
 }
 
@@ -201,9 +201,9 @@
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     let run = async {
         // Danger: SIGHUP ends the process until a handler is registered, so register it first.
-        let hangup = SignalFlag::hang_up()?;
+        let hangup = SignalFlag::reload()?;
         let envoy = envoy.map(|path| (proxy::config::ENVOY, path.display().to_string()));
-        let mut config = proxy::config::Config::from_env_and(envoy.as_slice())?;
+        let mut config = proxy::config::Config::from_env_with(envoy.as_slice())?;
         if let Some(path) = control {
             config.control = Some(
                 proxy::control::settings::ControlSource::read(&path)
@@ -225,7 +225,7 @@
 /// Runs the control service on a few threads.
 fn control(options: Options) -> Result<(), String> {
     threads()?.block_on(async {
-        let hangup = SignalFlag::hang_up()?;
+        let hangup = SignalFlag::reload()?;
         let mut ending = std::pin::pin!(ending()?);
         let service = start(options).await.map_err(|e| e.to_string())?;
         let admin = service.admin.map_or_else(|| "none".to_owned(), |a| a.to_string());
--- a/src/proxy/config/active_config.rs
+++ b/src/proxy/config/active_config.rs
@@ -26,7 +26,7 @@
     }
 
     /// How long nodes deduplicate retries of a class. `None` if its requests may safely run again or must not be retried.
-    pub fn remembered(&self, class: u32) -> Option<Nanos> {
+    pub fn dedup_window(&self, class: u32) -> Option<Nanos> {
         self.settings
             .classes
             .get(class as usize)
@@ -46,7 +46,7 @@
     }
 
     /// The latency objective of a class.
-    pub fn aim(&self, class: usize) -> Nanos {
+    pub fn latency_objective(&self, class: usize) -> Nanos {
         self.settings.classes.get(class).map_or(Nanos::MAX, |c| c.latency_objective)
     }
 }
--- a/src/proxy/config/layers.rs
+++ b/src/proxy/config/layers.rs
@@ -23,7 +23,7 @@
     /// The policies, by number.
     pub policies: BTreeMap<PolicyNumber, Policy>,
     /// The fallback policy in the proxy's own file.
-    pub begin_by: FallbackPolicy,
+    pub fallback_policy: FallbackPolicy,
 }
 
 /// Which requests are rejected.
@@ -122,7 +122,7 @@
         layer: Option<&PolicyLayer>,
     ) -> Result<EffectiveConfig, String> {
         let own = version.over(&self.own).map_err(|e| e.to_string())?;
-        let Some(PolicyLayer { leave, last, policies, begin_by }) = layer else {
+        let Some(PolicyLayer { leave, last, policies, fallback_policy: begin_by }) = layer else {
             return Ok((Some(parse_checked(&own)?), RejectedClasses::default()));
         };
         match apply_overlay(&own, *leave, *last, policies, begin_by).map_err(|e| e.to_string())? {
--- a/src/proxy/config/mod.rs
+++ b/src/proxy/config/mod.rs
@@ -87,17 +87,17 @@
     /// The clocks are injected because the clocks of two machines differ. Policy leases expire by the monotonic clock.
     pub clocks: Clocks,
     /// The supervisor that started this process, if any.
-    pub hosted: Option<Supervised>,
+    pub supervisor: Option<Supervised>,
 }
 
 impl Config {
     /// Reads the environment and the file that it names. An error names the variable or the field at fault.
     pub fn from_env() -> Result<Self, String> {
-        Self::from_env_and(&[])
+        Self::from_env_with(&[])
     }
 
     /// As [`Config::from_env`], with variables that take precedence over those of the environment.
-    pub fn from_env_and(told: &[(&str, String)]) -> Result<Self, String> {
+    pub fn from_env_with(told: &[(&str, String)]) -> Result<Self, String> {
         let told = |name: &str| told.iter().find(|(n, _)| *n == name).map(|(_, v)| v.clone());
         Self::read(|name| told(name).or_else(|| std::env::var(name).ok()))
     }
@@ -158,7 +158,7 @@
         }
         Ok(Config {
             name: sources.name(),
-            hosted: Supervised::read(&sources.variable)?,
+            supervisor: Supervised::read(&sources.variable)?,
             control,
             envoy,
             rollout,
--- a/src/proxy/control/policy_client.rs
+++ b/src/proxy/control/policy_client.rs
@@ -79,7 +79,7 @@
         inherited: Option<PolicyHandover>,
         news: Arc<Notify>,
     ) -> Rc<Self> {
-        let (boot, now) = (Incarnation(layers.engine().now()), (clocks.steady)());
+        let (boot, now) = (Incarnation(layers.engine().now()), (clocks.monotonic)());
         let parse_broadcast = |text: &str| {
             let read = PolicyBroadcast::read(text);
             read.map_err(|e| crate::proxy::log(format_args!("ignoring the policy of the old process: {e}")))
@@ -113,7 +113,7 @@
     }
 
     fn now(&self) -> Nanos {
-        (self.clocks.steady)()
+        (self.clocks.monotonic)()
     }
 
     /// Returns the incarnation of this process.
@@ -253,7 +253,7 @@
         state.last_passed = Some((leave, last));
         let policies: BTreeMap<PolicyNumber, Body> =
             state.applied.as_ref().map(|h| h.policies.clone()).unwrap_or_default();
-        let layer = PolicyLayer { leave, last, policies, begin_by: self.source.floor.clone() };
+        let layer = PolicyLayer { leave, last, policies, fallback_policy: self.source.floor.clone() };
         let revision = state.member.revision().0;
         match self.layers.apply_policy(layer) {
             Ok(()) => {
@@ -273,7 +273,7 @@
                     leave: ActivePolicy::Denied,
                     last,
                     policies: BTreeMap::new(),
-                    begin_by: FallbackPolicy::Nobody,
+                    fallback_policy: FallbackPolicy::Nobody,
                 };
                 let _ = self.layers.apply_policy(reject_all);
             }
@@ -316,7 +316,7 @@
                 leave,
                 last: policy_set,
                 policies: broadcast.policies.clone(),
-                begin_by: fallback.clone(),
+                fallback_policy: fallback.clone(),
             };
             layers.check_policy(&layer)?;
         }
@@ -327,6 +327,6 @@
         leave,
         last: Some(broadcast.policy_set),
         policies,
-        begin_by: fallback.clone(),
+        fallback_policy: fallback.clone(),
     })
 }
--- a/src/proxy/control/rollout_metrics.rs
+++ b/src/proxy/control/rollout_metrics.rs
@@ -25,7 +25,7 @@
         match outcome {
             RequestOutcome::Completed => {
                 stats.record_response_time(nanos);
-                match nanos > config.aim(class) {
+                match nanos > config.latency_objective(class) {
                     true => stats.late += 1,
                     false => stats.served += 1,
                 }
--- a/src/proxy/discovery/endpoint_list.rs
+++ b/src/proxy/discovery/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{server_id, ListKind, ServerId};
 use crate::proxy::engine::Engine;
-use rushquay_control_service::steady;
+use rushquay_control_service::monotonic_nanos;
 use rushquay_endpoints::{
     Changes, Endpoint, EndpointList, EndpointMerger, EndpointState, ListAssembler, MergeLimits, MergeTime,
     MonotonicTime, OverrideTime, Pin, Pins, Source, StartTimes, WatchEvent,
@@ -41,7 +41,7 @@
             }
             RefCell::new(merger)
         });
-        let clock_origin = (engine.now(), steady());
+        let clock_origin = (engine.now(), monotonic_nanos());
         let mut discovered = ListAssembler::default();
         known.iter().for_each(|known| discovered.apply(known));
         let (skew, pins, discovered) = (Cell::default(), RefCell::default(), RefCell::new(discovered));
@@ -51,7 +51,7 @@
 
     /// Returns Unix time by this process's clock, which never steps.
     pub fn now(&self) -> Nanos {
-        self.clock_origin.0 + steady().saturating_sub(self.clock_origin.1)
+        self.clock_origin.0 + monotonic_nanos().saturating_sub(self.clock_origin.1)
     }
 
     /// Returns the current time: on this process's clock for intervals, and for overrides on the control service's clock as far as its
@@ -69,7 +69,7 @@
     pub fn on_clock_measurement(&self, ahead: i64, error: Nanos) {
         let mut skew = self.skew.get();
         let before = skew.ahead();
-        if skew.add_measurement(ahead, error, steady()) && ahead.abs_diff(before) > SECOND / 2 {
+        if skew.add_measurement(ahead, error, monotonic_nanos()) && ahead.abs_diff(before) > SECOND / 2 {
             crate::proxy::log(format_args!(
                 "control service: clock offset {:+.3} s, within {:.3} s; overrides expire by that clock",
                 ahead as f64 / SECOND as f64,
--- a/src/proxy/engine.rs
+++ b/src/proxy/engine.rs
@@ -245,7 +245,7 @@
         request.remaining = client_timeout - margin;
         let deadline = now.saturating_add(request.remaining);
         let keyed = request.is_write && self.active_config.borrow().keyed(request.class);
-        let deduplicated_for = self.active_config.borrow().remembered(request.class);
+        let deduplicated_for = self.active_config.borrow().dedup_window(request.class);
         let (job, attempts) = (Rc::new(job), Vec::new());
         let client_until = now.saturating_add(client_timeout);
         let after_body = job.upload().map(|_| client_timeout.saturating_sub(upload));
@@ -345,7 +345,7 @@
                 // changed since.
                 let harmless = core.pending.get(&id).is_none_or(Pending::is_retry_harmless);
                 let answer = match harmless {
-                    true => Answer::Refused(Duration::from_nanos(retry_after)),
+                    true => Answer::Rejected(Duration::from_nanos(retry_after)),
                     false => Answer::Failed,
                 };
                 self.answer(core, id, answer, events);
@@ -409,7 +409,7 @@
             node: server,
             after,
         });
-        if fleet_stats::on() {
+        if fleet_stats::is_enabled() {
             let (kind, started) = self.upstreams.kind(server).unwrap_or_default();
             let cold = started > 0 && now < started.saturating_add(self.slow_start);
             fleet_stats::attempt(in_flight, last, self.origin_kind == Some(kind), cold);
@@ -490,7 +490,7 @@
     fn count_unserved(&self, request: &str, answer: &Answer, after: Cause) {
         let metrics = self.upstreams.ledger();
         let status = match answer {
-            Answer::Refused(_) => {
+            Answer::Rejected(_) => {
                 metrics.refusals.one_more(after);
                 503
             }
--- a/src/proxy/envoy/admin.rs
+++ b/src/proxy/envoy/admin.rs
@@ -9,7 +9,7 @@
 use axum::routing::get;
 use axum::Router;
 use rushquay_control_service::serve_pages;
-use rushquay_envoy::catalogue::{Kept, Warmth};
+use rushquay_envoy::catalogue::{StoredResource, WarmingState};
 use rushquay_envoy::resource::message_of;
 use rushquay_envoy::text::show;
 use rushquay_load_assignment::{EndpointUse, Health};
@@ -145,7 +145,7 @@
     let nodes: HashMap<_, _> = nodes.iter().map(|n| ((&*n.cluster, &*n.id), n)).collect();
     let clusters: HashMap<_, _> = clusters.iter().map(|c| (&*c.name, c)).collect();
     let catalogue = shared.catalogue.borrow();
-    let statuses = catalogue.shown().map(|(spec, warmth, pool)| {
+    let statuses = catalogue.cluster_states().map(|(spec, warmth, pool)| {
         let hosts = pool.endpoint_statuses().into_iter().map(|host| {
             let stats = nodes.get(&(&*spec.name, &*host.node.id));
             json!({
@@ -169,7 +169,7 @@
         let stats = clusters.get(&*spec.name);
         let trips = stats.map(|p| p.trips).unwrap_or_default();
         json!({
-            "name": &*spec.name, "warming": !matches!(warmth, Warmth::Active), "dedup_group": &*spec.group,
+            "name": &*spec.name, "warming": !matches!(warmth, WarmingState::Active), "dedup_group": &*spec.group,
             "origin": spec.origin.as_deref(), "refused_part": pool.effective().rejected,
             "panic_threshold": spec.rules.sharing.panic, "priorities": levels, "split": split,
             "cx_active": stats.map_or(0, |p| p.connections), "rq_open": stats.map_or(0, |p| p.open_requests),
@@ -193,14 +193,19 @@
 fn dump(shared: &Shared) -> Value {
     let catalogue = shared.catalogue.borrow();
     let of = |kind: Kind, fixed: bool, field: &str| -> Vec<Value> {
-        let entry_json = |((_, name), kept): (&(Kind, String), &Kept)| {
+        let entry_json = |((_, name), kept): (&(Kind, String), &StoredResource)| {
             let mut body = show(message_of(kind), &kept.encoded);
             if let Value::Object(fields) = &mut body {
                 fields.insert("@type".into(), json!(kind.type_url()));
             }
-            json!({"name": name, "version_info": kept.version, "last_updated_ns": kept.at, field: body})
+            json!({"name": name, "version_info": kept.version, "last_updated_ns": kept.received_at, field: body})
         };
-        catalogue.kept().iter().filter(|((k, _), v)| *k == kind && v.fixed == fixed).map(entry_json).collect()
+        catalogue
+            .kept()
+            .iter()
+            .filter(|((k, _), v)| *k == kind && v.is_static == fixed)
+            .map(entry_json)
+            .collect()
     };
     let section = |name: &str, fields: [(&str, Vec<Value>); 2], kind: Kind| {
         let mut section_json = json!({"@type": format!("type.googleapis.com/envoy.admin.v3.{name}")});
--- a/src/proxy/envoy/driver.rs
+++ b/src/proxy/envoy/driver.rs
@@ -1,11 +1,11 @@
 //! The thread that follows the declared resources: the stream, files and DNS look-ups update the catalogue, and its changes are
 //! queued for the proxy's thread.
 
-use super::{admin, files, lookup, ChangeQueue, EnvoySource, Me, Resolver, StatsRequests};
+use super::{admin, files, lookup, ChangeQueue, EnvoySource, ProxyIdentity, Resolver, StatsRequests};
 use crate::proxy::clock::Clock;
 use crate::proxy::log;
 use prost::Message as _;
-use rushquay_envoy::catalogue::{Catalogue, Choice};
+use rushquay_envoy::catalogue::{Catalogue, ListenerSelector};
 use rushquay_envoy::session::Ads;
 use rushquay_xds::client::Outage;
 use rushquay_xds_grpc::{run, ClientEvent, ClientOptions, Node, Tls, TlsFiles};
@@ -32,7 +32,7 @@
 /// Runs the stream, files and look-ups that feed the catalogue.
 pub struct Driver {
     source: EnvoySource,
-    me: Me,
+    me: ProxyIdentity,
     change_queue: Arc<ChangeQueue>,
     resolver: Rc<dyn Resolver>,
     shared: Rc<Shared>,
@@ -41,12 +41,12 @@
 impl Driver {
     pub fn new(
         source: EnvoySource,
-        me: Me,
+        me: ProxyIdentity,
         change_queue: Arc<ChangeQueue>,
         resolver: Rc<dyn Resolver>,
     ) -> Self {
         let clock = me.clock;
-        let choice = Choice { name: source.listener.clone(), address: Some(me.listen) };
+        let choice = ListenerSelector { name: source.listener.clone(), address: Some(me.listen) };
         let catalogue = Rc::new(RefCell::new(Catalogue::new(&source.bootstrap, choice, clock.now())));
         let shared = Rc::new(Shared { catalogue, clock, changed: Notify::new() });
         Driver { source, me, change_queue, resolver, shared }
@@ -125,7 +125,7 @@
                         log(format_args!("{cluster}: {name}: {e}; keeping its current endpoints"));
                     }
                     let now = shared.clock.now();
-                    shared.catalogue.borrow_mut().looked_up(&cluster, &name, found, now);
+                    shared.catalogue.borrow_mut().handle_lookup_result(&cluster, &name, found, now);
                     shared.changed.notify_one();
                 });
             }
--- a/src/proxy/envoy/files.rs
+++ b/src/proxy/envoy/files.rs
@@ -1,7 +1,7 @@
 //! Files of resources (`path_config_source`), which are read again when they change.
 
 use super::driver::Shared;
-use rushquay_control_service::{Watched, LOOK_EVERY};
+use rushquay_control_service::{FileWatcher, POLL_INTERVAL};
 use rushquay_envoy::resource::file;
 use rushquay_envoy::{Notes, Source};
 use rushquay_xds::Kind;
@@ -15,7 +15,7 @@
 /// A file and the result of its last read.
 #[derive(Default)]
 struct WatchedFile {
-    watched: Watched,
+    watched: FileWatcher,
     /// The text of the last successful read, or the error.
     last: Option<Result<String, String>>,
 }
@@ -28,11 +28,11 @@
         watched_files.retain(|key, _| wanted.contains(key));
         for key in wanted {
             let file_state = watched_files.entry(key.clone()).or_default();
-            if let Some(will_retry) = file_state.watched.look(&key.0) {
+            if let Some(will_retry) = file_state.watched.should_read(&key.0) {
                 read(&shared, &key.0, key.1, file_state, will_retry);
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -40,7 +40,7 @@
     let text = match std::fs::metadata(path) {
         Ok(m) if m.len() > MAX_FILE_BYTES => Err(format!("longer than {MAX_FILE_BYTES} bytes")),
         _ => std::fs::read_to_string(path).map_err(|e| {
-            file_state.watched.unread();
+            file_state.watched.read_failed();
             e.to_string()
         }),
     };
@@ -55,7 +55,7 @@
         Ok((text, resources)) => {
             file_state.last = Some(Ok(text));
             let (source, now) = (Source::File(path.clone()), shared.clock.now());
-            shared.catalogue.borrow_mut().take(&source, kind, resources, &[], true, now);
+            shared.catalogue.borrow_mut().apply(&source, kind, resources, &[], true, now);
             shared.changed.notify_one();
         }
         // The file may be half written and will be read again; the previous resources stay in force.
@@ -64,7 +64,7 @@
             let why = format!("{}: {why}", path.display());
             if file_state.last != Some(Err(why.clone())) {
                 crate::proxy::log(format_args!("rejected, keeping the previous resources: {why}"));
-                shared.catalogue.borrow_mut().refuse(kind, why.clone());
+                shared.catalogue.borrow_mut().record_rejection(kind, why.clone());
                 file_state.last = Some(Err(why));
             }
         }
--- a/src/proxy/envoy/mod.rs
+++ b/src/proxy/envoy/mod.rs
@@ -52,7 +52,7 @@
 type StatsRequests = mpsc::Sender<oneshot::Sender<Stats>>;
 
 /// The proxy that follows the resources.
-pub struct Me {
+pub struct ProxyIdentity {
     /// The proxy's name, used if the bootstrap file gives no `node.id`.
     pub name: String,
     /// The seed for the jitter of the backoff between connection attempts.
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The admin address cannot be bound, or the secrets cannot be read.
-pub fn follow(source: EnvoySource, pools: Rc<ClusterSet>, me: Me) -> Result<(), String> {
+pub fn follow(source: EnvoySource, pools: Rc<ClusterSet>, me: ProxyIdentity) -> Result<(), String> {
     follow_with(source, pools, me, || Rc::new(SystemResolver))
 }
 
@@ -78,7 +78,7 @@
 pub fn follow_with(
     source: EnvoySource,
     pools: Rc<ClusterSet>,
-    me: Me,
+    me: ProxyIdentity,
     resolver: impl FnOnce() -> Rc<dyn Resolver> + Send + 'static,
 ) -> Result<(), String> {
     let changes_queue = Arc::new(ChangeQueue::default());
--- a/src/proxy/envoy/tests.rs
+++ b/src/proxy/envoy/tests.rs
@@ -52,7 +52,7 @@
         let ips = |list: &[&str]| list.iter().map(|ip| ip.parse().expect("an address")).collect::<Vec<_>>();
         let answers: Answers = Arc::new(Mutex::new(Ok(ips(&["127.0.0.1", "127.0.0.2", "::1"]))));
         let listen = "127.0.0.1:1".parse().expect("an address");
-        let me = Me { name: "p".into(), seed: 1, listen, clock };
+        let me = ProxyIdentity { name: "p".into(), seed: 1, listen, clock };
         let (resolver_answers, lookup_count) = (answers.clone(), Arc::new(AtomicUsize::new(0)));
         let resolver_count = lookup_count.clone();
         follow_with(source, pools.clone(), me, || Rc::new(FakeResolver(resolver_answers, resolver_count)))
--- a/src/proxy/http/answer.rs
+++ b/src/proxy/http/answer.rs
@@ -10,7 +10,7 @@
     /// A response from a node or the origin.
     Served(Response<Body>),
     /// Rejected: the request had no effect, and may be retried after the advised wait.
-    Refused(Duration),
+    Rejected(Duration),
     Failed,
     /// The decision module gave no answer in time.
     Overdue,
@@ -21,7 +21,7 @@
     pub fn end(&self) -> RequestOutcome {
         match self {
             Answer::Served(_) => RequestOutcome::Completed,
-            Answer::Refused(_) => RequestOutcome::Rejected,
+            Answer::Rejected(_) => RequestOutcome::Rejected,
             Answer::Failed | Answer::Overdue => RequestOutcome::Failed,
         }
     }
--- a/src/proxy/http/request_body.rs
+++ b/src/proxy/http/request_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, Sleep};
 
 /// Bodies of at most this many bytes are buffered completely.
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 /// Minimum progress of a client that sends a body. The slowest healthy client sends 64 kB/s after the first two seconds. A client that
 /// has stopped must get its answer within 3 s; the limit is below that, since a stall is detected a little late.
 pub const CLIENT_LIMITS: ProgressLimits =
@@ -27,7 +27,7 @@
 const STREAMING_LIMITS: ProgressLimits = ProgressLimits { max_silence: 10 * SECOND, grace: 0, min_rate: 0 };
 
 /// Returns monotonic nanoseconds since an arbitrary time in this process.
-pub fn steady() -> Nanos {
+pub fn steady_nanos() -> Nanos {
     thread_local! {
         static START: Instant = Instant::now();
     }
@@ -39,7 +39,7 @@
 
 enum Kind {
     Whole(Full<Bytes>),
-    Answer(Box<LongAnswer>),
+    Answer(Box<StreamedResponse>),
     Upload(Box<UploadAttempt>),
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// Creates the body of a node's long answer.
-    pub fn answer(answer: LongAnswer) -> Self {
+    pub fn answer(answer: StreamedResponse) -> Self {
         Body(Kind::Answer(Box::new(answer)))
     }
 
@@ -117,17 +117,17 @@
 
 impl StallDetector {
     fn new(limits: ProgressLimits) -> Self {
-        StallDetector { progress: ProgressTracker::new(steady()), limits, timer: None }
+        StallDetector { progress: ProgressTracker::new(steady_nanos()), limits, timer: None }
     }
 
     fn record(&mut self, bytes: usize) {
-        self.progress.record(steady(), bytes);
+        self.progress.record(steady_nanos(), bytes);
         self.timer = None;
     }
 
     /// Returns whether the peer has stalled; if not, the task is woken when it has.
     fn has_stalled(&mut self, cx: &mut Context<'_>) -> bool {
-        let now = steady();
+        let now = steady_nanos();
         if self.timer.is_none() {
             let remaining = self.progress.stalled_at(&self.limits).saturating_sub(now);
             let at = tokio::time::Instant::now() + Duration::from_nanos(remaining);
@@ -152,36 +152,41 @@
 }
 
 /// A connection on which an answer is still arriving. Dropping it closes the connection.
-pub trait Returns {
+pub trait ReturnConnection {
     /// Returns the connection to its pool, once the answer has ended.
-    fn back(self: Box<Self>);
+    fn return_connection(self: Box<Self>);
 }
 
 /// A node's answer that is streamed while it arrives. Dropping it before its end closes its connection.
-pub struct LongAnswer {
+pub struct StreamedResponse {
     /// The buffered beginning, until it has been passed on.
     held: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    returning: Option<Box<dyn Returns>>,
+    returning: Option<Box<dyn ReturnConnection>>,
     stall_detector: StallDetector,
     carried: Vec<Box<dyn Any>>,
     ended: bool,
 }
 
-impl LongAnswer {
+impl StreamedResponse {
     /// `length` is the length of the whole body; `returning` takes the connection back after the last byte.
-    pub fn new(held: Bytes, rest: Incoming, length: Option<u64>, returning: impl Returns + 'static) -> Self {
+    pub fn new(
+        held: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        returning: impl ReturnConnection + 'static,
+    ) -> Self {
         let held = Some(held).filter(|h| !h.is_empty());
-        let returning: Option<Box<dyn Returns>> = Some(Box::new(returning));
+        let returning: Option<Box<dyn ReturnConnection>> = Some(Box::new(returning));
         let stall_detector = StallDetector::new(STREAMING_LIMITS);
-        LongAnswer { held, rest, length, returning, stall_detector, carried: Vec::new(), ended: false }
+        StreamedResponse { held, rest, length, returning, stall_detector, carried: Vec::new(), ended: false }
     }
 
     /// Ends the answer after its last byte.
     fn end(&mut self) {
         self.ended = true;
-        self.returning.take().into_iter().for_each(|r| r.back());
+        self.returning.take().into_iter().for_each(|r| r.return_connection());
         self.carried.clear();
     }
 
@@ -213,7 +218,7 @@
 
 /// A client's body that is too long to be buffered completely.
 pub struct Upload {
-    beginning: Bytes,
+    read_beginning: Bytes,
     rest: RefCell<Option<Incoming>>,
     replay: Cell<Replay>,
     length: Option<u64>,
@@ -226,7 +231,14 @@
     /// Creates an upload from the buffered beginning of a body and the rest that is still arriving.
     pub fn new(beginning: Bytes, rest: Incoming, length: Option<u64>) -> Rc<Self> {
         let (rest, replay) = (RefCell::new(Some(rest)), Cell::new(Replay::of(false)));
-        Rc::new(Upload { beginning, rest, replay, length, whole: Cell::new(false), completed: Notify::new() })
+        Rc::new(Upload {
+            read_beginning: beginning,
+            rest,
+            replay,
+            length,
+            whole: Cell::new(false),
+            completed: Notify::new(),
+        })
     }
 
     /// Returns whether an attempt may still start to send the body.
@@ -267,14 +279,14 @@
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if !self.beginning_sent {
             self.beginning_sent = true;
-            return Poll::Ready(Some(Ok(Frame::data(self.upload.beginning.clone()))));
+            return Poll::Ready(Some(Ok(Frame::data(self.upload.read_beginning.clone()))));
         }
         if self.rest.is_none() {
             self.rest = self.upload.claim_rest();
             self.stall_detector = StallDetector::new(CLIENT_LIMITS);
         }
         let rest_length =
-            self.upload.length.map(|length| length.saturating_sub(self.upload.beginning.len() as u64));
+            self.upload.length.map(|length| length.saturating_sub(self.upload.read_beginning.len() as u64));
         let Some(rest) = &mut self.rest else {
             return Poll::Ready(Some(Err(io::Error::other(
                 "another attempt has already sent the rest of the body",
@@ -303,40 +315,40 @@
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyReadError {
     /// The sender has stopped, or is too slow.
-    Stopped,
+    Stalled,
     /// The body was cut off, or its framing is invalid.
     Broken,
 }
 
-/// Reads the beginning of a body, until it exceeds [`BODY_MOST`]; returns it and whether it is the complete body. After `hold`, returns
+/// Reads the beginning of a body, until it exceeds [`MAX_BUFFERED_BODY`]; returns it and whether it is the complete body. After `hold`, returns
 /// what has arrived by then.
 pub async fn beginning(
     body: &mut Incoming,
     limits: ProgressLimits,
     hold: Option<Duration>,
-) -> Result<(Bytes, bool), Unread> {
+) -> Result<(Bytes, bool), BodyReadError> {
     let (mut progress, mut parts): (ProgressTracker, Vec<Bytes>) =
-        (ProgressTracker::new(steady()), Vec::new());
+        (ProgressTracker::new(steady_nanos()), Vec::new());
     let hold_until = hold.map(|hold| tokio::time::Instant::now() + hold);
     loop {
         let held: usize = parts.iter().map(Bytes::len).sum();
-        if held > BODY_MOST {
+        if held > MAX_BUFFERED_BODY {
             return Ok((concat(parts), false));
         }
-        let remaining = Duration::from_nanos(progress.stalled_at(&limits).saturating_sub(steady()));
+        let remaining = Duration::from_nanos(progress.stalled_at(&limits).saturating_sub(steady_nanos()));
         let stalled_at = tokio::time::Instant::now() + remaining;
         let hold_end = hold_until.filter(|until| *until < stalled_at);
         let frame = match tokio::time::timeout_at(hold_end.unwrap_or(stalled_at), body.frame()).await {
             Err(_) if hold_end.is_some() => return Ok((concat(parts), false)),
-            Err(_) => return Err(Unread::Stopped),
+            Err(_) => return Err(BodyReadError::Stalled),
             Ok(None) => return Ok((concat(parts), true)),
-            Ok(Some(Err(_))) => return Err(Unread::Broken),
+            Ok(Some(Err(_))) => return Err(BodyReadError::Broken),
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
-            progress.record(steady(), data.len());
+            progress.record(steady_nanos(), data.len());
             parts.push(data);
         }
     }
--- a/src/proxy/http/request_framing.rs
+++ b/src/proxy/http/request_framing.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::listener::read_buffer::{ReadBuffer, MAX_HEADERS, READ_CHUNK, UNLIMITED};
 use crate::proxy::upstream::socket::{Io, Socket};
-use crate::proxy::BUFFER_MOST;
+use crate::proxy::MAX_READ_AHEAD;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
         let mut request = httparse::Request::new(&mut headers);
         let head_length = match request.parse(&held) {
             Ok(httparse::Status::Complete(length)) => length as u64,
-            Ok(httparse::Status::Partial) if held.len() < BUFFER_MOST => return None,
+            Ok(httparse::Status::Partial) if held.len() < MAX_READ_AHEAD => return None,
             _ => return Some(UNLIMITED),
         };
         let values_of = |name: &'static str| {
@@ -50,7 +50,7 @@
         self.buffer.head_since.set(None);
         self.buffer.heads.set(self.buffer.heads.get() + 1);
         self.buffer.fault.set(fault);
-        self.buffer.last.set(has_transfer_encoding);
+        self.buffer.has_unknown_length.set(has_transfer_encoding);
         let body = content_length.map_or(Some(0), |v| std::str::from_utf8(v).ok()?.parse::<u64>().ok());
         let request_length = body
             .filter(|_| !has_transfer_encoding && fault.is_none())
--- a/src/proxy/http/request_handler.rs
+++ b/src/proxy/http/request_handler.rs
@@ -153,7 +153,7 @@
         if let Some(wait) = policy.and_then(|p| p.rejects(class)) {
             self.metrics.refusals.one_more(Cause::Policy);
             account.ended(RequestOutcome::Rejected);
-            return with_accounting(respond_with(Answer::Refused(wait)), account);
+            return with_accounting(respond_with(Answer::Rejected(wait)), account);
         }
         // Danger: nodes and the deduplication of retries identify a request by its id; a second request with the same id belongs to
         // another client, and must not interfere with the first.
--- a/src/proxy/http/request_parsing.rs
+++ b/src/proxy/http/request_parsing.rs
@@ -6,7 +6,7 @@
 use crate::proxy::control::policy_client::PolicyClient;
 use crate::proxy::engine::{Engine, PendingRequest};
 use crate::proxy::http::headers::{CORRELATION_ID, TIME_LEFT};
-use crate::proxy::http::request_body::{beginning, Unread, Upload, CLIENT_LIMITS};
+use crate::proxy::http::request_body::{beginning, BodyReadError, Upload, CLIENT_LIMITS};
 use crate::proxy::http::responses::strip;
 use crate::proxy::http::routing::Forward;
 use crate::proxy::upstream::attempt::{AttemptBody, UpstreamRequest};
@@ -81,8 +81,8 @@
     let length = body.size_hint().exact();
     // Danger: a client that stalls in the middle of its body would keep its connection forever, since that counts as busy.
     let (held, whole) = beginning(&mut body, CLIENT_LIMITS, None).await.map_err(|e| match e {
-        Unread::Stopped => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
-        Unread::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
+        BodyReadError::Stalled => (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+        BodyReadError::Broken => (StatusCode::BAD_REQUEST, "the body is broken"),
     })?;
     // The request starts here, and completes under the policy lease that is valid now.
     policy.iter().for_each(|p| p.refresh());
--- a/src/proxy/http/response_reader.rs
+++ b/src/proxy/http/response_reader.rs
@@ -3,7 +3,7 @@
 use crate::api::Status;
 use crate::proxy::http::request_body::{beginning, NODE_LIMITS};
 use crate::proxy::upstream::attempt::AttemptOutcome;
-use crate::proxy::{Body, BODY_MOST};
+use crate::proxy::{Body, MAX_BUFFERED_BODY};
 use hyper::body::{Body as _, Bytes, Incoming};
 use hyper::header::{HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
@@ -65,7 +65,9 @@
     let (head, mut body) = response.into_parts();
     let length = body.size_hint().exact();
     let (held, whole) = match length {
-        Some(length) if length > BODY_MOST as u64 && head.status == StatusCode::OK => (Bytes::new(), false),
+        Some(length) if length > MAX_BUFFERED_BODY as u64 && head.status == StatusCode::OK => {
+            (Bytes::new(), false)
+        }
         _ => {
             // A chunked response may be a long one, whose first bytes must not be delayed for long. One that is delimited by the
             // close of its connection is buffered for as long as the node makes progress: a reset until then shows that it is incomplete.
--- a/src/proxy/http/responses.rs
+++ b/src/proxy/http/responses.rs
@@ -43,7 +43,7 @@
             head.version = Version::HTTP_11;
             Response::from_parts(head, body)
         }
-        Answer::Refused(wait) => {
+        Answer::Rejected(wait) => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             if !wait.is_zero() {
                 if let Ok(value) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
--- a/src/proxy/http/routing.rs
+++ b/src/proxy/http/routing.rs
@@ -99,7 +99,7 @@
     }
 
     fn reject(&self) -> Routed {
-        Routed::Answered(respond_with(Answer::Refused(self.retry_after())))
+        Routed::Answered(respond_with(Answer::Rejected(self.retry_after())))
     }
 
     /// Finds the route of a request and applies the route's changes to its head. `random` returns numbers in [0, 1).
@@ -208,7 +208,7 @@
 /// Builds the response to a request whose cluster does not exist.
 fn missing_cluster(status: u16, retry_after: Duration) -> Response<Body> {
     match StatusCode::from_u16(status) {
-        Ok(StatusCode::SERVICE_UNAVAILABLE) | Err(_) => respond_with(Answer::Refused(retry_after)),
+        Ok(StatusCode::SERVICE_UNAVAILABLE) | Err(_) => respond_with(Answer::Rejected(retry_after)),
         Ok(status) => plain(status, "no such cluster"),
     }
 }
--- a/src/proxy/listener/acceptor.rs
+++ b/src/proxy/listener/acceptor.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections, and chooses which one to close when descriptors run out.
 
-use crate::proxy::http::request_body::steady;
+use crate::proxy::http::request_body::steady_nanos;
 use crate::proxy::listener::client_connection::Client;
 use crate::proxy::listener::descriptors::Permit;
 use crate::proxy::server::Server;
@@ -117,10 +117,10 @@
         let is_evicted = |c: &&Rc<Client>| c.cause() == Some(CloseCause::MadeRoom);
         let idle: Vec<_> = clients.iter().filter(|c| !c.busy.get() && !is_evicted(c)).collect();
         let evidence: Vec<Evidence> = idle.iter().map(|c| c.evidence(now)).collect();
-        let evictable = evictable_connections(&evidence, steady(), self.max_clients(), slot_request);
+        let evictable = evictable_connections(&evidence, steady_nanos(), self.max_clients(), slot_request);
         let without_input = evictable.iter().find(|n| idle[**n].socket.has_no_input());
         if let Some(n) = without_input.or(evictable.first()) {
-            idle[*n].end(CloseCause::MadeRoom);
+            idle[*n].request_close(CloseCause::MadeRoom);
         }
     }
 
--- a/src/proxy/listener/client_connection.rs
+++ b/src/proxy/listener/client_connection.rs
@@ -1,7 +1,7 @@
 //! The state of a client connection that other tasks see: whether it is busy, and when and why it closes.
 
 use crate::api;
-use crate::proxy::http::request_body::steady;
+use crate::proxy::http::request_body::steady_nanos;
 use crate::proxy::listener::descriptors::Permit;
 use crate::proxy::listener::read_buffer::{BufferedInput, ReadBuffer};
 use crate::proxy::upstream::socket::Socket;
@@ -44,7 +44,7 @@
     /// When the connection was accepted or last answered.
     idle_since: Cell<Instant>,
     /// Wakes the connection's own task when the connection is to be closed.
-    pub ending: Notify,
+    pub close_requested: Notify,
     /// Why the connection is to be closed; `None` if it stays open.
     cause: Cell<Option<CloseCause>>,
     /// Everything has been written, and the peer is given time to read it.
@@ -64,7 +64,7 @@
             ends_by_close: Cell::new(false),
             accepted_at,
             idle_since: Cell::new(accepted_at),
-            ending: Notify::new(),
+            close_requested: Notify::new(),
             cause: Cell::new(None),
             lingering: Cell::new(false),
             skip_linger: Notify::new(),
@@ -72,12 +72,12 @@
     }
 
     /// Closes the connection once no response is owed on it. The first cause is kept, unless a later one closes immediately.
-    pub fn end(&self, cause: CloseCause) {
+    pub fn request_close(&self, cause: CloseCause) {
         let is_immediate = !matches!(cause, CloseCause::Idle | CloseCause::Drain);
         if self.cause.get().is_none() || is_immediate {
             self.cause.set(Some(cause));
         }
-        self.ending.notify_one();
+        self.close_requested.notify_one();
     }
 
     /// Returns why the connection is to be closed; `None` if it stays open.
@@ -92,7 +92,7 @@
 
     /// Returns the facts that `may_close` decides by.
     pub fn facts(&self) -> ConnectionFacts {
-        let buffered = self.read_buffer.behind();
+        let buffered = self.read_buffer.buffered_input();
         ConnectionFacts {
             answering: self.busy.get(),
             read_behind: buffered == BufferedInput::Request,
@@ -129,7 +129,7 @@
     /// Returns what decides which connection is closed when descriptors run out.
     pub fn evidence(&self, now: Instant) -> Evidence {
         let steady_at = |then: Instant| {
-            steady().saturating_sub(now.saturating_duration_since(then).as_nanos() as api::Nanos)
+            steady_nanos().saturating_sub(now.saturating_duration_since(then).as_nanos() as api::Nanos)
         };
         let (heads, has_partial_head) =
             (self.read_buffer.heads.get(), self.read_buffer.head_since.get().is_some());
@@ -147,7 +147,7 @@
         let exceeded = |from: Instant, limit: Duration| now.saturating_duration_since(from) > limit;
         let last_activity = self.socket.last_activity();
         if self.socket.stalled() && exceeded(last_activity, WRITE_STALL_TIMEOUT) {
-            return self.end(CloseCause::NotRead);
+            return self.request_close(CloseCause::NotRead);
         }
         if self.busy.get() {
             return;
@@ -160,9 +160,9 @@
             None => self.read_buffer.heads.get() == 0 && exceeded(self.accepted_at, FIRST_REQUEST_TIMEOUT),
         };
         if timed_out {
-            self.end(CloseCause::NoRequest);
+            self.request_close(CloseCause::NoRequest);
         } else if exceeded(self.idle_since.get(), IDLE_TIMEOUT) && self.socket.has_no_input() {
-            self.end(CloseCause::Idle);
+            self.request_close(CloseCause::Idle);
         }
     }
 }
--- a/src/proxy/listener/descriptors.rs
+++ b/src/proxy/listener/descriptors.rs
@@ -6,19 +6,19 @@
 
 /// A counting semaphore of descriptors.
 pub struct Descriptors {
-    most: Cell<usize>,
+    capacity: Cell<usize>,
     taken: Cell<usize>,
     freed: Notify,
 }
 
 impl Descriptors {
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Descriptors { most: Cell::new(most), taken: Cell::new(0), freed: Notify::new() })
+        Rc::new(Descriptors { capacity: Cell::new(most), taken: Cell::new(0), freed: Notify::new() })
     }
 
     /// Returns the size of the budget.
     pub fn most(&self) -> usize {
-        self.most.get()
+        self.capacity.get()
     }
 
     /// Returns the number of descriptors in use; it can exceed the budget for a while after that was reduced.
@@ -28,13 +28,13 @@
 
     /// Changes the size of the budget.
     pub fn resize(&self, most: usize) {
-        self.most.set(most);
+        self.capacity.set(most);
         self.freed.notify_one();
     }
 
     /// Takes a descriptor if one is free.
     pub fn take(self: &Rc<Self>) -> Option<Permit> {
-        if self.taken.get() >= self.most.get() {
+        if self.taken.get() >= self.capacity.get() {
             return None;
         }
         self.taken.set(self.taken.get() + 1);
--- a/src/proxy/listener/graceful_shutdown.rs
+++ b/src/proxy/listener/graceful_shutdown.rs
@@ -57,7 +57,7 @@
             // Time for the requests on the connections that were accepted last to arrive.
             sleep(QUIET_PERIOD).await;
         }
-        self.clients.borrow().iter().for_each(|c| c.end(CloseCause::Drain));
+        self.clients.borrow().iter().for_each(|c| c.request_close(CloseCause::Drain));
         self.await_last_responses(end).await;
         // A connection that was never admitted has no number.
         self.waiting.borrow_mut().drain(..).for_each(|_| self.count_turned_away(0, TurnedAway::NeverLetIn));
--- a/src/proxy/listener/read_buffer.rs
+++ b/src/proxy/listener/read_buffer.rs
@@ -3,7 +3,7 @@
 
 use crate::proxy::listener::pause_detection;
 use crate::proxy::upstream::socket::Socket;
-use crate::proxy::BUFFER_MOST;
+use crate::proxy::MAX_READ_AHEAD;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -50,7 +50,7 @@
     /// Why the last parsed request is rejected; `None` if it is valid.
     pub fault: Cell<Option<&'static str>>,
     /// The last parsed request has a body of unknown length, so nothing after it is parsed.
-    pub last: Cell<bool>,
+    pub has_unknown_length: Cell<bool>,
     /// Reading ahead has been ended.
     closed: Cell<bool>,
     /// Total bytes read, and total bytes passed on.
@@ -105,7 +105,7 @@
     }
 
     /// Returns what is buffered after the request in progress.
-    pub fn behind(&self) -> BufferedInput {
+    pub fn buffered_input(&self) -> BufferedInput {
         let held = self.held.borrow();
         let pass = usize::try_from(self.pass.get()).unwrap_or(usize::MAX);
         let Some(following) = held.get(pass..).filter(|following| !following.is_empty()) else {
@@ -113,7 +113,7 @@
         };
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         match httparse::Request::new(&mut headers).parse(following) {
-            Ok(httparse::Status::Partial) if following.len() < BUFFER_MOST => BufferedInput::Part,
+            Ok(httparse::Status::Partial) if following.len() < MAX_READ_AHEAD => BufferedInput::Part,
             _ => BufferedInput::Request,
         }
     }
@@ -126,7 +126,7 @@
     /// Returns how many bytes may be read ahead now. Danger: bytes of a body that are read here stay in memory until the body is consumed.
     fn read_ahead_capacity(&self) -> usize {
         match self.pass.get() {
-            0 if !self.closed.get() => BUFFER_MOST.saturating_sub(self.held.borrow().len()),
+            0 if !self.closed.get() => MAX_READ_AHEAD.saturating_sub(self.held.borrow().len()),
             _ => 0,
         }
     }
--- a/src/proxy/listener/read_buffer/tests.rs
+++ b/src/proxy/listener/read_buffer/tests.rs
@@ -64,19 +64,19 @@
     let buffer = ReadBuffer::default();
     buffer.take(HEAD, start);
     buffer.begin_request(HEAD.len() as u64);
-    assert_eq!(buffer.behind(), BufferedInput::Nothing);
+    assert_eq!(buffer.buffered_input(), BufferedInput::Nothing);
     buffer.take(&HEAD[..9], start);
-    assert_eq!(buffer.behind(), BufferedInput::Part);
+    assert_eq!(buffer.buffered_input(), BufferedInput::Part);
     buffer.take(&HEAD[9..], start);
-    assert_eq!(buffer.behind(), BufferedInput::Request);
+    assert_eq!(buffer.buffered_input(), BufferedInput::Request);
 }
 
 #[test]
 fn nothing_is_read_ahead_into_a_body_or_beyond_the_capacity() {
     let (start, _) = clock();
     let buffer = ReadBuffer::default();
-    assert_eq!(buffer.read_ahead_capacity(), BUFFER_MOST);
-    buffer.take(&vec![b'x'; BUFFER_MOST - 1], start);
+    assert_eq!(buffer.read_ahead_capacity(), MAX_READ_AHEAD);
+    buffer.take(&vec![b'x'; MAX_READ_AHEAD - 1], start);
     assert_eq!(buffer.read_ahead_capacity(), 1);
     buffer.pass.set(7);
     assert_eq!(buffer.read_ahead_capacity(), 0);
--- a/src/proxy/local.rs
+++ b/src/proxy/local.rs
@@ -38,7 +38,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| e.to_string())?;
             let run = async {
-                let hangup = SignalFlag::hang_up()?;
+                let hangup = SignalFlag::reload()?;
                 // Both a message and a dropped sender stop the proxy.
                 let stop = async { drop(stopped.await) };
                 let on_listening = |addr| {
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -14,14 +14,14 @@
 pub mod server;
 mod upstream;
 
-use http::request_body::{Body, BODY_MOST};
+use http::request_body::{Body, MAX_BUFFERED_BODY};
 use rushquay_admin::RequestMetrics;
 use rushquay_invariants::{Label as _, Violation};
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// Maximum number of bytes read ahead on a connection, including request heads.
-const BUFFER_MOST: usize = 16 << 10;
+const MAX_READ_AHEAD: usize = 16 << 10;
 
 /// Writes a line about a rare event to standard error. Danger: an error that repeats with every request would fill memory or block the
 /// only thread, so only the first lines of a process are written.
--- a/src/proxy/observability/fleet_stats.rs
+++ b/src/proxy/observability/fleet_stats.rs
@@ -19,7 +19,7 @@
 }
 
 /// Whether statistics are collected.
-pub fn on() -> bool {
+pub fn is_enabled() -> bool {
     ACCOUNT.with_borrow(Option::is_some)
 }
 
@@ -73,7 +73,7 @@
 
 /// Starts the statistics if the environment enables them.
 pub fn start() {
-    if std::env::var_os(VARIABLE).is_none() || on() {
+    if std::env::var_os(VARIABLE).is_none() || is_enabled() {
         return;
     }
     ACCOUNT.set(Some(Account::default()));
--- a/src/proxy/process/handover.rs
+++ b/src/proxy/process/handover.rs
@@ -2,8 +2,8 @@
 
 use crate::proxy::log;
 use rushquay_handover::{
-    HandoverState, Heard, Incumbent, IncumbentMessage, Offer, Peer, Reply, ResourceShare, Step, Successor,
-    SuccessorMessage,
+    HandoverResponse, HandoverState, Incumbent, IncumbentMessage, Offer, Peer, Reply, ResourceShare, Step,
+    Successor, SuccessorMessage,
 };
 use rushquay_sockets::{classify, ErrorClass, RetryStream};
 use rushquay_xds::client::Outage;
@@ -79,38 +79,38 @@
 ///
 /// # Errors
 /// Another new process is already taking over.
-pub async fn look(place: &Path, listen: SocketAddr) -> Result<Found, String> {
+pub async fn find_predecessor(place: &Path, listen: SocketAddr) -> Result<Found, String> {
     let mut successor = Successor::default();
     loop {
         let hello = successor.hello();
         let (heard, received) = match timeout(ANSWER_TIMEOUT, ask(place, listen, &hello)).await {
             Ok(Ok(heard)) => heard,
             Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
-                (Heard::Nobody, None)
+                (HandoverResponse::NoIncumbent, None)
             }
             Ok(Err(e)) => {
                 log(format_args!("no hand-over through {}: {e}", place.display()));
-                (Heard::Nothing, None)
+                (HandoverResponse::NoAnswer, None)
             }
             Err(_) => {
                 log(format_args!(
                     "no hand-over through {}: timed out waiting for an answer",
                     place.display()
                 ));
-                (Heard::Nothing, None)
+                (HandoverResponse::NoAnswer, None)
             }
         };
-        if let Heard::Answer { said: IncumbentMessage::Unknown { forms }, .. } = &heard {
+        if let HandoverResponse::Answer { said: IncumbentMessage::Unknown { forms }, .. } = &heard {
             log(format_args!(
                 "the old process supports no hand-over format known to this one (it supports {forms:?})"
             ));
         }
-        match (successor.heard(heard).map_err(|e| e.to_string())?, received) {
-            (Step::Take(offer), Some((listener, stream))) => {
+        match (successor.handle_response(heard).map_err(|e| e.to_string())?, received) {
+            (Step::UseListener(offer), Some((listener, stream))) => {
                 return Ok(Found::Old { listener, offer: Box::new(offer), link: Link(stream) })
             }
-            (Step::Take(_) | Step::Listen, _) => return Ok(Found::None),
-            (Step::AskAgain, _) => sleep(RETRY_DELAY).await,
+            (Step::UseListener(_) | Step::Listen, _) => return Ok(Found::None),
+            (Step::Retry, _) => sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -120,7 +120,7 @@
     place: &Path,
     listen: SocketAddr,
     hello: &SuccessorMessage,
-) -> io::Result<(Heard, Option<(TcpListener, RetryStream<UnixStream>)>)> {
+) -> io::Result<(HandoverResponse, Option<(TcpListener, RetryStream<UnixStream>)>)> {
     let mut stream = RetryStream::new(connect_to_incumbent(place).await?);
     stream.write_all(&hello.bytes()).await?;
     let mut head = [0; 4];
@@ -140,7 +140,7 @@
         TcpListener::from_std(socket.into())
     });
     let listener = listener.transpose()?;
-    Ok((Heard::Answer { said, listener: listener.is_some() }, listener.map(|l| (l, stream))))
+    Ok((HandoverResponse::Answer { said, listener: listener.is_some() }, listener.map(|l| (l, stream))))
 }
 
 /// Reads four bytes and the file descriptor sent along with them, if any.
@@ -208,20 +208,20 @@
 }
 
 /// The listening process, as a hand-over needs it.
-pub trait Listening {
+pub trait ListenerOwner {
     /// The number of descriptors in use.
-    fn held(&self) -> usize;
+    fn used_descriptors(&self) -> usize;
     /// The state to pass to the process that takes over.
-    fn known(&self) -> HandoverState;
+    fn handover_state(&self) -> HandoverState;
     /// Sets the share of the resources that this process may use from now on.
-    fn hold(&self, share: ResourceShare);
+    fn apply_share(&self, share: ResourceShare);
 }
 
 /// Serves hand-overs to new processes.
 pub struct HandoverServer {
     machine: RefCell<Incumbent>,
     listener: RefCell<Option<Rc<TcpListener>>>,
-    me: Rc<dyn Listening>,
+    me: Rc<dyn ListenerOwner>,
     peers: Cell<usize>,
     next: Cell<u64>,
     place: Option<PathBuf>,
@@ -238,7 +238,7 @@
         place: Option<&Path>,
         listener: Rc<TcpListener>,
         machine: Incumbent,
-        me: Rc<dyn Listening>,
+        me: Rc<dyn ListenerOwner>,
     ) -> Rc<Self> {
         let server = Rc::new(HandoverServer {
             machine: RefCell::new(machine),
@@ -274,7 +274,7 @@
     }
 
     /// Records that the predecessor has ended.
-    pub fn alone(&self) {
+    pub fn predecessor_ended(&self) {
         self.machine.borrow_mut().alone();
         self.hold();
     }
@@ -282,7 +282,7 @@
     /// Applies the share of the resources that this process may use now.
     fn hold(&self) {
         let share = self.machine.borrow().share();
-        self.me.hold(share);
+        self.me.apply_share(share);
     }
 
     /// Whether a successor serves in place of this process.
@@ -320,7 +320,7 @@
                         }
                         // Danger: the ended successor had replaced the socket at the meeting place. If this process did not
                         // bind it again, the next one would find nobody there and start as if there were no old process.
-                        let served = server.machine.borrow_mut().lost(peer);
+                        let served = server.machine.borrow_mut().handle_disconnect(peer);
                         if served {
                             log("the new process has ended; this one continues to serve");
                             server.lost.notify_waiters();
@@ -349,14 +349,17 @@
             timeout(ANSWER_TIMEOUT, read_message(&mut stream)).await.map_err(io::Error::from)??;
         loop {
             let Some(said) = next else { return Ok(()) };
-            let reply = self.machine.borrow_mut().said(peer, &said, self.me.held(), || self.me.known());
+            let reply =
+                self.machine
+                    .borrow_mut()
+                    .handle_message(peer, &said, self.me.used_descriptors(), || self.me.handover_state());
             match reply {
                 None => {}
-                Some(Reply::And(said)) => {
+                Some(Reply::KeepOpen(said)) => {
                     stream.write_all(&said.bytes()).await?;
                     log("a new process serves; this one ends when it is told to");
                 }
-                Some(Reply::Only(said)) => return stream.write_all(&said.bytes()).await,
+                Some(Reply::ThenClose(said)) => return stream.write_all(&said.bytes()).await,
                 Some(Reply::WithListener(said)) => {
                     let listener = self.listener.borrow().clone();
                     let Some(listener) = listener else { return Ok(()) };
--- a/src/proxy/process/signals.rs
+++ b/src/proxy/process/signals.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// The signal handler cannot be registered.
-    pub fn ending() -> Result<Self, String> {
+    pub fn terminate() -> Result<Self, String> {
         Self::on(&[SIGTERM, SIGINT]).map_err(|e| format!("SIGTERM: {e}"))
     }
 
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// The signal handler cannot be registered.
-    pub fn hang_up() -> Result<Self, String> {
+    pub fn reload() -> Result<Self, String> {
         Self::on(&[SIGHUP]).map_err(|e| format!("SIGHUP: {e}"))
     }
 
--- a/src/proxy/process/startup.rs
+++ b/src/proxy/process/startup.rs
@@ -59,7 +59,7 @@
         whole: ResourceShare,
     ) -> Result<Self, String> {
         let found = match meeting {
-            Some(meeting) => handover::look(meeting, config.listen).await?,
+            Some(meeting) => handover::find_predecessor(meeting, config.listen).await?,
             None => Found::None,
         };
         let (listening, mut share, predecessor, inherited) = match found {
@@ -75,7 +75,7 @@
         let bound = match &listening {
             ListenSocket::Alone(listener) => listener.local_addr(),
             ListenSocket::Beside(_) => {
-                share = whole.kept();
+                share = whole.incumbent_share();
                 Ok(config.listen)
             }
         };
@@ -159,12 +159,12 @@
             tokio::task::spawn_local(async move {
                 link.ended().await;
                 crate::proxy::log("the old process has ended");
-                handover_server.alone();
+                handover_server.predecessor_ended();
             });
         } else if beside {
             tokio::task::spawn_local(async move {
                 sleep(PREDECESSOR_EXIT_TIMEOUT).await;
-                handover_server.alone();
+                handover_server.predecessor_ended();
             });
         }
     }
--- a/src/proxy/server.rs
+++ b/src/proxy/server.rs
@@ -19,14 +19,14 @@
 use crate::proxy::listener::pause_detection;
 use crate::proxy::observability::admin::{self, AdminListener};
 use crate::proxy::observability::request_trace::{self, Event};
-use crate::proxy::process::handover::{self, HandoverServer, Listening};
+use crate::proxy::process::handover::{self, HandoverServer, ListenerOwner};
 use crate::proxy::process::signals::SignalFlag;
 use crate::proxy::process::startup::{StartupPlan, TakeOver};
 use crate::proxy::process::supervised::Supervised;
 use crate::proxy::upstream::backend::Backend;
 use crate::proxy::upstream::load_assignment::ClusterSet;
 use crate::proxy::upstream::Upstreams;
-use crate::proxy::{BODY_MOST, BUFFER_MOST};
+use crate::proxy::{MAX_BUFFERED_BODY, MAX_READ_AHEAD};
 use hyper::header::HeaderValue;
 use rushquay_admin::{RequestMetrics, ServingState};
 use rushquay_endpoints::WatchMode;
@@ -119,13 +119,13 @@
     // Danger: two clocks that are started before and after a step of the wall clock differ by that step forever, and timestamps of one
     // are compared with those of the other. All components share this clock.
     let clock = Clock::by(&config.clocks);
-    let host = config.hosted.as_ref().map(|h| h.socket.clone());
+    let host = config.supervisor.as_ref().map(|h| h.socket.clone());
     let Components { front, rollout, policy } = match config.envoy.clone() {
         Some(source) => {
             let (settings, names) = (config.settings, config.names);
             let pools =
                 ClusterSet::new(settings, names, config.seed, descriptors.clone(), metrics.clone(), clock);
-            let me = envoy::Me { name: config.name, seed: config.seed, listen: bound, clock };
+            let me = envoy::ProxyIdentity { name: config.name, seed: config.seed, listen: bound, clock };
             envoy::follow(source, pools.clone(), me)?;
             Components { front: Backend::Clusters(pools), rollout: None, policy: None }
         }
@@ -234,16 +234,16 @@
 /// Returns how many connections the share of resources permits. Danger: each connection may buffer a complete body and input that is read
 /// ahead; the memory must suffice even if all connections do.
 fn capacity(share: ResourceShare, reserved: usize) -> usize {
-    let max_by_memory = share.memory.saturating_sub(OWN_MEMORY) / (BODY_MOST + 2 * BUFFER_MOST);
+    let max_by_memory = share.memory.saturating_sub(OWN_MEMORY) / (MAX_BUFFERED_BODY + 2 * MAX_READ_AHEAD);
     share.sockets.saturating_sub(reserved).min(max_by_memory).max(8)
 }
 
-impl Listening for Server {
-    fn held(&self) -> usize {
+impl ListenerOwner for Server {
+    fn used_descriptors(&self) -> usize {
         self.reserved_descriptors + self.descriptors.taken()
     }
 
-    fn known(&self) -> HandoverState {
+    fn handover_state(&self) -> HandoverState {
         let settings = self.rollout.as_ref().and_then(|r| r.assignment_text());
         let cold = |c: ColdEndpointAllowance| SlowStartAllowance {
             node: c.server,
@@ -255,7 +255,7 @@
         HandoverState { list: self.backend.endpoint_list(), settings, policy, cold }
     }
 
-    fn hold(&self, share: ResourceShare) {
+    fn apply_share(&self, share: ResourceShare) {
         self.descriptors.resize(capacity(share, self.reserved_descriptors));
         while self.descriptors.taken() > self.descriptors.most() && self.backend.close_oldest_idle() {}
     }
@@ -294,7 +294,7 @@
     let nodes = EndpointFeed::new(engine.clone(), subscription.as_ref().map(|s| s.limits()), known.as_ref());
     let (discovery_changes, changed) = mpsc::unbounded_channel();
     tokio::task::spawn_local(discovery.follow(nodes.clone(), changed));
-    let hosted = config.hosted;
+    let hosted = config.supervisor;
     let (layers, wake_up) = (ConfigLayers::new(engine.clone(), config.own), Arc::new(Notify::new()));
     let rollout = config
         .rollout
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Status;
 use crate::proxy::http::headers::CORRELATION_ID;
-use crate::proxy::http::request_body::{steady, Upload};
+use crate::proxy::http::request_body::{steady_nanos, Upload};
 use crate::proxy::upstream::socket::Socket;
 use crate::proxy::Body;
 use hyper::body::Bytes;
@@ -104,12 +104,12 @@
     /// Marks the request as answered. An attempt whose first byte is not written yet is then never written: the check before the
     /// first byte denies it.
     pub fn mark_answered(&self) {
-        self.request.set(RequestState::Answered(steady()));
+        self.request.set(RequestState::Answered(steady_nanos()));
     }
 
     /// Marks the request as abandoned by its client, with the same effect on an unwritten attempt.
     pub fn mark_abandoned(&self) {
-        self.request.set(RequestState::Abandoned(steady()));
+        self.request.set(RequestState::Abandoned(steady_nanos()));
     }
 
     /// Sets the connection that the attempt is written to.
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -7,7 +7,7 @@
 use crate::proxy::listener::read_buffer::BufferedInput;
 use crate::proxy::observability::request_trace::{self, Event};
 use crate::proxy::server::Server;
-use crate::proxy::BUFFER_MOST;
+use crate::proxy::MAX_READ_AHEAD;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -74,7 +74,7 @@
         let framing = RequestFraming::new(client.socket.clone(), client.read_buffer.clone());
         let connection = http1::Builder::new()
             .half_close(true)
-            .max_buf_size(BUFFER_MOST)
+            .max_buf_size(MAX_READ_AHEAD)
             .serve_connection(TokioIo::new(framing), service);
         let mut connection = std::pin::pin!(connection);
         let mut rechecks_left = MAX_RECHECKS;
@@ -89,7 +89,7 @@
                     self.record_close(client, close_cause(client, ended));
                     return;
                 }
-                () = client.ending.notified() => {
+                () = client.close_requested.notified() => {
                     let cause = client.cause().unwrap_or(CloseCause::Idle);
                     match close_action(client, cause, &mut rechecks_left) {
                         CloseAction::Close => {
@@ -97,10 +97,10 @@
                             return;
                         }
                         CloseAction::Recheck => {
-                            client.ending.notify_one();
+                            client.close_requested.notify_one();
                             tokio::task::yield_now().await;
                         }
-                        CloseAction::AnswerFirst if client.read_buffer.behind() == BufferedInput::Nothing => {
+                        CloseAction::AnswerFirst if client.read_buffer.buffered_input() == BufferedInput::Nothing => {
                             connection.as_mut().graceful_shutdown();
                         }
                         CloseAction::AnswerFirst | CloseAction::Wait => {}
@@ -113,14 +113,14 @@
     /// Returns whether the response that is being sent is the last on its connection. Danger: requests that were already read behind
     /// this one would be dropped unanswered, so bytes that have arrived are read now.
     fn is_last(&self, client: &Client) -> bool {
-        if client.read_buffer.last.get() {
+        if client.read_buffer.has_unknown_length.get() {
             return true;
         }
         if !self.draining.get() && !client.closing() {
             return false;
         }
         client.read_buffer.read_ahead(&client.socket);
-        client.read_buffer.behind() == BufferedInput::Nothing
+        client.read_buffer.buffered_input() == BufferedInput::Nothing
     }
 
     /// Records that a connection has closed, and checks whether a response was still owed on it.
@@ -148,7 +148,7 @@
             if client.ends_by_close.get() {
                 client.socket.reset();
             }
-            client.end(CloseCause::BrokenAnswer);
+            client.request_close(CloseCause::BrokenAnswer);
             return CloseCause::BrokenAnswer;
         }
         Err(e) if e.is_parse() => CloseCause::AnswerSaidSo,
--- a/src/proxy/upstream/load_assignment.rs
+++ b/src/proxy/upstream/load_assignment.rs
@@ -200,7 +200,7 @@
                 cluster.apply_nodes(nodes, &self.active_config.names, &self.active_config.settings);
             }
         }
-        for (name, (refused, overloads)) in batch.sheds {
+        for (name, (refused, overloads)) in batch.drop_overloads {
             if let Some(cluster) = self.clusters.borrow().get(&name) {
                 cluster.rejected_fraction.set(refused);
                 *cluster.overloads.borrow_mut() = overloads;
@@ -228,7 +228,7 @@
             breakers: RefCell::new(breakers),
             group_since: Rc::default(),
             group: RefCell::new(spec.group.clone()),
-            retire_on_change: Cell::new(spec.renew),
+            retire_on_change: Cell::new(spec.reconnect_on_endpoint_change),
             rejected_fraction: Cell::default(),
             overloads: RefCell::default(),
             nodes: RefCell::default(),
@@ -288,7 +288,7 @@
             (_, limits) => *breakers = limits.map(Breakers::new),
         }
         self.upstreams.set_limits(connection_limits(spec, settings, breakers.clone()));
-        self.retire_on_change.set(spec.renew);
+        self.retire_on_change.set(spec.reconnect_on_endpoint_change);
         if *self.group.borrow() != spec.group {
             *self.group.borrow_mut() = spec.group.clone();
             self.group_since.set(now);
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::api::{Entry, Nanos, ServerId, Settings, State, Status};
 use crate::proxy::http::headers::TIME_LEFT;
-use crate::proxy::http::request_body::{steady, LongAnswer, Returns};
+use crate::proxy::http::request_body::{steady_nanos, ReturnConnection, StreamedResponse};
 use crate::proxy::http::response_reader::{read, ResponseReader};
 use crate::proxy::listener::descriptors::Descriptors;
 use crate::proxy::observability::fleet_stats::{self, Kind};
@@ -18,7 +18,7 @@
     AttemptBody, AttemptLimits, AttemptOutcome, Cancellation, UpstreamRequest,
 };
 use crate::proxy::upstream::socket::{FirstByte, Io, Socket};
-use crate::proxy::{Body, BODY_MOST, BUFFER_MOST};
+use crate::proxy::{Body, MAX_BUFFERED_BODY, MAX_READ_AHEAD};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HeaderValue, CONNECTION, HOST};
 use hyper::{Request, Response};
@@ -40,7 +40,7 @@
 
 /// Maximum size of one response: body, framing, and interim responses. Danger: hyper keeps reading for as long as interim
 /// responses arrive, and reports none of them.
-const MAX_RESPONSE_BYTES: usize = 2 * BODY_MOST;
+const MAX_RESPONSE_BYTES: usize = 2 * MAX_BUFFERED_BODY;
 
 /// Delay before retrying a connect that failed for lack of local ports, buffers or descriptors, and the maximum number of connects.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(3);
@@ -414,7 +414,7 @@
         cancellation: &Rc<Cancellation>,
         importance: RoutePriority,
     ) -> AttemptOutcome {
-        let deadlines = AttemptDeadlines::from_limits(&limits, steady());
+        let deadlines = AttemptDeadlines::from_limits(&limits, steady_nanos());
         let until = Instant::now() + limits.total;
         match timeout_at(until, self.exchange(server, upstream_request, deadlines, cancellation, importance))
             .await
@@ -436,7 +436,7 @@
     ) -> SendFacts {
         let same = self.target(server).is_some_and(|target| target.epoch == epoch);
         SendFacts {
-            now: steady(),
+            now: steady_nanos(),
             request: cancellation.request_state(),
             node: if same { NodeStanding::Ready } else { NodeStanding::Left },
             deadline: deadlines.total,
@@ -488,7 +488,7 @@
                 connection.close(NodeCloseCause::NodeChanged);
                 return self.denied_outcome(upstream_request, server, denied);
             }
-            let time_left = deadlines.total.saturating_sub(steady()).min(deadlines.max_node_deadline);
+            let time_left = deadlines.total.saturating_sub(steady_nanos()).min(deadlines.max_node_deadline);
             let (pool, cancellation_state) = (self.clone(), cancellation.clone());
             let facts = Box::new(move || SendFacts {
                 deadline: deadlines.client,
@@ -543,7 +543,7 @@
             // A streamed response is limited by how fast the client reads it.
             connection.socket.lift_read_limit();
             let to = reusable.then(|| (self.clone(), server, epoch));
-            let answer = LongAnswer::new(buffered, rest, length, ReturnToPool { connection, to });
+            let answer = StreamedResponse::new(buffered, rest, length, ReturnToPool { connection, to });
             ended.response = Some(Response::from_parts(head, Body::answer(answer)));
         } else if reusable && connection.socket.is_written() {
             self.return_idle(server, epoch, connection);
@@ -635,7 +635,7 @@
         let socket = Socket::with_metrics(stream, permit, self.metrics.clone());
         // Danger: by default hyper accepts a response head of up to some 400 KB.
         let handshake =
-            http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(TokioIo::new(Io(socket.clone())));
+            http1::Builder::new().max_buf_size(MAX_READ_AHEAD).handshake(TokioIo::new(Io(socket.clone())));
         let (sender, driver) = handshake.await.map_err(|_| Status::ConnectFailed)?;
         let driver = tokio::task::spawn_local(driver).abort_handle();
         let (cause, metrics) = (Cell::new(NodeCloseCause::Failed), self.metrics.clone());
@@ -666,8 +666,8 @@
     to: Option<(Rc<Upstreams>, ServerId, u64)>,
 }
 
-impl Returns for ReturnToPool {
-    fn back(self: Box<Self>) {
+impl ReturnConnection for ReturnToPool {
+    fn return_connection(self: Box<Self>) {
         let ReturnToPool { connection, to } = *self;
         if let Some((upstreams, server, epoch)) = to.filter(|_| connection.socket.is_written()) {
             upstreams.return_idle(server, epoch, connection);
--- a/src/supervisor/files.rs
+++ b/src/supervisor/files.rs
@@ -1,6 +1,6 @@
 //! The files of a supervisor: programs named by their digests, its persisted record, its lock.
 
-use super::HostSettings;
+use super::SupervisorSettings;
 use ring::digest::{Context, SHA256};
 use rushquay_config_version::Digest;
 use rushquay_supervisor::{RecordError, SupervisorRecord};
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// The file can't be read.
-pub fn digest(path: &Path) -> Result<Digest, FileError> {
+pub fn file_digest(path: &Path) -> Result<Digest, FileError> {
     let mut file = File::open(path).map_err(at(path))?;
     let (mut context, mut buffer) = (Context::new(&SHA256), vec![0; 1 << 20]);
     loop {
@@ -60,9 +60,9 @@
 ///
 /// # Errors
 /// A file can't be read or written, or changed while it was copied.
-pub fn add(file: &Path, folder: &Path) -> Result<Digest, FileError> {
+pub fn add_program(file: &Path, folder: &Path) -> Result<Digest, FileError> {
     fs::create_dir_all(folder).map_err(at(folder))?;
-    let name = digest(file)?;
+    let name = file_digest(file)?;
     let (temporary, path) =
         (folder.join(format!(".{name}.{}", std::process::id())), folder.join(name.to_string()));
     let copy = || {
@@ -75,7 +75,7 @@
         let _ = fs::remove_file(&temporary);
         FileError::Io(path.clone(), e)
     })?;
-    match digest(&path)? {
+    match file_digest(&path)? {
         same if same == name => Ok(name),
         other => Err(FileError::DigestMismatch(path, other)),
     }
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The folder can't be created.
-    pub fn open(settings: &HostSettings) -> Result<Self, String> {
+    pub fn open(settings: &SupervisorSettings) -> Result<Self, String> {
         let files = Files { dir: settings.dir.clone(), programs: settings.programs.clone() };
         fs::create_dir_all(files.retained_dir())
             .map_err(|e| format!("dir: {}: {e}", files.retained_dir().display()))?;
@@ -179,7 +179,7 @@
             (self.retained_dir().join(program.to_string()), self.programs.join(program.to_string()));
         let mut error = None;
         for path in [&own, &added] {
-            match digest(path) {
+            match file_digest(path) {
                 Ok(found) if found == program => {
                     // Danger: a program that an operator removes from the folder may be the one to roll back to.
                     let retained =
--- a/src/supervisor/mod.rs
+++ b/src/supervisor/mod.rs
@@ -7,9 +7,9 @@
 mod processes;
 mod settings;
 
-pub use files::{add, digest, FileError, Files};
-pub use processes::find;
-pub use settings::HostSettings;
+pub use files::{add_program, file_digest, FileError, Files};
+pub use processes::find_processes;
+pub use settings::SupervisorSettings;
 
 use processes::Processes;
 use rushquay_config_version::{ConfigAssignment, ConfigVersion, Digest};
@@ -67,14 +67,14 @@
 ///
 /// # Errors
 /// Unusable settings, folders or sockets, or another supervisor of the same folder.
-pub async fn run(settings: HostSettings, stop: impl Future<Output = ()>) -> Result<(), String> {
+pub async fn run(settings: SupervisorSettings, stop: impl Future<Output = ()>) -> Result<(), String> {
     let files = Files::open(&settings)?;
     // From here on no other supervisor starts processes for this folder, and those of earlier ones can be found.
     let _lock = files.lock()?;
     let socket_path = files.socket();
     // Danger: a second proxy would be started beside a running one that was not found.
-    let found =
-        find(&socket_path).map_err(|e| format!("the processes of this machine can't be looked up: {e}"))?;
+    let found = find_processes(&socket_path)
+        .map_err(|e| format!("the processes of this machine can't be looked up: {e}"))?;
     let default_target = default_target(settings.program);
     let record = match files.read_record() {
         Ok(Some(record)) => record,
--- a/src/supervisor/processes.rs
+++ b/src/supervisor/processes.rs
@@ -1,6 +1,6 @@
 //! The processes of a supervisor: starts and signals them, and finds those of an earlier supervisor in `/proc`.
 
-use super::{Files, HostSettings};
+use super::{Files, SupervisorSettings};
 use crate::proxy::process::supervised::{GIVEN, HOST, OWN_PROGRAM, PROGRAM};
 use rushquay_config_version::Digest;
 use rushquay_sockets::patiently;
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// `/proc` can't be read, also after several attempts.
-pub fn find(socket: &Path) -> io::Result<Vec<FoundProcess>> {
+pub fn find_processes(socket: &Path) -> io::Result<Vec<FoundProcess>> {
     patiently(|| {
         let mut found = Vec::new();
         for entry in std::fs::read_dir("/proc")? {
@@ -140,7 +140,7 @@
 
 impl Processes {
     /// Creates the table, with the processes that were found running.
-    pub fn new(settings: &HostSettings, files: &Files, found: &[FoundProcess]) -> Self {
+    pub fn new(settings: &SupervisorSettings, files: &Files, found: &[FoundProcess]) -> Self {
         let mut environment = settings.environment.clone();
         environment.insert("PROXY_NAME".into(), settings.name.clone());
         // Incumbent and successor need the same directory for their hand-over socket.
--- a/src/supervisor/settings.rs
+++ b/src/supervisor/settings.rs
@@ -13,7 +13,7 @@
 
 /// What a supervisor runs, and the timeouts by which it judges its processes.
 #[derive(Clone, Debug)]
-pub struct HostSettings {
+pub struct SupervisorSettings {
     /// The proxy's name.
     pub name: String,
     /// The supervisor's own folder.
@@ -63,7 +63,7 @@
     ends_most: Option<u32>,
 }
 
-impl HostSettings {
+impl SupervisorSettings {
     /// Reads and validates a settings file (TOML).
     ///
     /// # Errors
@@ -105,7 +105,7 @@
         let control = raw.control.map(ControlSource::validate).transpose();
         let control = control.map_err(|e| format!("control.{e}"))?;
         let RawSettings { name, dir, programs, args, environment, .. } = raw;
-        Ok(HostSettings { name, dir, programs, program, args, environment, timeouts, control })
+        Ok(SupervisorSettings { name, dir, programs, program, args, environment, timeouts, control })
     }
 }
 
--- a/src/supervisor/settings/tests.rs
+++ b/src/supervisor/settings/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn errors_name_the_invalid_field() {
     let valid = "name='p0'\ndir='/a'\nprograms='/b'\nprogram='00112233445566778899aabbccddeeff'\n";
-    assert_eq!(HostSettings::parse(valid).expect("valid settings").timeouts, Timeouts::default());
+    assert_eq!(SupervisorSettings::parse(valid).expect("valid settings").timeouts, Timeouts::default());
     let cases = [
         (valid.replace("name='p0'", "name=' '"), "name:"),
         (valid.replace("'/a'", "'a'"), "dir:"),
@@ -16,7 +16,7 @@
         (valid[..valid.len() / 2].to_owned(), "TOML"),
     ];
     for (text, field) in cases {
-        let error = HostSettings::parse(&text).expect_err("invalid settings");
+        let error = SupervisorSettings::parse(&text).expect_err("invalid settings");
         assert!(error.contains(field), "{field}: {error}");
     }
 }
--- a/tests/control/clock_steps.rs
+++ b/tests/control/clock_steps.rs
@@ -3,7 +3,7 @@
 use super::overrides::say;
 use super::restarts::{drained, Rig};
 use super::*;
-use rushquay_control_service::{start_by, Clocks};
+use rushquay_control_service::{start_with_clocks, Clocks};
 use std::sync::Arc;
 
 /// Longer than the hour that a drain is held and than any override here lasts.
@@ -27,8 +27,9 @@
     let clocks =
         Clocks { wall: Arc::new(move || wall().saturating_add_signed(ahead_s * 1_000_000_000)), ..machine };
     let any = "127.0.0.1:0".parse().expect("an address");
-    let options = Options { admin: Some(any), state, ..options(SourceOption::Discovery(discovery)) };
-    start_by(options, clocks).await.expect("a control service")
+    let options =
+        Options { admin: Some(any), state_file: state, ..options(SourceOption::Discovery(discovery)) };
+    start_with_clocks(options, clocks).await.expect("a control service")
 }
 
 /// Two proxies that follow a control service with such a clock; their own discovery is down.
--- a/tests/control/main.rs
+++ b/tests/control/main.rs
@@ -62,7 +62,7 @@
 
 fn options(source: SourceOption) -> Options {
     let any = "127.0.0.1:0".parse().expect("an address");
-    Options { listen: any, source, admin: None, settings: Settings::default(), state: None }
+    Options { listen: any, source, admin: None, settings: Settings::default(), state_file: None }
 }
 
 async fn control(discovery: SocketAddr) -> ControlService {
--- a/tests/control/overrides.rs
+++ b/tests/control/overrides.rs
@@ -8,7 +8,7 @@
 async fn service(discovery: SocketAddr, state: Option<&Path>) -> ControlService {
     let source = SourceOption::Discovery(discovery);
     let any = "127.0.0.1:0".parse().expect("an address");
-    let options = Options { admin: Some(any), state: state.map(Path::to_owned), ..options(source) };
+    let options = Options { admin: Some(any), state_file: state.map(Path::to_owned), ..options(source) };
     let service = start(options).await.expect("a control service");
     let hub = service.hub().clone();
     until("it knows the list", || hub.store().is_open()).await;
--- a/tests/control/peers.rs
+++ b/tests/control/peers.rs
@@ -285,7 +285,7 @@
         let node = |i: u64| json!({"id": format!("n{i}"), "addr": "127.0.0.1:1", "zone": "z", "kind": "k", "state": "ready", "weight": (version + i) as f64});
         members(version, true, &(0..1000).map(node).collect::<Vec<_>>())
     };
-    service.tell(list(1));
+    service.process_endpoint_list(list(1));
     let mut silent =
         DeltaPeer::new(service.xds, "silent", subscribe(Kind::Endpoints, &["cache-nodes"])).await;
     let blind = DeltaPeer::new(service.xds, "blind", subscribe(Kind::Endpoints, &["cache-nodes"])).await;
@@ -293,7 +293,7 @@
         let ack =
             DeltaDiscoveryRequest { response_nonce: nonce.to_string(), ..subscribe(Kind::Endpoints, &[]) };
         blind.asks.send(ack).await.expect("sent");
-        service.tell(list(u64::from(nonce) + 1));
+        service.process_endpoint_list(list(u64::from(nonce) + 1));
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let mut reading =
--- a/tests/control/restarts.rs
+++ b/tests/control/restarts.rs
@@ -183,7 +183,7 @@
 /// A control service that keeps what it knows in a file.
 async fn keeping(discovery: SocketAddr, file: &std::path::Path) -> ControlService {
     let source = SourceOption::Discovery(discovery);
-    start(Options { state: Some(file.into()), ..options(source) }).await.expect("a control service")
+    start(Options { state_file: Some(file.into()), ..options(source) }).await.expect("a control service")
 }
 
 /// Entries last told in several lists; a control service that starts anew has them all from the newest, and sends
--- a/tests/control/standby.rs
+++ b/tests/control/standby.rs
@@ -30,7 +30,7 @@
 }
 
 fn state(service: &ControlService) -> LeadershipState {
-    service.standby().expect("one of several")
+    service.leadership_state().expect("one of several")
 }
 
 async fn leads(service: &ControlService) -> u64 {
--- a/tests/faults/rig.rs
+++ b/tests/faults/rig.rs
@@ -107,7 +107,7 @@
                     source,
                     admin: None,
                     settings: Settings::default(),
-                    state: None,
+                    state_file: None,
                 };
                 Some(start(options).await.expect("a control service"))
             }
