--- a/crates/core/load-assignment/src/lib.rs
+++ b/crates/core/load-assignment/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`effective`](mod@effective): the share of the load of each endpoint.
 //! - [`Pool`]: tracks the endpoints of a cluster over time and reports their changes.
 //! - [`aggregate`]: distribution of requests over the clusters of an aggregate cluster.
-//! - [`Breakers`]: circuit breakers. [`repeats`]: whether a keyed request may be retried.
+//! - [`Breakers`]: circuit breakers. [`retry_safety`]: whether a keyed request may be retried.
 //! - [`dns`]: endpoints whose addresses are resolved by DNS.
 //!
 //! Source: Envoy's documentation, "Load Balancing" (sections "Priority levels", "Degraded endpoints", "Panic threshold",
