--- a/crates/testing/fleet-harness/src/fleet.rs
+++ b/crates/testing/fleet-harness/src/fleet.rs
@@ -377,7 +377,7 @@
             let config = proxy.host.to_str().expect("a path");
             let args = ["host", "run", "--config", config];
             let process = Process::start(&proxy.name, program, &args, &more, &self.history);
-            process.says("rushquay host: host of ");
+            process.says("rushquay host: supervisor of ");
             self.relay.control().lead(&format!("front:{}", proxy.name), proxy.listen).expect("a leg");
             return process;
         }
