--- a/crates/core/policy/src/record.rs
+++ b/crates/core/policy/src/record.rs
@@ -91,7 +91,7 @@
         now: u64,
     },
     /// Another change is pending; there is at most one at a time.
-    #[error("the change to policy {0} is still pending; wait until it ends, or withdraw it")]
+    #[error("policy {0} is proposed and not decided yet; wait for its end, or withdraw it")]
     Undecided(u64),
     /// There is no pending change to withdraw.
     #[error("no change is pending")]
