--- a/crates/core/lease/src/epoch.rs
+++ b/crates/core/lease/src/epoch.rs
@@ -30,7 +30,7 @@
 /// A message from an earlier epoch than the highest seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "message from epoch {received}, but epoch {seen} was already seen: the sender is no longer the leader"
+    "message from epoch {received}, but epoch {seen} was seen already: the sender is no longer the leader"
 )]
 pub struct StaleEpoch {
     /// The epoch of the message.
